--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from rainhitch import interface as api
-from rainhitch.fleet.advice import decode, encode, hashes
+from rainhitch.fleet.gossip_codec import decode, encode, hashes
 from rainhitch.policy.balancer import Balancer
 
 SECOND = 1_000_000_000
@@ -21,14 +21,16 @@
     """One router's decisions, with so many servers."""
 
     def __init__(self, servers: int) -> None:
-        classes = [api.RequestClass(aim=SECOND, deadline=2 * SECOND)]
-        told = api.Settings(classes, balancers=40, max_attempts=4, tell_every=SECOND)
+        classes = [api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]
+        told = api.Settings(classes, router_count=40, max_attempts=4, gossip_interval_ns=SECOND)
         self.balancer = Balancer(told, 1)
         self.names = [f"s-{n:08x}" for n in range(servers)]
         self.now, self.count = 100 * SECOND, 0
-        self.balancer.handle(self.now, api.Members(api.ListKind.CACHED, [api.Member(n) for n in self.names]))
+        self.balancer.handle(
+            self.now, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, [api.Endpoint(n) for n in self.names])
+        )
         self.known = hashes(self.names)
-        self.seen = [api.Seen(name, SECOND // 20) for name in self.names[:SEEN]]
+        self.seen = [api.LatencyObservation(name, SECOND // 20) for name in self.names[:SEEN]]
         self.word = encode(self.seen)
 
     def request(self) -> None:
@@ -39,15 +41,15 @@
             self.now, api.Request(name, 0, self.now + SECOND, f"k{self.count % 500}")
         )
         for action in actions:
-            if isinstance(action, api.Send):
-                answer = api.Outcome(name, 0, action.server, api.Status.OK, True, SECOND // 20)
+            if isinstance(action, api.StartAttempt):
+                answer = api.AttemptFinished(name, 0, action.server, api.AttemptStatus.OK, True, SECOND // 20)
                 self.balancer.handle(self.now, answer)
 
     def write(self) -> None:
         encode(self.seen)
 
     def hear(self) -> None:
-        self.balancer.handle(self.now, api.Heard(decode(self.word, self.known)))
+        self.balancer.handle(self.now, api.GossipReceived(decode(self.word, self.known)))
 
 
 def cost(work: Callable[[], None]) -> float:
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -21,68 +21,80 @@
 # name: file, what stands there, what takes its place
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "leaving cuts off what is on its way": (
-        "node/client.py",
+        "node/client_connection.py",
         "return not self.greeted_only and not self.frames.buffer and not self.unread()",
         "return True",
     ),
-    "a close behind a greeting": ("node/client.py", "return not self.greeted_only and", "return"),
-    "a given-up attempt counts as unsent": ("node/pool.py", "return not unsent", "return False"),
+    "a close behind a greeting": ("node/client_connection.py", "return not self.greeted_only and", "return"),
+    "a given-up attempt counts as unsent": ("node/connection_pool.py", "return not unsent", "return False"),
     "a broken connection was never up": (
-        "node/pool.py",
-        "status = never_up if self.unsent else Status.RESET",
+        "node/connection_pool.py",
+        "status = never_up if self.unsent else AttemptStatus.RESET",
         "status = never_up",
     ),
-    "the last answer is late": ("node/driver.py", "WAY_BACK = 8 * MILLI", "WAY_BACK = -120 * MILLI"),
+    "the last answer is late": ("node/deadlines.py", "WAY_BACK = 8 * MILLI", "WAY_BACK = -120 * MILLI"),
     "a time-out leaves its connection": (
-        "node/driver.py",
-        "may_have_run = attempt.connection.give_up()",
+        "node/request_driver.py",
+        "may_have_run = attempt.connection.abandon()",
         "may_have_run = True",
     ),
     "a restart keeps old connections' attempts": (
-        "node/pool.py",
+        "node/connection_pool.py",
         "for connection in [one for one in self.all if one.since < time]:",
         "for connection in []:",
     ),
     "an order's window does not end": (
-        "policy/jobs.py",
-        "if self.spec.effect is api.Effect.UNSAFE or not self.in_window(now):",
-        "if self.spec.effect is api.Effect.UNSAFE:",
+        "policy/pending_request.py",
+        "is api.Idempotency.NOT_IDEMPOTENT or not self.in_dedup_window(now):",
+        "is api.Idempotency.NOT_IDEMPOTENT:",
     ),
     "what may run once is repeated": (
-        "policy/jobs.py",
-        "if self.spec.effect is api.Effect.UNSAFE or not self.in_window(now):",
-        "if not self.in_window(now) and self.spec.effect is api.Effect.KEYED:",
+        "policy/pending_request.py",
+        "is api.Idempotency.NOT_IDEMPOTENT or not self.in_dedup_window(now):",
+        "is api.Idempotency.IDEMPOTENCY_KEY and not self.in_dedup_window(now):",
+    ),
+    "all is refused": (
+        "policy/pending_request.py",
+        "is api.Idempotency.IDEMPOTENT\n            or not self.possibly_executed",
+        "is not None",
     ),
-    "all is refused": ("policy/jobs.py", "return self.spec.effect is api.Effect.SAFE or", "return True or"),
     "two attempts of an order": (
-        "storms/orders.py",
+        "overload/idempotency_keys.py",
         "        if order.busy:\n            if len",
         "        if False:\n            if len",
     ),
     "a drained server is used": (
-        "policy/servers.py",
-        "used = self.member.state in (api.State.READY, api.State.RETIRING)",
+        "policy/server_registry.py",
+        "used = self.endpoint.state in (api.EndpointState.READY, api.EndpointState.RETIRING)",
         "used = True",
     ),
     "a retired pool takes back connections": (
-        "node/pool.py",
+        "node/connection_pool.py",
         "if self.retired or connection not in self.all:",
         "if connection not in self.all:",
     ),
-    "an id is held for ever": ("node/driver.py", "if self.held.pop(held.id, None) is not None:", "if False:"),
+    "an id is held for ever": (
+        "node/request_driver.py",
+        "if self.requests.pop(held.id, None) is not None:",
+        "if False:",
+    ),
     "a slot leaks where a dial fails": (
-        "node/pool.py",
-        "        status = never_up if self.unsent else Status.RESET\n        self.pool.drop(self)\n",
-        "        status = never_up if self.unsent else Status.RESET\n",
+        "node/connection_pool.py",
+        "        self.pool.drop(self)\n        exchange, self.exchange = self.exchange, None\n",
+        "        exchange, self.exchange = self.exchange, None\n",
     ),
     "a client that leaves is not told of": (
-        "node/client.py",
+        "node/client_connection.py",
         "self.server.driver.withdraw(slot.held)",
         "pass",
     ),
 }
 
 
+class MutantError(ValueError):
+    """A mutant whose place in the package is gone."""
+
+
 def explored(name: str, minutes: float, jobs: int, folder: Path) -> str:
     """Explores one mutant; gives its row."""
     place = folder / re.sub(r"[^a-z]+", "-", name)
@@ -92,7 +104,9 @@
         path = place / "rainhitch" / file
         text = path.read_text()
         if text.count(old) != 1:
-            return f"| {name} | the place is gone | | |"
+            raise MutantError(
+                f"{name}: the text stands {text.count(old)} times in {file}, once is wanted: {old!r}"
+            )
         path.write_text(text.replace(old, new))
     words = [sys.executable, "-m", "rainhitch", "explore", "--minutes", str(minutes), "--jobs", str(jobs)]
     done = subprocess.run(
--- a/benchmarks/resp3.py
+++ b/benchmarks/resp3.py
@@ -171,9 +171,9 @@
         caller = await bench.caller()
         caller.get()
         await caller.answer()
-        memory = bench.driver.balancer.memory
+        memory = bench.driver.balancer.key_memory
         for n in range(10_000):
-            memory.put(f"k{n}", 1, "c0")
+            memory.remember(f"k{n}", 1, "c0")
         texts = [resp3.encode(resp3.Push((b"invalidate", [b"k%d" % n])), 3) for n in range(10_000)]
         line, begun = bench.cache.lines[0], cpu()
         for n in range(count):
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -70,7 +70,7 @@
             begun = time.thread_time_ns()
             made = handle(balancer, now, event)
             took = time.thread_time_ns() - begun
-            if isinstance(event, api.Members):
+            if isinstance(event, api.EndpointUpdate):
                 meter.note(len(event.entries), took)
             else:
                 meter.decisions += took
@@ -98,7 +98,10 @@
     tracemalloc.start()
     balancer = Balancer(settings, 1)
     before = tracemalloc.get_traced_memory()[0]
-    balancer.handle(SECOND, api.Members(api.ListKind.FULL, [api.Member(f"s-{n:04}") for n in range(nodes)]))
+    balancer.handle(
+        SECOND,
+        api.EndpointUpdate(api.EndpointUpdateKind.FULL, [api.Endpoint(f"s-{n:04}") for n in range(nodes)]),
+    )
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return (after - before) / 1024 / nodes
--- a/rainhitch/admin/calls.py
+++ b/rainhitch/admin/commands.py
@@ -11,17 +11,17 @@
 ALONE = ("health", "counters", "quiesce", "resume", "routers")
 
 
-class RefusedError(Exception):
+class CommandRejectedError(Exception):
     """What was asked for is not done; the text says why."""
 
 
-class Hands(Protocol):
+class AdminCommands(Protocol):
     """What the calls act on. Each raises RefusedError where it can't be done."""
 
     def health(self) -> str:
         """Says in a word or two how the router is; RefusedError while it is not ready to serve."""
 
-    def figures(self) -> list[str]:
+    def metrics(self) -> list[str]:
         """The figures as they stand, a line each."""
 
     def cordon(self, server: str) -> str:
@@ -40,7 +40,7 @@
         """What this router believes of the others and shares with them: one JSON object."""
 
 
-def answer(line: bytes, hands: Hands) -> bytes:
+def answer(line: bytes, hands: AdminCommands) -> bytes:
     """The whole answer to a call, with its line ends; nothing in it can break the form."""
     try:
         words = line.decode("ascii").split()
@@ -53,8 +53,8 @@
         return f"ERR {name} takes {'one id' if name in WITH_ID else 'nothing'}\n".encode()
     try:
         if name == "counters":
-            return "".join(f"{figure}\n" for figure in [*hands.figures(), "END"]).encode()
+            return "".join(f"{figure}\n" for figure in [*hands.metrics(), "END"]).encode()
         said: str = getattr(hands, name)(*rest)
-    except RefusedError as why:
+    except CommandRejectedError as why:
         return f"ERR {why}\n".encode()
     return f"OK {said}".strip().encode() + b"\n"
--- a/rainhitch/admin/desk.py
+++ b/rainhitch/admin/server.py
@@ -5,7 +5,7 @@
 import logging
 from typing import cast
 
-from rainhitch.admin.calls import MOST_LINE, Hands, answer
+from rainhitch.admin.commands import MOST_LINE, AdminCommands, answer
 
 PATIENCE = 6.0  # s that a caller may take over its line
 READS = (b"health", b"counters", b"routers")  # calls that change nothing, and are not logged
@@ -16,7 +16,7 @@
 class _Caller(asyncio.Protocol):
     """One connection."""
 
-    def __init__(self, desk: "Desk") -> None:
+    def __init__(self, desk: "AdminServer") -> None:
         self.desk = desk
         self.line = bytearray()
         self.answered = False
@@ -54,10 +54,10 @@
         self.desk.callers.pop(self, None)
 
 
-class Desk:
+class AdminServer:
     """The listener of the second address."""
 
-    def __init__(self, hands: Hands) -> None:
+    def __init__(self, hands: AdminCommands) -> None:
         self.hands = hands
         self.callers: dict[_Caller, None] = {}
         self.server: asyncio.Server | None = None
--- a/rainhitch/admin/siblings.py
+++ b/rainhitch/admin/upgrade_peers.py
@@ -8,7 +8,7 @@
 import os
 
 
-class Siblings:
+class UpgradePeers:
     """How many processes of this router there are; `folder` None: one."""
 
     def __init__(self, folder: str | None, identity: str) -> None:
--- a/rainhitch/cli/members.py
+++ b/rainhitch/cli/members.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from rainhitch.membership.etcd import Client, Options
+    from rainhitch.membership.etcd_source import EtcdClient, EtcdOptions
 
 REFUSED, BAD_INPUT, AWAY = 1, 2, 3
 
@@ -33,13 +33,13 @@
 
 
 def run(told: argparse.Namespace) -> int:
-    from rainhitch.membership.choice import MembershipError, etcd_options
-    from rainhitch.operator import read_operator
-    from rainhitch.tables import TableError
+    from rainhitch.membership.etcd_settings import MembershipError, etcd_options
+    from rainhitch.operator_config import read_operator_config
+    from rainhitch.toml_schema import TableError
 
     path = told.operator or Path(os.environ.get("RAINHITCH_OPERATOR") or "deploy/operator.toml")
     try:
-        table = read_operator(path).membership
+        table = read_operator_config(path).membership
         if table.source != "etcd":
             return _say(f"{path}: membership.source = {table.source!r}: there is no list in etcd", BAD_INPUT)
         options = etcd_options(table)
@@ -48,7 +48,7 @@
     except MembershipError as problem:
         return _say(f"{path}: {problem}", BAD_INPUT)
     from rainhitch.membership import editing
-    from rainhitch.membership.etcd import FAULTS, reason
+    from rainhitch.membership.etcd_source import FAULTS, reason
 
     try:
         return asyncio.run(_act(told, options))
@@ -65,7 +65,7 @@
     return code
 
 
-async def _act(told: argparse.Namespace, options: "Options") -> int:
+async def _act(told: argparse.Namespace, options: "EtcdOptions") -> int:
     from rainhitch.membership import editing
 
     if told.action == "watch":
@@ -95,13 +95,13 @@
     return 0
 
 
-async def reachable(options: "Options") -> "Client":
+async def reachable(options: "EtcdOptions") -> "EtcdClient":
     """A client at the first endpoint that answers."""
-    from rainhitch.membership.etcd import FAULTS, Client
+    from rainhitch.membership.etcd_source import FAULTS, EtcdClient
     from rainhitch.protocol import etcd
 
     for number, endpoint in enumerate(options.endpoints, 1):
-        client = Client(options, endpoint)
+        client = EtcdClient(options, endpoint)
         try:
             await client.call("KV/Range", etcd.message("RangeRequest", key=b"\0", count_only=True))
             return client
@@ -112,12 +112,12 @@
     raise AssertionError("no endpoints")
 
 
-async def _list(client: "Client") -> None:
-    from rainhitch.membership.roster import Roster
+async def _list(client: "EtcdClient") -> None:
+    from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
 
     begun = time.monotonic()
     cluster, revision, entries = await client.read_all(client.options.prefix)
-    seen = Roster(lambda rows: None, lambda: 0)
+    seen = EndpointListBuilder(lambda rows: None, lambda: 0)
     seen.publish({uid: value for uid, (_, value) in entries.items()}, True)
     host, port = client.endpoint
     age = (time.monotonic() - begun) * 1000
@@ -130,8 +130,8 @@
         print(f"{uid:24} can't be read: routers skip it")
 
 
-async def _watch(options: "Options", seconds: float | None) -> int:
-    from rainhitch.membership.etcd import Source
+async def _watch(options: "EtcdOptions", seconds: float | None) -> int:
+    from rainhitch.membership.etcd_source import EtcdSource
 
     def show(told: dict[str, bytes | None], whole: bool) -> None:
         if whole:
@@ -140,7 +140,7 @@
         for uid, value in told.items():
             print(f"{uid} {'Gone' if value is None else value.decode(errors='replace')}", flush=True)
 
-    source = Source(options, show, 0)
+    source = EtcdSource(options, show, 0)
     source.start()
     try:
         await asyncio.sleep(seconds if seconds is not None else 1e9)
--- a/rainhitch/cli/plan.py
+++ b/rainhitch/cli/plan.py
@@ -49,7 +49,7 @@
 
 
 def run(told: argparse.Namespace) -> int:
-    from rainhitch.tables import TableError
+    from rainhitch.toml_schema import TableError
 
     try:
         before, after, share = _lists(told)
@@ -81,13 +81,13 @@
 
 
 def _lists(told: argparse.Namespace) -> "tuple[list[Server], list[Server], float]":
-    from rainhitch.interface import MOVE_SHARE
+    from rainhitch.interface import DEFAULT_MIGRATION_FRACTION
 
-    share = MOVE_SHARE
+    share = DEFAULT_MIGRATION_FRACTION
     if told.before == "etcd" or told.operator is not None:
-        from rainhitch.operator import read_operator
+        from rainhitch.operator_config import read_operator_config
 
-        operator = read_operator(told.operator or Path("deploy/operator.toml"))
+        operator = read_operator_config(told.operator or Path("deploy/operator.toml"))
         share = operator.growth.share
     rows = asyncio.run(_in_etcd(told)) if told.before == "etcd" else _rows(Path(told.before))
     left_out = set(told.origin_kind.split(","))
@@ -124,13 +124,13 @@
 
 async def _in_etcd(told: argparse.Namespace) -> list[Json]:
     from rainhitch.cli.members import reachable
-    from rainhitch.membership.choice import MembershipError, etcd_options
-    from rainhitch.membership.etcd import FAULTS, reason
-    from rainhitch.membership.roster import Roster
-    from rainhitch.operator import read_operator
+    from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
+    from rainhitch.membership.etcd_settings import MembershipError, etcd_options
+    from rainhitch.membership.etcd_source import FAULTS, reason
+    from rainhitch.operator_config import read_operator_config
 
     try:
-        options = etcd_options(read_operator(told.operator or Path("deploy/operator.toml")).membership)
+        options = etcd_options(read_operator_config(told.operator or Path("deploy/operator.toml")).membership)
     except MembershipError as problem:
         raise InputError(str(problem)) from None
     try:
@@ -139,7 +139,7 @@
         client.close()
     except FAULTS as problem:
         raise ConnectionError(reason(problem)) from None
-    seen = Roster(lambda rows: None, lambda: 0)
+    seen = EndpointListBuilder(lambda rows: None, lambda: 0)
     seen.publish({uid: value for uid, (_, value) in entries.items()}, True)
     return list(seen.entries.values())
 
--- a/rainhitch/cli/rehearse.py
+++ b/rainhitch/cli/rehearse.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from rainhitch.cli import BAD_INPUT, INTERRUPTED, bad, virtual
-from rainhitch.tables import TableError
+from rainhitch.toml_schema import TableError
 
 MOST_REAL = 64  # routers as processes: their datagrams take a socket for each pair of them
 Json = dict[str, Any]
--- a/rainhitch/cli/schema.py
+++ b/rainhitch/cli/schema.py
@@ -11,15 +11,15 @@
 def run(told: argparse.Namespace) -> int:
     import orjson
 
-    from rainhitch import tables
+    from rainhitch import toml_schema
 
     if told.kind == "operator":
-        from rainhitch.operator import Operator
+        from rainhitch.operator_config import OperatorConfig
 
-        made = tables.schema(Operator)
+        made = toml_schema.schema(OperatorConfig)
     else:
         from rainhitch.rehearsal.scenario import Scenario
 
-        made = tables.schema(Scenario)
+        made = toml_schema.schema(Scenario)
     print(orjson.dumps(made, option=orjson.OPT_INDENT_2).decode())
     return 0
--- a/rainhitch/fleet/alive.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -39,10 +39,10 @@
 HEAD, NEWS = struct.Struct(">BHH"), struct.Struct(">HIB")
 UNKNOWN = 0  # the life of a router that nobody has heard
 MOST_LIFE = 0xFFFFFFFF
-Words = list[tuple[int, bytes]]
+Datagrams = list[tuple[int, bytes]]
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a word is."""
 
     ASK = 0x61
@@ -50,7 +50,7 @@
     HELP = 0x63  # ask that one for me
 
 
-class State(IntEnum):
+class RouterState(IntEnum):
     """What is held of a router; of two words of one life and incarnation the larger wins."""
 
     ALIVE = 0
@@ -58,17 +58,17 @@
     DEAD = 2
 
 
-class AliveError(ValueError):
+class FailureDetectorError(ValueError):
     """A word that can't be read."""
 
 
 @dataclass(slots=True)
-class Held:
+class RouterRecord:
     """What is held of one router."""
 
     life: int = UNKNOWN
     incarnation: int = 0  # 0 to MOST_INCARNATION, within its life
-    state: State = State.ALIVE
+    state: RouterState = RouterState.ALIVE
     since: int = 0
 
     @property
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class Question:
+class Ping:
     """One that is out; `helped`: others were asked to help. `by`: for whom it was asked, and its number."""
 
     whom: int
@@ -88,34 +88,34 @@
     by: tuple[int, int] | None = None
 
 
-class Alive:
+class FailureDetector:
     """One router's view. `routers`: the fixed list of names, `me` its number in it; `life`: 1 to MOST_LIFE,
     more with each start. Times are ns."""
 
     def __init__(self, me: int, routers: int, life: int, now: int, seed: int) -> None:
         self.me, self.routers = me, routers
         self.random = Random(f"{seed}/alive")
-        self.known = [Held(since=now) for _ in range(routers)]
-        self.known[me] = Held(life, since=now)
+        self.known = [RouterRecord(since=now) for _ in range(routers)]
+        self.known[me] = RouterRecord(life, since=now)
         self.news: dict[int, int] = {me: 0}  # about whom, how often told
         self.round: list[int] = []
-        self.questions: dict[int, Question] = {}
+        self.questions: dict[int, Ping] = {}
         self.number = 0
-        self.doubt = 0
+        self.local_suspicion = 0
         self.period_at = now
         self.stepped = now
         self.changes = 0
 
-    def alive(self, router: int) -> bool:
+    def is_alive(self, router: int) -> bool:
         """Whether it is taken to be there; a suspect still is."""
-        return self.known[router].state is not State.DEAD
+        return self.known[router].state is not RouterState.DEAD
 
-    def there(self) -> list[int]:
+    def live_routers(self) -> list[int]:
         """All that are taken to be there, this one among them."""
-        return [number for number in range(self.routers) if self.alive(number)]
+        return [number for number in range(self.routers) if self.is_alive(number)]
 
     @property
-    def life(self) -> int:
+    def generation(self) -> int:
         """This router's own."""
         return self.known[self.me].life
 
@@ -124,7 +124,7 @@
         """How often news is told, and for how many periods a suspect may refute, per constant."""
         return max(1, math.ceil(math.log2(self.routers + 1)))
 
-    def step(self, now: int) -> Words:
+    def step(self, now: int) -> Datagrams:
         """To be called some times a second: what is to be sent now."""
         late, self.stepped = now - self.stepped, now
         if late > AWAY + ANSWERS:
@@ -134,25 +134,25 @@
             self._doubts(1)
             for held in self.known:
                 held.since += late
-        words: Words = []
+        words: Datagrams = []
         for number, one in list(self.questions.items()):
             if now >= one.until:
                 words += self._unanswered(now, number, one)
         for router, held in enumerate(self.known):
-            if held.state is State.SUSPECT and now - held.since >= self._patience():
-                self._hold(now, router, held.life, held.incarnation, State.DEAD)
+            if held.state is RouterState.SUSPECT and now - held.since >= self._patience():
+                self._hold(now, router, held.life, held.incarnation, RouterState.DEAD)
         if now >= self.period_at:
             self.period_at = now + PERIOD
             words += self._ask_next(now)
         return words
 
     def _patience(self) -> int:
-        return SUSPECTED * self._spread * PERIOD * (1 + self.doubt) // 2
+        return SUSPECTED * self._spread * PERIOD * (1 + self.local_suspicion) // 2
 
     def _doubts(self, by: int) -> None:
-        self.doubt = min(MOST_DOUBT, max(0, self.doubt + by))
+        self.local_suspicion = min(MOST_DOUBT, max(0, self.local_suspicion + by))
 
-    def _ask_next(self, now: int) -> Words:
+    def _ask_next(self, now: int) -> Datagrams:
         if not self.round:
             # Who is held as dead is asked as well, once a round: after a cut nobody else would tell.
             self.round = [one for one in range(self.routers) if one != self.me]
@@ -163,40 +163,44 @@
 
     def _ask(self, now: int, whom: int, by: tuple[int, int] | None = None) -> tuple[int, bytes]:
         self.number = (self.number + 1) & 0xFFFF
-        self.questions[self.number] = Question(whom, now + ANSWERS * (1 + self.doubt), by=by)
-        return whom, self._word(Kind.ASK, self.number, whom, first=whom)
+        self.questions[self.number] = Ping(whom, now + ANSWERS * (1 + self.local_suspicion), by=by)
+        return whom, self._word(MessageKind.ASK, self.number, whom, first=whom)
 
-    def _unanswered(self, now: int, number: int, one: Question) -> Words:
+    def _unanswered(self, now: int, number: int, one: Ping) -> Datagrams:
         if one.helped or one.by is not None:
             del self.questions[number]
             held = self.known[one.whom]
-            if one.by is None and held.state is State.ALIVE:
+            if one.by is None and held.state is RouterState.ALIVE:
                 self._doubts(1)
-                self._hold(now, one.whom, held.life, held.incarnation, State.SUSPECT)
+                self._hold(now, one.whom, held.life, held.incarnation, RouterState.SUSPECT)
             return []
-        one.helped, one.until = True, now + 2 * ANSWERS * (1 + self.doubt)
-        others = [other for other in self.there() if other not in (self.me, one.whom)]
+        one.helped, one.until = True, now + 2 * ANSWERS * (1 + self.local_suspicion)
+        others = [other for other in self.live_routers() if other not in (self.me, one.whom)]
         helpers = self.random.sample(others, min(HELPERS, len(others)))
-        return [(helper, self._word(Kind.HELP, number, one.whom)) for helper in helpers]
+        return [(helper, self._word(MessageKind.HELP, number, one.whom)) for helper in helpers]
 
-    def heard(self, now: int, sender: int, data: bytes) -> Words:
+    def receive(self, now: int, sender: int, data: bytes) -> Datagrams:
         """Another router's word; gives what it calls for. Raises AliveError."""
         if len(data) < HEAD.size or (len(data) - HEAD.size) % NEWS.size or not 0 <= sender < self.routers:
-            raise AliveError("its length or sender does not fit")
+            raise FailureDetectorError("its length or sender does not fit")
         kind, number, whom = HEAD.unpack_from(data)
-        if kind not in (Kind.ASK, Kind.ANSWER, Kind.HELP) or sender == self.me or whom >= self.routers:
-            raise AliveError("of no known kind")
+        if (
+            kind not in (MessageKind.ASK, MessageKind.ANSWER, MessageKind.HELP)
+            or sender == self.me
+            or whom >= self.routers
+        ):
+            raise FailureDetectorError("of no known kind")
         for router, life, told in NEWS.iter_unpack(data[HEAD.size :]):
-            if router >= self.routers or told >> 6 > State.DEAD:
-                raise AliveError("news of no router")
-            self._told(now, router, life, told & MOST_INCARNATION, State(told >> 6))
-        if kind == Kind.ASK:
-            return [(sender, self._word(Kind.ANSWER, number, self.me, first=sender))]
-        if kind == Kind.HELP:
+            if router >= self.routers or told >> 6 > RouterState.DEAD:
+                raise FailureDetectorError("news of no router")
+            self._told(now, router, life, told & MOST_INCARNATION, RouterState(told >> 6))
+        if kind == MessageKind.ASK:
+            return [(sender, self._word(MessageKind.ANSWER, number, self.me, first=sender))]
+        if kind == MessageKind.HELP:
             return [self._ask(now, whom, (sender, number))] if whom not in (self.me, sender) else []
         return self._answered(number, sender, whom)
 
-    def _answered(self, number: int, sender: int, whom: int) -> Words:
+    def _answered(self, number: int, sender: int, whom: int) -> Datagrams:
         one = self.questions.get(number)
         # Guards against an answer to nobody's question, or one that is late: a helper tells whom it heard.
         if one is None or whom != one.whom or (sender != whom and not one.helped):
@@ -204,11 +208,11 @@
         del self.questions[number]
         if one.by is not None:
             to, theirs = one.by
-            return [(to, self._word(Kind.ANSWER, theirs, whom))]
+            return [(to, self._word(MessageKind.ANSWER, theirs, whom))]
         self._doubts(-1)
         return []
 
-    def _told(self, now: int, router: int, life: int, incarnation: int, state: State) -> None:
+    def _told(self, now: int, router: int, life: int, incarnation: int, state: RouterState) -> None:
         if router == self.me:
             mine = self.known[self.me]
             # Guards a router that runs against the word that it is dead, and against its earlier life's.
@@ -225,22 +229,22 @@
         elif (life, incarnation, state) > self.known[router].rank:
             self._hold(now, router, life, incarnation, state)
 
-    def _hold(self, now: int, router: int, life: int, incarnation: int, state: State) -> None:
+    def _hold(self, now: int, router: int, life: int, incarnation: int, state: RouterState) -> None:
         before = self.known[router]
-        self.changes += (before.state is State.DEAD) != (state is State.DEAD)
-        self.known[router] = Held(life, incarnation, state, now)
+        self.changes += (before.state is RouterState.DEAD) != (state is RouterState.DEAD)
+        self.known[router] = RouterRecord(life, incarnation, state, now)
         self.news[router] = 0
 
-    def _word(self, kind: Kind, number: int, whom: int, first: int | None = None) -> bytes:
+    def _word(self, kind: MessageKind, number: int, whom: int, first: int | None = None) -> bytes:
         """A word with the least told news behind it; `first`: who hears what is held of itself before all."""
         rows = [
             NEWS.pack(one, held.life, held.state << 6 | held.incarnation) for one, held in self._tell(first)
         ]
         return HEAD.pack(kind, number, whom) + b"".join(rows)
 
-    def _tell(self, first: int | None) -> Iterator[tuple[int, Held]]:
+    def _tell(self, first: int | None) -> Iterator[tuple[int, RouterRecord]]:
         chosen = sorted(self.news, key=lambda one: (self.news[one], one))[:MOST_NEWS]
-        if first is not None and self.known[first].state is not State.ALIVE:
+        if first is not None and self.known[first].state is not RouterState.ALIVE:
             chosen = [first, *[one for one in chosen if one != first]][:MOST_NEWS]
         for one in chosen:
             if one in self.news:
--- a/rainhitch/fleet/advice.py
+++ b/rainhitch/fleet/gossip_codec.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-from rainhitch.interface import Seen
+from rainhitch.interface import LatencyObservation
 
 MOST_BYTES = 256
 ENTRY = struct.Struct(">HB")
@@ -28,14 +28,15 @@
 TIMES = [int(UNIT * math.exp(code * STEP)) for code in range(128)]  # up to three minutes
 
 
-class AdviceError(ValueError):
+class GossipCodecError(ValueError):
     """A datagram that can't be read."""
 
 
-def encode(seen: Iterable[Seen]) -> bytes:
+def encode(seen: Iterable[LatencyObservation]) -> bytes:
     """One datagram; what is more than it holds is left out."""
     rows = [
-        ENTRY.pack(short(one.server), step(one.elapsed) | one.out << 7) for one in list(seen)[:MOST_ENTRIES]
+        ENTRY.pack(short(one.server), step(one.elapsed_ns) | one.is_in_flight << 7)
+        for one in list(seen)[:MOST_ENTRIES]
     ]
     return bytes([VERSION]) + b"".join(rows)
 
@@ -45,14 +46,14 @@
     return min(len(TIMES) - 1, round(math.log(max(1.0, elapsed / UNIT)) / STEP))
 
 
-def decode(data: bytes, names: dict[int, str]) -> list[Seen]:
+def decode(data: bytes, names: dict[int, str]) -> list[LatencyObservation]:
     """What a datagram tells of the servers that are known here, by the hash of their name."""
     if not data or data[0] != VERSION:
-        raise AdviceError("not of this kind")
+        raise GossipCodecError("not of this kind")
     if len(data) % ENTRY.size != 1 or len(data) > MOST_BYTES:
-        raise AdviceError("its length does not fit")
+        raise GossipCodecError("its length does not fit")
     rows = ENTRY.iter_unpack(data[1:])
-    return [Seen(names[code], TIMES[at & 127], at > 127) for code, at in rows if code in names]
+    return [LatencyObservation(names[code], TIMES[at & 127], at > 127) for code, at in rows if code in names]
 
 
 def short(name: str) -> int:
--- a/rainhitch/fleet/peers.py
+++ b/rainhitch/fleet/gossip_transport.py
@@ -9,24 +9,24 @@
 
 from rainhitch import interface as api
 from rainhitch import system
-from rainhitch.fleet.exchange import EVERYONE, STEP, Exchange, Json, Sent, WordError
-from rainhitch.interface import Endpoint
+from rainhitch.fleet.gossip_exchange import EVERYONE, STEP, DatagramError, Datagrams, GossipExchange, Json
+from rainhitch.interface import Address
 from rainhitch.telemetry.counts import Counts
 
 log = logging.getLogger("rainhitch")
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """This router's end. `peers` in the order of the routers' numbers; `tell` takes what is believed."""
 
     def __init__(
         self,
-        exchange: Exchange,
-        peers: Sequence[Endpoint],
-        everyone: Endpoint,
-        tell: Callable[[api.Heard | api.Part], None],
+        exchange: GossipExchange,
+        peers: Sequence[Address],
+        everyone: Address,
+        tell: Callable[[api.GossipReceived | api.TrafficFractions], None],
     ) -> None:
-        self.exchange, self.peers, self.everyone, self.tell = exchange, peers, everyone, tell
+        self.exchange, self.peers, self.broadcast_address, self.deliver = exchange, peers, everyone, tell
         self.numbers = {one: number for number, one in enumerate(peers)}
         self.transport: asyncio.DatagramTransport | None = None
         self.closed = False
@@ -43,26 +43,26 @@
         sender = self.numbers.get((addr[0], addr[1]))
         try:
             if sender is None:
-                raise WordError("from no peer")
-            heard = self.exchange.heard(self.now(), sender, data)
-        except WordError:
+                raise DatagramError("from no peer")
+            heard = self.exchange.receive(self.now(), sender, data)
+        except DatagramError:
             self.counts.add("words", "unread")
             return
         self.counts.add("words", "heard")
-        self._send(heard.sent)
-        if heard.seen:
-            self.tell(api.Heard(heard.seen))
+        self._send(heard.replies)
+        if heard.observations:
+            self.deliver(api.GossipReceived(heard.observations))
 
-    def listed(self, names: list[str]) -> None:
+    def set_servers(self, names: list[str]) -> None:
         """The list has changed."""
-        self.exchange.listed(names)
+        self.exchange.set_servers(names)
 
     def error_received(self, exc: Exception) -> None:
         """A peer that is down refuses a datagram: that is nothing to this one."""
 
-    def send(self, seen: list[api.Seen]) -> None:
+    def publish(self, seen: list[api.LatencyObservation]) -> None:
         """Tells what the others have not told; called once a period, whether or not anything was seen."""
-        data = self.exchange.tell(self.now(), seen)
+        data = self.exchange.encode_observations(self.now(), seen)
         if data:
             self._send([(EVERYONE, data)])
 
@@ -71,22 +71,22 @@
             return
         now = self.now()
         self._send(self.exchange.step(now))
-        part = self.exchange.part(now)
+        part = self.exchange.traffic_fractions(now)
         if part is not None:
-            self.tell(part)
+            self.deliver(part)
         self.loop.call_later(STEP / 1e9, self._step)
 
-    def _send(self, sent: Sent) -> None:
+    def _send(self, sent: Datagrams) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         for to, data in sent:
             self.counts.add("words", "told")
             self.counts.add("words", "bytes", len(data))
-            self.transport.sendto(data, self.everyone if to == EVERYONE else self.peers[to])
+            self.transport.sendto(data, self.broadcast_address if to == EVERYONE else self.peers[to])
 
-    def believes(self) -> Json:
+    def describe(self) -> Json:
         """What this router believes of the others now."""
-        return self.exchange.state(self.now())
+        return self.exchange.describe(self.now())
 
     def close(self) -> None:
         self.closed = True
@@ -94,7 +94,7 @@
             self.transport.abort()
 
 
-async def join(told: Endpoint, peers: Peers) -> bool:
+async def join(told: Address, peers: GossipTransport) -> bool:
     """Listens for the others; where that can't be, the router goes on alone."""
     try:
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: peers, local_addr=told)
--- a/rainhitch/fleet/words.py
+++ b/rainhitch/fleet/novelty_filter.py
@@ -7,20 +7,20 @@
 
 from collections.abc import Iterable
 
-from rainhitch.interface import Seen
+from rainhitch.interface import LatencyObservation
 
 
-class Words:
+class NoveltyFilter:
     """What the others have told since this router last did; bounded by the list of servers."""
 
     def __init__(self) -> None:
         self.known: set[str] = set()
 
-    def heard(self, seen: Iterable[Seen]) -> None:
+    def record_published(self, seen: Iterable[LatencyObservation]) -> None:
         """Another router has told this."""
         self.known.update(one.server for one in seen)
 
-    def worth(self, seen: Iterable[Seen]) -> list[Seen]:
+    def select_new(self, seen: Iterable[LatencyObservation]) -> list[LatencyObservation]:
         """What of a period's sights is to be told; begins the next period."""
         news = [one for one in seen if one.server not in self.known]
         self.known.clear()
--- a/rainhitch/fleet/options.py
+++ b/rainhitch/fleet/options.py
@@ -4,7 +4,7 @@
 
 
 @dataclass
-class Options:
+class FleetOptions:
     """[routers] of the operator's file."""
 
     counts: bool = False  # customers' use is told and added up
--- a/rainhitch/fleet/away.py
+++ b/rainhitch/fleet/pause_detector.py
@@ -15,7 +15,7 @@
 SETTLE = SECOND // 200  # ns in which the sockets are read
 
 
-class Away:
+class PauseDetector:
     """One router's own absence. Times are ns."""
 
     def __init__(self, now: int) -> None:
@@ -26,7 +26,7 @@
         )  # for how long it was away last, and until when what it finds is old
         self.times = 0
 
-    def beat(self, now: int) -> int:
+    def heartbeat(self, now: int) -> int:
         """To be called with each beat, and before anything is acted on: for how long the router was away, if
         that is found only now, else 0."""
         gap, self.last = now - self.last, now
@@ -36,11 +36,11 @@
         self.times += 1
         return gap
 
-    def back(self, now: int) -> bool:
+    def just_resumed(self, now: int) -> bool:
         """Whether it has just come back, so that what it finds may be as old as its absence."""
         return now <= self.until
 
-    def took(self, now: int, sent: int) -> int:
+    def running_time_ns(self, now: int, sent: int) -> int:
         """What of the time since `sent` was not this router's own absence, ns; 1 at least."""
-        absent = self.gap if self.back(now) and sent <= self.until - BEAT - self.gap + LATE else 0
+        absent = self.gap if self.just_resumed(now) and sent <= self.until - BEAT - self.gap + LATE else 0
         return max(1, now - sent - absent)
--- a/rainhitch/fleet/belief.py
+++ b/rainhitch/fleet/peer_judgements.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Iterable
 
-from rainhitch.interface import Seen
+from rainhitch.interface import LatencyObservation
 
 BOUND = 2
 END = 4_000_000_000  # ns for which a word is evidence: at 200 routers one server is told of about twice in it
@@ -20,7 +20,7 @@
 SMOOTHING = 1 / 64  # of what is usual
 
 
-class Belief:
+class PeerJudgements:
     """The latest words on each server, by author. `me` stands for what this router saw itself."""
 
     def __init__(self, me: int) -> None:
@@ -29,29 +29,29 @@
         self.usual = 0.0  # moving average of all answer times told or seen, ns
         self.bounded = 0  # words that were cut since the start
 
-    def listed(self, names: Iterable[str]) -> None:
+    def set_servers(self, names: Iterable[str]) -> None:
         """The list has changed: what is not on it is forgotten."""
         kept = set(names)
         self.said = {name: words for name, words in self.said.items() if name in kept}
 
-    def saw(self, now: int, seen: Iterable[Seen]) -> None:
+    def record_own(self, now: int, seen: Iterable[LatencyObservation]) -> None:
         """What this router has seen itself."""
         for one in seen:
-            self._note(now, self.me, one.server, one.elapsed)
+            self._note(now, self.me, one.server, one.elapsed_ns)
 
-    def vetted(self, now: int, author: int, seen: Iterable[Seen]) -> list[Seen]:
+    def bound(self, now: int, author: int, seen: Iterable[LatencyObservation]) -> list[LatencyObservation]:
         """Another router's words as far as they are believed."""
         made = []
         for one in seen:
             words = self.said.get(one.server, {})
             others = [time for by, (at, time) in words.items() if by != author and now - at <= END]
             most = BOUND * max(others, default=self.usual)
-            believed = one.elapsed if not most else min(one.elapsed, int(most))
-            self.bounded += believed < one.elapsed
-            made.append(Seen(one.server, believed, one.out))
+            believed = one.elapsed_ns if not most else min(one.elapsed_ns, int(most))
+            self.bounded += believed < one.elapsed_ns
+            made.append(LatencyObservation(one.server, believed, one.is_in_flight))
             # What was said is kept, not what was believed: a second author confirms the word itself. What is
             # usual follows what was believed.
-            self._note(now, author, one.server, one.elapsed, believed)
+            self._note(now, author, one.server, one.elapsed_ns, believed)
         return made
 
     def _note(self, now: int, author: int, server: str, time: int, believed: int = -1) -> None:
--- a/rainhitch/fleet/counts.py
+++ b/rainhitch/fleet/tenant_usage.py
@@ -30,12 +30,12 @@
 MOST_TOLD = 0xFFFF
 
 
-class CountError(ValueError):
+class TenantUsageError(ValueError):
     """A word that can't be read."""
 
 
 @dataclass(slots=True)
-class Count:
+class UsageReport:
     """The latest word of one router."""
 
     life: int
@@ -44,7 +44,7 @@
     heard_at: int
 
 
-class Counts:
+class TenantUsage:
     """All routers' counts at one of them. `routers`: how many there are; `life`: 32 bits, more with each
     start of this one; `customers`: how many there are. Times are ns."""
 
@@ -54,8 +54,8 @@
         self.number = 0
         self.totals = [0] * self.told
         self.marks: deque[tuple[int, tuple[int, ...]]] = deque([(now, tuple(self.totals))])
-        self.others: dict[int, Count] = {}
-        self.every = max(EVERY, routers * SECOND // HEARD_A_SECOND)
+        self.others: dict[int, UsageReport] = {}
+        self.interval_ns = max(EVERY, routers * SECOND // HEARD_A_SECOND)
 
     def add(self, customer: int) -> None:
         """This router has taken a request."""
@@ -71,32 +71,34 @@
         """What this router took in its window, by customer."""
         return [after - before for after, before in zip(self.totals, self.marks[0][1], strict=True)]
 
-    def word(self) -> bytes:
+    def encode(self) -> bytes:
         """What to tell now."""
         self.number += 1
         taken = [min(MOST_TOLD, one) for one in self.taken()]
         return HEAD.pack(self.life, self.number) + struct.pack(f">{self.told}H", *taken)
 
-    def heard(self, now: int, author: int, data: bytes) -> bool:
+    def receive(self, now: int, author: int, data: bytes) -> bool:
         """Another router's word; whether it told anything new. Raises CountError."""
         wrong = len(data) != HEAD.size + 2 * self.told
         if wrong or not 0 <= author < self.routers or author == self.me:
-            raise CountError("no count of a router")
+            raise TenantUsageError("no count of a router")
         life, number = HEAD.unpack_from(data)
         before = self.others.get(author)
         if before is not None and (life, number) <= (before.life, before.number):
             return False
-        self.others[author] = Count(life, number, struct.unpack(f">{self.told}H", data[HEAD.size :]), now)
+        self.others[author] = UsageReport(
+            life, number, struct.unpack(f">{self.told}H", data[HEAD.size :]), now
+        )
         return True
 
-    def heard_of(self, now: int) -> list[Count]:
+    def fresh_reports(self, now: int) -> list[UsageReport]:
         """The others whose word still holds."""
-        return [one for one in self.others.values() if now - one.heard_at <= END * self.every]
+        return [one for one in self.others.values() if now - one.heard_at <= END * self.interval_ns]
 
-    def parts(self, now: int) -> list[float]:
+    def fractions(self, now: int) -> list[float]:
         """This router's part of all routers' requests of each customer, 0 to 1, in the customers' order (one
         for all beyond MOST); empty where too few routers are heard to say."""
-        heard = self.heard_of(now)
+        heard = self.fresh_reports(now)
         if not heard or len(heard) < min(SAMPLE, (self.routers - 1) * ENOUGH):
             return []
         more = (self.routers - 1) / len(heard)  # who is not heard is as busy as the mean
--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from rainhitch.membership.etcd import Client
+from rainhitch.membership.etcd_source import EtcdClient
 from rainhitch.protocol import etcd
 
 MOST = 100  # entries of one transaction; etcd takes 128 operations by default
@@ -27,7 +27,7 @@
     value: bytes
 
 
-async def held(client: Client, uid: str) -> Held:
+async def held(client: EtcdClient, uid: str) -> Held:
     key = (client.options.prefix + uid).encode()
     answer = await client.call("KV/Range", etcd.message("RangeRequest", key=key))
     if not answer.kvs:
@@ -35,7 +35,7 @@
     return Held(key, answer.kvs[0].mod_revision, answer.kvs[0].value)
 
 
-async def write(client: Client, changes: list[tuple[Held, bytes]]) -> int:
+async def write(client: EtcdClient, changes: list[tuple[Held, bytes]]) -> int:
     """Puts the values if each entry is still as it was read; gives the revision."""
     request = etcd.message("TxnRequest")
     for one, value in changes:
@@ -47,7 +47,7 @@
     return int(answer.header.revision)
 
 
-async def set_state(client: Client, uid: str, state: str, only_from: str = "") -> int:
+async def set_state(client: EtcdClient, uid: str, state: str, only_from: str = "") -> int:
     """Drains, retires or restores a member; gives the revision. With `only_from` from that state alone."""
     one = await held(client, uid)
     if not one.revision:
@@ -88,7 +88,7 @@
     return rows
 
 
-async def put(client: Client, rows: list[Json]) -> int:
+async def put(client: EtcdClient, rows: list[Json]) -> int:
     """Puts entries in one transaction; gives the revision."""
     changes = [(await held(client, one["uid"]), orjson.dumps(one)) for one in rows]
     return await write(client, changes)
--- a/rainhitch/membership/roster.py
+++ b/rainhitch/membership/endpoint_list_builder.py
@@ -10,7 +10,7 @@
 log = logging.getLogger("rainhitch")
 
 
-class Roster:
+class EndpointListBuilder:
     """The entries as they were last readable, by uid; `take` is the directory's."""
 
     def __init__(self, take: Callable[[Json], object], revision: Callable[[], int]) -> None:
--- a/rainhitch/membership/choice.py
+++ b/rainhitch/membership/etcd_settings.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from rainhitch.membership.etcd import Options
-    from rainhitch.operator import Membership
+    from rainhitch.membership.etcd_source import EtcdOptions
+    from rainhitch.operator_config import Membership
 
 
 class MembershipError(ValueError):
     """The table can't be followed; one line says why."""
 
 
-def etcd_options(told: "Membership") -> "Options":
+def etcd_options(told: "Membership") -> "EtcdOptions":
     """What the etcd source is told; raises MembershipError for files or a library that can't be used."""
     try:
-        from rainhitch.membership.etcd import Options, tls_context
+        from rainhitch.membership.etcd_source import EtcdOptions, tls_context
     except ModuleNotFoundError as problem:
         raise MembershipError(
             f"membership.source = 'etcd': {problem.name} is missing: install rainhitch[etcd]"
@@ -34,7 +34,7 @@
         except (OSError, UnicodeDecodeError) as problem:
             raise MembershipError(f"membership.password_file = {told.password_file!r}: {problem}") from None
     endpoints = [read_endpoint(one) for one in told.endpoints]
-    return Options(endpoints, told.prefix, told.user, password, tls, told.timeout_s)
+    return EtcdOptions(endpoints, told.prefix, told.user, password, tls, told.timeout_s)
 
 
 def read_endpoint(text: str) -> tuple[str, int]:
--- a/rainhitch/membership/etcd.py
+++ b/rainhitch/membership/etcd_source.py
@@ -19,7 +19,7 @@
 from grpclib.exceptions import ProtocolError, StreamTerminatedError
 
 from rainhitch import system
-from rainhitch.membership import machine as m
+from rainhitch.membership import watch_state_machine as m
 from rainhitch.protocol import etcd
 
 PAGE = 1000  # entries of one answer to a read
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Options:
+class EtcdOptions:
     """How etcd is reached; times in seconds."""
 
     endpoints: list[tuple[str, int]]
@@ -57,10 +57,10 @@
 
 
 @dataclass
-class Client:
+class EtcdClient:
     """Calls to one endpoint; a token is asked for once and kept."""
 
-    options: Options
+    options: EtcdOptions
     endpoint: tuple[str, int]
     token: str = ""
     channel: Channel = field(init=False)
@@ -127,24 +127,24 @@
     return key[len(prefix.encode()) :].decode("utf-8", "replace")
 
 
-class Source:
+class EtcdSource:
     """Follows the list until it is stopped; `publish(entries, whole)` gets what it tells."""
 
     def __init__(
         self,
-        options: Options,
+        options: EtcdOptions,
         publish: Callable[[dict[str, bytes | None], bool], None],
         seed: int,
         known: list[str] | None = None,
         clock: Callable[[], int] = system.now,
     ) -> None:
         self.options, self.publish, self.clock = options, publish, clock
-        self.machine = m.Machine(Random(f"{seed}/membership"))
+        self.machine = m.WatchStateMachine(Random(f"{seed}/membership"))
         # Guards the fleet against a first read that is empty: what the configuration knew counts in its
         # doubt.
         self.machine.known = dict.fromkeys(known or (), (0, b""))
         self.turn = 0
-        self.client: Client | None = None
+        self.client: EtcdClient | None = None
         self.job: asyncio.Task[None] | None = None
         self.watching: Any = None
         self.timer: asyncio.TimerHandle | None = None
@@ -182,7 +182,7 @@
                         self.publish(action.entries, action.whole)
                     except Exception:
                         log.exception("a list of etcd's could not be taken up")
-                case m.Say():
+                case m.LogWarning():
                     log.warning("%s", action.text)
         if self.timer is not None:
             self.timer.cancel()
@@ -216,10 +216,10 @@
         if self.job is mine:
             self._tell(m.Ended(ended))
 
-    def _at_endpoint(self) -> Client:
+    def _at_endpoint(self) -> EtcdClient:
         if self.client is None:
             endpoints = self.options.endpoints
-            self.client = Client(self.options, endpoints[self.turn % len(endpoints)])
+            self.client = EtcdClient(self.options, endpoints[self.turn % len(endpoints)])
         return self.client
 
     async def _read(self) -> None:
--- a/rainhitch/membership/machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -118,13 +118,13 @@
 
 
 @dataclass(slots=True)
-class Say:
+class LogWarning:
     """A line for the operators."""
 
     text: str
 
 
-Action = Read | WatchFrom | AskProgress | Leave | Publish | Say
+Action = Read | WatchFrom | AskProgress | Leave | Publish | LogWarning
 
 
 class Mode(Enum):
@@ -135,7 +135,7 @@
 
 
 @dataclass(slots=True)
-class Doubt:
+class SnapshotSuspicion:
     """A read that would drop too many, and when it counts all the same."""
 
     snapshot: Snapshot
@@ -144,7 +144,7 @@
 
 
 @dataclass
-class Machine:
+class WatchStateMachine:
     """One router's view of the list; `wake_at` is when it wants to be told the time next."""
 
     random: Random
@@ -161,7 +161,7 @@
     pauses: int = 0
     away: bool = False  # the source failed, and that was said
     behind_since: int = -1  # since when only older revisions were seen
-    doubt: Doubt | None = None
+    doubt: SnapshotSuspicion | None = None
 
     def start(self, now: int) -> list[Action]:
         self.heard = now
@@ -178,7 +178,10 @@
             case Progress():
                 self._progress(now, event, actions)
             case Compacted():
-                actions += [Say("the revision to go on from was compacted: the list is read whole"), Read()]
+                actions += [
+                    LogWarning("the revision to go on from was compacted: the list is read whole"),
+                    Read(),
+                ]
                 self.mode, self.heard = Mode.READING, now
             case Ended():
                 self._ended(now, event.why, actions)
@@ -203,7 +206,7 @@
 
     def _time(self, now: int, actions: list[Action]) -> None:
         if self.doubt is not None and now >= self.doubt.until:
-            actions.append(Say("no second look in time: what the first one dropped is told"))
+            actions.append(LogWarning("no second look in time: what the first one dropped is told"))
             self._adopt(now, self.doubt.snapshot, actions)
         if self.mode is Mode.PAUSING and now >= self.resume_at:
             self.heard = self.asked_at = now
@@ -250,7 +253,7 @@
             return
         if not self.away:
             kept = f"; the list of revision {self.revision} stays in use" if self.revision else ""
-            actions.append(Say(f"etcd did not answer: {why}{kept}"))
+            actions.append(LogWarning(f"etcd did not answer: {why}{kept}"))
         self.away, self.mode = True, Mode.PAUSING
         pause = min(FIRST_PAUSE << min(self.pauses, 8), MOST_PAUSE)
         self.pauses += 1
@@ -260,14 +263,16 @@
     def _answers(self, now: int, actions: list[Action]) -> None:
         self.heard = now
         if self.away:
-            actions.append(Say("etcd answers again"))
+            actions.append(LogWarning("etcd answers again"))
         self.away, self.pauses, self.behind_since = False, 0, -1
 
     def _behind(self, now: int, revision: int, actions: list[Action]) -> None:
         """An older revision than the view's: a member that lags, unless it lasts."""
         if self.behind_since < 0:
             self.behind_since = now
-            actions.append(Say(f"a member is at revision {revision}, behind {self.revision}: not taken"))
+            actions.append(
+                LogWarning(f"a member is at revision {revision}, behind {self.revision}: not taken")
+            )
         self.away = True  # its one line was said
         self._ended(now, "", actions)
 
@@ -275,22 +280,24 @@
         if self.mode is not Mode.READING:
             return
         if self.cluster and told.cluster != self.cluster:
-            actions.append(Say(f"another cluster id, {told.cluster:x} after {self.cluster:x}: read anew"))
+            actions.append(
+                LogWarning(f"another cluster id, {told.cluster:x} after {self.cluster:x}: read anew")
+            )
         elif told.revision < self.revision:
             if self.behind_since < 0 or now - self.behind_since < RESTORED:
                 self._behind(now, told.revision, actions)
                 return
             actions.append(
-                Say(
+                LogWarning(
                     f"revisions went back from {self.revision} to {told.revision}: taken as a restored backup"
                 )
             )
         dropped = sum(uid not in told.entries for uid in self.known)
         if self.doubt is None and len(self.known) > FEW and dropped > DROPPED * len(self.known):
             actions.append(
-                Say(f"a read drops {dropped} of {len(self.known)} entries: a second look is taken")
+                LogWarning(f"a read drops {dropped} of {len(self.known)} entries: a second look is taken")
             )
-            self.doubt = Doubt(told, now + NO_LONGER, now + LOOK_AGAIN)
+            self.doubt = SnapshotSuspicion(told, now + NO_LONGER, now + LOOK_AGAIN)
             self.mode, self.heard = Mode.DOUBTING, now
             return
         self._adopt(now, told, actions)
--- a/rainhitch/node/caches.py
+++ b/rainhitch/node/cache_connection.py
@@ -2,9 +2,9 @@
 
 import re
 
-from rainhitch.interface import Status
-from rainhitch.node.call import Call, Ending
-from rainhitch.node.pool import Connection, Pool
+from rainhitch.interface import AttemptStatus
+from rainhitch.node.client_request import AttemptResult, ClientRequest
+from rainhitch.node.connection_pool import ConnectionPool, UpstreamConnection
 from rainhitch.node.relay import Relay
 from rainhitch.protocol import resp
 
@@ -16,14 +16,14 @@
 TURNED_AWAY, FAILED = (re.compile(word + rb"(?: [!-~]+)?") for word in (rb"BUSY", rb"ERR failed"))
 
 
-def error_ending(text: bytes) -> Ending | None:
+def error_ending(text: bytes) -> AttemptResult | None:
     """What an error says; none for one that is none of a cache server's."""
     if TURNED_AWAY.fullmatch(text):
-        return Ending(Status.FULL)
-    return Ending(Status.ERROR) if FAILED.fullmatch(text) else None
+        return AttemptResult(AttemptStatus.FULL)
+    return AttemptResult(AttemptStatus.ERROR) if FAILED.fullmatch(text) else None
 
 
-def ending_of(answer: object) -> Ending | None:
+def ending_of(answer: object) -> AttemptResult | None:
     """What a cache server's answer says; none for one that no command of ours can have. Guards against
     noise: only the exact words prove that a request never ran."""
     if isinstance(answer, bytes):
@@ -34,17 +34,21 @@
     number = 0 if note is None else NOTES.get(note)
     if number is None or (value is None and number == NOTES[b"hit"]):
         return None
-    return Ending(Status.MISS, note=number) if value is None else Ending(Status.OK, value, number)
+    return (
+        AttemptResult(AttemptStatus.MISS, note=number)
+        if value is None
+        else AttemptResult(AttemptStatus.OK, value, number)
+    )
 
 
-class CacheConnection(Connection):
+class CacheConnection(UpstreamConnection):
     """A connection to a cache server."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         super().__init__(pool)
         self.frames: resp.Stream = resp.Frames(answers=True)
 
-    def encode(self, call: Call, info: bytes) -> bytes:
+    def encode(self, call: ClientRequest, info: bytes) -> bytes:
         parts = [call.name, call.key, call.id, info]
         return resp.command(*parts, *([] if call.value is None else [call.value]))
 
@@ -53,7 +57,7 @@
         try:
             answer = self.next_answer()
         except resp.FramingError:
-            self.spoil()
+            self.fail_protocol()
             return
         if answer is not resp.WAITING:
             self._end(answer)
@@ -79,11 +83,11 @@
             answer[0] = b""  # its value has been passed on
         ending = self.ending_of(answer)
         if ending is None:
-            self.spoil()
+            self.fail_protocol()
         else:
             self.finish(ending, reusable=self.is_sound())
 
-    def ending_of(self, answer: object) -> Ending | None:
+    def ending_of(self, answer: object) -> AttemptResult | None:
         return ending_of(answer)
 
     def is_sound(self) -> bool:
--- a/rainhitch/node/client.py
+++ b/rainhitch/node/client_connection.py
@@ -6,16 +6,16 @@
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
-from rainhitch.node.call import CallError, read_call
-from rainhitch.node.closing import CloseReason
-from rainhitch.node.pool import PIECE
+from rainhitch.node.client_request import ClientRequestError, parse_client_request
+from rainhitch.node.close_reason import CloseReason
+from rainhitch.node.connection_pool import PIECE
 from rainhitch.node.relay import Relay
+from rainhitch.node.response_slot import ResponseSlot
 from rainhitch.node.session import GREETINGS, Session
-from rainhitch.node.slot import Slot
 from rainhitch.protocol import resp
 
 if TYPE_CHECKING:
-    from rainhitch.node.clients import Clients
+    from rainhitch.node.client_connections import ClientConnections
 
 MOST_PIPELINED = 32  # commands of one connection in work; those behind wait unread
 MOST_IN_A_TURN = 16  # commands of one connection taken up before others have their turn
@@ -27,14 +27,14 @@
 log = logging.getLogger("rainhitch")
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection of a client."""
 
-    def __init__(self, server: "Clients") -> None:
+    def __init__(self, server: "ClientConnections") -> None:
         self.server = server
         self.frames = resp.Frames()
-        self.session = Session(server.number(), server.gate, server.can_serve)
-        self.slots: deque[Slot] = deque()
+        self.session = Session(server.number(), server.authenticator, server.can_serve)
+        self.slots: deque[ResponseSlot] = deque()
         self.transport: asyncio.Transport | None = None
         self.last = False  # nothing more is read; closed once all is answered
         self.advancing = self.blocked = self.lingering = self.yielding = False
@@ -59,24 +59,24 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.server.driver.lag.begins()
+        self.server.driver.loop_lag.begins()
         self.accepted_at = self.server.system.now()
         self.accepted_age = self.server.accept_age(self.accepted_at)
         if not self.server.admit(self):
-            self._turn_away()
+            self._reject_connection()
 
-    def _turn_away(self) -> None:
+    def _reject_connection(self) -> None:
         """Says that there is no room and hears the client out. Guards that one answer: a close with the
         client's first command unread is a reset, which overtakes what was written before it."""
         assert self.transport is not None
         self.closes_for(CloseReason.NO_ROOM)
         self.last = self.lingering = self.turned = True
-        self.transport.write(self.server.no_room())
+        self.transport.write(self.server.rejection())
         self.transport.write_eof()
         self.stuck = self.server.loop.call_later(LINGER, self.abort, CloseReason.NO_ROOM)
-        self.server.turn_away(self)
+        self.server.track_rejected(self)
 
-    def _heard_out(self, data: bytes) -> None:
+    def _drain_rejected(self, data: bytes) -> None:
         """With its one command read, nothing is left that would make of the close a reset."""
         self.frames.feed(data)
         try:
@@ -84,29 +84,29 @@
         except resp.FramingError:
             parts = None
         if isinstance(parts, list) and not self.transport_closes():
-            self.server.refused(parts)
+            self.server.count_rejected_command(parts)
         if parts is not resp.WAITING and self.transport is not None:
             self.transport.close()
 
     def transport_closes(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
-    def hurry(self) -> None:
+    def drain_now(self) -> None:
         """Others wait to be heard out: what has come is read past the loop, then all is closed. An abort
         would throw away what was not sent yet, and be a reset."""
         self.server.turned.pop(self, None)
         if self.transport is not None and not self.transport.is_closing():
-            self._heard_out(self.server.system.take_unread(self.transport, LINGER_BYTES))
+            self._drain_rejected(self.server.system.take_unread(self.transport, LINGER_BYTES))
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        lag = self.server.driver.lag
+        lag = self.server.driver.loop_lag
         lag.begins()
-        self.server.driver.back()
+        self.server.driver.just_resumed()
         self.unread_ms = self._age() // MILLI
         self.mute = False
         if self.turned:
-            self._heard_out(data)
+            self._drain_rejected(data)
         elif self.lingering:
             # Guards memory and CPU against a client that goes on at full speed: the rest stays unread.
             self.spilt += len(data)
@@ -126,7 +126,7 @@
         now = system.now()
         # What lay while reading was paused waited for those before it, which does not count.
         told = min(system.unread_ms(self.transport) * MILLI, now - self.resumed_at)
-        age = max(told, self.server.driver.lag.age())
+        age = max(told, self.server.driver.loop_lag.age())
         since = now - self.accepted_at
         if self.mute and since < AT_ONCE:
             age = max(age, since + self.accepted_age)  # it came with its connection
@@ -135,7 +135,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.closes_for(CloseReason.BY_CLIENT)
-        self.server.gone(self)
+        self.server.connection_lost(self)
         if self.stuck is not None:
             self.stuck.cancel()
         slots, self.slots = self.slots, deque()
@@ -190,7 +190,7 @@
             self.advancing = False
         if not self.slots and self.last:
             self.half_close(CloseReason.LAST_COMMAND)
-        elif not self.slots and self.server.leaving and self._at_rest():
+        elif not self.slots and self.server.draining and self._at_rest():
             self.half_close(CloseReason.SHUTDOWN)
         else:
             if turn == 0 and self.frames.buffer and not self.yielding:
@@ -213,7 +213,7 @@
         self.closes_for(reason)
         self.last = self.lingering = True
         self._refuse_rest()
-        self.server.place(self)
+        self.server.classify(self)
         if self.mute:
             self.transport.close()
             return
@@ -242,7 +242,7 @@
         answers = []
         with contextlib.suppress(resp.FramingError):
             while isinstance(parts := self.frames.next(), list):
-                self.server.refused(parts)
+                self.server.count_rejected_command(parts)
                 answers.append(resp.refused(0))
         self.frames.buffer.clear()
         if answers:
@@ -258,7 +258,7 @@
                     break
                 taken += 1
                 self.asked += 1
-                self.server.heard(self)
+                self.server.command_received(self)
                 self._command(cast(list[bytes], parts))
         except resp.FramingError as problem:
             # Where the next command begins is lost: what came before is answered, then this one, last.
@@ -288,17 +288,17 @@
         self.end("no whole command in time", CloseReason.UNFINISHED)
         self.advance()
 
-    def keep(self, slot: Slot, answer: bytes) -> bytes:
+    def keep(self, slot: ResponseSlot, answer: bytes) -> bytes:
         """An answer to hold until its turn comes. Guards memory: where there is no room it fails."""
         if len(answer) > SMALL and not self.has_room(slot, len(answer)):
             return resp.FAILED
         return answer
 
-    def has_room(self, slot: Slot, size: int) -> bool:
+    def has_room(self, slot: ResponseSlot, size: int) -> bool:
         """Whether so many bytes may be kept until the slot's turn comes; counts them if they may."""
         if self.transport is None or not (self.blocked or self.slots[0] is not slot):
             return True
-        if self.server.buffered + size > self.server.most_buffered:
+        if self.server.buffered_bytes + size > self.server.max_buffered_bytes:
             return False
         self.waiting += size
         self._account()
@@ -362,24 +362,24 @@
 
     def _call(self, parts: list[bytes]) -> None:
         try:
-            call = read_call(parts, self.server.names)
-        except CallError as problem:
+            call = parse_client_request(parts, self.server.names)
+        except ClientRequestError as problem:
             self.server.count("bad commands")
             self._put(resp.error(str(problem)))
             return
         call.wait = max(1, call.wait - self.unread_ms)
         call.unread, call.connection = self.unread_ms, self.session.id
-        slot = Slot(self)
+        slot = ResponseSlot(self)
         self.slots.append(slot)
         try:
-            held = self.server.driver.take(call, slot)
+            held = self.server.driver.accept(call, slot)
             slot.held = held if slot.answer is None and slot.relay is None else None
         except Exception:
             log.exception("a call could not be taken")
             slot.fill(resp.FAILED)
 
     def _put(self, answer: bytes) -> None:
-        slot = Slot(self)
+        slot = ResponseSlot(self)
         slot.answer = answer
         self.slots.append(slot)
 
@@ -389,9 +389,9 @@
             return
         full = self.last or self.yielding or len(self.slots) >= MOST_PIPELINED
         self._pause(self.blocked or (full and not self.lingering))
-        self.server.place(self)
+        self.server.classify(self)
         self._account()
-        over = self.server.buffered > self.server.most_buffered
+        over = self.server.buffered_bytes > self.server.max_buffered_bytes
         if over and len(self.frames.buffer) > SMALL and not self.last:
             self.frames.buffer.clear()
             self.end("out of memory", CloseReason.OUT_OF_MEMORY)
@@ -410,7 +410,7 @@
     def _account(self) -> None:
         unsent = 0 if self.transport is None else self.transport.get_write_buffer_size()
         held = len(self.frames.buffer) + unsent + self.waiting
-        self.server.buffered += held - self.buffered
+        self.server.buffered_bytes += held - self.buffered
         self.buffered = held
 
     def unread(self) -> bool:
--- a/rainhitch/node/clients.py
+++ b/rainhitch/node/client_connections.py
@@ -8,18 +8,18 @@
 from typing import TYPE_CHECKING
 
 from rainhitch import system
-from rainhitch.node.call import CallError, read_call
-from rainhitch.node.client import MOST_PIPELINED, Client
-from rainhitch.node.closing import CloseReason
-from rainhitch.node.driver import Driver
+from rainhitch.node.client_connection import MOST_PIPELINED, ClientConnection
+from rainhitch.node.client_request import ClientRequestError, parse_client_request
+from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.listener import Listener
+from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.session import OPEN
 from rainhitch.node.shutdown import LONGEST, schedule
 from rainhitch.protocol import resp
 from rainhitch.settings import Names
 
 if TYPE_CHECKING:
-    from rainhitch.storms.damper import Damper
+    from rainhitch.overload.controller import OverloadController
 
 STUCK = 10.0  # s for which a client may leave answers unread
 UNFINISHED = 2.6  # s for which a command may be on its way, the first from when the client connected
@@ -32,30 +32,39 @@
 log = logging.getLogger("rainhitch")
 
 
-class Clients:
+class ClientConnections:
     """The listener and its connections."""
 
     def __init__(
-        self, driver: Driver, names: Names, most: int, most_buffered: int, damper: "Damper | None" = None
+        self,
+        driver: RequestDriver,
+        names: Names,
+        most: int,
+        most_buffered: int,
+        damper: "OverloadController | None" = None,
     ) -> None:
-        self.driver, self.names, self.most, self.most_buffered = driver, names, most, most_buffered
-        self.damper = damper
+        self.driver, self.names, self.max_open, self.max_buffered_bytes = driver, names, most, most_buffered
+        self.overload = damper
         self.loop = asyncio.get_running_loop()
         self.system = system.of(self.loop)
-        self.open: dict[Client, None] = {}  # in the order in which they came
+        self.open: dict[ClientConnection, None] = {}  # in the order in which they came
         # Since when each has a command on its way or has been idle, and who lingers; longest first.
-        self.awaited: dict[Client, float] = {}
-        self.idle: dict[Client, float] = {}
-        self.lingering: dict[Client, float] = {}
-        self.turned: dict[Client, None] = {}
+        self.awaited: dict[ClientConnection, float] = {}
+        self.idle: dict[ClientConnection, float] = {}
+        self.lingering: dict[ClientConnection, float] = {}
+        self.turned: dict[ClientConnection, None] = {}
         self.idle_s, self.unfinished_s, self.unread_s = SPARED, UNFINISHED, STUCK  # the operator's to change
         self.at_need_s = AT_NEED
-        self.gate, self.numbers = OPEN, 0  # who may come in, and the last connection's number
-        self.buffered = 0  # bytes that clients have not finished sending or reading
+        self.authenticator, self.numbers = OPEN, 0  # who may come in, and the last connection's number
+        self.buffered_bytes = 0  # bytes that clients have not finished sending or reading
         self.can_serve: Callable[[], bool] = lambda: False
-        self.more: Callable[[], int] = lambda: most  # the cap while the servers' side leaves its part unused
-        self.spare: Callable[[], bool] = lambda: False  # has the servers' side close one that it does not use
-        self.closing = self.sweeping = self.leaving = False
+        self.extra_capacity: Callable[[], int] = lambda: (
+            most
+        )  # the cap while the servers' side leaves its part unused
+        self.release_upstream: Callable[[], bool] = lambda: (
+            False
+        )  # has the servers' side close one that it does not use
+        self.closing = self.sweeping = self.draining = False
         self.schedule = schedule(LONGEST)  # of a drain; where the router ends, the settings' own
         self.left_at = 0.0
         self.told: Counter[str] = Counter()
@@ -63,21 +72,21 @@
         self.listener: Listener | None = None
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> tuple[str, int]:
-        self.listener = Listener(self.loop, lambda: Client(self), host, port, inherited)
+        self.listener = Listener(self.loop, lambda: ClientConnection(self), host, port, inherited)
         return await self.listener.open()
 
-    def admit(self, client: Client) -> bool:
+    def admit(self, client: ClientConnection) -> bool:
         """Takes in a new connection; at the cap only where another can go."""
-        if self.damper is not None and self.listener is not None:
-            wait = self.damper.connected(self.system.now(), len(self.open))
+        if self.overload is not None and self.listener is not None:
+            wait = self.overload.connection_accepted(self.system.now(), len(self.open))
             if wait:
                 self.listener.pause(wait / 1e9)
                 self.driver.counts.add("accepts", "pauses")
                 self.driver.counts.add("accepts", "ms", wait // 1_000_000)
-        if len(self.open) >= max(self.most, self.more()):
+        if len(self.open) >= max(self.max_open, self.extra_capacity()):
             if not self._make_room():
                 return False
-        elif len(self.open) > self.most // 2:
+        elif len(self.open) > self.max_open // 2:
             # Guards clients that keep what they opened against a lack of connections of their own, long
             # before the cap: the protocol lets a router close between requests, and one goes for each new
             # one.
@@ -97,48 +106,48 @@
         self.numbers += 1
         return self.numbers
 
-    def no_room(self) -> bytes:
+    def rejection(self) -> bytes:
         """What a newcomer is told for whom there is no room. Nothing of it was taken, so that to come again
         is harmless."""
-        wait = 0 if self.damper is None else self.damper.turned_away(self.system.now())
+        wait = 0 if self.overload is None else self.overload.connection_rejected(self.system.now())
         return resp.refused(-(-wait // 1_000_000))
 
-    def refused(self, parts: list[bytes]) -> None:
+    def count_rejected_command(self, parts: list[bytes]) -> None:
         """Counts the command of one that had no room."""
-        with contextlib.suppress(CallError, IndexError):
-            self.driver.tally.shed[read_call(parts, self.names).cls] += 1
+        with contextlib.suppress(ClientRequestError, IndexError):
+            self.driver.metrics.rejected[parse_client_request(parts, self.names).cls] += 1
 
     def accept_age(self, now: int) -> int:
         """For how long a connection that is accepted now may have waited for that, ns."""
         waited = 0 if self.listener is None else self.listener.age(now)
-        return max(waited, self.driver.lag.age())
+        return max(waited, self.driver.loop_lag.age())
 
-    def turn_away(self, client: Client) -> None:
+    def track_rejected(self, client: ClientConnection) -> None:
         """Counts one that had no room; a few are heard out at a time, out of the spare descriptors."""
         self.count("turned away")
         self.turned[client] = None
         if len(self.turned) > MOST_TURNED:
-            next(iter(self.turned)).hurry()
+            next(iter(self.turned)).drain_now()
 
     def _make_room(self) -> bool:
         """Closes who lingers longest, has been mute or idle longest. Guards newcomers against connections
         that asked once and stay, and requests against a close: none goes with one open or bytes unread."""
         for client in self.lingering:
             client.abort()
-            self.gone(client)
+            self.connection_lost(client)
             return True
         gone = self._retire_one(self.awaited, self.idle_s)
         return (
             gone or self._retire_one(self.idle, min(self.idle_s, self.at_need_s))
-        ) is not None or self.spare()
+        ) is not None or self.release_upstream()
 
-    def _retire_one(self, group: dict[Client, float], spared: float) -> Client | None:
+    def _retire_one(self, group: dict[ClientConnection, float], spared: float) -> ClientConnection | None:
         client = next(self._spent(group, spared), None)
         if client is not None:
             self._retire(client)
         return client
 
-    def _spent(self, group: dict[Client, float], spared: float) -> Iterator[Client]:
+    def _spent(self, group: dict[ClientConnection, float], spared: float) -> Iterator[ClientConnection]:
         """Who was spared for so many seconds and has nothing open, on its way or unread; longest first."""
         before = self.loop.time() - spared
         for client, since in group.items():
@@ -147,16 +156,16 @@
             if not client.slots and not client.frames.buffer and not client.unread():
                 yield client
 
-    def _retire(self, client: Client) -> None:
+    def _retire(self, client: ClientConnection) -> None:
         self.count("closed idle")
         client.half_close(CloseReason.IDLE)
 
-    def heard(self, client: Client) -> None:
+    def command_received(self, client: ClientConnection) -> None:
         """A whole command has come: what it waits for next counts from then."""
         self.awaited.pop(client, None)
         self.idle.pop(client, None)
 
-    def place(self, client: Client) -> None:
+    def classify(self, client: ClientConnection) -> None:
         """Notes what a connection waits for."""
         waits = not (client.last or client.blocked or client.yielding)
         if waits and len(client.slots) < MOST_PIPELINED and (client.frames.buffer or not client.asked):
@@ -176,7 +185,7 @@
         now = self.loop.time()
         for client in [one for one, since in self.awaited.items() if since < now - self.unfinished_s]:
             client.overdue()
-        if len(self.open) > self.most // 2:
+        if len(self.open) > self.max_open // 2:
             # Guards clients against a lack of connections of their own, long before the cap is reached.
             for client in list(self._spent(self.idle, self.idle_s)):
                 self._retire(client)
@@ -194,31 +203,31 @@
         log.info("clients: %s", ", ".join(f"{number} {what}" for what, number in sorted(self.told.items())))
         self.told.clear()
 
-    def gone(self, client: Client) -> None:
+    def connection_lost(self, client: ClientConnection) -> None:
         if client in self.open and client.reason is not None:
             self.driver.counts.add("closed", client.reason.value)
         self.open.pop(client, None)
         self.turned.pop(client, None)
         for group in (self.awaited, self.idle, self.lingering):
             group.pop(client, None)
-        self.buffered -= client.buffered
+        self.buffered_bytes -= client.buffered
         client.buffered = 0
         if self.closing and not self.open:
             self._empty.set()
 
-    def send_away(self) -> None:
+    def drain(self) -> None:
         """Each connection ends after its next answer, those that ask nothing in a while; newcomers are heard
         all the same. Guards clients against a close that crosses their request: it comes right behind an
         answer, when a client has nothing under way, for as long as there is time for that."""
-        if not self.leaving:
-            self.leaving, self.left_at = True, self.loop.time()
+        if not self.draining:
+            self.draining, self.left_at = True, self.loop.time()
             self.loop.call_later(SWEEP / 2, self._usher, self.left_at)
 
-    def keep_again(self) -> None:
-        self.leaving = False
+    def cancel_drain(self) -> None:
+        self.draining = False
 
     def _usher(self, begun: float) -> None:
-        if not self.leaving or self.left_at != begun:
+        if not self.draining or self.left_at != begun:
             return
         gone = self.loop.time() - begun
         if gone >= self.schedule.idle_from:
@@ -235,7 +244,7 @@
     def close(self) -> None:
         """Stops listening, and sends away who is there."""
         self.closing = True
-        self.send_away()
+        self.drain()
         if self.listener is not None:
             self.listener.close()
         if not self.open:
--- a/rainhitch/node/call.py
+++ b/rainhitch/node/client_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from rainhitch.interface import Effect, Status
+from rainhitch.interface import AttemptStatus, Idempotency
 from rainhitch.settings import Names
 
 if TYPE_CHECKING:
@@ -18,12 +18,12 @@
 NUMBER = re.compile(r"\d{1,15}(?:\.\d{1,9})?")
 
 
-class CallError(ValueError):
+class ClientRequestError(ValueError):
     """A command that is whole but makes no sense."""
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class ClientRequest:
     """One command of a client; key, id, info and value go on as they came."""
 
     name: bytes
@@ -50,10 +50,10 @@
 
 
 @dataclass(slots=True)
-class Ending:
+class AttemptResult:
     """How an attempt ended; a value only where it was served."""
 
-    status: Status
+    status: AttemptStatus
     value: object = b""  # bytes, or a richer value of RESP3
     note: int = 0
 
@@ -64,55 +64,57 @@
     asked where to pass on a long value of so many bytes; None: nobody wants it. `may_begin` is asked right
     before the first byte is written."""
 
-    call: Call
+    call: ClientRequest
     until: int  # monotonic ns
-    done: Callable[[Ending], None]
+    done: Callable[[AttemptResult], None]
     begin: "Callable[[Source, int], Relay | None]"
     may_begin: Callable[[], bool] = lambda: True
 
 
-def read_call(parts: list[bytes], names: Names) -> Call:
+def parse_client_request(parts: list[bytes], names: Names) -> ClientRequest:
     """Reads C.GET key id info, or C.SET key id info value. Guards the cache servers: what the protocol does
     not allow goes no further than this."""
     name = parts[0].upper()
     if len(parts) != (5 if name == b"C.SET" else 4):
-        raise CallError("wrong number of arguments")
+        raise ClientRequestError("wrong number of arguments")
     key, identity, info = parts[1:4]
     if not 0 < len(key) <= MOST_NAME or len(identity) > MOST_NAME or not PLAIN.fullmatch(identity):
-        raise CallError("invalid key or id")
+        raise ClientRequestError("invalid key or id")
     fields = _fields(info)
     cls = names.classes.get(fields.get("c", ""), -1)
     if cls < 0:
-        raise CallError("unknown class")
+        raise ClientRequestError("unknown class")
     effect = names.effects[cls]
     value = parts[4] if name == b"C.SET" else None
     # A safe class reads and a keyed one writes; one that may not be repeated can do either.
-    if effect is not Effect.UNSAFE and (value is None) is not (effect is Effect.SAFE):
-        raise CallError(f"not a class for {name.decode()}")
-    if effect is Effect.KEYED and not fields.get("k"):
-        raise CallError("k is missing")
+    if effect is not Idempotency.NOT_IDEMPOTENT and (value is None) is not (effect is Idempotency.IDEMPOTENT):
+        raise ClientRequestError(f"not a class for {name.decode()}")
+    if effect is Idempotency.IDEMPOTENCY_KEY and not fields.get("k"):
+        raise ClientRequestError("k is missing")
     tenant = names.tenants.get(fields.get("t", ""), -1) if names.tenants else 0
     if tenant < 0:
-        raise CallError("unknown tenant")
+        raise ClientRequestError("unknown tenant")
     wait = fields.get("d", "")
     if not wait.isdigit() or len(wait) > 7 or int(wait) < 1:
-        raise CallError("invalid d")
+        raise ClientRequestError("invalid d")
     if fields.get("r", "1") not in ("0", "1"):
-        raise CallError("invalid r")
-    order = fields["k"] if effect is Effect.KEYED else ""
-    return Call(name, key, identity, info, value, cls, tenant, int(wait), fields.get("r") == "1", order)
+        raise ClientRequestError("invalid r")
+    order = fields["k"] if effect is Idempotency.IDEMPOTENCY_KEY else ""
+    return ClientRequest(
+        name, key, identity, info, value, cls, tenant, int(wait), fields.get("r") == "1", order
+    )
 
 
 def _fields(info: bytes) -> dict[str, str]:
     """The list of names and values; the figures among them are numbers."""
     if len(info) > MOST_INFO or not PLAIN.fullmatch(info):
-        raise CallError("invalid list of names and values")
+        raise ClientRequestError("invalid list of names and values")
     fields: dict[str, str] = {}
     for pair in info.decode().split(","):
         field, equals, value = pair.partition("=")
         if not equals or not field or field in fields:
-            raise CallError("invalid list of names and values")
+            raise ClientRequestError("invalid list of names and values")
         if field not in WORDS and not NUMBER.fullmatch(value):
-            raise CallError(f"invalid {field[:16]}")
+            raise ClientRequestError(f"invalid {field[:16]}")
         fields[field] = value
     return fields
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -7,9 +7,9 @@
 
 import orjson
 
-from rainhitch.interface import Endpoint, Settings
+from rainhitch.interface import Address, Settings
 from rainhitch.node.discovery import ListError, read_endpoint
-from rainhitch.node.session import OPEN, Gate
+from rainhitch.node.session import OPEN, Authenticator
 from rainhitch.settings import (
     Ceilings,
     Json,
@@ -21,7 +21,7 @@
 )
 
 if TYPE_CHECKING:
-    from rainhitch.operator import Operator
+    from rainhitch.operator_config import OperatorConfig
 
 OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
 
@@ -34,9 +34,9 @@
 class Peering:
     """Where this router hears the others, and where they are."""
 
-    listen: Endpoint
-    peers: list[Endpoint]  # of all routers, in the order of their numbers
-    everyone: Endpoint
+    listen: Address
+    peers: list[Address]  # of all routers, in the order of their numbers
+    everyone: Address
     me: int = -1  # this router's number; -1: not told
 
 
@@ -44,8 +44,8 @@
 class Configuration:
     """What the router is told at its start."""
 
-    listen: Endpoint
-    discovery: Endpoint
+    listen: Address
+    discovery: Address
     seed: int
     sockets: int
     memory: int  # bytes
@@ -53,7 +53,7 @@
     settings: Settings
     names: Names
     ceilings: Ceilings
-    admin: Endpoint | None = None  # the second address
+    admin: Address | None = None  # the second address
     peers: Peering | None = None  # the other routers, where they may be told
     inherited: int | None = None  # descriptor of the clients' listening socket, where the platform holds it
 
@@ -105,7 +105,7 @@
         raise ConfigurationError(f"{path}: {problem}") from None
 
 
-def read_admin(told: Json) -> Endpoint | None:
+def read_admin(told: Json) -> Address | None:
     """The second address: the configuration's word, else the environment's."""
     named = told.get("admin_addr") or os.environ.get("BALANCER_ADMIN_ADDR")
     return None if named is None else read_endpoint(named)
@@ -142,7 +142,7 @@
     raise ConfigurationError(f"BALANCER_SOCKET_FD: {named!r} is no listening socket")
 
 
-def operator_settings() -> "Operator | None":
+def operator_settings() -> "OperatorConfig | None":
     """What the operator's file says; None where there is none: then nothing is imported for it."""
     named = os.environ.get("RAINHITCH_OPERATOR")
     if not named and not os.path.exists(OPERATOR_FILE):
@@ -150,20 +150,20 @@
     return operator_from(named or OPERATOR_FILE)
 
 
-def operator_from(path: str) -> "Operator":
+def operator_from(path: str) -> "OperatorConfig":
     """What a file of the operator's says; raises ConfigurationError."""
     from pathlib import Path
 
-    from rainhitch.operator import read_operator
-    from rainhitch.tables import TableError
+    from rainhitch.operator_config import read_operator_config
+    from rainhitch.toml_schema import TableError
 
     try:
-        return read_operator(Path(path))
+        return read_operator_config(Path(path))
     except TableError as problem:
         raise ConfigurationError("\nrainhitch: ".join(problem.lines)) from None
 
 
-def read_gate(user: str, path: str) -> Gate:
+def read_gate(user: str, path: str) -> Authenticator:
     """Who may come in; raises ConfigurationError where the file can't be read or is empty."""
     if not path:
         return OPEN
@@ -174,4 +174,4 @@
         raise ConfigurationError(f"clients.password_file = {path!r}: {problem.strerror}") from None
     if not password:
         raise ConfigurationError(f"clients.password_file = {path!r}: it holds no password")
-    return Gate(user.encode(), password)
+    return Authenticator(user.encode(), password)
--- a/rainhitch/node/pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -8,8 +8,8 @@
 from typing import cast
 
 from rainhitch import system
-from rainhitch.interface import Endpoint, Status
-from rainhitch.node.call import Call, Ending, Exchange
+from rainhitch.interface import Address, AttemptStatus
+from rainhitch.node.client_request import AttemptResult, ClientRequest, Exchange
 from rainhitch.node.deadlines import HELD_UP
 from rainhitch.node.relay import Relay
 from rainhitch.telemetry.counts import Counts
@@ -24,10 +24,10 @@
 log = logging.getLogger("rainhitch")
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """A connection that carries one attempt at a time and tells how it ended."""
 
-    def __init__(self, pool: "Pool") -> None:
+    def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
@@ -46,14 +46,14 @@
         return exchange.call.info_for(exchange.until - self.pool.pools.system.now())
 
     @abstractmethod
-    def encode(self, call: Call, info: bytes) -> bytes:
+    def encode(self, call: ClientRequest, info: bytes) -> bytes:
         """The bytes to write for an attempt, with the list of names and values that goes on."""
 
     @abstractmethod
     def read(self, data: bytes) -> None:
         """Takes in what came while an attempt is out; ends it by finish or spoil."""
 
-    def ask(self, exchange: Exchange) -> None:
+    def start_exchange(self, exchange: Exchange) -> None:
         self.exchange, self.begun, self.unsent = exchange, False, True
         if self.transport is not None:
             self._write()
@@ -65,13 +65,13 @@
         # drain by now, the client may have left, and the time in which a repeat is harmless may be over.
         # Asked behind the last reading of the clock, right before the write.
         if self.pool.retired or not self.exchange.may_begin():
-            self.finish(Ending(Status.MOOT))
+            self.finish(AttemptResult(AttemptStatus.ABANDONED))
             return
         try:
             asked = self.encode(self.exchange.call, info)
         except Exception:
             log.exception("an attempt could not be written")
-            self.finish(Ending(Status.MOOT), reusable=False)
+            self.finish(AttemptResult(AttemptStatus.ABANDONED), reusable=False)
             return
         self.unsent, self.begun = False, True
         self.transport.write(asked)
@@ -81,23 +81,23 @@
             self._whole()
 
     def _whole(self) -> None:
-        self.pool.pools.written += 1
+        self.pool.pools.attempts_written += 1
 
-    def give_up(self) -> bool:
+    def abandon(self) -> bool:
         """Ends the attempt that is out; whether it may have run. Guards against second copies: the system
         is told to close before this returns, and so before anybody may send another attempt."""
         self.exchange, unsent = None, self.unsent
         self.close()
         return not unsent
 
-    def answer_waits(self) -> bool:
+    def has_unread_answer(self) -> bool:
         """Whether something has come for the attempt that is out and was not read yet."""
         transport = self.transport
         if self.exchange is None or transport is None or transport.is_closing():
             return False
         return self.pool.pools.system.readable(transport)
 
-    def let_go(self) -> bool:
+    def withdraw(self) -> bool:
         """Takes the attempt back if it is not written whole, so that it never began there. Where nothing of
         it was, the connection is the next one's."""
         if self.exchange is None or not self.unsent:
@@ -110,16 +110,16 @@
     def retire(self) -> None:
         """The server drains: an attempt that waits for the connection is ended, to be sent elsewhere."""
         exchange = self.exchange
-        if self.let_go() and exchange is not None:
+        if self.withdraw() and exchange is not None:
             self.close()
-            exchange.done(Ending(Status.MOOT))
+            exchange.done(AttemptResult(AttemptStatus.ABANDONED))
 
     def start_relay(self, size: int) -> None:
         """A long value has begun. Where nobody wants it, the connection is closed."""
         assert self.exchange is not None
         self.relay = self.exchange.begin(self, size)
         if self.relay is None:
-            self.finish(Ending(Status.OK), reusable=False)
+            self.finish(AttemptResult(AttemptStatus.OK), reusable=False)
 
     def hold(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -145,9 +145,9 @@
         if relay is not None:
             relay.break_off()
 
-    def finish(self, ending: Ending, reusable: bool = True) -> None:
+    def finish(self, ending: AttemptResult, reusable: bool = True) -> None:
         """Ends the attempt; the connection is free before anybody hears of it."""
-        if self.relay is not None and ending.status is Status.OK:
+        if self.relay is not None and ending.status is AttemptStatus.OK:
             relay, self.relay = self.relay, None
             relay.finish()
         exchange, self.exchange = self.exchange, None
@@ -159,21 +159,23 @@
         if exchange is not None:
             exchange.done(ending)
 
-    def spoil(self) -> None:
+    def fail_protocol(self) -> None:
         """What came can't be read: the attempt is reset and the connection of no further use."""
-        self.finish(Ending(Status.RESET), reusable=False)
+        self.finish(AttemptResult(AttemptStatus.RESET), reusable=False)
 
-    def lost(self, never_up: Status = Status.CONNECT_FAILED) -> None:
+    def lost(self, never_up: AttemptStatus = AttemptStatus.CONNECT_FAILED) -> None:
         """The connection is gone or never came up."""
         self._break_relay()
         self.dead = True
-        status = never_up if self.unsent else Status.RESET
+        status = never_up if self.unsent else AttemptStatus.RESET
         if self.transport is None:
-            self.pool.pools.counts.add("links", "refused" if status is Status.CONNECT_FAILED else "no room")
+            self.pool.pools.counts.add(
+                "links", "refused" if status is AttemptStatus.CONNECT_FAILED else "no room"
+            )
         self.pool.drop(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.done(Ending(status))
+            exchange.done(AttemptResult(status))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -184,16 +186,16 @@
         self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
         # Guards memory: what is read at once is held for each client that reads slowly.
         self.pool.pools.system.bound_reads(self.transport, PIECE)
-        self.came_up()
+        self.connected()
 
-    def came_up(self) -> None:
+    def connected(self) -> None:
         """The connection can carry a request; where nobody waits for it any more, the next one's."""
         if self.exchange is None:
             self.pool.release(self)
         else:
             self._write()
 
-    def fit(self) -> bool | None:
+    def is_reusable(self) -> bool | None:
         """Whether an idle connection can carry a request; None: not now, and it is to stay."""
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -217,31 +219,35 @@
             self.read(data)
         except Exception:
             log.exception("an answer could not be handled")
-            self.spoil()
+            self.fail_protocol()
         self.pool.pools.callback_ends()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost()
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one server. The newest idle one is used first, so that surplus ones age."""
 
     def __init__(
-        self, pools: "Pools", name: str, endpoint: Endpoint, make: "Callable[[Pool], Connection]"
+        self,
+        pools: "ConnectionPools",
+        name: str,
+        endpoint: Address,
+        make: "Callable[[ConnectionPool], UpstreamConnection]",
     ) -> None:
-        self.pools, self.name, self.endpoint, self.make = pools, name, endpoint, make
+        self.pools, self.name, self.address, self.make = pools, name, endpoint, make
         self.speaks = 0  # the protocol that the server's process was found to speak; 0: not known
-        self.idle: list[Connection] = []
-        self.all: dict[Connection, None] = {}  # in the order in which they were opened
+        self.idle: list[UpstreamConnection] = []
+        self.all: dict[UpstreamConnection, None] = {}  # in the order in which they were opened
         self.retired = False
 
-    def start(self, exchange: Exchange) -> Connection | None:
+    def start(self, exchange: Exchange) -> UpstreamConnection | None:
         """Begins an attempt; none where the router may open no more connections."""
         connection = self._settled()
         if connection is not None:
             connection.reused = True
-            connection.ask(exchange)
+            connection.start_exchange(exchange)
             return connection
         if not self.pools.room():
             return None
@@ -254,14 +260,14 @@
         connection.dialling = asyncio.get_running_loop().create_task(self._dial(connection))
         return connection
 
-    def _settled(self) -> Connection | None:
+    def _settled(self) -> UpstreamConnection | None:
         """The newest idle connection that is fit for use. Guards against a second copy of an answer behind
         the first, which would pass for the next one's: a connection rests for a moment, then nothing may be
         there to be read. Nor may its end be known, since nothing would be sent on it, nor be due: the server
         closes what idles, and the sweep comes late for a short keepalive."""
         now = asyncio.get_running_loop().time()
         for connection in [one for one in reversed(self.idle) if one.idle_since <= now - SETTLE]:
-            fit = connection.idle_since > now - self.pools.idle_most and connection.fit()
+            fit = connection.idle_since > now - self.pools.idle_most and connection.is_reusable()
             if fit:
                 self.idle.remove(connection)
                 return connection
@@ -269,19 +275,23 @@
                 connection.close()
         return None
 
-    async def _dial(self, connection: Connection) -> None:
+    async def _dial(self, connection: UpstreamConnection) -> None:
         loop = asyncio.get_running_loop()
         patience = loop.call_later(self.pools.dial_timeout, self._never_up, connection)
         try:
-            await loop.create_connection(lambda: connection, *self.endpoint)
+            await loop.create_connection(lambda: connection, *self.address)
         except OSError as problem:
             if connection.transport is None and not connection.dead:
                 # Guards a server's name: that the router itself has no more to open is not its fault.
-                connection.lost(Status.NO_ROOM if problem.errno in OUR_OWN else Status.CONNECT_FAILED)
+                connection.lost(
+                    AttemptStatus.NO_LOCAL_CONNECTION
+                    if problem.errno in OUR_OWN
+                    else AttemptStatus.CONNECT_FAILED
+                )
         finally:
             patience.cancel()
 
-    def _never_up(self, connection: Connection) -> None:
+    def _never_up(self, connection: UpstreamConnection) -> None:
         """Guards against a time-out in the turn in which a connection comes up: it has not come up, or it
         carries its attempt, and nothing between."""
         if connection.transport is None and not connection.dead:
@@ -289,7 +299,7 @@
             if connection.dialling is not None:
                 connection.dialling.cancel()
 
-    def release(self, connection: Connection) -> None:
+    def release(self, connection: UpstreamConnection) -> None:
         if self.retired or connection not in self.all:
             connection.close()
             return
@@ -297,7 +307,7 @@
         self.idle.append(connection)
         self.pools.plan_sweep()
 
-    def drop(self, connection: Connection) -> None:
+    def drop(self, connection: UpstreamConnection) -> None:
         if connection in self.all:
             del self.all[connection]
             self.pools.count -= 1
@@ -323,26 +333,26 @@
             connection.exchange = None
             connection.close()
             if exchange is not None:
-                exchange.done(Ending(Status.CONNECT_FAILED if unsent else Status.RESET))
+                exchange.done(AttemptResult(AttemptStatus.CONNECT_FAILED if unsent else AttemptStatus.RESET))
 
 
-class Pools:
+class ConnectionPools:
     """All pools: their number of sockets, and the sweep that closes what has idled too long."""
 
     def __init__(self, most: int, dial_timeout: float, keepalive: float) -> None:
-        self.most, self.dial_timeout = most, dial_timeout
+        self.max_open, self.dial_timeout = most, dial_timeout
         self.system = system.running()
         self.left: Callable[[], int] = lambda: most  # descriptors that the clients leave to this side
         self.keepalive = keepalive
         self.hold_idle(IDLE_MOST)
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, ConnectionPool] = {}
         self.count = 0  # connections that are open, or being opened
-        self.leaving: list[Pool] = []  # replaced, with attempts still out
+        self.leaving: list[ConnectionPool] = []  # replaced, with attempts still out
         self.sweeping = False
         # A server says that it holds these keys no more, or none at all.
-        self.voided: Callable[[Pool, list[bytes] | None], None] = lambda pool, keys: None
+        self.keys_invalidated: Callable[[ConnectionPool, list[bytes] | None], None] = lambda pool, keys: None
         self.unknown_pushes = 0
-        self.written = 0  # attempts written whole, since the start
+        self.attempts_written = 0  # attempts written whole, since the start
         self.counts = Counts()
         self.callback_begins: Callable[[], None] = lambda: None  # told of each read, for the loop's lag
         self.callback_ends: Callable[[], None] = lambda: None
@@ -353,12 +363,14 @@
         due = min(self.keepalive * IDLE_PART, self.keepalive - HELD_UP / SECOND)
         self.idle_most = min(seconds, max(0.0, due))
 
-    def add(self, name: str, endpoint: Endpoint, make: Callable[[Pool], Connection]) -> Pool:
+    def add(
+        self, name: str, endpoint: Address, make: Callable[[ConnectionPool], UpstreamConnection]
+    ) -> ConnectionPool:
         """The pool of a server; one at another endpoint takes the place of the old."""
         pool = self.pools.get(name)
-        if pool is None or pool.endpoint != endpoint:
+        if pool is None or pool.address != endpoint:
             self.remove(name)
-            pool = self.pools[name] = Pool(self, name, endpoint, make)
+            pool = self.pools[name] = ConnectionPool(self, name, endpoint, make)
         pool.retired = False
         return pool
 
@@ -373,11 +385,11 @@
 
     def room(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes room for it."""
-        return self.open() < min(self.most, self.left()) or self.close_oldest()
+        return self.open() < min(self.max_open, self.left()) or self.close_oldest()
 
     def spare(self) -> bool:
         """Gives up one connection for a client, if there are more than a part and one is not in use."""
-        return self.open() > self.most * 2 // 3 and self.close_oldest()
+        return self.open() > self.max_open * 2 // 3 and self.close_oldest()
 
     def close_oldest(self) -> bool:
         """Closes the one that has idled longest, if there is one."""
--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -6,11 +6,12 @@
     sent ---- read ------------------------------ deadline -------- client's end
          age       what the router works with             reserve
 
-The age of what is read is known but for what a heartbeat can't tell (node/lag.py), which the protocol's slack
-on each time limit bears. The reserve is for a hold-up between the deadline and the final answer. Each request
-that reaches its deadline pays for it with time in which it might have been served, so that it is kept only
-while hold-ups are found: for REMEMBERED after the last one, as long as the longest of them and HELD_UP at
-the least. A short wait keeps a part of itself only: a reserve that uses all of it would serve nobody.
+The age of what is read is known but for what a heartbeat can't tell (node/loop_lag.py), which the
+protocol's slack on each time limit bears. The reserve is for a hold-up between the deadline and the final
+answer. Each request that reaches its deadline pays for it with time in which it might have been served, so
+that it is kept only while hold-ups are found: for REMEMBERED after the last one, as long as the longest of
+them and HELD_UP at the least. A short wait keeps a part of itself only: a reserve that uses all of it would
+serve nobody.
 """
 
 MILLI = 1_000_000
--- a/rainhitch/node/discovery.py
+++ b/rainhitch/node/discovery.py
@@ -10,11 +10,11 @@
 import orjson
 
 from rainhitch import interface as api
-from rainhitch.interface import Endpoint
-from rainhitch.node.caches import CacheConnection
-from rainhitch.node.origin import OriginConnection
-from rainhitch.node.polling import ASKED, PUSHED, Call, Polling
-from rainhitch.node.pool import Pools
+from rainhitch.interface import Address
+from rainhitch.node.cache_connection import CacheConnection
+from rainhitch.node.connection_pool import ConnectionPools
+from rainhitch.node.origin_connection import OriginConnection
+from rainhitch.node.polling import ASKED, PUSHED, PollCall, PollSchedule
 from rainhitch.protocol.http1 import Answer, Http, HttpError
 from rainhitch.settings import Json, Names
 from rainhitch.telemetry.counts import Counts
@@ -22,12 +22,12 @@
 A_TURN = 0.001  # s after which the loop has read its sockets once more
 MOST_LIST = 1 << 20  # bytes; memory is small, and an entry has some 150
 STATES = {
-    "Ready": api.State.READY,
-    "Retiring": api.State.RETIRING,
-    "Terminating": api.State.DRAINING,
-    "Gone": api.State.GONE,
+    "Ready": api.EndpointState.READY,
+    "Retiring": api.EndpointState.RETIRING,
+    "Terminating": api.EndpointState.DRAINING,
+    "Gone": api.EndpointState.GONE,
 }
-IN_USE = (api.State.READY, api.State.RETIRING)
+IN_USE = (api.EndpointState.READY, api.EndpointState.RETIRING)
 log = logging.getLogger("rainhitch")
 
 
@@ -36,67 +36,77 @@
 
 
 @dataclass(slots=True)
-class Target:
+class ListedEndpoint:
     """One entry of the list, and where this router dials it."""
 
-    member: api.Member
-    endpoint: Endpoint
+    endpoint: api.Endpoint
+    address: Address
     boot: float  # the time of its latest start on the loop's clock, 0 for long ago
-    listed: api.State = api.State.READY  # what the list says, whatever an operator does
+    listed: api.EndpointState = api.EndpointState.READY  # what the list says, whatever an operator does
 
 
-def read_endpoint(text: object) -> Endpoint:
+def read_endpoint(text: object) -> Address:
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isdecimal() or not int(port) < 65_536:
         raise ListError(f"no address: {text!r}")
     return host.strip("[]"), int(port)
 
 
-class Directory:
+class EndpointDirectory:
     """The list as this router holds it: versions, pools, and the event for the decisions."""
 
     def __init__(
-        self, names: Names, origin_kind: int, pools: Pools, tell: Callable[[api.Members], None]
+        self,
+        names: Names,
+        origin_kind: int,
+        pools: ConnectionPools,
+        tell: Callable[[api.EndpointUpdate], None],
     ) -> None:
-        self.names, self.origin_kind, self.pools, self.tell = names, origin_kind, pools, tell
-        self.rev = -1
-        self.connect: type[CacheConnection] = CacheConnection  # how cache servers are spoken to
+        self.names, self.origin_kind, self.pools, self.on_update = names, origin_kind, pools, tell
+        self.version = -1
+        self.cache_connection_class: type[CacheConnection] = (
+            CacheConnection  # how cache servers are spoken to
+        )
         self.moved = False  # the next list comes from another address, whose versions need not compare
-        self.targets: dict[str, Target] = {}
+        self.targets: dict[str, ListedEndpoint] = {}
         self.cordoned: set[str] = set()  # left out by hand: taken as draining, whatever the list says
         self.origin_of_time = pools.system.unix() - pools.system.now()  # once, so that a start keeps its time
 
     @property
     def can_serve(self) -> bool:
         return any(
-            one.member.state is api.State.READY and one.member.kind != self.origin_kind
+            one.endpoint.state is api.EndpointState.READY and one.endpoint.kind != self.origin_kind
             for one in self.targets.values()
         )
 
-    def take(self, answer: Any, cached: bool = False) -> bool:
+    def apply(self, answer: Any, cached: bool = False) -> bool:
         """Takes up a list or changes of it; whether it was of use. An older version changes nothing."""
         if not isinstance(answer, dict) or not isinstance(answer.get("targets"), list):
             raise ListError("no list of servers")
         rev, whole = answer.get("rev"), answer.get("all") is True or cached
         if type(rev) is not int:
             raise ListError(f"no version: {rev!r}")
-        if not (self.moved and whole) and (rev < self.rev or (rev == self.rev and not whole)):
-            return rev == self.rev
-        self.rev, self.moved = rev, False
+        if not (self.moved and whole) and (rev < self.version or (rev == self.version and not whole)):
+            return rev == self.version
+        self.version, self.moved = rev, False
         entries = [target for one in answer["targets"] if (target := self._read(one)) is not None]
         if whole:
-            named = {target.member.server for target in entries}
+            named = {target.endpoint.server for target in entries}
             for name in [name for name in self.targets if name not in named]:
                 self._drop(name)
         elif not entries:
             return True
         for target in entries:
             self._place(target)
-        kind = api.ListKind.FULL if whole else api.ListKind.DELTA
-        self.tell(api.Members(api.ListKind.CACHED if cached else kind, [one.member for one in entries]))
+        kind = api.EndpointUpdateKind.FULL if whole else api.EndpointUpdateKind.DELTA
+        self.on_update(
+            api.EndpointUpdate(
+                api.EndpointUpdateKind.CACHED if cached else kind, [one.endpoint for one in entries]
+            )
+        )
         return True
 
-    def _read(self, entry: Any) -> Target | None:
+    def _read(self, entry: Any) -> ListedEndpoint | None:
         """Reads an entry; one that makes no sense is skipped, and the others stand."""
         try:
             return self._target(entry)
@@ -104,13 +114,13 @@
             log.warning("an entry of the list is skipped: %s: %s", type(problem).__name__, problem)
             return None
 
-    def _target(self, entry: Json) -> Target:
+    def _target(self, entry: Json) -> ListedEndpoint:
         name, boot, weight = entry["uid"], entry.get("boot_ms") or 0, entry.get("capacity_hint", 1.0)
         if not isinstance(name, str) or not name:
             raise ListError("no uid")
         since = 0 if boot <= 0 else max(1, int(boot) * 1_000_000 - self.origin_of_time)
         listed = STATES[entry["state"]]
-        member = api.Member(
+        member = api.Endpoint(
             name,
             self._state(name, listed),
             self.names.kinds[entry["model"]],
@@ -119,14 +129,14 @@
             since,
             1.0 if weight is None else float(weight),
         )
-        return Target(member, read_endpoint(entry["endpoint"]), since / 1e9, listed)
+        return ListedEndpoint(member, read_endpoint(entry["endpoint"]), since / 1e9, listed)
 
-    def _state(self, name: str, listed: api.State) -> api.State:
-        return api.State.DRAINING if listed in IN_USE and name in self.cordoned else listed
+    def _state(self, name: str, listed: api.EndpointState) -> api.EndpointState:
+        return api.EndpointState.DRAINING if listed in IN_USE and name in self.cordoned else listed
 
     def is_cache(self, name: str) -> bool:
         """Whether a cache server of that name is on the list."""
-        return name in self.targets and self.targets[name].member.kind != self.origin_kind
+        return name in self.targets and self.targets[name].endpoint.kind != self.origin_kind
 
     def cordon(self, out: set[str], back: set[str]) -> None:
         """Leaves servers out, and uses others again."""
@@ -138,25 +148,25 @@
                 continue
             # Guards a server against being pushed over: while it was out it may have started anew, which
             # the list may not tell for seconds. So it counts as started when it is used again.
-            since = self.pools.system.now() if name in back else target.member.since
-            member = replace(target.member, state=self._state(name, target.listed), since=since)
-            target = replace(target, member=member)
+            since = self.pools.system.now() if name in back else target.endpoint.started_at_ns
+            member = replace(target.endpoint, state=self._state(name, target.listed), started_at_ns=since)
+            target = replace(target, endpoint=member)
             self._place(target)
             changed.append(member)
         if changed:
-            self.tell(api.Members(api.ListKind.DELTA, changed))
+            self.on_update(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, changed))
 
-    def _place(self, target: Target) -> None:
-        name = target.member.server
-        if target.member.state is api.State.GONE:
+    def _place(self, target: ListedEndpoint) -> None:
+        name = target.endpoint.server
+        if target.endpoint.state is api.EndpointState.GONE:
             self._drop(name)
             return
-        make = OriginConnection if target.member.kind == self.origin_kind else self.connect
-        pool = self.pools.add(name, target.endpoint, make)
+        make = OriginConnection if target.endpoint.kind == self.origin_kind else self.cache_connection_class
+        pool = self.pools.add(name, target.address, make)
         known = self.targets.get(name)
         if known is not None and known.boot != target.boot:
             pool.forget_before(target.boot)
-        if target.member.state not in IN_USE:
+        if target.endpoint.state not in IN_USE:
             pool.retire()
         self.targets[name] = target
 
@@ -223,10 +233,10 @@
         task.cancel()
 
 
-class Watch:
+class DiscoveryWatch:
     """Asks discovery for the list and then for what changes, one call right after the other."""
 
-    def __init__(self, endpoint: Endpoint, directory: Directory, seed: int, must_ask: bool) -> None:
+    def __init__(self, endpoint: Address, directory: EndpointDirectory, seed: int, must_ask: bool) -> None:
         self.endpoint, self.directory, self.must_ask = endpoint, directory, must_ask
         self.times, self.random = ASKED if must_ask else PUSHED, random.Random(seed)
         self.line: _Line | None = None
@@ -240,7 +250,7 @@
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, endpoint: Endpoint) -> None:
+    def move(self, endpoint: Address) -> None:
         """Goes on at another address, from a whole list: what is known serves until that has come."""
         if endpoint == self.endpoint or self.stopped:
             return
@@ -262,7 +272,7 @@
             self.line.close()
 
     async def _run(self) -> None:
-        polling = Polling(self.times, self.must_ask, lambda: self.random.uniform(0.5, 1.0))
+        polling = PollSchedule(self.times, self.must_ask, lambda: self.random.uniform(0.5, 1.0))
         while True:
             try:
                 await self._call(polling.call())
@@ -280,19 +290,19 @@
             pause = polling.failed()
             if pause is None:
                 # Here the decisions say when to ask again; told once this watch has ended.
-                failed = api.Members(api.ListKind.FAILED, [])
-                asyncio.get_running_loop().call_soon(self.directory.tell, failed)
+                failed = api.EndpointUpdate(api.EndpointUpdateKind.FAILED, [])
+                asyncio.get_running_loop().call_soon(self.directory.on_update, failed)
                 return
             await asyncio.sleep(pause)
 
-    async def _call(self, call: Call) -> None:
+    async def _call(self, call: PollCall) -> None:
         target = "/api/targets"
         if call.hold:
-            target += f"?from={self.directory.rev}&hold_ms={int(call.hold * 1000)}"
+            target += f"?from={self.directory.version}&hold_ms={int(call.hold * 1000)}"
         answer = await within(call.patience, self._get(target))
         if answer.status != 200:
             raise HttpError(f"status {answer.status}")
-        self.directory.take(orjson.loads(bytes(answer.body)))
+        self.directory.apply(orjson.loads(bytes(answer.body)))
 
     async def _get(self, target: str) -> Answer:
         return await (await self._connected()).get(target)
--- a/rainhitch/node/origin.py
+++ b/rainhitch/node/origin_connection.py
@@ -2,31 +2,31 @@
 
 from urllib.parse import quote_from_bytes
 
-from rainhitch.interface import Status
-from rainhitch.node.call import Call, Ending
-from rainhitch.node.pool import Connection, Pool
+from rainhitch.interface import AttemptStatus
+from rainhitch.node.client_request import AttemptResult, ClientRequest
+from rainhitch.node.connection_pool import ConnectionPool, UpstreamConnection
 from rainhitch.protocol.http1 import Answer, Http, HttpError
 from rainhitch.protocol.resp import MOST_LONG, MOST_VALUE
 
 
-def ending_of(answer: Answer) -> Ending | None:
+def ending_of(answer: Answer) -> AttemptResult | None:
     """What the origin's answer says; none for one that it does not give. A 503 or 504 proves nothing unless
     the origin itself says so."""
     if answer.status == 200:
-        return Ending(Status.OK, bytes(answer.body))
+        return AttemptResult(AttemptStatus.OK, bytes(answer.body))
     if answer.status in (503, 504) and answer.headers.get(b"x-rejected") == b"1":
-        return Ending(Status.FULL)
-    return Ending(Status.ERROR) if answer.status == 500 else None
+        return AttemptResult(AttemptStatus.FULL)
+    return AttemptResult(AttemptStatus.ERROR) if answer.status == 500 else None
 
 
-class OriginConnection(Connection):
+class OriginConnection(UpstreamConnection):
     """A connection to the origin."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         super().__init__(pool)
-        self.http = Http(f"{pool.endpoint[0]}:{pool.endpoint[1]}", MOST_VALUE, MOST_LONG)
+        self.http = Http(f"{pool.address[0]}:{pool.address[1]}", MOST_VALUE, MOST_LONG)
 
-    def encode(self, call: Call, info: bytes) -> bytes:
+    def encode(self, call: ClientRequest, info: bytes) -> bytes:
         headers = [(b"X-Call-Id", call.id), (b"X-Call-Info", info)]
         target = f"/{quote_from_bytes(call.key, safe='')}".encode()
         return self.http.request(b"GET" if call.value is None else b"PUT", target, headers, call.value)
@@ -35,7 +35,7 @@
         try:
             answer = self.http.receive(data)
         except HttpError:
-            self.spoil()
+            self.fail_protocol()
             return
         if self.http.answer.long:
             self._pass_on(self.http.answer.long)
@@ -44,7 +44,7 @@
         if answer is not None:
             ending = ending_of(answer)
             if ending is None:
-                self.spoil()
+                self.fail_protocol()
             else:
                 self.finish(ending, self.http.next_cycle())
 
@@ -57,4 +57,4 @@
 
     def eof_received(self) -> None:
         if self.exchange is not None:
-            self.spoil()  # an answer tells its length, so that it is not whole
+            self.fail_protocol()  # an answer tells its length, so that it is not whole
--- a/rainhitch/node/polling.py
+++ b/rainhitch/node/polling.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class PollTimes:
     """Seconds."""
 
     hold: float  # for which a watch asks to be held
@@ -43,30 +43,30 @@
 
 
 # What an agent gets when discovery returns counts at once: it is asked again well within a drain's grace.
-PUSHED = Times(hold=1.5, late=0.5, patience=0.6, first_pause=0.05, most_pause=0.3)
-ASKED = Times(hold=2.9, late=0.6, patience=1.6, first_pause=0.2, most_pause=2.0)
+PUSHED = PollTimes(hold=1.5, late=0.5, patience=0.6, first_pause=0.05, most_pause=0.3)
+ASKED = PollTimes(hold=2.9, late=0.6, patience=1.6, first_pause=0.2, most_pause=2.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class PollCall:
     """A call that is owed: the whole list, or a watch held for so many seconds; it fails after `patience`."""
 
     hold: float
     patience: float
 
 
-class Polling:
+class PollSchedule:
     """One router's calls. `jitter` gives a part of a pause, at most the whole."""
 
-    def __init__(self, times: Times, asked: bool, jitter: Callable[[], float]) -> None:
+    def __init__(self, times: PollTimes, asked: bool, jitter: Callable[[], float]) -> None:
         self.times, self.asked, self.jitter = times, asked, jitter
         self.pause = times.first_pause
         self.whole = True
 
-    def call(self) -> Call:
+    def call(self) -> PollCall:
         """The call that is owed now."""
         times = self.times
-        return Call(0.0, times.patience) if self.whole else Call(times.hold, times.hold + times.late)
+        return PollCall(0.0, times.patience) if self.whole else PollCall(times.hold, times.hold + times.late)
 
     def answered(self) -> None:
         """The call has brought a list; the next is owed at once."""
--- a/rainhitch/node/program.py
+++ b/rainhitch/node/program.py
@@ -16,17 +16,17 @@
     operator_settings,
     read_configuration,
 )
-from rainhitch.node.service import Service
+from rainhitch.node.router import Router
 
 if TYPE_CHECKING:
-    from rainhitch.operator import Operator
+    from rainhitch.operator_config import OperatorConfig
 
 
-async def serve(told: Configuration, path: str | None, operator: "Operator | None") -> None:
+async def serve(told: Configuration, path: str | None, operator: "OperatorConfig | None") -> None:
     """Runs the router until it is told to stop and holds nothing more."""
     stopping, loop = asyncio.Event(), asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
-    service = Service(told, operator)
+    service = Router(told, operator)
     loop.add_signal_handler(signal.SIGHUP, service.reread, path)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await service.start()
--- a/rainhitch/node/caches3.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -9,17 +9,17 @@
 
 import asyncio
 
-from rainhitch.interface import Status
-from rainhitch.node.caches import NOTES, CacheConnection, error_ending
-from rainhitch.node.call import Ending
-from rainhitch.node.pool import Pool
+from rainhitch.interface import AttemptStatus
+from rainhitch.node.cache_connection import NOTES, CacheConnection, error_ending
+from rainhitch.node.client_request import AttemptResult
+from rainhitch.node.connection_pool import ConnectionPool
 from rainhitch.protocol import resp
 from rainhitch.protocol.resp3 import Error, Map, Push, Reader, encode, text_of
 
 HELLO = resp.command(b"HELLO", b"3")
 
 
-def ending_of(answer: object) -> Ending | None:
+def ending_of(answer: object) -> AttemptResult | None:
     """What a server's answer says: the value, how the read went, and the load report, the last two as
     strings or in a map. None for one that no command of ours can have, or whose value has no form that a
     client of RESP2 takes for served."""
@@ -36,9 +36,9 @@
     if number is None or (value is None and number == NOTES[b"hit"]):
         return None
     if value is None:
-        return Ending(Status.MISS, note=number)
+        return AttemptResult(AttemptStatus.MISS, note=number)
     if isinstance(value, bytes) or _is_served(encode(value, 2)):
-        return Ending(Status.OK, value, number)
+        return AttemptResult(AttemptStatus.OK, value, number)
     return None
 
 
@@ -52,20 +52,20 @@
 class Resp3Connection(CacheConnection):
     """A connection to a cache server, in whichever protocol it speaks."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         super().__init__(pool)
         self.version = 2
         self.reader = Reader(long=True)
         self.greeting: asyncio.TimerHandle | None = None
 
-    def came_up(self) -> None:
+    def connected(self) -> None:
         if self.pool.speaks == 2:
-            super().came_up()
+            super().connected()
             return
         assert self.transport is not None
         loop = asyncio.get_running_loop()
         self.greeting = loop.call_later(
-            self.pool.pools.dial_timeout, self._turned_down, Status.CONNECT_FAILED
+            self.pool.pools.dial_timeout, self._turned_down, AttemptStatus.CONNECT_FAILED
         )
         self.transport.write(HELLO)
 
@@ -93,35 +93,35 @@
             while isinstance(answer := self.reader.next(), Push):
                 pass
         except resp.FramingError:
-            self._turned_down(Status.CONNECT_FAILED)
+            self._turned_down(AttemptStatus.CONNECT_FAILED)
             return
         if answer is resp.WAITING:
             return
         full = isinstance(answer, Error) and error_ending(answer.text)
         if isinstance(answer, Map) and answer.get(b"proto") == 3:
             self.version, self.frames = 3, self.reader
-        elif full and full.status is Status.FULL:
-            self._turned_down(Status.FULL)
+        elif full and full.status is AttemptStatus.FULL:
+            self._turned_down(AttemptStatus.FULL)
             return
         elif isinstance(answer, Error) and self.reader.idle():
             self.pool.speaks = 2
         else:
-            self._turned_down(Status.CONNECT_FAILED)
+            self._turned_down(AttemptStatus.CONNECT_FAILED)
             return
         if self.greeting is not None:
             self.greeting.cancel()
         self.greeting = None
         if self.version == 3 and not self._only_pushes():
-            self._turned_down(Status.CONNECT_FAILED)
+            self._turned_down(AttemptStatus.CONNECT_FAILED)
         else:
-            super().came_up()
+            super().connected()
 
-    def _turned_down(self, status: Status) -> None:
+    def _turned_down(self, status: AttemptStatus) -> None:
         """The connection never came to a request."""
         exchange, self.exchange = self.exchange, None
         self.close()
         if exchange is not None:
-            exchange.done(Ending(status))
+            exchange.done(AttemptResult(status))
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.greeting is not None:
@@ -138,7 +138,7 @@
             self._pushed(answer)
         return answer
 
-    def ending_of(self, answer: object) -> Ending | None:
+    def ending_of(self, answer: object) -> AttemptResult | None:
         return ending_of(answer) if self.version == 3 else super().ending_of(answer)
 
     def is_sound(self) -> bool:
@@ -162,11 +162,11 @@
             self.pool.pools.unknown_pushes += 1
             return
         names = None if keys is None else [text for one in keys if (text := text_of(one)) is not None]
-        self.pool.pools.voided(self.pool, names)
+        self.pool.pools.keys_invalidated(self.pool, names)
 
-    def fit(self) -> bool | None:
+    def is_reusable(self) -> bool | None:
         if self.version == 2:
-            return super().fit()
+            return super().is_reusable()
         if self.transport is None or self.transport.is_closing():
             return False
         # What waits to be read may be a push: the loop reads it soon, and closes on all else.
--- a/rainhitch/node/slot.py
+++ b/rainhitch/node/response_slot.py
@@ -2,24 +2,24 @@
 
 from typing import TYPE_CHECKING
 
-from rainhitch.node.driver import Held
-from rainhitch.node.pool import PIECE
+from rainhitch.node.connection_pool import PIECE
 from rainhitch.node.relay import Relay
+from rainhitch.node.request_driver import InFlightRequest
 from rainhitch.protocol import resp
 
 if TYPE_CHECKING:
-    from rainhitch.node.client import Client
+    from rainhitch.node.client_connection import ClientConnection
 
 
-class Slot:
+class ResponseSlot:
     """The place of one answer on its connection."""
 
     __slots__ = ("answer", "client", "held", "relay", "version")
 
-    def __init__(self, client: "Client") -> None:
+    def __init__(self, client: "ClientConnection") -> None:
         self.client = client
         self.answer: bytes | None = None
-        self.held: Held | None = None
+        self.held: InFlightRequest | None = None
         self.relay: Relay | None = None  # a long answer, while it is passed on
         self.version = client.session.version  # the protocol that was in force when its command was taken
 
--- a/rainhitch/node/session.py
+++ b/rainhitch/node/session.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gate:
+class Authenticator:
     """The user and password that clients have to name; no password: anybody may come."""
 
     user: bytes = b"default"
@@ -33,7 +33,7 @@
         return hmac.compare_digest(password, self.password) and named
 
 
-OPEN = Gate()
+OPEN = Authenticator()
 
 
 def _plain(text: bytes) -> bool:
@@ -49,7 +49,7 @@
 
     __slots__ = ("authenticated", "gate", "id", "name", "ready", "version")
 
-    def __init__(self, id: int, gate: Gate, ready: Callable[[], bool]) -> None:
+    def __init__(self, id: int, gate: Authenticator, ready: Callable[[], bool]) -> None:
         self.id, self.gate, self.ready = id, gate, ready
         self.version, self.name = 2, b""
         self.authenticated = not gate.password
--- a/rainhitch/node/shutdown.py
+++ b/rainhitch/node/shutdown.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Schedule:
+class ShutdownSchedule:
     """Seconds after SIGTERM."""
 
     accepting: float
@@ -35,7 +35,7 @@
     kill: float
 
 
-def schedule(longest_deadline: float) -> Schedule:
+def schedule(longest_deadline: float) -> ShutdownSchedule:
     """The schedule for classes of which the longest deadline is so many seconds."""
     kill = min(longest_deadline, LONGEST) + KILL
     reserve = max(RESERVE, kill / 8)
@@ -43,7 +43,7 @@
     # Guards late newcomers: who comes at the last moment is heard, and answered in the little that is left.
     accepting = min(NEWCOMERS + RESERVE / 3, max(NEWCOMERS, answered / 2))
     rest = answered - accepting
-    return Schedule(
+    return ShutdownSchedule(
         accepting,
         min(IDLE_FROM, accepting + rest / 4),
         min(NO_MORE, accepting + rest / 2),
--- a/rainhitch/storms/accepts.py
+++ b/rainhitch/overload/accept_pacer.py
@@ -13,7 +13,7 @@
 BURST = 0.05  # s of the rate that may be accepted at once
 
 
-class Pace:
+class AcceptPacer:
     """Accepts a second, between `least` and `most`."""
 
     def __init__(self, least: float, most: float) -> None:
--- a/rainhitch/storms/limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -35,7 +35,7 @@
 FILLS = {Lane.SHED: 0.5, Lane.READ: 0.85, Lane.KEPT: 0.95, Lane.ORDER: 1.0}
 
 
-class Limit:
+class AdaptiveConcurrencyLimit:
     """The limit, and what is in work under it. `least` is the limit's own floor, in requests; `floor` the
     part that first tries and retries each keep; `period` in ns."""
 
--- a/rainhitch/storms/orders.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -20,7 +20,7 @@
 from enum import Enum
 
 from rainhitch import interface as api
-from rainhitch.policy.jobs import NEVER_RAN
+from rainhitch.policy.pending_request import NEVER_RAN
 
 MOST_ORDERS = 4096  # remembered at once
 MOST_IN_LINE = 8  # requests that wait for one order
@@ -41,7 +41,9 @@
     holder: str = ""
     open: bool = False  # the holder has no final answer yet
     out: set[tuple[str, int]] = field(default_factory=set)  # attempts, by id and number
-    ran: dict[tuple[str, int], tuple[int, api.Member]] = field(default_factory=dict)  # may have: when, where
+    ran: dict[tuple[str, int], tuple[int, api.Endpoint]] = field(
+        default_factory=dict
+    )  # may have: when, where
     line: deque[str] = field(default_factory=deque)
     until: int = 0  # remembered so long once idle, ns
 
@@ -50,7 +52,7 @@
         return self.open or bool(self.out)
 
 
-class Orders:
+class IdempotencyKeyGuard:
     """The order keys that this router knows. Times are ns; `patience` is how long a client may take to come
     again: the longest deadline of a class."""
 
@@ -86,12 +88,12 @@
         order = self.orders.get(key)
         return order is not None and (order.busy or now < order.until)
 
-    def inherited(self, key: str, id: str) -> list[tuple[int, api.Member]]:
+    def inherited(self, key: str, id: str) -> list[tuple[int, api.Endpoint]]:
         """When and where the attempts of other requests than this at an order may have run."""
         order = self.orders.get(key)
         return [] if order is None else [ran for (whose, _), ran in order.ran.items() if whose != id]
 
-    def sent(self, now: int, id: str, number: int, member: api.Member, window: int) -> None:
+    def sent(self, now: int, id: str, number: int, member: api.Endpoint, window: int) -> None:
         """The holder has sent an attempt; `window` is for how long repeats of it are dropped."""
         key = self.of.get(id)
         if key is not None:
@@ -100,7 +102,7 @@
             order.ran[id, number] = (now, member)
             order.until = max(order.until, now + window + self.patience)
 
-    def outcome(self, id: str, number: int, status: api.Status) -> str:
+    def outcome(self, id: str, number: int, status: api.AttemptStatus) -> str:
         """An attempt has ended; gives the request that holds the order from now on, "" for none."""
         key = self.of.get(id)
         if key is None:
--- a/rainhitch/storms/appointments.py
+++ b/rainhitch/overload/retry_after.py
@@ -38,10 +38,10 @@
 
 def question(request: Request) -> Question:
     """What a retry has in common with its first try."""
-    return request.tenant, request.cls, request.key, request.order
+    return request.tenant, request.class_index, request.key, request.idempotency_key
 
 
-class Appointments:
+class RetryAfterScheduler:
     """Times to come back, in ns. `most_wait` is the longest that may be told; 0: none may."""
 
     def __init__(self, most_wait: int, seed: int, most: int = MOST) -> None:
--- a/rainhitch/storms/detector.py
+++ b/rainhitch/overload/storm_detector.py
@@ -53,7 +53,7 @@
         self.late = max(self.late, other.late)
 
 
-class Detector:
+class RetryStormDetector:
     """Counts what comes; `step` once a period says whether a storm has begun or ended, in a line."""
 
     def __init__(self) -> None:
--- a/rainhitch/policy/ranges.py
+++ b/rainhitch/policy/key_ranges.py
@@ -10,7 +10,7 @@
         self.names: list[str] = []
         self.chains: dict[int, list[str]] = {}  # by the range that it begins with
 
-    def deal(self, names: list[str]) -> bool:
+    def set_servers(self, names: list[str]) -> bool:
         """Takes up a list; whether it is another."""
         if names == self.names:
             return False
--- a/rainhitch/policy/throttle.py
+++ b/rainhitch/policy/throttle.py
@@ -2,8 +2,8 @@
 
 import math
 
-from rainhitch.policy.jobs import Job
-from rainhitch.policy.rates import SECOND, Rate
+from rainhitch.policy.pending_request import PendingRequest
+from rainhitch.policy.rates import SECOND, DecayingRate
 
 LEAST_TOTAL = 10  # Berger: from C_J + C_T = 10 on, output hardly feels arrival rates above r
 FEW_TOKENS = 2  # what a throttle turned on starts with, so that it acts at once
@@ -22,9 +22,9 @@
         self.rate, self.last = rate, now
         self.bank = self.level = FEW_TOKENS
         self.buffer = max(total, LEAST_TOTAL) - FEW_TOKENS
-        self.queue: dict[str, Job] = {}
+        self.queue: dict[str, PendingRequest] = {}
 
-    def refill(self, now: int) -> list[Job]:
+    def refill(self, now: int) -> list[PendingRequest]:
         """Takes the tokens due by now; gives the waiting jobs they free, first come first."""
         tokens = int((now - self.last) * self.rate / SECOND)
         if tokens < 1:
@@ -34,7 +34,7 @@
         self.level = min(self.level + tokens, self.bank)  # a full bank loses the rest
         return [self.queue.pop(name) for name in freed]
 
-    def offer(self, job: Job) -> bool | None:
+    def offer(self, job: PendingRequest) -> bool | None:
         """True: the job spent a token. None: it waits. False: it is refused."""
         if self.level > 0:
             self.level -= 1
@@ -45,7 +45,7 @@
         self.queue[job.request.id] = job
         return None
 
-    def leave(self, job: Job) -> bool:
+    def leave(self, job: PendingRequest) -> bool:
         """Takes a waiting job out of the buffer."""
         if self.queue.pop(job.request.id, None) is None:
             return False
@@ -61,19 +61,19 @@
         self.bank, self.buffer = self.bank + min(places, self.buffer), max(0, self.buffer - places)
 
 
-class Monitor:
+class OriginMonitor:
     """Turns the throttle on and off and sets r by how likely misses fare."""
 
     def __init__(self, period: int) -> None:
         self.period = period
-        self.spent = Rate(8 * period)
+        self.spent = DecayingRate(8 * period)
         self.throttle: Throttle | None = None
         self.good = self.bad = self.calm = 0
         self.cut_at, self.born = 0, -1
 
     def recent(self, now: int) -> float:
         """The recent likely-miss rate. Guards against a restart: a short past is no sign of a low rate."""
-        return self.spent.per_second(now) / -math.expm1((self.born - now) / self.spent.span)
+        return self.spent.per_second(now) / -math.expm1((self.born - now) / self.spent.span_ns)
 
     def note(self, healthy: bool, sent: int) -> None:
         """Counts a likely miss's fate, unless sent before the last cut: one jam is not cut for twice."""
@@ -95,12 +95,12 @@
         elif throttle is None:
             return ""
         if throttle is None:
-            rate = max(self.recent(now), SECOND / self.spent.span)
+            rate = max(self.recent(now), SECOND / self.spent.span_ns)
             self.throttle = Throttle(now, rate, int(rate * self.period / SECOND))
             return f"throttle on: {rate:.0f} likely misses/s"
         if sick:
             rate = min(throttle.rate, self.recent(now))  # an r nobody used is no start for a cut
-            throttle.rate = max(rate * (1 - share / 2), SECOND / self.spent.span / 2)
+            throttle.rate = max(rate * (1 - share / 2), SECOND / self.spent.span_ns / 2)
             throttle.shift(max(1, (throttle.bank + throttle.buffer) // 4))
             return ""
         # Guards against a jam that feeds itself, while reads hang, and against an r that is no limit.
--- a/rainhitch/policy/zones.py
+++ b/rainhitch/policy/zone_reachability.py
@@ -20,7 +20,7 @@
     until: int = 0  # not tried again before that
 
 
-class Zones:
+class ZoneReachability:
     """All zones on the list. `wait`: the least time between two trials. Times are ns."""
 
     def __init__(self, wait: int) -> None:
--- a/rainhitch/rehearsal/explore/corpus.py
+++ b/rainhitch/rehearsal/explore/corpus.py
@@ -9,7 +9,7 @@
 
 from rainhitch.rehearsal.explore.findings import Case, Result, case
 from rainhitch.rehearsal.scenario import scenario_of
-from rainhitch.tables import TableError
+from rainhitch.toml_schema import TableError
 
 Json = dict[str, Any]
 
--- a/rainhitch/rehearsal/explore/grammar.py
+++ b/rainhitch/rehearsal/explore/grammar.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from rainhitch import tables
+from rainhitch import toml_schema
 from rainhitch.rehearsal.faults import KINDS
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
 
@@ -91,7 +91,7 @@
     """The scenario that it is, if it is one."""
     try:
         return scenario_of(source, "drawn")
-    except tables.TableError:
+    except toml_schema.TableError:
         return None
 
 
--- a/rainhitch/rehearsal/explore/model.py
+++ b/rainhitch/rehearsal/explore/model.py
@@ -14,15 +14,17 @@
 from typing import Any
 
 from rainhitch import interface as api
+from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
-from rainhitch.storms.damper import Damper
 
 MILLI = 1_000_000
 SECOND = 1_000_000_000
 STEP = 1000 * MILLI  # how far time goes at once, where nothing wakes up sooner
 BEGIN = 100 * SECOND
 ORIGIN = "origin"
-RAN = frozenset((api.Status.OK, api.Status.ERROR, api.Status.TIMEOUT, api.Status.RESET))
+RAN = frozenset(
+    (api.AttemptStatus.OK, api.AttemptStatus.ERROR, api.AttemptStatus.TIMEOUT, api.AttemptStatus.RESET)
+)
 Event = tuple[str, ...]
 
 
@@ -37,9 +39,9 @@
 
 
 CLASSES = [
-    api.RequestClass(SECOND, 2 * SECOND, late_worth=0.5),
-    api.RequestClass(SECOND, 2 * SECOND, api.Effect.KEYED, window=SECOND),
-    api.RequestClass(SECOND, 2 * SECOND, api.Effect.UNSAFE),
+    api.RequestClass(SECOND, 2 * SECOND, late_weight=0.5),
+    api.RequestClass(SECOND, 2 * SECOND, api.Idempotency.IDEMPOTENCY_KEY, dedup_window_ns=SECOND),
+    api.RequestClass(SECOND, 2 * SECOND, api.Idempotency.NOT_IDEMPOTENT),
 ]
 WORLDS: dict[str, list[Spec]] = {
     "two reads of a key": [Spec(0, "k"), Spec(0, "k")],
@@ -66,15 +68,17 @@
     final: dict[str, str] = field(default_factory=dict)
     due: dict[str, int] = field(default_factory=dict)
     wakes: list[tuple[int, str]] = field(default_factory=list)
-    lists: dict[str, api.State] = field(default_factory=dict)
+    lists: dict[str, api.EndpointState] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        settings = api.Settings(CLASSES, aside=True, origin_kind=1, max_attempts=3, retry_after=True)
-        settings.max_retry_after = SECOND
-        self.balancer = Balancer(settings, 1, Damper(settings, 1))
-        self.lists = dict.fromkeys(SERVERS, api.State.READY)
-        rows = [api.Member(name) for name in SERVERS] + [api.Member(ORIGIN, kind=1)]
-        self._tell(api.Members(api.ListKind.CACHED, rows))
+        settings = api.Settings(
+            CLASSES, cache_aside=True, origin_kind=1, max_attempts=3, retry_after_allowed=True
+        )
+        settings.max_retry_after_ns = SECOND
+        self.balancer = Balancer(settings, 1, OverloadController(settings, 1))
+        self.lists = dict.fromkeys(SERVERS, api.EndpointState.READY)
+        rows = [api.Endpoint(name) for name in SERVERS] + [api.Endpoint(ORIGIN, kind=1)]
+        self._tell(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, rows))
 
     def events(self) -> Iterator[Event]:
         """What may happen next."""
@@ -84,16 +88,25 @@
                 yield "arrive", name
                 break  # they come in their order: each other order is the same but for names
         for name, (_, server, _, _) in self.out.items():
-            for status in (api.Status.OK, api.Status.RESET, api.Status.CONNECT_FAILED, api.Status.FULL):
+            for status in (
+                api.AttemptStatus.OK,
+                api.AttemptStatus.RESET,
+                api.AttemptStatus.CONNECT_FAILED,
+                api.AttemptStatus.FULL,
+            ):
                 yield "end", name, status
-            yield "end", name, api.Status.ERROR if server == ORIGIN else api.Status.MISS
+            yield "end", name, api.AttemptStatus.ERROR if server == ORIGIN else api.AttemptStatus.MISS
         for name in self.due:
             if name not in self.final:
                 yield "leave", name
         for server, state in self.lists.items():
-            yield "list", server, api.State.READY if state is api.State.GONE else api.State.GONE
-            if state is api.State.READY:
-                yield "list", server, api.State.DRAINING
+            yield (
+                "list",
+                server,
+                api.EndpointState.READY if state is api.EndpointState.GONE else api.EndpointState.GONE,
+            )
+            if state is api.EndpointState.READY:
+                yield "list", server, api.EndpointState.DRAINING
         yield ("wait",)
 
     def play(self, event: Event) -> None:
@@ -101,18 +114,22 @@
         match event:
             case ("arrive", name):
                 spec = self.specs[int(name[1:])]
-                self.due[name] = self.now + CLASSES[spec.cls].deadline
+                self.due[name] = self.now + CLASSES[spec.cls].deadline_ns
                 repeat = bool(spec.order) and name != "r0"
                 told = (name, spec.cls, self.due[name], spec.key, spec.write, 0, repeat, spec.order)
                 self._tell(api.Request(*told))
             case ("end", name, status):
-                self._end(name, api.Status(status))
+                self._end(name, api.AttemptStatus(status))
             case ("leave", name):
                 self.final[name] = "left"
-                self._tell(api.Withdrawn(name))
+                self._tell(api.ClientGone(name))
             case ("list", server, state):
-                self.lists[server] = api.State(state)
-                self._tell(api.Members(api.ListKind.DELTA, [api.Member(server, api.State(state))]))
+                self.lists[server] = api.EndpointState(state)
+                self._tell(
+                    api.EndpointUpdate(
+                        api.EndpointUpdateKind.DELTA, [api.Endpoint(server, api.EndpointState(state))]
+                    )
+                )
             case _:
                 self._wait()
 
@@ -125,36 +142,36 @@
             alarm = min(self.wakes)
             self.wakes.remove(alarm)
             self.now = max(self.now, alarm[0])
-            self._tell(api.Alarm(alarm[1]))
+            self._tell(api.TimerFired(alarm[1]))
         self.now = until
         for name, (_, _, _, end) in list(self.out.items()):
             if end <= self.now:
-                self._end(name, api.Status.TIMEOUT)
+                self._end(name, api.AttemptStatus.TIMEOUT)
         for name, at in self.due.items():
             if at <= self.now and name not in self.final:
                 raise BreachError(f"rule 1: {name} has no answer at its deadline")
 
-    def _end(self, name: str, status: api.Status) -> None:
+    def _end(self, name: str, status: api.AttemptStatus) -> None:
         number, server, sent, _ = self.out.pop(name)
         if status not in RAN and sent in self.ran.get(name, []):
             self.ran[name].remove(sent)  # it is known not to have run
-        answered = status is api.Status.OK and name not in self.final
+        answered = status is api.AttemptStatus.OK and name not in self.final
         if answered:
             self.final[name] = "served"
         closed = name in self.final
-        self._tell(api.Outcome(name, number, server, status, closed, max(1, self.now - sent)))
+        self._tell(api.AttemptFinished(name, number, server, status, closed, max(1, self.now - sent)))
 
     def _tell(self, event: api.Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
-                case api.Send():
+                case api.StartAttempt():
                     self._sent(action)
-                case api.Refuse() | api.Fail():
+                case api.Reject() | api.Fail():
                     self._answered(action)
-                case api.Wake():
-                    self.wakes.append((self.now + action.delay, action.token))
+                case api.SetTimer():
+                    self.wakes.append((self.now + action.delay_ns, action.token))
 
-    def _sent(self, action: api.Send) -> None:
+    def _sent(self, action: api.StartAttempt) -> None:
         name, spec = action.id, self.specs[int(action.id[1:])]
         kind = CLASSES[spec.cls]
         if name in self.final:
@@ -163,36 +180,44 @@
             raise BreachError(f"rule 2: two attempts of {name} at once")
         if self.made.get(name, 0) >= 3:
             raise BreachError(f"rule 2: a fourth attempt of {name}")
-        if self.lists.get(action.server, api.State.READY) is not api.State.READY:
+        if self.lists.get(action.server, api.EndpointState.READY) is not api.EndpointState.READY:
             raise BreachError(f"rule 3: {name} is sent to {action.server}, which drains or is gone")
         same = [one for one in self.due if spec.order and self.specs[int(one[1:])].order == spec.order]
         if any(one in self.out for one in same):
             raise BreachError(f"rule 2: two attempts of order {spec.order} at once")
         # Other requests for an order are remembered for its window and the longest deadline, and no longer.
-        kept = self.now - kind.window - max(one.deadline for one in CLASSES)
+        kept = self.now - kind.dedup_window_ns - max(one.deadline_ns for one in CLASSES)
         before = self.ran.get(name, []) + [
             at for one in same if one != name for at in self.ran.get(one, []) if at > kept
         ]
-        if before and kind.effect is api.Effect.UNSAFE:
+        if before and kind.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             raise BreachError(f"rule 2: {name} may have run, and is sent again")
-        if before and kind.effect is api.Effect.KEYED and self.now >= min(before) + kind.window:
+        if (
+            before
+            and kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and self.now >= min(before) + kind.dedup_window_ns
+        ):
             raise BreachError(f"rule 2: {name} is sent again after its window")
         number, self.made[name] = self.made.get(name, 0), self.made.get(name, 0) + 1
-        until = min(self.due[name], self.now + action.timeout) if action.timeout else self.due[name]
+        until = min(self.due[name], self.now + action.timeout_ns) if action.timeout_ns else self.due[name]
         self.out[name] = number, action.server, self.now, until
         self.ran.setdefault(name, []).append(self.now)
 
-    def _answered(self, action: api.Refuse | api.Fail) -> None:
+    def _answered(self, action: api.Reject | api.Fail) -> None:
         name, spec = action.id, self.specs[int(action.id[1:])]
         kind = CLASSES[spec.cls]
         if name in self.final:
             raise BreachError(f"rule 1: a second answer to {name}")
         if name in self.out:
             raise BreachError(f"rule 1: {name} is answered while its attempt is out")
-        if isinstance(action, api.Refuse):
+        if isinstance(action, api.Reject):
             ran = self.ran.get(name, [])
-            kept = kind.effect is api.Effect.KEYED and ran and self.now < min(ran) + kind.window
-            if ran and kind.effect is not api.Effect.SAFE and not kept:
+            kept = (
+                kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+                and ran
+                and self.now < min(ran) + kind.dedup_window_ns
+            )
+            if ran and kind.idempotency is not api.Idempotency.IDEMPOTENT and not kept:
                 raise BreachError(f"rule 2: {name} may have run, and is refused")
         self.final[name] = type(action).__name__
 
--- a/rainhitch/rehearsal/faults.py
+++ b/rainhitch/rehearsal/faults.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rainhitch import tables
+from rainhitch import toml_schema
 
 # kind: what of `room`, `node`, `router` it needs, and which of the other keys it heeds
 KINDS: dict[str, tuple[str, ...]] = {
@@ -48,25 +48,25 @@
 
 @dataclass(slots=True)
 class Fault:
-    kind: str = tables.text(tables.REQUIRED, "what goes wrong", tuple(KINDS))
-    at_s: float = tables.number(tables.REQUIRED, 0, 3600, "when, from the first scored second")
-    for_s: float = tables.number(0.0, 0, 3600, "for how long")
-    room: str = tables.text("", "which room")
-    node: str = tables.text("", "which node: ROOM-NUMBER")
-    router: int = tables.whole(-1, 0, 299, "which router, from 0")
-    group: list[int] = tables.numbers(
+    kind: str = toml_schema.text(toml_schema.REQUIRED, "what goes wrong", tuple(KINDS))
+    at_s: float = toml_schema.number(toml_schema.REQUIRED, 0, 3600, "when, from the first scored second")
+    for_s: float = toml_schema.number(0.0, 0, 3600, "for how long")
+    room: str = toml_schema.text("", "which room")
+    node: str = toml_schema.text("", "which node: ROOM-NUMBER")
+    router: int = toml_schema.whole(-1, 0, 299, "which router, from 0")
+    group: list[int] = toml_schema.numbers(
         [], 0, 299, "routers-apart: which routers, from 0; the rest are the others"
     )
-    oneway: bool = tables.flag(False, "routers-apart: only what the group sends is lost")
-    routers: bool = tables.flag(True, "room-loss: its routers too")
-    share: float = tables.number(0.1, 0, 1, "of all traffic, reads, messages or answers")
-    keys: int = tables.whole(2, 1, 100, "hot-keys: how many")
-    away_s: float = tables.number(
+    oneway: bool = toml_schema.flag(False, "routers-apart: only what the group sends is lost")
+    routers: bool = toml_schema.flag(True, "room-loss: its routers too")
+    share: float = toml_schema.number(0.1, 0, 1, "of all traffic, reads, messages or answers")
+    keys: int = toml_schema.whole(2, 1, 100, "hot-keys: how many")
+    away_s: float = toml_schema.number(
         0.0, 0, 3600, "node-drain, node-upgrade: gone so long, then back cold; 0: for good"
     )
-    clients: int = tables.whole(5000, 1, 100000, "reconnect-storm: so many connect anew and ask at once")
-    factor: float = tables.number(4.0, 1, 1000, "database-slow: how many times slower")
-    delay_s: float = tables.number(1.0, 0, 600, "how late")
+    clients: int = toml_schema.whole(5000, 1, 100000, "reconnect-storm: so many connect anew and ask at once")
+    factor: float = toml_schema.number(4.0, 1, 1000, "database-slow: how many times slower")
+    delay_s: float = toml_schema.number(1.0, 0, 600, "how late")
 
     @property
     def until_s(self) -> float:
--- a/rainhitch/rehearsal/population.py
+++ b/rainhitch/rehearsal/population.py
@@ -109,8 +109,8 @@
         self.out: dict[tuple[str, int], tuple[str, int]] = {}
         self.made: Counter[str] = Counter()
         self.orders: dict[str, str] = {}
-        members = [api.Member(name) for name in self.backends]
-        self.tell(api.Members(api.ListKind.CACHED, members))
+        members = [api.Endpoint(name) for name in self.backends]
+        self.tell(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, members))
 
     def at(self, when: int, what: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (max(when, self.now), next(self.count), what))
@@ -153,7 +153,7 @@
 
     def _try(self, number: int, begun: int, tries: int, key: str, cls: int, order: str) -> None:
         spec = self.settings.classes[cls]
-        wait = min(spec.deadline, begun + spec.deadline - self.now) if tries else spec.deadline
+        wait = min(spec.deadline_ns, begun + spec.deadline_ns - self.now) if tries else spec.deadline_ns
         if wait <= 0:
             return
         name = f"r{number}.{tries}"
@@ -169,27 +169,27 @@
         """What a host does with a request that has no answer just before its client leaves."""
         if name in self.open:
             self._over(name, "failed", 0)
-            self.tell(api.Withdrawn(name))
+            self.tell(api.ClientGone(name))
 
     def _leaves(self, name: str) -> None:
         """The client gives up; there should have been an answer by now."""
         if name in self.open:
             self.course.late += 1
             self._over(name, "gave up", 0)
-            self.tell(api.Withdrawn(name))
+            self.tell(api.ClientGone(name))
 
     def tell(self, event: api.Event) -> None:
         for action in self.balancer.handle(self.now, event):
-            if isinstance(action, api.Wake):
-                self.at(self.now + action.delay, partial(self.tell, api.Alarm(action.token)))
-            elif isinstance(action, api.Send):
+            if isinstance(action, api.SetTimer):
+                self.at(self.now + action.delay_ns, partial(self.tell, api.TimerFired(action.token)))
+            elif isinstance(action, api.StartAttempt):
                 self._send(action)
-            elif isinstance(action, api.Refuse):
-                self._over(action.id, "refused", action.retry_after)
+            elif isinstance(action, api.Reject):
+                self._over(action.id, "refused", action.retry_after_ns)
             elif isinstance(action, api.Fail):
                 self._over(action.id, "failed", 0)
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.StartAttempt) -> None:
         number = self.made[action.id]
         self.made[action.id] += 1
         self.course.sends[self.now // SECOND] += 1
@@ -200,12 +200,12 @@
         self.out[attempt] = (action.server, self.now)
         backend.run(self.now)
         if len(backend.work) >= backend.table:
-            self.at(self.now + MILLI, lambda: self._ended(attempt, api.Status.FULL))
+            self.at(self.now + MILLI, lambda: self._ended(attempt, api.AttemptStatus.FULL))
             return
         backend.work[attempt] = self.open[action.id][4]
         self._plan(backend)
-        if action.timeout:
-            self.at(self.now + action.timeout, lambda: self._ended(attempt, api.Status.TIMEOUT))
+        if action.timeout_ns:
+            self.at(self.now + action.timeout_ns, lambda: self._ended(attempt, api.AttemptStatus.TIMEOUT))
 
     def _plan(self, backend: Backend) -> None:
         backend.version += 1
@@ -222,18 +222,18 @@
             del backend.work[name]
         self._plan(backend)
         for name in done:
-            self._ended(name, api.Status.OK)
+            self._ended(name, api.AttemptStatus.OK)
 
-    def _ended(self, attempt: tuple[str, int], status: api.Status) -> None:
+    def _ended(self, attempt: tuple[str, int], status: api.AttemptStatus) -> None:
         """An attempt is over for the router; a server goes on with what was given up."""
         if attempt not in self.out:
             return
         server, sent = self.out.pop(attempt)
         self.course.outcomes[status] += 1
-        if status is api.Status.OK and attempt[0] in self.open:
+        if status is api.AttemptStatus.OK and attempt[0] in self.open:
             self._over(attempt[0], "served", 0)
         closed = attempt[0] not in self.open
-        self.tell(api.Outcome(attempt[0], attempt[1], server, status, closed, self.now - sent))
+        self.tell(api.AttemptFinished(attempt[0], attempt[1], server, status, closed, self.now - sent))
 
     def _over(self, name: str, how: str, told: int) -> None:
         """A request has its answer; a refused or failed one may be tried again by its client."""
@@ -243,9 +243,9 @@
         number, begun, tries, request, work = self.open.pop(name)
         self.course.answers[name] += 1
         self.course.ended[how] += 1
-        spec = self.settings.classes[request.cls]
+        spec = self.settings.classes[request.class_index]
         if how == "served":
-            self.course.in_time[begun // SECOND] += self.now - begun <= spec.aim
+            self.course.in_time[begun // SECOND] += self.now - begun <= spec.latency_objective_ns
             self.course.useful += work * self._storming(self.now)
             return
         if how == "refused" and told:
@@ -255,7 +255,7 @@
         back = int(self.crowd.backoff_s * SECOND)
         if told and self.random.random() < self.crowd.honour:
             back = told
-        again = (number, begun, tries + 1, request.key or "", request.cls, request.order)
+        again = (number, begun, tries + 1, request.key or "", request.class_index, request.idempotency_key)
         self.at(self.now + back + MILLI, lambda: self._try(*again))
 
     @property
--- a/rainhitch/rehearsal/scenario.py
+++ b/rainhitch/rehearsal/scenario.py
@@ -10,29 +10,33 @@
 from importlib import resources
 from pathlib import Path
 
-from rainhitch import tables
+from rainhitch import toml_schema
 from rainhitch.rehearsal.faults import Fault, check_faults
 
 
 @dataclass(slots=True)
 class Day:
-    length_s: float = tables.number(16.0, 1, 3600, "how long clients come")
-    prelude_s: float = tables.number(
+    length_s: float = toml_schema.number(16.0, 1, 3600, "how long clients come")
+    prelude_s: float = toml_schema.number(
         4.0, 0.5, 60, "before it: each warm key is read once, at no cost; not scored"
     )
-    memory_mb: float = tables.number(192.0, 32, 65536, "of each router, which ends over it")
-    sockets: int = tables.whole(1024, 64, 1 << 20, "descriptors that each router may hold")
+    memory_mb: float = toml_schema.number(192.0, 32, 65536, "of each router, which ends over it")
+    sockets: int = toml_schema.whole(1024, 64, 1 << 20, "descriptors that each router may hold")
 
 
 @dataclass(slots=True)
 class NodeClass:
-    name: str = tables.text(tables.REQUIRED, "as the list names it")
-    count: int = tables.whole(1, 1, 1000, "how many, dealt to the rooms in turn")
-    cores: int = tables.whole(7, 1, 256, "cores at work")
-    speed: tuple[float, float] = tables.pair((0.85, 1.1), 0.01, 100, "of a core, drawn for each node")
-    slots_per_core: int = tables.whole(16, 1, 1024, "requests in work at once")
-    queue_per_core: float = tables.number(2.5, 0, 1024, "requests that wait; those beyond are turned away")
-    table_per_core: float = tables.number(13.0, 1, 10000, "connections that are held; others are turned away")
+    name: str = toml_schema.text(toml_schema.REQUIRED, "as the list names it")
+    count: int = toml_schema.whole(1, 1, 1000, "how many, dealt to the rooms in turn")
+    cores: int = toml_schema.whole(7, 1, 256, "cores at work")
+    speed: tuple[float, float] = toml_schema.pair((0.85, 1.1), 0.01, 100, "of a core, drawn for each node")
+    slots_per_core: int = toml_schema.whole(16, 1, 1024, "requests in work at once")
+    queue_per_core: float = toml_schema.number(
+        2.5, 0, 1024, "requests that wait; those beyond are turned away"
+    )
+    table_per_core: float = toml_schema.number(
+        13.0, 1, 10000, "connections that are held; others are turned away"
+    )
 
 
 def _classes() -> list[NodeClass]:
@@ -44,48 +48,60 @@
 
 @dataclass(slots=True)
 class Fleet:
-    rooms: list[str] = tables.texts(["neihu", "banqiao", "taoyuan"], "machine rooms")
-    routers: int = tables.whole(3, 1, 300, "dealt to the rooms in turn; beyond 64 in virtual time only")
-    first_port: int = tables.whole(0, 0, 65000, "of the routers, one after the other; 0: any that are free")
-    nodes: list[NodeClass] = tables.tables(NodeClass, "the classes of cache nodes", _classes)
-    memory_keys: int = tables.whole(300, 1, 1 << 20, "keys that a node holds; the least lately used go first")
-    connection_ms: tuple[float, float] = tables.pair(
+    rooms: list[str] = toml_schema.texts(["neihu", "banqiao", "taoyuan"], "machine rooms")
+    routers: int = toml_schema.whole(3, 1, 300, "dealt to the rooms in turn; beyond 64 in virtual time only")
+    first_port: int = toml_schema.whole(
+        0, 0, 65000, "of the routers, one after the other; 0: any that are free"
+    )
+    nodes: list[NodeClass] = toml_schema.tables(NodeClass, "the classes of cache nodes", _classes)
+    memory_keys: int = toml_schema.whole(
+        300, 1, 1 << 20, "keys that a node holds; the least lately used go first"
+    )
+    connection_ms: tuple[float, float] = toml_schema.pair(
         (17, 28), 0, 10000, "work that a new connection costs a node"
     )
-    probe_ms: tuple[float, float] = tables.pair((2.8, 5.6), 0, 10000, "work that a probe costs a node")
-    keepalive_s: float = tables.number(60.0, 0.5, 3600, "a node closes a connection that is idle for so long")
-    cold_from: float = tables.number(0.3, 0.01, 1, "part of its capacity that a node starts with")
-    warm_s: float = tables.number(8.7, 0.1, 600, "until it has all of it")
-    tip_multiple: float = tables.number(
+    probe_ms: tuple[float, float] = toml_schema.pair((2.8, 5.6), 0, 10000, "work that a probe costs a node")
+    keepalive_s: float = toml_schema.number(
+        60.0, 0.5, 3600, "a node closes a connection that is idle for so long"
+    )
+    cold_from: float = toml_schema.number(0.3, 0.01, 1, "part of its capacity that a node starts with")
+    warm_s: float = toml_schema.number(8.7, 0.1, 600, "until it has all of it")
+    tip_multiple: float = toml_schema.number(
         3.0, 1, 100, "sent so many times its capacity, a cold node falls over"
     )
-    tip_s: float = tables.number(1.0, 0.1, 60, "within so long")
-    error_rate: float = tables.number(0.0005, 0, 1, "answers that are errors")
-    resp3: float = tables.number(0.0, 0, 1, "part of the nodes that speak RESP3 where they are greeted so")
+    tip_s: float = toml_schema.number(1.0, 0.1, 60, "within so long")
+    error_rate: float = toml_schema.number(0.0005, 0, 1, "answers that are errors")
+    resp3: float = toml_schema.number(
+        0.0, 0, 1, "part of the nodes that speak RESP3 where they are greeted so"
+    )
 
 
 @dataclass(slots=True)
 class Database:
-    workers: int = tables.whole(9, 1, 1024, "requests in work at once")
-    time_ms: float = tables.number(120.0, 0.1, 60000, "mean time of one")
-    queue: int = tables.whole(60, 0, 100000, "requests that wait; those beyond are turned away")
-    stop_multiple: float = tables.number(2.5, 1, 100, "sent so many times its capacity it stops,")
-    stop_after_s: float = tables.number(3.0, 0.1, 600, "if for so long,")
-    stop_s: float = tables.number(5.0, 0.1, 600, "and for so long")
+    workers: int = toml_schema.whole(9, 1, 1024, "requests in work at once")
+    time_ms: float = toml_schema.number(120.0, 0.1, 60000, "mean time of one")
+    queue: int = toml_schema.whole(60, 0, 100000, "requests that wait; those beyond are turned away")
+    stop_multiple: float = toml_schema.number(2.5, 1, 100, "sent so many times its capacity it stops,")
+    stop_after_s: float = toml_schema.number(3.0, 0.1, 600, "if for so long,")
+    stop_s: float = toml_schema.number(5.0, 0.1, 600, "and for so long")
 
 
 @dataclass(slots=True)
 class WorkClass:
-    name: str = tables.text(tables.REQUIRED, "as requests name it")
-    share: float = tables.number(tables.REQUIRED, 0, 100, "of the traffic, by weight")
-    work_ms: float = tables.number(tables.REQUIRED, 0.1, 60000, "mean work of one, on a core of speed 1")
-    aim_ms: float = tables.number(tables.REQUIRED, 1, 600000, "answered in this time it is worth its full")
-    deadline_ms: float = tables.number(tables.REQUIRED, 1, 600000, "then the client gives up")
-    worth: float = tables.number(1.0, 0, 1000, "of one answered within its aim")
-    late_worth: float = tables.number(0.2, 0, 1, "part of it that a later answer earns")
-    repeats: str = tables.text("safe", "what a second execution does", ("safe", "keyed", "unsafe"))
-    window_s: float = tables.number(5.0, 0, 600, "keyed: for which repeats are dropped")
-    write: bool = tables.flag(False, "goes to the order database")
+    name: str = toml_schema.text(toml_schema.REQUIRED, "as requests name it")
+    share: float = toml_schema.number(toml_schema.REQUIRED, 0, 100, "of the traffic, by weight")
+    work_ms: float = toml_schema.number(
+        toml_schema.REQUIRED, 0.1, 60000, "mean work of one, on a core of speed 1"
+    )
+    aim_ms: float = toml_schema.number(
+        toml_schema.REQUIRED, 1, 600000, "answered in this time it is worth its full"
+    )
+    deadline_ms: float = toml_schema.number(toml_schema.REQUIRED, 1, 600000, "then the client gives up")
+    worth: float = toml_schema.number(1.0, 0, 1000, "of one answered within its aim")
+    late_worth: float = toml_schema.number(0.2, 0, 1, "part of it that a later answer earns")
+    repeats: str = toml_schema.text("safe", "what a second execution does", ("safe", "keyed", "unsafe"))
+    window_s: float = toml_schema.number(5.0, 0, 600, "keyed: for which repeats are dropped")
+    write: bool = toml_schema.flag(False, "goes to the order database")
 
 
 def _work() -> list[WorkClass]:
@@ -99,9 +115,11 @@
 
 @dataclass(slots=True)
 class Customer:
-    name: str = tables.text(tables.REQUIRED, "as requests name it")
-    share: float = tables.number(tables.REQUIRED, 0, 100, "of what the fleet is held for, by weight")
-    usage: float = tables.number(tables.REQUIRED, 0, 100, "how many times its share it sends")
+    name: str = toml_schema.text(toml_schema.REQUIRED, "as requests name it")
+    share: float = toml_schema.number(
+        toml_schema.REQUIRED, 0, 100, "of what the fleet is held for, by weight"
+    )
+    usage: float = toml_schema.number(toml_schema.REQUIRED, 0, 100, "how many times its share it sends")
 
 
 def _customers() -> list[Customer]:
@@ -111,101 +129,109 @@
 
 @dataclass(slots=True)
 class Traffic:
-    rate: float = tables.number(150.0, 0.1, 100000, "requests a second, first tries of all clients")
-    shape: str = tables.text("steady", "of the rate over the day", ("steady", "bursty", "wave"))
-    swing: float = tables.number(0.25, 0, 0.9, "how far bursts and waves go from the mean")
-    quota_rps: float = tables.number(
+    rate: float = toml_schema.number(150.0, 0.1, 100000, "requests a second, first tries of all clients")
+    shape: str = toml_schema.text("steady", "of the rate over the day", ("steady", "bursty", "wave"))
+    swing: float = toml_schema.number(0.25, 0, 0.9, "how far bursts and waves go from the mean")
+    quota_rps: float = toml_schema.number(
         92.0, 0.1, 1e6, "requests a second within all customers' shares together"
     )
-    over_share_worth: float = tables.number(0.05, 0, 1, "part of its worth that a request beyond a share has")
-    keys: int = tables.whole(6000, 1, 1 << 20, "different keys")
-    zipf: float = tables.number(1.0, 0, 3, "exponent of their popularity")
-    offset: float = tables.number(5.0, 0, 1000, "ranks by which the head is flattened")
-    drift: float = tables.number(0.0, 0, 1, "part of the ranks that change hands each second")
-    value_bytes: int = tables.whole(400, 64, 60000, "of a value")
-    room_skew: float = tables.number(0.0, 0, 0.9, "how much more the first room has than the mean")
+    over_share_worth: float = toml_schema.number(
+        0.05, 0, 1, "part of its worth that a request beyond a share has"
+    )
+    keys: int = toml_schema.whole(6000, 1, 1 << 20, "different keys")
+    zipf: float = toml_schema.number(1.0, 0, 3, "exponent of their popularity")
+    offset: float = toml_schema.number(5.0, 0, 1000, "ranks by which the head is flattened")
+    drift: float = toml_schema.number(0.0, 0, 1, "part of the ranks that change hands each second")
+    value_bytes: int = toml_schema.whole(400, 64, 60000, "of a value")
+    room_skew: float = toml_schema.number(0.0, 0, 0.9, "how much more the first room has than the mean")
 
 
 @dataclass(slots=True)
 class Clients:
-    retries: int = tables.whole(1, 0, 4, "further tries of a request that failed or was refused")
-    backoff_ms: tuple[float, float] = tables.pair((30, 240), 0, 60000, "before a further try")
-    honour: float = tables.number(0.9, 0, 1, "part of the clients that heed `-BUSY MS`")
-    give_up: tuple[float, float] = tables.pair((0.7, 1.0), 0.01, 1, "part of the deadline that a try waits")
-    told: bool = tables.flag(False, "routers may say after how long to come back")
-    most_wait_ms: float = tables.number(2000.0, 1, 60000, "the longest that they may say")
-    impatient: float = tables.number(0.0, 0, 1, "part of the tries that leave early")
-    connections: str = tables.text(
+    retries: int = toml_schema.whole(1, 0, 4, "further tries of a request that failed or was refused")
+    backoff_ms: tuple[float, float] = toml_schema.pair((30, 240), 0, 60000, "before a further try")
+    honour: float = toml_schema.number(0.9, 0, 1, "part of the clients that heed `-BUSY MS`")
+    give_up: tuple[float, float] = toml_schema.pair(
+        (0.7, 1.0), 0.01, 1, "part of the deadline that a try waits"
+    )
+    told: bool = toml_schema.flag(False, "routers may say after how long to come back")
+    most_wait_ms: float = toml_schema.number(2000.0, 1, 60000, "the longest that they may say")
+    impatient: float = toml_schema.number(0.0, 0, 1, "part of the tries that leave early")
+    connections: str = toml_schema.text(
         "reused", "or a new one for each request, the old kept", ("reused", "kept")
     )
-    resp3: float = tables.number(0.0, 0, 1, "part of the connections that speak RESP3")
-    idle_s: float = tables.number(30.0, 0.1, 3600, "a client closes a connection idle for so long")
-    most: int = tables.whole(
+    resp3: float = toml_schema.number(0.0, 0, 1, "part of the connections that speak RESP3")
+    idle_s: float = toml_schema.number(30.0, 0.1, 3600, "a client closes a connection idle for so long")
+    most: int = toml_schema.whole(
         2000, 1, 100000, "connections that the clients of a room hold; one that is idle goes first"
     )
 
 
 @dataclass(slots=True)
 class Front:
-    notice_s: tuple[float, float] = tables.pair(
+    notice_s: tuple[float, float] = toml_schema.pair(
         (1.6, 3.9), 0, 600, "until a dead router gets no new connections"
     )
 
 
 @dataclass(slots=True)
 class Discovery:
-    notice_s: tuple[float, float] = tables.pair(
+    notice_s: tuple[float, float] = toml_schema.pair(
         (0.72, 3), 0, 600, "until the list tells of a process that died"
     )
-    drain_s: tuple[float, float] = tables.pair((0.2, 1), 0, 600, "or drains")
-    add_s: tuple[float, float] = tables.pair((0.48, 1.8), 0, 600, "or came")
-    spread_ms: tuple[float, float] = tables.pair((14, 110), 0, 60000, "more, for each router apart")
-    source: str = tables.text("agents", "the platform's agents, or a stand-in for etcd", ("agents", "etcd"))
+    drain_s: tuple[float, float] = toml_schema.pair((0.2, 1), 0, 600, "or drains")
+    add_s: tuple[float, float] = toml_schema.pair((0.48, 1.8), 0, 600, "or came")
+    spread_ms: tuple[float, float] = toml_schema.pair((14, 110), 0, 60000, "more, for each router apart")
+    source: str = toml_schema.text(
+        "agents", "the platform's agents, or a stand-in for etcd", ("agents", "etcd")
+    )
 
 
 @dataclass(slots=True)
 class Messages:
-    delay_ms: tuple[float, float] = tables.pair((1.2, 31), 0, 60000, "of a datagram between routers")
-    loss: float = tables.number(0.0, 0, 1, "part of them that is lost")
+    delay_ms: tuple[float, float] = toml_schema.pair((1.2, 31), 0, 60000, "of a datagram between routers")
+    loss: float = toml_schema.number(0.0, 0, 1, "part of them that is lost")
 
 
 @dataclass(slots=True)
 class Virtual:
-    core: float = tables.number(1.0, 0, 1000, "routers' cores are so many times as slow; 0: at no cost")
-    chop: float = tables.number(0.0, 0, 1, "part of the writes that is cut in pieces at drawn places")
-    way_ms: tuple[float, float] = tables.pair(
+    core: float = toml_schema.number(1.0, 0, 1000, "routers' cores are so many times as slow; 0: at no cost")
+    chop: float = toml_schema.number(0.0, 0, 1, "part of the writes that is cut in pieces at drawn places")
+    way_ms: tuple[float, float] = toml_schema.pair(
         (0.04, 0.04), 0.001, 10000, "one way between two machines, drawn for each connection"
     )
-    mb_s: float = tables.number(1000.0, 0.001, 1e6, "of a connection, each way")
-    window_kb: float = tables.number(256.0, 1, 1e6, "that an end holds unread")
-    drift: float = tables.number(0.0, 0, 0.05, "routers' clocks run faster or slower by up to this part")
-    wall_s: float = tables.number(0.0, 0, 1e6, "routers' wall clocks are off by up to so much")
+    mb_s: float = toml_schema.number(1000.0, 0.001, 1e6, "of a connection, each way")
+    window_kb: float = toml_schema.number(256.0, 1, 1e6, "that an end holds unread")
+    drift: float = toml_schema.number(0.0, 0, 0.05, "routers' clocks run faster or slower by up to this part")
+    wall_s: float = toml_schema.number(0.0, 0, 1e6, "routers' wall clocks are off by up to so much")
 
 
 @dataclass(slots=True)
 class Expect:
-    service: float = tables.number(0.001, 0, 1, "at least; a day on which nothing was served holds nothing")
-    score: float = tables.number(-10.0, -10, 1, "at least")
-    origin_stops: int = tables.whole(1000, 0, 1000, "at most: how often the database stops")
+    service: float = toml_schema.number(
+        0.001, 0, 1, "at least; a day on which nothing was served holds nothing"
+    )
+    score: float = toml_schema.number(-10.0, -10, 1, "at least")
+    origin_stops: int = toml_schema.whole(1000, 0, 1000, "at most: how often the database stops")
 
 
 @dataclass(slots=True)
 class Scenario:
-    about: str = tables.text(tables.REQUIRED, "what it rehearses, in a sentence")
-    must: str = tables.text(tables.REQUIRED, "what must hold, in a sentence")
-    day: Day = tables.table(Day, "how long, and the routers' limits")
-    fleet: Fleet = tables.table(Fleet, "rooms, routers and cache nodes")
-    database: Database = tables.table(Database, "the order database")
-    classes: list[WorkClass] = tables.tables(WorkClass, "classes of requests", _work)
-    customers: list[Customer] = tables.tables(Customer, "who shares the fleet", _customers)
-    traffic: Traffic = tables.table(Traffic, "what clients send")
-    clients: Clients = tables.table(Clients, "how they send it")
-    front: Front = tables.table(Front, "spreads the clients of a room over its routers")
-    discovery: Discovery = tables.table(Discovery, "how late the list is")
-    messages: Messages = tables.table(Messages, "between routers")
-    virtual: Virtual = tables.table(Virtual, "what a day in virtual time has besides")
-    expect: Expect = tables.table(Expect, "what else must hold")
-    faults: list[Fault] = tables.tables(Fault, "what goes wrong, and when")
+    about: str = toml_schema.text(toml_schema.REQUIRED, "what it rehearses, in a sentence")
+    must: str = toml_schema.text(toml_schema.REQUIRED, "what must hold, in a sentence")
+    day: Day = toml_schema.table(Day, "how long, and the routers' limits")
+    fleet: Fleet = toml_schema.table(Fleet, "rooms, routers and cache nodes")
+    database: Database = toml_schema.table(Database, "the order database")
+    classes: list[WorkClass] = toml_schema.tables(WorkClass, "classes of requests", _work)
+    customers: list[Customer] = toml_schema.tables(Customer, "who shares the fleet", _customers)
+    traffic: Traffic = toml_schema.table(Traffic, "what clients send")
+    clients: Clients = toml_schema.table(Clients, "how they send it")
+    front: Front = toml_schema.table(Front, "spreads the clients of a room over its routers")
+    discovery: Discovery = toml_schema.table(Discovery, "how late the list is")
+    messages: Messages = toml_schema.table(Messages, "between routers")
+    virtual: Virtual = toml_schema.table(Virtual, "what a day in virtual time has besides")
+    expect: Expect = toml_schema.table(Expect, "what else must hold")
+    faults: list[Fault] = toml_schema.tables(Fault, "what goes wrong, and when")
 
     def nodes(self) -> list[tuple[str, NodeClass, str]]:
         """Each node: its uid, class and room. Full and small ones alternate, so that each room has both."""
@@ -223,7 +249,7 @@
     """A scenario from a file, with changes by dotted key; raises TableError with a line for each thing
     wrong.
     """
-    source = tables.load(path)
+    source = toml_schema.load(path)
     for key, value in (changes or {}).items():
         table, _, name = key.rpartition(".")
         source.setdefault(table, {})[name] = value
@@ -233,9 +259,9 @@
 def scenario_of(source: Mapping[str, object], where: str) -> Scenario:
     """A scenario from a file's tables; raises TableError as read_scenario does."""
     problems: list[str] = []
-    told = tables.read(Scenario, source, where, problems)
+    told = toml_schema.read(Scenario, source, where, problems)
     if told is None:
-        raise tables.TableError(problems)
+        raise toml_schema.TableError(problems)
     for label, names in (
         ("classes", [one.name for one in told.classes]),
         ("customers", [one.name for one in told.customers]),
@@ -265,7 +291,7 @@
     if told.discovery.source != "etcd" and any(one.kind.startswith("etcd-") for one in told.faults):
         problems.append(f"{where}: faults of etcd need discovery.source = 'etcd'")
     if problems:
-        raise tables.TableError(problems)
+        raise toml_schema.TableError(problems)
     return told
 
 
@@ -283,6 +309,6 @@
     path = Path(name)
     if path.suffix == ".toml" or path.exists():
         return path
-    raise tables.TableError(
+    raise toml_schema.TableError(
         [f"{name}: no such scenario; shipped are {', '.join(known)}; or a file FILE.toml"]
     )
--- a/rainhitch/rehearsal/virtual/stage.py
+++ b/rainhitch/rehearsal/virtual/stage.py
@@ -16,7 +16,7 @@
 import orjson
 
 from rainhitch.node.configuration import configured, operator_from
-from rainhitch.node.service import Service
+from rainhitch.node.router import Router as RouterProcess
 from rainhitch.rehearsal.plan import Plan, streams
 from rainhitch.rehearsal.routers import Json, Router, StageError
 from rainhitch.rehearsal.scenario import Scenario
@@ -78,7 +78,7 @@
 
     stage: "VirtualStage"
     owner: Owner | None = None
-    service: Service | None = None
+    service: RouterProcess | None = None
     stopping: asyncio.Event | None = None
 
     async def start(self) -> None:
@@ -105,7 +105,7 @@
             path = self.folder / f"router-{self.number}.toml"
             path.write_text(self.operator)
             operator = operator_from(str(path))
-        service = self.service = Service(configured(self.config, self.path), operator)
+        service = self.service = RouterProcess(configured(self.config, self.path), operator)
         await service.start()
         await stopping.wait()
         await service.stop()
--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -7,6 +7,12 @@
 
 FLEET_MODES = ("pushed", "on_request")
 CACHE_MODES = ("through", "aside")
+# The platform's word for what a second execution of a request would do.
+IDEMPOTENCY = {
+    "safe": io.Idempotency.IDEMPOTENT,
+    "keyed": io.Idempotency.IDEMPOTENCY_KEY,
+    "unsafe": io.Idempotency.NOT_IDEMPOTENT,
+}
 Json = dict[str, Any]
 
 
@@ -54,14 +60,14 @@
 def _class(source: Json, number: int) -> io.RequestClass:
     at = f"classes[{number}]"
     return io.RequestClass(
-        aim=_count(source, f"{at}.aim", 1),
-        deadline=_count(source, f"{at}.deadline", 1),
-        effect=io.Effect(_choice(source, f"{at}.effect", tuple(io.Effect), "safe")),
-        group=_choice(source, f"{at}.group", ("all", "zone", "cell"), "all"),
-        window=_count(source, f"{at}.repeatWindow", 0, 0),
-        worth=_number(source, f"{at}.gain", 0, 1),
-        late_worth=_number(source, f"{at}.lateWorth", 0, 0),
-        stream=_get(source, f"{at}.stream", bool, False),
+        latency_objective_ns=_count(source, f"{at}.aim", 1),
+        deadline_ns=_count(source, f"{at}.deadline", 1),
+        idempotency=IDEMPOTENCY[_choice(source, f"{at}.effect", tuple(IDEMPOTENCY), "safe")],
+        dedup_scope=_choice(source, f"{at}.group", ("all", "zone", "cell"), "all"),
+        dedup_window_ns=_count(source, f"{at}.repeatWindow", 0, 0),
+        priority_weight=_number(source, f"{at}.gain", 0, 1),
+        late_weight=_number(source, f"{at}.lateWorth", 0, 0),
+        is_streamed=_get(source, f"{at}.stream", bool, False),
     )
 
 
@@ -76,20 +82,20 @@
     cache = _get(info, "specifics", dict, {})
     return io.Settings(
         classes=[_class(one, number) for number, one in enumerate(classes)],
-        balancers=_count(info, "balancers", 1, 1),
+        router_count=_count(info, "balancers", 1, 1),
         tenants=[io.Tenant(_number(one, f"tenants[{n}].quotaRps", 0, 0)) for n, one in enumerate(tenants)],
-        aside=_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
+        cache_aside=_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
         origin_kind=_count(cache, "specifics.originKind", -1, -1),
-        must_ask=_choice(info, "registryMode", FLEET_MODES, "pushed") == "on_request",
-        retry_after=_get(ceilings, "ceilings.retryAfter", bool, False),
-        max_retry_after=_count(ceilings, "ceilings.maxRetryAfter", 0, 0),
+        endpoints_polled=_choice(info, "registryMode", FLEET_MODES, "pushed") == "on_request",
+        retry_after_allowed=_get(ceilings, "ceilings.retryAfter", bool, False),
+        max_retry_after_ns=_count(ceilings, "ceilings.maxRetryAfter", 0, 0),
         max_attempts=_count(ceilings, "ceilings.attemptsCap", 1, 1),
-        connect_timeout=_count(ceilings, "ceilings.dialTimeout", 0, 250_000_000),
-        ask_within=_count(safety, "safety.askWithin", 0, 10_000_000_000),
-        cold_from=_number(safety, "safety.coldFrom", 0, 1),
-        ramp_time=_count(safety, "safety.rampTime", 0, 0),
-        tip_multiple=_number(safety, "safety.tipMultiple", 0, 1),
-        fall_time=_count(safety, "safety.fall", 0, 1_000_000_000),
+        connect_timeout_ns=_count(ceilings, "ceilings.dialTimeout", 0, 250_000_000),
+        poll_within_ns=_count(safety, "safety.askWithin", 0, 10_000_000_000),
+        slow_start_initial_fraction=_number(safety, "safety.coldFrom", 0, 1),
+        slow_start_ns=_count(safety, "safety.rampTime", 0, 0),
+        slow_start_overload_factor=_number(safety, "safety.tipMultiple", 0, 1),
+        slow_start_window_ns=_count(safety, "safety.fall", 0, 1_000_000_000),
     )
 
 
@@ -98,7 +104,7 @@
     """What stands on the sockets for the module's indexes."""
 
     classes: dict[str, int]
-    effects: list[io.Effect]  # of each class
+    effects: list[io.Idempotency]  # of each class
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -125,7 +131,7 @@
     classes, tenants = _objects(info, "classes"), _objects(info, "tenants", [])
     return Names(
         _indexes({"name": [one.get("name") for one in classes]}, "classes[].name", []),
-        [_class(one, number).effect for number, one in enumerate(classes)],
+        [_class(one, number).idempotency for number, one in enumerate(classes)],
         _indexes({"name": [one.get("name") for one in tenants]}, "tenants[].name", []),
         _indexes(info, "azs", []),
         _indexes(info, "hostTypes", []),
--- a/rainhitch/system.py
+++ b/rainhitch/system.py
@@ -19,7 +19,7 @@
 Make = Callable[[], asyncio.Protocol]
 
 
-class Door(Protocol):
+class ListeningSocket(Protocol):
     """A listening socket."""
 
     address: tuple[str, int]
@@ -46,7 +46,7 @@
     def cpu(self) -> float:
         """Seconds of CPU that this program has had."""
 
-    def door(self, host: str, port: int, inherited: int | None) -> Door:
+    def door(self, host: str, port: int, inherited: int | None) -> ListeningSocket:
         """Listens at an address, or on a listening socket that is there already; raises OSError."""
 
     def readable(self, transport: asyncio.Transport) -> bool:
@@ -74,7 +74,7 @@
     return bool(poller.poll(0))
 
 
-class SocketDoor:
+class SystemListeningSocket:
     """A listening socket of this machine."""
 
     def __init__(self, host: str, port: int, inherited: int | None) -> None:
@@ -108,8 +108,8 @@
     unix = staticmethod(time.time_ns)
     cpu = staticmethod(time.process_time)
 
-    def door(self, host: str, port: int, inherited: int | None) -> Door:
-        return SocketDoor(host, port, inherited)
+    def door(self, host: str, port: int, inherited: int | None) -> ListeningSocket:
+        return SystemListeningSocket(host, port, inherited)
 
     def readable(self, transport: asyncio.Transport) -> bool:
         return polled(transport.get_extra_info("socket"), select.POLLIN)
