--- a/rainhitch/wirehost.py
+++ b/rainhitch/wirehost.py
@@ -8,35 +8,39 @@
 import orjson
 
 from rainhitch import interface as io
+from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
 from rainhitch.settings import Json, SettingError, read_settings
-from rainhitch.storms.damper import Damper
 
 STATUS = {
-    "completed": io.Status.OK,
-    "errored": io.Status.ERROR,
-    "saturated": io.Status.FULL,
-    "overdue": io.Status.TIMEOUT,
-    "refused_conn": io.Status.CONNECT_FAILED,
-    "severed": io.Status.RESET,
-    "recalled": io.Status.CANCELLED,
-    "superseded": io.Status.MOOT,
-    "lookup_miss": io.Status.MISS,
+    "completed": io.AttemptStatus.OK,
+    "errored": io.AttemptStatus.ERROR,
+    "saturated": io.AttemptStatus.FULL,
+    "overdue": io.AttemptStatus.TIMEOUT,
+    "refused_conn": io.AttemptStatus.CONNECT_FAILED,
+    "severed": io.AttemptStatus.RESET,
+    "recalled": io.AttemptStatus.CANCELLED,
+    "superseded": io.AttemptStatus.ABANDONED,
+    "lookup_miss": io.AttemptStatus.MISS,
+}
+STATE = {
+    "SERVING": io.EndpointState.READY,
+    "DRAINING": io.EndpointState.DRAINING,
+    "DELETED": io.EndpointState.GONE,
 }
-STATE = {"SERVING": io.State.READY, "DRAINING": io.State.DRAINING, "DELETED": io.State.GONE}
 LIST = {
-    "update": io.ListKind.DELTA,
-    "replace": io.ListKind.FULL,
-    "restored": io.ListKind.CACHED,
-    "unavailable": io.ListKind.FAILED,
+    "update": io.EndpointUpdateKind.DELTA,
+    "replace": io.EndpointUpdateKind.FULL,
+    "restored": io.EndpointUpdateKind.CACHED,
+    "unavailable": io.EndpointUpdateKind.FAILED,
 }
 LOAD = {
-    "outstanding": "inflight",
-    "backlog": "queue",
-    "utilization": "util",
+    "outstanding": "in_flight",
+    "backlog": "queued",
+    "utilization": "utilization",
     "recent_ms": "latency_ms",
-    "throughput": "qps",
-    "errors_per_s": "eps",
+    "throughput": "served_per_s",
+    "errors_per_s": "errors_per_s",
 }
 
 
@@ -44,9 +48,9 @@
     """A line that cannot be read as a batch."""
 
 
-def _members(m: Json) -> io.Members:
+def _members(m: Json) -> io.EndpointUpdate:
     entries = [
-        io.Member(
+        io.Endpoint(
             e["server"],
             STATE[e["stageState"]],
             e.get("machine") or 0,
@@ -57,13 +61,13 @@
         )
         for e in m.get("elements") or ()
     ]
-    return io.Members(LIST[m["kind"]], entries)
+    return io.EndpointUpdate(LIST[m["kind"]], entries)
 
 
-def _load(report: Json | None) -> io.Load | None:
+def _load(report: Json | None) -> io.LoadReport | None:
     if not report:
         return None
-    return io.Load(
+    return io.LoadReport(
         **{LOAD[name]: value for name, value in report.items() if name in LOAD and value is not None}
     )
 
@@ -80,8 +84,8 @@
     )
 
 
-def _outcome(m: Json) -> io.Outcome:
-    return io.Outcome(
+def _outcome(m: Json) -> io.AttemptFinished:
+    return io.AttemptFinished(
         m["msgId"],
         m["sendNo"],
         m["server"],
@@ -96,25 +100,40 @@
 READERS: dict[str, Callable[[Json], io.Event]] = {
     "WORK_ITEM": _request,
     "DONE": _outcome,
-    "FIRED": lambda m: io.Alarm(m["nonce"]),
+    "FIRED": lambda m: io.TimerFired(m["nonce"]),
     "DISCOVERY": _members,
-    "WITHDRAWN": lambda m: io.Withdrawn(m["msgId"]),
-    "OPENED": lambda m: io.Opened(m["msgId"], m["sendNo"], m["server"]),
-    "ECHO": lambda m: io.Probed(
-        m["server"], STATUS[m["disposition"]], m["costTime"], _load(m.get("feedback"))
-    ),
-    "MEMO": lambda m: io.PeerMessage(m["sender"], m["payload"]),
+    "WITHDRAWN": lambda m: io.ClientGone(m["msgId"]),
+}
+# Events of the wire that no decision reads, each with the fields that it has to have.
+UNREAD_EVENTS: dict[str, tuple[str, ...]] = {
+    "OPENED": ("msgId", "sendNo", "server"),
+    "ECHO": ("server", "disposition", "costTime"),
+    "MEMO": ("sender", "payload"),
 }
 WRITERS: dict[type, Callable[[int, Any], Json]] = {
-    io.Send: lambda i, a: {"t": "DISPATCH", "i": i, "msgId": a.id, "cap": a.timeout, "server": a.server},
-    io.Refuse: lambda i, a: {"t": "TURN_AWAY", "i": i, "msgId": a.id, "comeBack": a.retry_after},
+    io.StartAttempt: lambda i, a: {
+        "t": "DISPATCH",
+        "i": i,
+        "msgId": a.id,
+        "cap": a.timeout_ns,
+        "server": a.server,
+    },
+    io.Reject: lambda i, a: {"t": "TURN_AWAY", "i": i, "msgId": a.id, "comeBack": a.retry_after_ns},
     io.Fail: lambda i, a: {"t": "END_FAILED", "i": i, "msgId": a.id},
-    io.Wake: lambda i, a: {"t": "REMIND", "i": i, "offset": a.delay, "nonce": a.token},
-    io.Watch: lambda i, a: {"t": "WATCH", "i": i, "active": True},
-    io.Log: lambda i, a: {"t": "SAY_LOG", "i": i, "msg": a.text},
+    io.SetTimer: lambda i, a: {"t": "REMIND", "i": i, "offset": a.delay_ns, "nonce": a.token},
+    io.WatchEndpoints: lambda i, a: {"t": "WATCH", "i": i, "active": True},
+    io.LogLine: lambda i, a: {"t": "SAY_LOG", "i": i, "msg": a.text},
 }
 
 
+def _check_fields(name: str, message: Json) -> None:
+    """Raises KeyError where an event that no decision reads lacks a field or has an unknown status."""
+    for field in UNREAD_EVENTS[name]:
+        value = message[field]
+        if field == "disposition":
+            STATUS[value]
+
+
 class Host:
     """The routers of this process, by instance number."""
 
@@ -143,16 +162,18 @@
     def _event(self, now: int, message: Json, output: list[Json]) -> None:
         name, i = message["t"], message["i"]
         read = READERS.get(name)
-        if read is None:
+        if read is None and name not in UNREAD_EVENTS:
             self._control(name, i, message, output)
             return
         router = self.routers.get(i)
         if router is None:
             print(f"skipped: {name} for instance {i}, which is not up", file=sys.stderr)
             return
-        event = read(message)
+        event = None if read is None else read(message)
+        if event is None:
+            _check_fields(name, message)
         try:
-            for action in router.handle(now, event):
+            for action in router.advance(now) if event is None else router.handle(now, event):
                 output.append(WRITERS[type(action)](i, action))
         except Exception as error:  # whatever the decisions raise ends the day, with its text
             traceback.print_exc()
@@ -164,7 +185,7 @@
             seed, info = message["nonce64"], message["info"]
             try:
                 settings = read_settings(info)
-                self.routers[i] = Balancer(settings, seed, Damper(settings, seed))
+                self.routers[i] = Balancer(settings, seed, OverloadController(settings, seed))
             except SettingError as error:
                 self.routers.pop(i, None)
                 print(f"instance {i}: {error}", file=sys.stderr)
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainhitch.admin.calls import ALONE, WITH_ID, RefusedError, answer
+from rainhitch.admin.commands import ALONE, WITH_ID, CommandRejectedError, answer
 from rainhitch.admin.cordons import Cordons, freeze, thaw
-from rainhitch.admin.figures import Tally
-from rainhitch.admin.siblings import Siblings
+from rainhitch.admin.upgrade_peers import UpgradePeers
+from rainhitch.telemetry.router_metrics import RouterMetrics
 
 
 class Scripted:
@@ -23,13 +23,13 @@
     def _do(self, *what: str) -> str:
         self.asked.append(what)
         if what[0] == self.refuses:
-            raise RefusedError("not now")
+            raise CommandRejectedError("not now")
         return "done"
 
     def health(self) -> str:
         return self._do("health")
 
-    def figures(self) -> list[str]:
+    def metrics(self) -> list[str]:
         return ["app.active:1|g", "app.tries:2|c"]
 
     def cordon(self, server: str) -> str:
@@ -81,8 +81,8 @@
 
 
 def test_figures_are_told_by_class_with_their_kind() -> None:
-    tally = Tally(["menu-read", "order-place"])
-    tally.ok[0], tally.shed[1], tally.errors[1], tally.active = 812, 3, 2, 14
+    tally = RouterMetrics(["menu-read", "order-place"])
+    tally.served[0], tally.rejected[1], tally.failed[1], tally.in_flight = 812, 3, 2, 14
     told = tally.lines(900, 9, 1)
     assert "app.responses.menu-read.ok:812|c" in told and "app.responses.menu-read.shed:0|c" in told
     assert "app.responses.order-place.shed:3|c" in told and "app.responses.order-place.errors:2|c" in told
@@ -136,7 +136,7 @@
 
 
 def test_a_process_that_ended_without_a_word_counts_for_nothing(tmp_path: Path) -> None:
-    siblings = Siblings(str(tmp_path), "r")
+    siblings = UpgradePeers(str(tmp_path), "r")
     siblings.enter()
     assert siblings.count == 1
     (tmp_path / f"rainhitch-r.process.{os.getppid()}").touch()
--- a/tests/admin/test_desk.py
+++ b/tests/admin/test_desk.py
@@ -14,9 +14,9 @@
 from peers import PATIENCE, Bench, Caller, Web, entry, hit, http, router, soon
 from program import ROOT, configuration, listing, started
 
-from rainhitch.admin import desk as desk_module
-from rainhitch.admin.desk import Desk
-from rainhitch.admin.hands import Steward
+from rainhitch.admin import server as desk_module
+from rainhitch.admin.router_control import RouterControl
+from rainhitch.admin.server import AdminServer
 from rainhitch.protocol.resp import command
 
 
@@ -32,9 +32,11 @@
 
 @contextlib.asynccontextmanager
 async def attended(bench: Bench, folder: Path | None = None) -> AsyncIterator[tuple[str, int]]:
-    steward = Steward(bench.driver, bench.clients, bench.directory, str(folder) if folder else None, "r")
-    bench.clients.can_serve = lambda: bench.directory.can_serve and not bench.clients.leaving
-    desk = Desk(steward)
+    steward = RouterControl(
+        bench.driver, bench.clients, bench.directory, str(folder) if folder else None, "r"
+    )
+    bench.clients.can_serve = lambda: bench.directory.can_serve and not bench.clients.draining
+    desk = AdminServer(steward)
     try:
         yield await desk.open("127.0.0.1", 0)
     finally:
@@ -83,19 +85,19 @@
         assert (await call(address, b"cordon c0"))[0].startswith("OK")
         before = len(bench.cache.got)
         listed = [entry("c0", bench.cache.address), entry("o", bench.origin.address, model="origin")]
-        bench.directory.take({"rev": 9, "all": True, "targets": listed})
+        bench.directory.apply({"rev": 9, "all": True, "targets": listed})
         assert (await call(address, b"health"))[0].startswith("ERR")  # no other is there
         assert await served(bench, caller, b"i2") != b"v" and len(bench.cache.got) == before
         figures = await call(address, b"counters")
         assert "app.pool_ejected:1|g" in figures and "app.pool_size:1|g" in figures
-        bench.directory.take({"rev": 10, "all": True, "targets": listed[1:]})  # it is started anew
+        bench.directory.apply({"rev": 10, "all": True, "targets": listed[1:]})  # it is started anew
         assert (await call(address, b"cordon c0"))[0].startswith("OK")
-        bench.directory.take({"rev": 11, "all": True, "targets": listed})
+        bench.directory.apply({"rev": 11, "all": True, "targets": listed})
         assert await served(bench, caller, b"i4") != b"v"
         assert (await call(address, b"uncordon c0"))[0].startswith("OK")
-        server = bench.driver.balancer.fleet.servers["c0"]
-        assert server.cold_since > 0  # it may have been started anew meanwhile
-        server.cold_since = 0
+        server = bench.driver.balancer.servers.servers["c0"]
+        assert server.slow_start_at_ns > 0  # it may have been started anew meanwhile
+        server.slow_start_at_ns = 0
         assert await served(bench, caller, b"i3") == b"v"
 
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -9,7 +9,7 @@
 import time
 
 from rainhitch.__main__ import main
-from rainhitch.node.client import Client
+from rainhitch.node.client_connection import ClientConnection
 from rainhitch.system import Machine
 
 LATE, LATE_S = b"late-read", 0.4
@@ -20,14 +20,14 @@
 
 
 def late() -> None:
-    received = Client.data_received
+    received = ClientConnection.data_received
 
-    def data_received(self: Client, data: bytes) -> None:
+    def data_received(self: ClientConnection, data: bytes) -> None:
         if LATE in data:
             time.sleep(LATE_S)
         received(self, data)
 
-    Client.data_received = data_received  # type: ignore[method-assign]
+    ClientConnection.data_received = data_received  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_alive.py
+++ b/tests/fleet/test_alive.py
@@ -9,18 +9,29 @@
 from hypothesis import strategies as st
 from lossy import SECOND, World
 
-from rainhitch.fleet.alive import HEAD, MOST_LIFE, MOST_NEWS, NEWS, Alive, AliveError, Kind, State
+from rainhitch.fleet.failure_detector import (
+    HEAD,
+    MOST_LIFE,
+    MOST_NEWS,
+    NEWS,
+    FailureDetector,
+    FailureDetectorError,
+    MessageKind,
+    RouterState,
+)
 
 
 def fleet(routers: int, seed: int) -> World:
-    return World(routers, lambda me, life, now: Alive(me, routers, life, now, seed * 100 + me), seed)
+    return World(
+        routers, lambda me, life, now: FailureDetector(me, routers, life, now, seed * 100 + me), seed
+    )
 
 
 def agreed(world: World) -> bool:
     """Whether all that run hold the same, and it is true."""
     truth = list(world.up)
     return all(
-        [part.alive(n) for n in range(len(truth))] == truth
+        [part.is_alive(n) for n in range(len(truth))] == truth
         for router, part in enumerate(world.parts)
         if world.runs(router)
     )
@@ -53,7 +64,7 @@
     world = fleet(12, 3)
     world.loss = 0.3
     world.go(60 * SECOND)
-    wrong = sum(not part.alive(n) for part in world.parts for n in range(12))
+    wrong = sum(not part.is_alive(n) for part in world.parts for n in range(12))
     assert wrong <= 0.1 * 144
     world.loss = 0.0
     world.go(30 * SECOND)
@@ -65,7 +76,7 @@
     world.go(5 * SECOND)
     world.cut = lambda source, to: (source < 4) != (to < 4)
     world.go(60 * SECOND)
-    assert world.parts[0].there() == [0, 1, 2, 3] and world.parts[7].there() == [4, 5, 6, 7]
+    assert world.parts[0].live_routers() == [0, 1, 2, 3] and world.parts[7].live_routers() == [4, 5, 6, 7]
     world.cut = lambda source, to: False
     world.go(40 * SECOND)
     assert agreed(world)
@@ -77,11 +88,11 @@
     world.go(5 * SECOND)
     world.stopped[0] = True
     world.go(30 * SECOND)
-    assert not world.parts[1].alive(0)
+    assert not world.parts[1].is_alive(0)
     world.stopped[0] = False
     before = [part.changes for part in world.parts]
     world.go(SECOND)
-    assert world.parts[0].there() == [0, 1, 2, 3, 4, 5] and world.parts[0].doubt > 0
+    assert world.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and world.parts[0].local_suspicion > 0
     world.go(20 * SECOND)
     assert agreed(world)
     assert sum(part.changes for part in world.parts) - sum(before) <= 12, "it alone was gone, and is back"
@@ -97,7 +108,7 @@
     world.lives[2] = 3
     world.start(2)
     world.go(30 * SECOND)
-    assert agreed(world) and world.parts[2].life > 1001
+    assert agreed(world) and world.parts[2].generation > 1001
 
 
 @pytest.mark.parametrize("routers", [3, 5, 9])
@@ -115,17 +126,18 @@
 
 
 rows = st.lists(
-    st.tuples(st.just(1), st.integers(1, 3), st.integers(0, 3), st.sampled_from(list(State))), max_size=4
+    st.tuples(st.just(1), st.integers(1, 3), st.integers(0, 3), st.sampled_from(list(RouterState))),
+    max_size=4,
 )
 
 
 @given(rows)
 def test_news_merges_to_the_same_in_every_order_and_however_often(
-    told: list[tuple[int, int, int, State]],
+    told: list[tuple[int, int, int, RouterState]],
 ) -> None:
     held = set()
     for order in permutations(told):
-        one = Alive(0, 3, 1, 0, 1)
+        one = FailureDetector(0, 3, 1, 0, 1)
         for router, life, incarnation, state in (*order, *order):
             one._told(0, router, life, incarnation, state)
         held.add(one.known[1].rank)
@@ -134,12 +146,12 @@
 
 @given(st.binary(max_size=64), st.integers(-1, 4))
 def test_noise_is_turned_down_or_makes_nobody_unknown(data: bytes, sender: int) -> None:
-    one = Alive(0, 4, 1, 0, 1)
-    with contextlib.suppress(AliveError):
-        one.heard(SECOND, sender, data)
-    assert one.alive(0) and len(one.known) == 4 and one.life <= MOST_LIFE
+    one = FailureDetector(0, 4, 1, 0, 1)
+    with contextlib.suppress(FailureDetectorError):
+        one.receive(SECOND, sender, data)
+    assert one.is_alive(0) and len(one.known) == 4 and one.generation <= MOST_LIFE
 
 
 def test_an_answer_to_nobodys_question_tells_nothing() -> None:
-    one = Alive(0, 3, 1, 0, 1)
-    assert one.heard(0, 1, HEAD.pack(Kind.ANSWER, 7, 2)) == [] and not one.questions
+    one = FailureDetector(0, 3, 1, 0, 1)
+    assert one.receive(0, 1, HEAD.pack(MessageKind.ANSWER, 7, 2)) == [] and not one.questions
--- a/tests/fleet/test_counts.py
+++ b/tests/fleet/test_counts.py
@@ -7,22 +7,22 @@
 from hypothesis import strategies as st
 from lossy import SECOND, World
 
-from rainhitch.fleet.counts import END, EVERY, MOST, WINDOW, CountError, Counts
-from rainhitch.fleet.exchange import EVERYONE, Exchange
-from rainhitch.fleet.options import Options
+from rainhitch.fleet.gossip_exchange import EVERYONE, GossipExchange
+from rainhitch.fleet.options import FleetOptions
+from rainhitch.fleet.tenant_usage import END, EVERY, MOST, WINDOW, TenantUsage, TenantUsageError
 
 
 class Teller:
     """Counts that are told to all, as the exchange does it, with a rate of requests for each customer."""
 
     def __init__(self, me: int, routers: int, rates: list[float], life: int, now: int) -> None:
-        self.counts = Counts(me, routers, len(rates), life, now)
+        self.counts = TenantUsage(me, routers, len(rates), life, now)
         self.me, self.routers, self.rates = me, routers, rates
         self.at = self.told = now
         self.owed = [0.0] * len(rates)
 
-    def heard(self, now: int, sender: int, data: bytes) -> None:
-        self.counts.heard(now, sender, data)
+    def receive(self, now: int, sender: int, data: bytes) -> None:
+        self.counts.receive(now, sender, data)
 
     def step(self, now: int) -> list[tuple[int, bytes]]:
         passed, self.at = now - self.at, now
@@ -32,10 +32,10 @@
                 self.counts.add(customer)
             self.owed[customer] %= 1
         self.counts.mark(now)
-        if now - self.told < self.counts.every:
+        if now - self.told < self.counts.interval_ns:
             return []
         self.told = now
-        word = self.counts.word()
+        word = self.counts.encode()
         return [(other, word) for other in range(self.routers) if other != self.me]
 
 
@@ -44,7 +44,7 @@
 
 
 def parts(world: World, router: int) -> list[float]:
-    made: list[float] = world.parts[router].counts.parts(world.clock(router))
+    made: list[float] = world.parts[router].counts.fractions(world.clock(router))
     return made
 
 
@@ -97,15 +97,15 @@
 def test_a_router_that_restarts_or_wakes_up_counts_once_and_its_earlier_life_no_more() -> None:
     world = fleet([[30.0], [30.0], [30.0]])
     world.go(2 * WINDOW)
-    old = world.parts[1].counts.word()
+    old = world.parts[1].counts.encode()
     world.kill(1)
     world.go(2 * SECOND)
     world.start(1)
     world.go(2 * WINDOW)
     listener = world.parts[0].counts
-    assert not listener.heard(world.clock(0), 1, old), "a word from an earlier life"
-    again = world.parts[1].counts.word()
-    assert listener.heard(world.clock(0), 1, again) and not listener.heard(world.clock(0), 1, again)
+    assert not listener.receive(world.clock(0), 1, old), "a word from an earlier life"
+    again = world.parts[1].counts.encode()
+    assert listener.receive(world.clock(0), 1, again) and not listener.receive(world.clock(0), 1, again)
     world.stopped[2] = True
     world.go((END + 1) * EVERY)
     world.stopped[2] = False
@@ -124,20 +124,20 @@
         told[life, number] = taken  # an author tells one thing under one life and number
 
     def word(life: int, number: int) -> bytes:
-        one = Counts(1, 2, 1, life, 0)
+        one = TenantUsage(1, 2, 1, life, 0)
         one.number = number - 1
         for _ in range(told[life, number]):
             one.add(0)
-        return one.word()
+        return one.encode()
 
     made = [word(life, number) for life, number in told]
     shuffled = made * 2
     random.shuffle(shuffled)  # type: ignore[attr-defined]
-    here, there = Counts(0, 2, 1, 1, 0), Counts(0, 2, 1, 1, 0)
+    here, there = TenantUsage(0, 2, 1, 1, 0), TenantUsage(0, 2, 1, 1, 0)
     for data in made:
-        here.heard(0, 1, data)
+        here.receive(0, 1, data)
     for data in shuffled:
-        there.heard(0, 1, data)
+        there.receive(0, 1, data)
     assert here.others == there.others
     if told:
         assert here.others[1].taken == (told[max(told)],)
@@ -145,18 +145,18 @@
 
 def test_many_customers_are_told_as_one_and_a_word_is_bounded() -> None:
     for customers in (1, MOST, MOST + 1, 500):
-        one = Counts(0, 200, customers, 1, 0)
+        one = TenantUsage(0, 200, customers, 1, 0)
         one.add(customers - 1)
-        assert len(one.word()) <= 8 + 2 * MOST
+        assert len(one.encode()) <= 8 + 2 * MOST
         assert len(one.taken()) == (customers if customers <= MOST else 1) and sum(one.taken()) == 1
 
 
 @given(st.binary(max_size=40), st.integers(-1, 3))
 def test_noise_is_turned_down_or_is_a_word(data: bytes, sender: int) -> None:
-    one = Counts(0, 3, 2, 1, 0)
+    one = TenantUsage(0, 3, 2, 1, 0)
     try:
-        one.heard(0, sender, data)
-    except CountError:
+        one.receive(0, sender, data)
+    except TenantUsageError:
         assert not one.others
     else:
         assert set(one.others) <= {sender} and len(data) == 12
@@ -165,7 +165,7 @@
 def test_words_heard_a_second_do_not_grow_with_the_fleet() -> None:
     """Three hundred routers: what one sends, and so what it hears, is bounded."""
     for routers in (3, 60, 300):
-        exchange = Exchange(0, routers, 5, 1, 0, 7, Options(counts=True))
+        exchange = GossipExchange(0, routers, 5, 1, 0, 7, FleetOptions(counts=True))
         sent = 0
         for step in range(1, 1201):
             sent += sum(to == EVERYONE for to, _ in exchange.step(step * SECOND // 10))
--- a/tests/fleet/test_holdings.py
+++ b/tests/fleet/test_holdings.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from lossy import SECOND, World
 
-from rainhitch.fleet import holdings
-from rainhitch.fleet.holdings import (
+from rainhitch.fleet import quota_escrow
+from rainhitch.fleet.quota_escrow import (
     ANSWER,
     DRIFT,
     EVERY,
@@ -18,9 +18,9 @@
     QUESTION,
     TERM,
     WORD,
-    HoldingError,
-    Holdings,
-    Loan,
+    Lease,
+    QuotaEscrow,
+    QuotaEscrowError,
 )
 
 TOTAL = 120.0
@@ -39,7 +39,7 @@
         world = self.world
         self.level = max(0.0, self.level - self.total * (world.now - self.at) / SECOND)
         self.at = world.now
-        if not world.parts[router].spend(world.clock(router)):
+        if not world.parts[router].take(world.clock(router)):
             return False
         self.level += 1
         self.spent += 1
@@ -54,7 +54,7 @@
 def fleet(routers: int, seed: int, drift: float = 0.0, every: int = EVERY // 4) -> World:
     return World(
         routers,
-        lambda me, life, now: Holdings(me, routers, TOTAL, now, seed * 1000 + me * 10 + life),
+        lambda me, life, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + life),
         seed,
         drift,
         every,
@@ -106,35 +106,35 @@
 def test_each_part_of_the_rule_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The same schedules with one guard taken out go over the bound, so the test above can fail."""
     if mutant == "lends what it spends":
-        held = Holdings._between
+        held = QuotaEscrow._between
         monkeypatch.setattr(
-            Holdings,
+            QuotaEscrow,
             "_between",
             lambda one, begin, end: held(one, begin, end) + sum(x.rate for x in one.lent),
         )
     elif mutant == "own clock ends it":
 
-        def heard(self: Holdings, now: int, sender: int, data: bytes) -> holdings.Words:
+        def heard(self: QuotaEscrow, now: int, sender: int, data: bytes) -> quota_escrow.Datagrams:
             kind, nonce, amount = WORD.unpack(data)
             if kind == QUESTION:
                 lent = self._lend(now, amount / 1000)
                 return [(sender, WORD.pack(ANSWER, nonce, lent))] if lent else []
             if self.questions.pop(nonce, (-1, 0, 0.0))[0] == sender:
-                self.borrowed.append(Loan(amount / 1000, now + 3 * TERM))
+                self.borrowed.append(Lease(amount / 1000, now + 3 * TERM))
             return []
 
-        monkeypatch.setattr(Holdings, "heard", heard)
+        monkeypatch.setattr(QuotaEscrow, "receive", heard)
     else:
 
-        def twice(self: Holdings, now: int, sender: int, data: bytes) -> holdings.Words:
+        def twice(self: QuotaEscrow, now: int, sender: int, data: bytes) -> quota_escrow.Datagrams:
             kind, nonce, amount = WORD.unpack(data)
             if kind == QUESTION:
                 lent = self._lend(now, amount / 1000)
                 return [(sender, WORD.pack(ANSWER, nonce, lent))] if lent else []
-            self.borrowed.append(Loan(amount / 1000, now + TERM))
+            self.borrowed.append(Lease(amount / 1000, now + TERM))
             return []
 
-        monkeypatch.setattr(Holdings, "heard", twice)
+        monkeypatch.setattr(QuotaEscrow, "receive", twice)
     over = []
     for seed in range(8):
         meter, _ = chaos(seed, 120, 3)
@@ -161,7 +161,7 @@
     assert (meter.spent - before) / 8 > reached * TOTAL
     world.go(2 * TERM + 4 * SECOND)  # the last questions are asked while the need fades
     assert all(not one.borrowed and not one.lent for one in world.parts if one._fill(world.now) is None)
-    assert sum(one.held(world.now) for one in world.parts) == pytest.approx(TOTAL)
+    assert sum(one.available_per_s(world.now) for one in world.parts) == pytest.approx(TOTAL)
 
 
 def test_who_hears_nothing_falls_back_to_its_own_part_when_its_loans_end() -> None:
@@ -170,55 +170,55 @@
     rich = world.parts[0]
     for _ in range(8):
         for _ in range(100):
-            rich.spend(world.clock(0))
+            rich.take(world.clock(0))
         world.go(EVERY)
-    assert rich.held(world.clock(0)) > 1.5 * rich.own
+    assert rich.available_per_s(world.clock(0)) > 1.5 * rich.own_per_s
     world.loss = 1.0
     world.go(TERM)
-    assert rich.held(world.clock(0)) == rich.own
+    assert rich.available_per_s(world.clock(0)) == rich.own_per_s
 
 
 def test_a_router_that_slept_past_its_loans_wakes_up_with_its_own_part_and_one_bank() -> None:
     """A late waker does no harm: what it held is looked at with each unit, not when it was lent."""
-    one = Holdings(0, 3, TOTAL, 0, 7)
-    one.borrowed.append(Loan(80.0, 4 * SECOND))
+    one = QuotaEscrow(0, 3, TOTAL, 0, 7)
+    one.borrowed.append(Lease(80.0, 4 * SECOND))
     one._fill(3 * SECOND)
     later = 100 * SECOND
-    assert sum(one.spend(later) for _ in range(1000)) <= one.most(later)
-    assert one.held(later) == one.own and not one.borrowed
+    assert sum(one.take(later) for _ in range(1000)) <= one.bucket_capacity(later)
+    assert one.available_per_s(later) == one.own_per_s and not one.borrowed
 
 
 def test_what_an_earlier_life_lent_is_left_alone_until_it_has_ended() -> None:
-    old = Holdings(0, 3, TOTAL, 0, 1)
+    old = QuotaEscrow(0, 3, TOTAL, 0, 1)
     now = 10 * SECOND
-    ((to, word),) = old.heard(now, 1, WORD.pack(QUESTION, 5, 1_000_000))
+    ((to, word),) = old.receive(now, 1, WORD.pack(QUESTION, 5, 1_000_000))
     kind, nonce, lent = WORD.unpack(word)
     assert to == 1 and kind == ANSWER and nonce == 5 and lent == 30_000  # three quarters of 40
-    new = Holdings(0, 3, TOTAL, now, 2)
-    assert new.held(now) + lent / 1000 <= old.own
-    assert new.heard(now, 2, WORD.pack(QUESTION, 6, 1_000_000)) == [], "nor does it lend meanwhile"
-    assert new.held(now + int(TERM * (1 + DRIFT))) == new.own
+    new = QuotaEscrow(0, 3, TOTAL, now, 2)
+    assert new.available_per_s(now) + lent / 1000 <= old.own_per_s
+    assert new.receive(now, 2, WORD.pack(QUESTION, 6, 1_000_000)) == [], "nor does it lend meanwhile"
+    assert new.available_per_s(now + int(TERM * (1 + DRIFT))) == new.own_per_s
 
 
 @given(st.binary(max_size=20), st.integers(-2, 4))
 @budget(max_examples=500)
 def test_noise_changes_nothing_that_is_held(data: bytes, sender: int) -> None:
-    one = Holdings(0, 3, TOTAL, 0, 1)
+    one = QuotaEscrow(0, 3, TOTAL, 0, 1)
     now = 10 * SECOND
-    with contextlib.suppress(HoldingError):
-        one.heard(now, sender, data)
-    assert not one.borrowed and one.held(now) <= one.own
+    with contextlib.suppress(QuotaEscrowError):
+        one.receive(now, sender, data)
+    assert not one.borrowed and one.available_per_s(now) <= one.own_per_s
 
 
 def test_every_order_of_words_deaths_and_time_keeps_the_sum() -> None:
     """All interleavings to a depth: three routers, each may ask for all, answers come, are lost, or come
     again after any of it, routers die and start anew, and half a term passes."""
     depth, start = 5, 10 * SECOND
-    first = tuple(Holdings(n, 3, 12.0, 0, n) for n in range(3))
+    first = tuple(QuotaEscrow(n, 3, 12.0, 0, n) for n in range(3))
     seen: set[object] = set()
     states = 0
 
-    def key(parts: tuple[Holdings, ...], words: tuple[tuple[int, int, bytes], ...], now: int) -> object:
+    def key(parts: tuple[QuotaEscrow, ...], words: tuple[tuple[int, int, bytes], ...], now: int) -> object:
         rows = [
             (
                 sorted((round(x.rate, 6), x.until) for x in one.lent),
@@ -230,14 +230,14 @@
         ]
         return repr(rows), words, now
 
-    def twin(parts: tuple[Holdings, ...]) -> tuple[Holdings, ...]:
+    def twin(parts: tuple[QuotaEscrow, ...]) -> tuple[QuotaEscrow, ...]:
         made = tuple(copy.copy(one) for one in parts)
         for one in made:
             one.lent, one.borrowed, one.questions = list(one.lent), list(one.borrowed), dict(one.questions)
         return made
 
     def explore(
-        parts: tuple[Holdings, ...], words: tuple[tuple[int, int, bytes], ...], now: int, left: int
+        parts: tuple[QuotaEscrow, ...], words: tuple[tuple[int, int, bytes], ...], now: int, left: int
     ) -> None:
         nonlocal states
         here = (key(parts, words, now), left)
@@ -245,7 +245,7 @@
             return
         seen.add(here)
         states += 1
-        assert sum(one.held(now) for one in parts) <= 12.0 + 1e-6
+        assert sum(one.available_per_s(now) for one in parts) <= 12.0 + 1e-6
         if not left:
             return
         for n in range(2):  # the third only lends
@@ -255,14 +255,14 @@
         for word in words[-3:]:
             source, to, data = word
             mine = twin(parts)
-            answers = mine[to].heard(now, source, data)
+            answers = mine[to].receive(now, source, data)
             more = tuple((to, whom, one) for whom, one in answers)
             rest = tuple(one for one in words if one is not word)
             explore(mine, rest + more, now, left - 1)
             explore(mine, words + more, now, left - 1)  # and once more later
         for n in range(3):
             mine = twin(parts)
-            fresh = Holdings(n, 3, 12.0, now, n + 100)
+            fresh = QuotaEscrow(n, 3, 12.0, now, n + 100)
             explore((*mine[:n], fresh, *mine[n + 1 :]), words, now, left - 1)
         explore(twin(parts), words, now + TERM // 2, left - 1)
 
--- a/tests/fleet/test_wired.py
+++ b/tests/fleet/test_wired.py
@@ -9,10 +9,10 @@
 from program import listing
 
 from rainhitch import interface as api
-from rainhitch.fleet.advice import decode, encode, hashes
+from rainhitch.fleet.gossip_codec import decode, encode, hashes
 from rainhitch.node.configuration import ConfigurationError, configured
-from rainhitch.node.service import Service
-from rainhitch.policy.servers import Server
+from rainhitch.node.router import Router
+from rainhitch.policy.server_registry import Server
 
 
 def told(friend: socket.socket, **changes: Any) -> dict[str, Any]:
@@ -39,32 +39,32 @@
 
 
 def slower(server: Server, before: float) -> bool:
-    return server.latency > before
+    return server.latency_ns > before
 
 
 async def test_a_router_takes_up_a_word_on_what_its_list_names_now_and_tells_its_own(
     friend: socket.socket,
 ) -> None:
-    service = Service(configured(told(friend), "test"))
+    service = Router(configured(told(friend), "test"))
     await service.start()
     try:
-        assert service.peers is not None and service.peers.transport is not None
-        here = service.peers.transport.get_extra_info("sockname")
-        service.directory.take(listing(2, entry("c1", "127.0.0.1:1"), whole=False))
-        service.driver.tell_peers([api.Seen("c0", 900_000_000)])
+        assert service.gossip is not None and service.gossip.transport is not None
+        here = service.gossip.transport.get_extra_info("sockname")
+        service.directory.apply(listing(2, entry("c1", "127.0.0.1:1"), whole=False))
+        service.driver.publish_gossip([api.LatencyObservation("c0", 900_000_000)])
         (word,) = decode(friend.recv(512), hashes(["c0"]))
-        assert word.server == "c0" and word.elapsed == pytest.approx(900_000_000, rel=0.06)
+        assert word.server == "c0" and word.elapsed_ns == pytest.approx(900_000_000, rel=0.06)
         for name in ("c0", "c1"):
-            server = service.balancer.fleet.servers[name]
-            before = server.latency
-            friend.sendto(encode([api.Seen(name, 8_000_000_000)]), here)
+            server = service.balancer.servers.servers[name]
+            before = server.latency_ns
+            friend.sendto(encode([api.LatencyObservation(name, 8_000_000_000)]), here)
             await soon(partial(slower, server, before))
-        assert service.told.settings.tell_every > 0
+        assert service.configuration.settings.gossip_interval_ns > 0
     finally:
         service.watch.stop()
         service.clients.close()
-        if service.peers is not None:
-            service.peers.close()
+        if service.gossip is not None:
+            service.gossip.close()
 
 
 @pytest.mark.parametrize(
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -68,11 +68,11 @@
 def test_the_sites_are_far_apart() -> None:
     read = [read_settings(told(tomllib.loads(path.read_text()))) for path in SITES]
     assert len(read) >= 2
-    longest = sorted(max(one.deadline for one in settings.classes) for settings in read)
+    longest = sorted(max(one.deadline_ns for one in settings.classes) for settings in read)
     assert longest[0] < SECOND and longest[-1] > 10 * SECOND
-    assert {settings.must_ask for settings in read} == {False, True}
-    effects = {one.effect for settings in read for one in settings.classes}
-    assert effects == set(api.Effect)
+    assert {settings.endpoints_polled for settings in read} == {False, True}
+    effects = {one.idempotency for settings in read for one in settings.classes}
+    assert effects == set(api.Idempotency)
 
 
 def test_a_sites_settings_are_read_whole(site: Json) -> None:
@@ -80,28 +80,28 @@
     assert list(names.classes) == [one["name"] for one in site["class"]]
     assert list(names.tenants) == [one["name"] for one in site["tenant"]]
     assert list(names.zones) == site["net"]["zones"]
-    assert settings.fall_time == site["rules"]["fall_ms"] * MS
+    assert settings.slow_start_window_ns == site["rules"]["fall_ms"] * MS
     assert ceilings.dial_timeout == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
-    longest = max(one.deadline for one in settings.classes) / SECOND
+    longest = max(one.deadline_ns for one in settings.classes) / SECOND
     assert schedule(longest).gone < min(longest, 3) + 0.7
-    assert (ASKED if settings.must_ask else PUSHED).longest() < 6
+    assert (ASKED if settings.endpoints_polled else PUSHED).longest() < 6
 
 
 def test_each_class_of_a_site_is_served_and_refused_or_failed_as_its_effect_allows(site: Json) -> None:
     options = read_settings(told(site))
     kinds = len(site["tier"][0]["kind"])
-    members = [api.Member(f"c{n}", kind=n % kinds, zone=n % 2) for n in range(4)]
-    router = Router(options, [*members, api.Member("origin", kind=kinds)])
+    members = [api.Endpoint(f"c{n}", kind=n % kinds, zone=n % 2) for n in range(4)]
+    router = Router(options, [*members, api.Endpoint("origin", kind=kinds)])
     for cls, spec in enumerate(options.classes):
-        write = spec.effect is not api.Effect.SAFE
+        write = spec.idempotency is not api.Idempotency.IDEMPOTENT
         _, (send,) = router.ask(f"k{cls}", cls, write=write)
-        assert isinstance(send, api.Send) and (send.server == "origin") is write
-        assert router.end(send, api.Status.OK) == []
+        assert isinstance(send, api.StartAttempt) and (send.server == "origin") is write
+        assert router.end(send, api.AttemptStatus.OK) == []
         name, (send,) = router.ask(f"j{cls}", cls, write=write)
-        router.end(send, api.Status.RESET)
-        router.wait(spec.deadline)
-        again = router.balancer.jobs.get(name)
-        assert again is None or again.made <= options.max_attempts
+        router.end(send, api.AttemptStatus.RESET)
+        router.wait(spec.deadline_ns)
+        again = router.balancer.requests.get(name)
+        assert again is None or again.attempts_started <= options.max_attempts
 
 
 def test_nothing_in_program_or_deploy_file_is_fitted_to_one_site() -> None:
--- a/tests/ground/test_tables.py
+++ b/tests/ground/test_tables.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 from program import ROOT, configuration
 
-from rainhitch.operator import Operator, read_operator
-from rainhitch.tables import TableError, load, read
+from rainhitch.operator_config import OperatorConfig, read_operator_config
+from rainhitch.toml_schema import TableError, load, read
 
 EXAMPLE = ROOT / "deploy" / "operator.example.toml"
 
@@ -27,14 +27,14 @@
 
 def test_the_example_shows_each_key_with_its_default() -> None:
     told = load(EXAMPLE)
-    assert read_operator(EXAMPLE) == Operator()
+    assert read_operator_config(EXAMPLE) == OperatorConfig()
     shown = {name: set(table) for name, table in told.items()}
-    whole = dataclasses.asdict(Operator())
+    whole = dataclasses.asdict(OperatorConfig())
     assert shown == {name: set(table) for name, table in whole.items()}
 
 
 def test_an_empty_file_means_all_defaults(tmp_path: Path) -> None:
-    assert read_operator(written(tmp_path, "")) == Operator()
+    assert read_operator_config(written(tmp_path, "")) == OperatorConfig()
 
 
 @pytest.mark.parametrize(
@@ -52,14 +52,14 @@
 def test_a_bad_key_is_one_line(tmp_path: Path, text: str, key: str, value: str, allowed: str) -> None:
     path = written(tmp_path, text)
     with pytest.raises(TableError) as raised:
-        read_operator(path)
+        read_operator_config(path)
     (line,) = raised.value.lines
     assert line.startswith(f"{path}: {key} = {value}: ") and allowed in line
 
 
 def test_each_bad_key_has_its_line(tmp_path: Path) -> None:
     with pytest.raises(TableError) as raised:
-        read_operator(written(tmp_path, "x = 1\n[clients]\nidle_s = -1\nunread_s = []"))
+        read_operator_config(written(tmp_path, "x = 1\n[clients]\nidle_s = -1\nunread_s = []"))
     assert len(raised.value.lines) == 3
 
 
@@ -68,7 +68,7 @@
     path = tmp_path / "operator.toml"
     path.write_bytes(raw)
     with pytest.raises(TableError) as raised:
-        read_operator(path)
+        read_operator_config(path)
     assert len(raised.value.lines) == 1 and "\n" not in raised.value.lines[0]
 
 
@@ -82,7 +82,7 @@
 @given(st.dictionaries(st.sampled_from(["clients", "servers", "x"]), VALUES))
 def test_whatever_stands_there_is_taken_or_told_in_one_line_each(source: dict[str, Any]) -> None:
     problems: list[str] = []
-    told = read(Operator, source, "f", problems)
+    told = read(OperatorConfig, source, "f", problems)
     assert (told is None) == bool(problems)
     assert all("\n" not in line and line.startswith("f: ") for line in problems)
 
@@ -120,11 +120,11 @@
 
 
 def test_a_router_imports_nothing_of_the_kit_the_command_line_or_the_operators_file() -> None:
-    code = "import sys, rainhitch.__main__, rainhitch.node.service; print(*sys.modules)"
+    code = "import sys, rainhitch.__main__, rainhitch.node.router; print(*sys.modules)"
     shown = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     loaded = set(shown.stdout.split())
-    assert "rainhitch.node.driver" in loaded, shown.stderr
-    kit = ("rainhitch.cli", "rainhitch.rehearsal", "rainhitch.operator", "rainhitch.tables")
+    assert "rainhitch.node.request_driver" in loaded, shown.stderr
+    kit = ("rainhitch.cli", "rainhitch.rehearsal", "rainhitch.operator_config", "rainhitch.toml_schema")
     assert not [name for name in loaded if name.startswith((*kit, "tomllib", "rich", "argparse"))]
 
 
--- a/tests/lossy.py
+++ b/tests/lossy.py
@@ -71,7 +71,7 @@
             while self.queue and self.queue[0][0] <= self.now:
                 _, _, source, to, data = heapq.heappop(self.queue)
                 if self.up[to] and not self.stopped[to]:
-                    answer = self.parts[to].heard(self.clock(to), source, data)
+                    answer = self.parts[to].receive(self.clock(to), source, data)
                     self.carry(to, answer or [])
             for router, part in enumerate(self.parts):
                 if self.runs(router):
--- a/tests/membership/test_following.py
+++ b/tests/membership/test_following.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from support import MILLI, SECOND
 
-from rainhitch.membership import machine as m
+from rainhitch.membership import watch_state_machine as m
 
 START = 1000 * SECOND
 
@@ -16,7 +16,7 @@
     """A machine with its clock; what it told, and what it wants."""
 
     def __init__(self) -> None:
-        self.machine, self.now = m.Machine(Random(7)), START
+        self.machine, self.now = m.WatchStateMachine(Random(7)), START
         self.view: dict[str, bytes] = {}
         self.told: list[tuple[str, bytes | None]] = []
         self.said: list[str] = []
@@ -34,7 +34,7 @@
                     self.view.pop(uid, None)
                     if value is not None:
                         self.view[uid] = value
-            elif isinstance(action, m.Say):
+            elif isinstance(action, m.LogWarning):
                 self.said.append(action.text)
             else:
                 self.wants.append(action)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -14,11 +14,11 @@
 from program import ROOT, configuration, started
 
 from rainhitch.membership import editing
-from rainhitch.membership.choice import MembershipError, etcd_options
-from rainhitch.membership.etcd import Client, Options
-from rainhitch.operator import Membership, read_operator
+from rainhitch.membership.etcd_settings import MembershipError, etcd_options
+from rainhitch.membership.etcd_source import EtcdClient, EtcdOptions
+from rainhitch.operator_config import Membership, read_operator_config
 from rainhitch.rehearsal.world.etcd import Etcd
-from rainhitch.tables import TableError
+from rainhitch.toml_schema import TableError
 
 KEY = b"/rainhitch/members/"
 
@@ -108,7 +108,9 @@
 
 
 async def test_two_operators_do_not_undo_one_another(etcd: Etcd) -> None:
-    client = Client(Options([("127.0.0.1", etcd.members[0].port)]), ("127.0.0.1", etcd.members[0].port))
+    client = EtcdClient(
+        EtcdOptions([("127.0.0.1", etcd.members[0].port)]), ("127.0.0.1", etcd.members[0].port)
+    )
     one = await editing.held(client, "c0")
     await editing.set_state(client, "c0", "Terminating")
     with pytest.raises(editing.RefusedError, match="somebody else changed it"):
@@ -155,7 +157,7 @@
     path = tmp_path / "operator.toml"
     path.write_text(f"[membership]\n{text}\n")
     with pytest.raises(TableError) as failed:
-        read_operator(path)
+        read_operator_config(path)
     assert len(failed.value.lines) == 1 and why in failed.value.lines[0]
 
 
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -12,11 +12,11 @@
 from peers import PATIENCE, entry, info, soon
 
 from rainhitch import interface as api
-from rainhitch.membership import machine
-from rainhitch.membership.etcd import Options, Source
-from rainhitch.membership.roster import Roster
-from rainhitch.node.discovery import Directory
-from rainhitch.node.pool import Pools
+from rainhitch.membership import watch_state_machine
+from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
+from rainhitch.membership.etcd_source import EtcdOptions, EtcdSource
+from rainhitch.node.connection_pool import ConnectionPools
+from rainhitch.node.discovery import EndpointDirectory
 from rainhitch.rehearsal.world.etcd import Etcd
 from rainhitch.settings import read_names
 
@@ -30,15 +30,15 @@
 @dataclass
 class Scene:
     etcd: Etcd
-    source: Source
-    directory: Directory
-    told: list[api.Members]
+    source: EtcdSource
+    directory: EndpointDirectory
+    told: list[api.EndpointUpdate]
 
     def put(self, name: str, state: str = "Ready", **changes: Any) -> None:
         self.etcd.store.put(PREFIX.encode() + name.encode(), row(name, state, **changes))
 
     def states(self) -> dict[str, str]:
-        return {uid: target.member.state.value for uid, target in self.directory.targets.items()}
+        return {uid: target.endpoint.state.value for uid, target in self.directory.targets.items()}
 
     async def until(self, **states: str) -> None:
         """Waits until the router holds just these servers, in these states."""
@@ -51,11 +51,11 @@
 ) -> AsyncIterator[Scene]:
     etcd = Etcd(members)
     await etcd.start()
-    told: list[api.Members] = []
-    directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), told.append)
-    roster = Roster(directory.take, lambda: directory.rev)
+    told: list[api.EndpointUpdate] = []
+    directory = EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append)
+    roster = EndpointListBuilder(directory.apply, lambda: directory.version)
     endpoints = [("127.0.0.1", one.port) for one in etcd.members]
-    source = Source(Options(endpoints, PREFIX, **options), roster.publish, 1, known)
+    source = EtcdSource(EtcdOptions(endpoints, PREFIX, **options), roster.publish, 1, known)
     made = Scene(etcd, source, directory, told)
     for name in ("c0", "c1", "c2"):
         made.put(name)
@@ -103,7 +103,9 @@
             one.etcd.drop()
             one.put("c0", "Terminating" if n % 2 == 0 else "Ready")
             await one.until(c0="ready" if n % 2 else "draining", c1="ready", c2="ready")
-        assert [event.kind for event in one.told] == [api.ListKind.FULL] + [api.ListKind.DELTA] * 4
+        assert [event.kind for event in one.told] == [api.EndpointUpdateKind.FULL] + [
+            api.EndpointUpdateKind.DELTA
+        ] * 4
 
 
 async def test_a_watch_that_was_compacted_away_is_read_whole_and_compared(
@@ -123,10 +125,10 @@
 async def test_a_silent_stream_is_given_up_within_the_stated_time(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(machine, "SILENT", 600_000_000)
-    monkeypatch.setattr(machine, "PROGRESS", 200_000_000)
+    monkeypatch.setattr(watch_state_machine, "SILENT", 600_000_000)
+    monkeypatch.setattr(watch_state_machine, "PROGRESS", 200_000_000)
     async with scene(members=2) as one:
-        await soon(lambda: one.source.machine.mode is machine.Mode.WATCHING)
+        await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         one.etcd.silent = True
         await soon(lambda: lines(caplog, "silent for"))
         one.etcd.silent = False
@@ -137,7 +139,7 @@
 
 async def test_a_quiet_watch_is_asked_for_progress_and_kept() -> None:
     async with scene() as one:
-        await soon(lambda: one.source.machine.mode is machine.Mode.WATCHING)
+        await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         heard = one.source.machine.heard
         await soon(lambda: one.source.machine.heard > heard)
         assert not one.source.machine.away and one.source.turn == 0
@@ -145,9 +147,9 @@
 
 async def test_progress_told_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain below a progress that came first was taken for known, and never told."""
-    monkeypatch.setattr(machine, "PROGRESS", 100_000_000)
+    monkeypatch.setattr(watch_state_machine, "PROGRESS", 100_000_000)
     async with scene() as one:
-        await soon(lambda: one.source.machine.mode is machine.Mode.WATCHING)
+        await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         one.etcd.hasty, one.etcd.silent = True, True
         await asyncio.sleep(0.5)  # progress is asked for meanwhile
         one.put("c0", "Terminating")
@@ -273,7 +275,9 @@
     server = await asyncio.start_server(noise, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     told: list[bool] = []
-    source = Source(Options([("127.0.0.1", port)], PREFIX, timeout=0.5), lambda a, b: told.append(b), 1)
+    source = EtcdSource(
+        EtcdOptions([("127.0.0.1", port)], PREFIX, timeout=0.5), lambda a, b: told.append(b), 1
+    )
     source.start()
     async with asyncio.timeout(PATIENCE):
         await soon(lambda: lines(caplog, "etcd did not answer"))
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -20,13 +20,13 @@
 from program import ROOT, configuration, listing, started
 
 from rainhitch import interface as api
-from rainhitch.node import client as client_module
-from rainhitch.node import pool
-from rainhitch.node.client import MOST_PIPELINED
-from rainhitch.node.closing import CloseReason
+from rainhitch.node import client_connection as client_module
+from rainhitch.node import connection_pool
+from rainhitch.node.client_connection import MOST_PIPELINED
+from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.configuration import configured
-from rainhitch.node.discovery import Watch, read_endpoint
-from rainhitch.node.service import Service
+from rainhitch.node.discovery import DiscoveryWatch, read_endpoint
+from rainhitch.node.router import Router
 from rainhitch.node.shutdown import schedule
 from rainhitch.protocol.resp import command
 
@@ -86,8 +86,10 @@
     """Decisions that send all that comes, and again what was not answered."""
 
     def decide(at: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Request) or (isinstance(event, api.Outcome) and not event.closed):
-            return [api.Send(event.id, "c0")]
+        if isinstance(event, api.Request) or (
+            isinstance(event, api.AttemptFinished) and not event.request_finished
+        ):
+            return [api.StartAttempt(event.id, "c0")]
         return []
 
     monkeypatch.setattr(bench.driver.balancer, "handle", decide)
@@ -110,7 +112,7 @@
             state = {"drains": "Terminating", "moved": "Ready"}[news]
             address = {"drains": bench.cache.address, "moved": second.address}[news]
             others.append(entry("c0", address, state=state))
-        bench.directory.take(listing(6, *others))
+        bench.directory.apply(listing(6, *others))
         await gate.let_through()  # in the same turn, before the decisions could do anything about it
         assert await caller.answer() == b"second"
         await soon(lambda: bench.cache.ended == 1)
@@ -120,13 +122,13 @@
 async def test_a_client_that_leaves_while_a_connection_comes_up_is_not_sent_for_and_the_next_one_uses_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with two_servers(monkeypatch) as (bench, _, gate):
         first, second = await bench.caller(), await bench.caller()
         first.get(name=b"left")
         await soon(lambda: gate.waiting)
         first.writer.close()
-        await soon(lambda: not bench.driver.held)
+        await soon(lambda: not bench.driver.requests)
         await gate.let_through()
         await soon(lambda: bench.pools.pools["c0"].idle)
         second.get(name=b"stays")
@@ -147,8 +149,8 @@
         def decide(at: int, event: api.Event) -> list[api.Action]:
             told.append(event)
             if isinstance(event, api.Request):
-                return [api.Send(event.id, "c0", 0, within=50_000_000)]
-            return [api.Fail(event.id)] if isinstance(event, api.Outcome) else []
+                return [api.StartAttempt(event.id, "c0", 0, write_within_ns=50_000_000)]
+            return [api.Fail(event.id)] if isinstance(event, api.AttemptFinished) else []
 
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
         caller = await bench.caller()
@@ -158,8 +160,8 @@
         await gate.let_through()
         assert str(await caller.answer()) == "ERR failed"
         assert not bench.cache.got
-        outcome = next(event for event in told if isinstance(event, api.Outcome))
-        assert outcome.status is api.Status.MOOT  # it never ran
+        outcome = next(event for event in told if isinstance(event, api.AttemptFinished))
+        assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
 
 
 async def test_a_dial_given_up_in_the_turn_in_which_it_comes_up_carries_nothing_and_leaves_nothing(
@@ -179,13 +181,13 @@
 ) -> None:
     """A time-out that is delivered to a connect that has just succeeded closes its socket without a word."""
     async with two_servers(monkeypatch) as (bench, _, gate):
-        made = pool.Connection.connection_made
+        made = connection_pool.UpstreamConnection.connection_made
 
-        def made_as_time_is_over(one: pool.Connection, transport: Any) -> None:
+        def made_as_time_is_over(one: connection_pool.UpstreamConnection, transport: Any) -> None:
             made(one, transport)
             one.pool._never_up(one)
 
-        monkeypatch.setattr(pool.Connection, "connection_made", made_as_time_is_over)
+        monkeypatch.setattr(connection_pool.UpstreamConnection, "connection_made", made_as_time_is_over)
         caller = await bench.caller()
         caller.get()
         await soon(lambda: gate.waiting)
@@ -218,7 +220,7 @@
         bench.cache.answer = lambda asked, line: hit()
         bench.cache.lines[0].write(hit())  # makes room for the next of its commands
         bench.cache.lines[1].transport.abort()  # asks for a further attempt
-        await soon(lambda: not bench.clients.open and not bench.driver.held)
+        await soon(lambda: not bench.clients.open and not bench.driver.requests)
         assert len(bench.cache.got) == MOST_PIPELINED
 
 
@@ -231,7 +233,7 @@
         raw.sendall(b"".join(get(b"n%d" % n) for n in range(64)))
         raw.close()  # before the router has read any of it
         await soon(lambda: not bench.clients.open)
-        assert not bench.driver.held and not bench.cache.got
+        assert not bench.driver.requests and not bench.cache.got
 
 
 # A request is still being written
@@ -256,9 +258,9 @@
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
         monkeypatch.setattr(bench.pools.system, "bound_reads", little)
-        bench.directory.take(listing(6, entry("c0", self.address)))
+        bench.directory.apply(listing(6, entry("c0", self.address)))
 
-    def writing(self) -> list[pool.Connection]:
+    def writing(self) -> list[connection_pool.UpstreamConnection]:
         """The connections on which a request is written in part."""
         return [one for one in self.bench.pools.pools["c0"].all if one.begun and one.unsent]
 
@@ -287,7 +289,7 @@
         caller = await deaf.half_written()
         caller.writer.transport.abort()
         await soon(lambda: not bench.clients.open)
-        assert not bench.driver.held and not bench.pools.open()  # at once
+        assert not bench.driver.requests and not bench.pools.open()  # at once
         assert await asyncio.to_thread(deaf.got) < len(LARGE)
         deaf.listener.close()
 
@@ -301,16 +303,16 @@
         def decide(at: int, event: api.Event) -> list[api.Action]:
             told.append(event)
             if isinstance(event, api.Request):
-                return [api.Send(event.id, "c0", 0, within=200_000_000)]
-            return [api.Fail(event.id)] if isinstance(event, api.Outcome) else []
+                return [api.StartAttempt(event.id, "c0", 0, write_within_ns=200_000_000)]
+            return [api.Fail(event.id)] if isinstance(event, api.AttemptFinished) else []
 
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
         monkeypatch.setattr(bench.driver, "_timeout", lambda attempt: None)  # the window alone ends it
         deaf = Deaf(bench, monkeypatch)
         caller = await deaf.half_written()
         assert str(await caller.answer()) == "ERR failed"
-        outcome = next(event for event in told if isinstance(event, api.Outcome))
-        assert outcome.status is api.Status.MOOT  # it never ran
+        outcome = next(event for event in told if isinstance(event, api.AttemptFinished))
+        assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
         assert await asyncio.to_thread(deaf.got) < len(LARGE)
         deaf.listener.close()
 
@@ -378,7 +380,7 @@
         while piece := await asyncio.to_thread(raw.recv, 65536):
             answers += piece
         assert answers == b"$1\r\nv\r\n" * MOST_PIPELINED + b"-BUSY\r\n" * 8
-        assert bench.driver.tally.shed[0] == 8
+        assert bench.driver.metrics.rejected[0] == 8
         raw.close()
 
 
@@ -415,13 +417,13 @@
     4 s, so that reads of the next second were refused."""
     async with router(lambda asked, line: None) as bench:
         now = [bench.driver.now()]
-        told: list[api.Outcome] = []
+        told: list[api.AttemptFinished] = []
         monkeypatch.setattr(bench.driver, "now", lambda: now[0])
 
         def decide(at: int, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Outcome):
+            if isinstance(event, api.AttemptFinished):
                 told.append(event)
-            return [api.Send(event.id, "c0")] if isinstance(event, api.Request) else []
+            return [api.StartAttempt(event.id, "c0")] if isinstance(event, api.Request) else []
 
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
         caller = await bench.caller()
@@ -431,7 +433,7 @@
         now[0] += 4_000_000_000
         connection.data_received(hit())
         await soon(lambda: told)
-        assert told[0].elapsed < 1_000_000_000
+        assert told[0].elapsed_ns < 1_000_000_000
 
 
 async def test_a_request_that_is_the_first_thing_read_after_a_stop_is_as_old_as_it_lay(
@@ -447,7 +449,7 @@
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 3500)
         now[0] += 4_000_000_000
         client.data_received(get(b"late"))
-        assert bench.driver.held["late"].call.wait == 9000 - 3500
+        assert bench.driver.requests["late"].call.wait == 9000 - 3500
 
 
 # The watch moves
@@ -462,7 +464,7 @@
     async with router() as bench:
         gate = Gate(monkeypatch, old)
         first, second = (read_endpoint(web.address) for web in (old, new))
-        watch = Watch(first, bench.directory, 1, must_ask=False)
+        watch = DiscoveryWatch(first, bench.directory, 1, must_ask=False)
         watch.start()
         await soon(lambda: gate.waiting)
         gate.open.set()
@@ -545,13 +547,13 @@
     told = info()
     for one in told["classes"]:
         one["aim"], one["deadline"] = 200_000_000, 400_000_000
-    service = Service(configured({**CONFIG, "settings": told}, "x"))
+    service = Router(configured({**CONFIG, "settings": told}, "x"))
     await service.start()
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
     times = service.clients.schedule
     assert times == schedule(0.4) and times.gone < times.kill == pytest.approx(1.1)
-    assert 0 < service.driver.stop_at - service.driver.now() <= times.answered * 1e9
+    assert 0 < service.driver.answer_by_ns - service.driver.now() <= times.answered * 1e9
     await ending
 
 
@@ -559,7 +561,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Timers run before sockets are read: who came while the loop was late would be reset in the backlog."""
-    service = Service(configured({**CONFIG, "settings": info()}, "x"))
+    service = Router(configured({**CONFIG, "settings": info()}, "x"))
     await service.start()
     assert service.clients.listener is not None
     address = service.clients.listener.door.address
@@ -570,7 +572,7 @@
         came[0].sendall(command(b"PING"))
         time.sleep(service.clients.schedule.accepting)  # what it read keeps the loop this long
 
-    monkeypatch.setattr(client_module.Client, "data_received", late)
+    monkeypatch.setattr(client_module.ClientConnection, "data_received", late)
     first = socket.create_connection(address)
     await soon(lambda: service.clients.open)
     ending = asyncio.ensure_future(service.stop())
@@ -586,7 +588,7 @@
 
 
 async def test_a_newcomer_that_comes_in_a_pause_is_heard_when_the_router_stops_listening() -> None:
-    service = Service(configured({**CONFIG, "settings": info()}, "x"))
+    service = Router(configured({**CONFIG, "settings": info()}, "x"))
     await service.start()
     listener = service.clients.listener
     assert listener is not None
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from peers import Bench, hit, router, soon
 
-from rainhitch.node.client import MOST_PIPELINED, Client
+from rainhitch.node.client_connection import MOST_PIPELINED, ClientConnection
 from rainhitch.node.deadlines import (
     HELD_UP,
     MILLI,
@@ -22,7 +22,7 @@
     WAY_BACK,
     Reserve,
 )
-from rainhitch.node.lag import HEARTBEAT, OVERDUE
+from rainhitch.node.loop_lag import HEARTBEAT, OVERDUE
 from rainhitch.protocol.resp import command
 
 INFO = b"c=read,t=acme,d=%d"
@@ -93,7 +93,7 @@
         return told
 
 
-async def newcomer(bench: Bench) -> tuple[socket.socket, Client]:
+async def newcomer(bench: Bench) -> tuple[socket.socket, ClientConnection]:
     """A client, and its connection at the router."""
     before = set(bench.clients.open)
     raw = socket.create_connection(("127.0.0.1", bench.port))
@@ -114,12 +114,12 @@
         for at in range(1, 40):
             await asyncio.sleep(0.01)  # the connection to the cache server may be used again
             raw, client = await newcomer(bench)
-            written = bench.pools.written
+            written = bench.pools.attempts_written
             seen: list[int] = []
 
             def leave(raw: socket.socket = raw, seen: list[int] = seen) -> None:
                 raw.close()
-                seen.append(bench.pools.written)
+                seen.append(bench.pools.attempts_written)
 
             with monkeypatch.context() as patched:
                 readings = Readings(bench, patched)
@@ -128,8 +128,8 @@
             raw.close()
             if seen == [written]:  # it left before anything was written
                 left_before += 1
-                assert bench.pools.written == written, f"reading {at}"
-            await soon(lambda: not bench.driver.held)
+                assert bench.pools.attempts_written == written, f"reading {at}"
+            await soon(lambda: not bench.driver.requests)
         assert left_before >= 4
 
 
@@ -144,8 +144,8 @@
         await asyncio.sleep(0)
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             raw.sendall(command(b"C.GET", b"k", b"waits", INFO % 900))
-            await soon(lambda: bench.driver.held)
-            [held] = bench.driver.held.values()
+            await soon(lambda: bench.driver.requests)
+            [held] = bench.driver.requests.values()
             assert (
                 held.call.unread >= 190 and held.call.wait <= 900 - 190
             )  # a timer may be early by its rounding
@@ -153,7 +153,7 @@
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             await asyncio.sleep(0.05)  # nobody waits any more: what it says later is new
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
-            held = await soon(lambda: bench.driver.held.get("comes"))
+            held = await soon(lambda: bench.driver.requests.get("comes"))
             assert held.call.wait > 900 - 100
 
 
@@ -170,7 +170,7 @@
     async with router(lambda asked, line: None if asked[2] == b"first" else hit()) as bench:
         raw, client = await newcomer(bench)
         raw.sendall(command(b"C.GET", b"k", b"first", INFO % 900))
-        await soon(lambda: bench.driver.held)
+        await soon(lambda: bench.driver.requests)
         raw.sendall(b"".join(command(b"PING") for _ in range(MOST_PIPELINED)))
         await soon(lambda: client.paused)
         raw.sendall(command(b"C.GET", b"k", b"behind", INFO % 900))
@@ -178,7 +178,7 @@
         [line] = bench.cache.lines
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 700)
         line.write(hit())
-        held = await soon(lambda: bench.driver.held.get("behind") or bench.cache.got[-1][2] == b"behind")
+        held = await soon(lambda: bench.driver.requests.get("behind") or bench.cache.got[-1][2] == b"behind")
         told = bench.cache.got[-1][3] if held is True else held.call.info_for(held.call.wait * MILLI)
         assert int(told.rpartition(b"d=")[2]) > 900 - 100
         raw.close()
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -14,16 +14,16 @@
 from program import ROOT, configuration, listing, started
 
 from rainhitch import interface as api
-from rainhitch.node import pool
-from rainhitch.node.discovery import Directory, ListError, Watch
-from rainhitch.node.polling import Times
-from rainhitch.node.pool import Pools
+from rainhitch.node import connection_pool
+from rainhitch.node.connection_pool import ConnectionPools
+from rainhitch.node.discovery import DiscoveryWatch, EndpointDirectory, ListError
+from rainhitch.node.polling import PollTimes
 from rainhitch.settings import read_names
 
 
-def directory() -> tuple[Directory, list[api.Members]]:
-    told: list[api.Members] = []
-    return Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), told.append), told
+def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
+    told: list[api.EndpointUpdate] = []
+    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append), told
 
 
 async def test_a_list_is_told_with_names_as_indexes_and_start_times_on_the_clock() -> None:
@@ -33,22 +33,22 @@
         entry("c0", "127.0.0.1:1", az="b", pod_group=3, capacity_hint=1.5, boot_ms=boot),
         entry("o", "h:2"),
     )
-    one.take(listing(1, *entries), cached=True)
-    one.take(listing(2, *entries))
+    one.apply(listing(1, *entries), cached=True)
+    one.apply(listing(2, *entries))
     member = told[0].entries[0]
     assert (member.server, member.zone, member.cell, member.weight) == ("c0", 1, 3, 1.5)
-    assert abs(time.monotonic_ns() - 1_000_000_000 - member.since) < PATIENCE * 1e9
-    assert told[0].entries[1].since == 0
-    assert [event.kind for event in told] == [api.ListKind.CACHED, api.ListKind.FULL]
-    assert told[1].entries[0].since == member.since  # the same start, not a restart
+    assert abs(time.monotonic_ns() - 1_000_000_000 - member.started_at_ns) < PATIENCE * 1e9
+    assert told[0].entries[1].started_at_ns == 0
+    assert [event.kind for event in told] == [api.EndpointUpdateKind.CACHED, api.EndpointUpdateKind.FULL]
+    assert told[1].entries[0].started_at_ns == member.started_at_ns  # the same start, not a restart
 
 
 async def test_an_older_version_changes_nothing() -> None:
     one, told = directory()
-    one.take(listing(5, entry("c0", "127.0.0.1:1")))
-    one.take(listing(4))
-    one.take(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
-    assert len(told) == 1 and one.rev == 5 and one.can_serve
+    one.apply(listing(5, entry("c0", "127.0.0.1:1")))
+    one.apply(listing(4))
+    one.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
+    assert len(told) == 1 and one.version == 5 and one.can_serve
 
 
 async def test_an_entry_that_makes_no_sense_is_skipped_with_a_line(caplog: pytest.LogCaptureFixture) -> None:
@@ -62,17 +62,17 @@
         {"uid": "x6"},
         "x7",
     ]
-    one.take(listing(1, *odd, entry("c0", "127.0.0.1:1")))
+    one.apply(listing(1, *odd, entry("c0", "127.0.0.1:1")))
     assert [member.server for member in told[0].entries] == ["c0"]
     assert caplog.text.count("is skipped") == len(odd)
     answers: list[Any] = [None, [], {"targets": []}, {"rev": "1", "targets": []}, {"rev": 2}]
     for bad in answers:
         with pytest.raises(ListError):
-            one.take(bad)
+            one.apply(bad)
 
 
 async def test_a_changed_endpoint_or_start_drops_the_old_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
         caller = await bench.caller()
         caller.get()
@@ -81,14 +81,14 @@
         await soon(lambda: len(bench.cache.got) == 2)
         boot = time.time_ns() // 1_000_000 + 1
         change = entry("c0", bench.cache.address, boot_ms=boot)
-        bench.directory.take(listing(6, change, whole=False))
+        bench.directory.apply(listing(6, change, whole=False))
         # The old process is gone with what it held, which may have run.
         assert str(await caller.answer()) == "ERR failed"
         await soon(lambda: bench.cache.ended == 1)
         second = Cache(lambda asked, line: hit(b"second"))
         await second.start()
         first = bench.pools.pools["c0"]
-        bench.directory.take(listing(7, {**change, "endpoint": second.address}, whole=False))
+        bench.directory.apply(listing(7, {**change, "endpoint": second.address}, whole=False))
         assert bench.pools.pools["c0"] is not first and first.retired
         await second.stop()
 
@@ -99,7 +99,7 @@
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
         gone = entry("c0", bench.cache.address, state="Terminating")
-        bench.directory.take(listing(6, gone, whole=False))
+        bench.directory.apply(listing(6, gone, whole=False))
         other = await bench.caller()
         other.get(name=b"i2")
         assert str(await other.answer()).startswith("BUSY")
@@ -131,18 +131,18 @@
     await web.start()
     one, told = directory()
     host, _, port = web.address.partition(":")
-    watch = Watch((host, int(port)), one, 1, must_ask=False)
-    watch.times = Times(hold=0.1, late=0.3, patience=0.3, first_pause=0.05, most_pause=1.0)
+    watch = DiscoveryWatch((host, int(port)), one, 1, must_ask=False)
+    watch.times = PollTimes(hold=0.1, late=0.3, patience=0.3, first_pause=0.05, most_pause=1.0)
     watch.start()
-    await soon(lambda: one.rev == 10 and len(web.got) > 8)
+    await soon(lambda: one.version == 10 and len(web.got) > 8)
     targets = [asked[1] for asked in web.got[:9]]
     full, after = b"/api/targets", b"/api/targets?from=%d&hold_ms=100"
     assert targets == [full, after % 7, after % 8, full, after % 9, full, full, full, after % 10]
     assert [event.kind for event in told] == [
-        api.ListKind.FULL,
-        api.ListKind.DELTA,
-        api.ListKind.FULL,
-        api.ListKind.FULL,
+        api.EndpointUpdateKind.FULL,
+        api.EndpointUpdateKind.DELTA,
+        api.EndpointUpdateKind.FULL,
+        api.EndpointUpdateKind.FULL,
     ]
     watch.stop()
     await web.stop()
@@ -153,10 +153,10 @@
     await web.start()
     one, told = directory()
     host, _, port = web.address.partition(":")
-    watch = Watch((host, int(port)), one, 1, must_ask=True)
+    watch = DiscoveryWatch((host, int(port)), one, 1, must_ask=True)
     watch.start()
     await soon(lambda: told)
-    assert told[0].kind is api.ListKind.FAILED and len(web.got) == 1
+    assert told[0].kind is api.EndpointUpdateKind.FAILED and len(web.got) == 1
     await soon(lambda: watch.task is not None and watch.task.done())
     watch.start()
     await soon(lambda: len(told) == 2)
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -15,17 +15,29 @@
 from peers import MISS, PATIENCE, Bench, Cache, Caller, Web, entry, hit, router, soon
 from program import ROOT, configuration, listing, started
 
-from rainhitch.node import pool
-from rainhitch.node.call import Call, Exchange
-from rainhitch.node.client import Client
-from rainhitch.node.driver import Attempt, Held
-from rainhitch.node.pool import Connection, Pool
-from rainhitch.node.slot import Slot
-from rainhitch.policy.jobs import Job
-from rainhitch.policy.servers import Server
+from rainhitch.node import connection_pool
+from rainhitch.node.client_connection import ClientConnection
+from rainhitch.node.client_request import ClientRequest, Exchange
+from rainhitch.node.connection_pool import ConnectionPool, UpstreamConnection
+from rainhitch.node.request_driver import Attempt, InFlightRequest
+from rainhitch.node.response_slot import ResponseSlot
+from rainhitch.policy.pending_request import PendingRequest
+from rainhitch.policy.server_registry import Server
 from rainhitch.protocol.resp import command
 
-KINDS = (Client, Slot, Held, Attempt, Call, Exchange, Connection, Pool, Job, Server, asyncio.Task)
+KINDS = (
+    ClientConnection,
+    ResponseSlot,
+    InFlightRequest,
+    Attempt,
+    ClientRequest,
+    Exchange,
+    UpstreamConnection,
+    ConnectionPool,
+    PendingRequest,
+    Server,
+    asyncio.Task,
+)
 
 
 def alive() -> Counter[str]:
@@ -39,7 +51,7 @@
     for n in rounds:
         new = entry(f"c{n}", bench.cache.address, boot_ms=1)
         origin = entry("o", bench.origin.address, model="origin")
-        bench.directory.take({"rev": 10 + n, "all": True, "targets": [new, origin]})
+        bench.directory.apply({"rev": 10 + n, "all": True, "targets": [new, origin]})
         caller = await bench.caller()
         for m in range(6):
             caller.get(b"key-%d-%d" % (n, m), b"id-%d-%d" % (n, m))
@@ -52,11 +64,11 @@
         assert str(await other.answer()).startswith("ERR ")
         other.writer.close()
         bench.callers.remove(other)
-        await soon(lambda: not bench.clients.open and not bench.driver.held)
+        await soon(lambda: not bench.clients.open and not bench.driver.requests)
 
 
 async def test_nothing_grows_in_a_long_churn(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     replies = [hit(), MISS, b"-BUSY\r\n", b"-ERR failed\r\n", b"noise", None]
 
     def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
@@ -71,14 +83,20 @@
         await churn(bench, range(10, 70))
         await soon(lambda: all(not one.all for one in bench.pools.leaving))
         balancer, clients = bench.driver.balancer, bench.clients
-        assert len(balancer.fleet.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
-        assert not balancer.jobs and not balancer.gate.reads and not balancer.fetches
+        assert len(balancer.servers.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
+        assert (
+            not balancer.requests
+            and not balancer.origin_admission.reads_in_flight
+            and not balancer.coalesced_reads
+        )
         assert len(balancer.placement.ranges.chains) <= 2
-        assert len(bench.pools.leaving) <= 1 and bench.driver.held_bytes == 0
-        assert not clients.awaited and not clients.idle and not clients.lingering and clients.buffered == 0
+        assert len(bench.pools.leaving) <= 1 and bench.driver.request_bytes == 0
+        assert (
+            not clients.awaited and not clients.idle and not clients.lingering and clients.buffered_bytes == 0
+        )
         grown = {name: (before[name], many) for name, many in alive().items() if many > before[name] + 8}
         # Jobs wait in the agenda for their aim to end, and no longer; they are bounded by time, not here.
-        assert grown.keys() <= {"Job"}
+        assert grown.keys() <= {"PendingRequest"}
 
 
 async def test_a_dial_that_never_comes_up_leaves_no_descriptor() -> None:
@@ -102,7 +120,9 @@
                 caller.get(name=b"i%d" % n, info=b"c=once,t=acme,d=9000")
                 assert str(await caller.answer()).startswith("BUSY")
             await soon(lambda: len(os.listdir("/proc/self/fd")) == before)
-            assert not bench.pools.pools["c0"].all and bench.driver.balancer.fleet.servers["c0"].out == 0
+            assert (
+                not bench.pools.pools["c0"].all and bench.driver.balancer.servers.servers["c0"].in_flight == 0
+            )
         for one in queued:
             one.close()
 
--- a/tests/node/test_hostile.py
+++ b/tests/node/test_hostile.py
@@ -7,10 +7,10 @@
 import pytest
 from peers import FETCHED, MISS, Bench, Cache, Web, entry, hit, http, info, router, soon
 
-from rainhitch.node import client as client_module
-from rainhitch.node import clients, pool
-from rainhitch.node.call import CallError, read_call
-from rainhitch.node.client import Client
+from rainhitch.node import client_connection as client_module
+from rainhitch.node import client_connections, connection_pool
+from rainhitch.node.client_connection import ClientConnection
+from rainhitch.node.client_request import ClientRequestError, parse_client_request
 from rainhitch.protocol import resp
 from rainhitch.settings import read_names
 from rainhitch.system import REAL
@@ -24,7 +24,7 @@
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
     """Connections that say nothing, or dribble, were kept for good."""
-    monkeypatch.setattr(clients, "UNFINISHED", 0.3)
+    monkeypatch.setattr(client_connections, "UNFINISHED", 0.3)
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(sent)
@@ -38,7 +38,7 @@
 
 
 async def test_dribbling_gains_a_client_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "UNFINISHED", 0.3)
+    monkeypatch.setattr(client_connections, "UNFINISHED", 0.3)
     async with router() as bench:
         caller = await bench.caller()
         caller.get()
@@ -56,7 +56,7 @@
 
 async def test_at_the_cap_the_longest_idle_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """A newcomer was turned away while others had asked once and stayed. Whose request is open stays."""
-    monkeypatch.setattr(clients, "SPARED", 0.0)
+    monkeypatch.setattr(client_connections, "SPARED", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=3) as bench:
         busy = await bench.caller()
         busy.get(name=b"open")
@@ -77,7 +77,7 @@
 
 async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that may hold a third of the descriptors had none left, while theirs stood idle here."""
-    monkeypatch.setattr(clients, "SPARED", 0.2)
+    monkeypatch.setattr(client_connections, "SPARED", 0.2)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=6) as bench:
         busy = await bench.caller()
         busy.get(name=b"open")
@@ -95,7 +95,7 @@
     """A crowd was turned away at half of the descriptors while a third of them was free."""
     async with router(sockets=2) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # who is idle makes room for nobody
-        bench.clients.more = lambda: 4 - bench.pools.open()
+        bench.clients.extra_capacity = lambda: 4 - bench.pools.open()
         bench.pools.left = lambda: 4 - len(bench.clients.open)
         many = [await bench.caller() for _ in range(4)]
         for one in many:
@@ -115,9 +115,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Newcomers were turned away while half the connections to servers were idle."""
-    monkeypatch.setattr(pool, "SETTLE", 60.0)  # so that each request opens another
+    monkeypatch.setattr(connection_pool, "SETTLE", 60.0)  # so that each request opens another
     async with router(sockets=3) as bench:
-        bench.clients.spare = bench.pools.spare
+        bench.clients.release_upstream = bench.pools.spare
         for n in range(3):
             caller = await bench.caller()
             caller.get(name=b"i%d" % n)
@@ -130,7 +130,7 @@
 
 async def test_what_a_client_has_sent_unread_keeps_its_place(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closing it would have lost a request that lay in the socket."""
-    monkeypatch.setattr(clients, "SPARED", 0.0)
+    monkeypatch.setattr(client_connections, "SPARED", 0.0)
     async with router(sockets=1) as bench:
         caller = await bench.caller()
         caller.get()
@@ -141,7 +141,7 @@
         caller.get(name=b"i2")
         raw = caller.writer.get_extra_info("socket")
         assert raw is not None and one.unread()
-        assert not bench.clients.admit(Client(bench.clients))
+        assert not bench.clients.admit(ClientConnection(bench.clients))
         assert await caller.answer() == b"v"
 
 
@@ -156,7 +156,7 @@
         assert str(await caller.answer()) == "ERR Protocol error: invalid or oversized length"
         await soon(lambda: client not in bench.clients.open)
         assert client.spilt <= (1 << 16) + (256 << 10)
-        assert not bench.clients.lingering and bench.clients.buffered == 0
+        assert not bench.clients.lingering and bench.clients.buffered_bytes == 0
 
 
 async def test_hundreds_of_commands_at_once_do_not_starve_the_others() -> None:
@@ -165,19 +165,19 @@
         usual.send(b"PING")
         assert await usual.answer() == b"PONG"
         turns: list[int] = []
-        take_up = Client._take_up
+        take_up = ClientConnection._take_up
 
-        def counted(self: Client, most: int) -> int:
+        def counted(self: ClientConnection, most: int) -> int:
             turns.append(take_up(self, most))
             return turns[-1]
 
-        Client._take_up = counted  # type: ignore[method-assign]
+        ClientConnection._take_up = counted  # type: ignore[method-assign]
         try:
             greedy.writer.write(resp.command(b"PING") * 1000)
             for _ in range(1000):
                 assert await greedy.answer() == b"PONG"
         finally:
-            Client._take_up = take_up  # type: ignore[method-assign]
+            ClientConnection._take_up = take_up  # type: ignore[method-assign]
         assert max(turns) <= client_module.MOST_IN_A_TURN and sum(turns) == 1000
 
 
@@ -194,13 +194,13 @@
         for n in range(8):
             seen.append(f"i{n}")
             caller.get(name=b"i%d" % n)
-            await soon(lambda: len(bench.cache.got) == len(seen) and len(bench.driver.held) == 1)
-        assert bench.clients.buffered <= 200_000
+            await soon(lambda: len(bench.cache.got) == len(seen) and len(bench.driver.requests) == 1)
+        assert bench.clients.buffered_bytes <= 200_000
         bench.cache.lines[0].write(hit(b"at last"))
         answers = [await caller.answer() for _ in range(9)]
         assert answers[0] == b"at last" and answers.count(value) == 3
         assert [str(one) for one in answers[1:] if one != value] == ["ERR failed"] * 5
-        await soon(lambda: bench.clients.buffered == 0)
+        await soon(lambda: bench.clients.buffered_bytes == 0)
 
 
 @pytest.mark.parametrize(
@@ -224,10 +224,10 @@
 )
 def test_what_the_protocol_does_not_allow_is_not_taken(parts: Any) -> None:
     names = read_names(info())
-    with pytest.raises(CallError):
-        read_call(list(parts), names)
-    read_call([b"C.GET", b"k", b"i", INFO + b",h=120,size=1800,r=1"], names)
-    read_call([b"C.SET", b"k", b"i", b"c=put,t=acme,d=9000,k=5c0f", b"v"], names)
+    with pytest.raises(ClientRequestError):
+        parse_client_request(list(parts), names)
+    parse_client_request([b"C.GET", b"k", b"i", INFO + b",h=120,size=1800,r=1"], names)
+    parse_client_request([b"C.SET", b"k", b"i", b"c=put,t=acme,d=9000,k=5c0f", b"v"], names)
 
 
 async def test_a_command_without_parts_gets_an_error() -> None:
@@ -339,7 +339,7 @@
 async def test_a_second_copy_behind_an_answer_is_not_the_next_answer(
     monkeypatch: pytest.MonkeyPatch, behind: bytes
 ) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         assert await reused(bench, behind) == b"i2"
         assert len(bench.cache.lines) == 2
@@ -347,7 +347,7 @@
 
 async def test_a_connection_rests_after_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """What comes right behind an answer may come a little after it."""
-    monkeypatch.setattr(pool, "SETTLE", 1000.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 1000.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         caller = await bench.caller()
         for n in range(2):
@@ -367,29 +367,29 @@
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", none_left)
         caller.get(info=ONCE)
         assert str(await caller.answer()).startswith("BUSY")
-        assert bench.driver.balancer.fleet.servers["c0"].fails == 0
+        assert bench.driver.balancer.servers.servers["c0"].consecutive_failures == 0
         assert not bench.pools.pools["c0"].all
 
 
 async def test_a_new_server_at_an_old_address_owes_nothing_of_the_old_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
         new = entry("c9", bench.cache.address, boot_ms=1)
         origin = entry("o", bench.origin.address, model="origin")
-        bench.directory.take({"rev": 9, "all": True, "targets": [new, origin]})
+        bench.directory.apply({"rev": 9, "all": True, "targets": [new, origin]})
         bench.cache.lines[0].transport.abort()
         other = await bench.caller()
         other.get(name=b"i2")
         assert await other.answer() == b"v"
-        servers, pools = bench.driver.balancer.fleet.servers, bench.pools
-        await soon(lambda: not bench.driver.held)
+        servers, pools = bench.driver.balancer.servers.servers, bench.pools
+        await soon(lambda: not bench.driver.requests)
         assert set(servers) == {"c9", "o"} and set(pools.pools) == {"c9", "o"}
-        assert servers["c9"].fails == 0 and servers["c9"].out == 0
+        assert servers["c9"].consecutive_failures == 0 and servers["c9"].in_flight == 0
         assert not any(one.all for one in pools.leaving)
 
 
@@ -408,12 +408,16 @@
         for n in range(60):
             caller.get(b"k%d" % n, b"%d" % n)
             await caller.answer()
-        await soon(lambda: not bench.driver.held)
+        await soon(lambda: not bench.driver.requests)
         balancer = bench.driver.balancer
-        assert not balancer.jobs and not balancer.fetches and not balancer.gate.reads
+        assert (
+            not balancer.requests
+            and not balancer.coalesced_reads
+            and not balancer.origin_admission.reads_in_flight
+        )
         await soon(lambda: all(len(one.all) == len(one.idle) for one in bench.pools.pools.values()))
-        assert not any(one.out for one in balancer.fleet.servers.values())
-        assert bench.driver.held_bytes == 0
+        assert not any(one.in_flight for one in balancer.servers.servers.values())
+        assert bench.driver.request_bytes == 0
 
 
 def test_a_socket_that_is_closed_by_its_peer_is_readable() -> None:
@@ -444,8 +448,8 @@
         ]
 
     async with router(lambda asked, line: None, entries=entries) as bench:
-        for one in bench.driver.balancer.fleet.servers.values():
-            one.latency = one.base = 1e7
+        for one in bench.driver.balancer.servers.servers.values():
+            one.latency_ns = one.uncrowded_latency_ns = 1e7
         caller = await bench.caller()
         names = [b"k%d" % n for n in range(40)]
         crossed = next(
@@ -469,8 +473,8 @@
                 late.get(name=b"late%d" % n)
             assert str(await late.answer()) == "BUSY"
             assert await late.answer() is None
-        await soon(lambda: bench.driver.tally.shed[0] == 20)  # each was refused, if at the door
-        await soon(lambda: len(bench.clients.turned) <= clients.MOST_TURNED)
+        await soon(lambda: bench.driver.metrics.rejected[0] == 20)  # each was refused, if at the door
+        await soon(lambda: len(bench.clients.turned) <= client_connections.MOST_TURNED)
         assert len(bench.clients.open) == 1 and not bench.cache.got
 
 
@@ -478,6 +482,6 @@
     async with router(sockets=1) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # the first one makes room for nobody
         await (await bench.caller()).answer_to_ping()
-        many = [await bench.caller() for _ in range(3 * clients.MOST_TURNED)]
+        many = [await bench.caller() for _ in range(3 * client_connections.MOST_TURNED)]
         await soon(lambda: bench.clients.told["turned away"] == len(many))
-        await soon(lambda: len(bench.clients.turned) <= clients.MOST_TURNED)
+        await soon(lambda: len(bench.clients.turned) <= client_connections.MOST_TURNED)
--- a/tests/node/test_lag.py
+++ b/tests/node/test_lag.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainhitch.node.lag import HEARTBEAT, OVERDUE, SLOW, LoopLag
+from rainhitch.node.loop_lag import HEARTBEAT, OVERDUE, SLOW, LoopLag
 
 MILLI = 1_000_000
 
--- a/tests/node/test_long.py
+++ b/tests/node/test_long.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from peers import MISS, PATIENCE, Bench, Caller, hit, http, router, soon
 
-from rainhitch.node import pool
+from rainhitch.node import connection_pool
 from rainhitch.node import relay as relay_module
 from rainhitch.protocol import resp
 
@@ -50,7 +50,7 @@
 
 
 async def test_a_long_value_goes_on_while_it_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     asked, script = holding()
     async with router(script) as bench:
         caller = await bench.caller()
@@ -59,7 +59,7 @@
         line.write(HEAD + VALUE[:70_000])
         head = b"$%d\r\n" % SIZE
         assert await raw(caller, len(head) + 70_000) == head + VALUE[:70_000]
-        assert bench.driver.tally.active == 1 and bench.driver.tally.ok == [0, 0, 0]
+        assert bench.driver.metrics.in_flight == 1 and bench.driver.metrics.served == [0, 0, 0]
         line.write(VALUE[70_000:] + TAIL)
         assert await raw(caller, SIZE - 70_000 + 2) == VALUE[70_000:] + b"\r\n"
         caller.get(name=b"i2")  # over the same connections
@@ -67,11 +67,11 @@
         assert again is line
         again.write(hit(b"short"))
         assert await caller.answer() == b"short"
-        assert bench.driver.tally.ok[0] == 2 and not bench.driver.held
+        assert bench.driver.metrics.served[0] == 2 and not bench.driver.requests
 
 
 async def test_a_long_value_of_the_origin_goes_on_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router(lambda asked, line: MISS, lambda asked, line: http(200, VALUE)) as bench:
         caller = await bench.caller()
         for name in (b"i1", b"i2"):
@@ -95,8 +95,8 @@
         caller = await bench.caller()
         caller.get()
         assert len(await rest(caller)) < len(b"$%d\r\n" % SIZE) + SIZE  # not even its last byte
-        await soon(lambda: not bench.driver.held and not bench.pools.open())
-        assert bench.driver.tally.errors[0] == 1 and not bench.driver.tally.ok[0]
+        await soon(lambda: not bench.driver.requests and not bench.pools.open())
+        assert bench.driver.metrics.failed[0] == 1 and not bench.driver.metrics.served[0]
 
 
 async def test_a_server_that_ends_in_the_middle_ends_its_client_too() -> None:
@@ -109,7 +109,7 @@
         await raw(caller, 500)
         line.transport.abort()
         assert len(await rest(caller)) < SIZE
-        await soon(lambda: not bench.driver.held and not bench.clients.open)
+        await soon(lambda: not bench.driver.requests and not bench.clients.open)
 
 
 async def test_a_server_that_stops_in_the_middle_is_waited_for_so_long(
@@ -123,7 +123,7 @@
         (line,) = await soon(lambda: asked)
         line.write(HEAD + VALUE[:1000])
         assert len(await rest(caller)) < SIZE
-        await soon(lambda: not bench.pools.open() and not bench.driver.held)
+        await soon(lambda: not bench.pools.open() and not bench.driver.requests)
 
 
 async def test_a_client_that_goes_in_the_middle_frees_the_servers_side() -> None:
@@ -135,8 +135,8 @@
         line.write(HEAD + VALUE[:1000])
         await raw(caller, 500)
         caller.writer.transport.abort()
-        await soon(lambda: not bench.driver.held and not bench.pools.open())
-        assert bench.driver.tally.errors[0] == 1 and bench.driver.tally.active == 0
+        await soon(lambda: not bench.driver.requests and not bench.pools.open())
+        assert bench.driver.metrics.failed[0] == 1 and bench.driver.metrics.in_flight == 0
 
 
 async def test_a_client_that_had_left_before_costs_no_more_than_the_connection() -> None:
@@ -148,7 +148,7 @@
         caller.writer.transport.abort()
         await soon(lambda: not bench.clients.open)
         line.write(HEAD + VALUE + TAIL)
-        await soon(lambda: not bench.driver.held and not bench.pools.open())
+        await soon(lambda: not bench.driver.requests and not bench.pools.open())
 
 
 async def slow_caller(bench: Bench) -> tuple[Caller, socket.socket]:
@@ -171,9 +171,9 @@
             caller.get(name=b"i%d" % n)
         await soon(lambda: sum(one.blocked for one in bench.clients.open) == 4)
         await asyncio.sleep(0.2)  # so that all would come that is going to come
-        relays = [held.relay for held in bench.driver.held.values() if held.relay is not None]
+        relays = [held.relay for held in bench.driver.requests.values() if held.relay is not None]
         assert len(relays) == 4 and all(one.held for one in relays)
-        kept = bench.clients.buffered + sum(len(one.pending) for one in relays)
+        kept = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
         assert kept < len(long)  # of four such values
         for caller in callers:
             assert await caller.answer() == long
@@ -192,7 +192,7 @@
         caller = await bench.caller()
         for name in (b"i1", b"i2", b"i3"):
             caller.get(name=name)
-        await soon(lambda: any(held.relay is not None for held in bench.driver.held.values()))
+        await soon(lambda: any(held.relay is not None for held in bench.driver.requests.values()))
         first[0].write(hit(b"first"))
         assert [await caller.answer() for _ in range(3)] == [b"first", VALUE, b"third"]
 
@@ -210,7 +210,7 @@
         caller = await bench.caller()
         for name in (b"i1", b"i2", b"i3"):
             caller.get(name=name)
-        await soon(lambda: bench.driver.tally.errors[0] == 1)
+        await soon(lambda: bench.driver.metrics.failed[0] == 1)
         first[0].write(hit(b"first"))
         answers = [await caller.answer() for _ in range(3)]
         assert answers[0] == b"first" and VALUE in answers
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -9,14 +9,14 @@
 from support import SECOND, Router, settings
 
 from rainhitch import interface as api
-from rainhitch.node.polling import ASKED, PUSHED, TOLD, Polling, Times
-from rainhitch.policy.servers import ASK_AGAIN
+from rainhitch.node.polling import ASKED, PUSHED, TOLD, PollSchedule, PollTimes
+from rainhitch.policy.server_registry import ASK_AGAIN
 
 ALL = 1.0  # the longest that a pause may be: no jitter
 
 
 def known_after(
-    times: Times,
+    times: PollTimes,
     asked: bool,
     change: float,
     outages: list[tuple[float, float]],
@@ -37,7 +37,7 @@
     def broken(start: float, end: float) -> bool:
         return any(down < end and start < back for down, back in outages)
 
-    polling, now, known = Polling(times, asked, lambda: jitter), begin, False
+    polling, now, known = PollSchedule(times, asked, lambda: jitter), begin, False
     while True:
         call = polling.call()
         until = now + call.patience
@@ -59,13 +59,17 @@
 
 
 @pytest.mark.parametrize(("times", "asked"), [(PUSHED, False), (ASKED, True)])
-def test_the_bound_is_the_sum_of_its_parts_with_a_reserve_for_a_late_loop(times: Times, asked: bool) -> None:
+def test_the_bound_is_the_sum_of_its_parts_with_a_reserve_for_a_late_loop(
+    times: PollTimes, asked: bool
+) -> None:
     assert times.longest() <= TOLD - 0.5
     assert times.most_pause >= ASK_AGAIN / SECOND or not asked
 
 
 @pytest.mark.parametrize(("times", "asked"), [(PUSHED, False), (ASKED, True)])
-def test_no_interleaving_of_outages_and_silences_hides_a_change_for_longer(times: Times, asked: bool) -> None:
+def test_no_interleaving_of_outages_and_silences_hides_a_change_for_longer(
+    times: PollTimes, asked: bool
+) -> None:
     grid = [n * 0.4 for n in range(18)]
     lengths = [0.2, 1.0, 2.6, 8.0]
     worst = 0.0
@@ -84,7 +88,11 @@
     st.floats(0.5, 1),
 )
 def test_nor_does_any_history(
-    kind: tuple[Times, bool], change: float, outages: list[tuple[float, float]], silent: float, jitter: float
+    kind: tuple[PollTimes, bool],
+    change: float,
+    outages: list[tuple[float, float]],
+    silent: float,
+    jitter: float,
 ) -> None:
     downs, end = [], 0.0
     for start, length in sorted(outages):
@@ -99,7 +107,7 @@
 
 
 def test_a_failed_watch_is_followed_by_a_call_also_where_the_decisions_choose() -> None:
-    polling = Polling(ASKED, True, lambda: ALL)
+    polling = PollSchedule(ASKED, True, lambda: ALL)
     polling.answered()
     assert polling.call().hold == ASKED.hold
     assert polling.failed() == ASKED.first_pause  # it may be the watch alone that broke
@@ -110,7 +118,7 @@
 
 
 def test_the_decisions_ask_again_in_time_however_often_it_failed() -> None:
-    router = Router(settings(must_ask=True))
+    router = Router(settings(endpoints_polled=True))
     for _ in range(8):
-        router.tell(api.Members(api.ListKind.FAILED, []))
-        assert api.Watch() in router.wait(ASK_AGAIN)
+        router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
+        assert api.WatchEndpoints() in router.wait(ASK_AGAIN)
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -10,10 +10,10 @@
 from peers import MISS, Cache, Web, entry, hit, http, router, soon
 
 from rainhitch import interface as api
-from rainhitch.node import pool
-from rainhitch.node.call import Call, Exchange
+from rainhitch.node import connection_pool
+from rainhitch.node.client_request import ClientRequest, Exchange
 from rainhitch.node.deadlines import WAY_BACK
-from rainhitch.node.driver import Held
+from rainhitch.node.request_driver import InFlightRequest
 from rainhitch.protocol import resp
 
 INFO = b"c=read,t=acme,d=9000"
@@ -90,13 +90,13 @@
         caller.get(name=b"i1")
         caller.get(name=b"i2")
         caller.send(b"PING")
-        await soon(lambda: len(bench.cache.got) == 2 and not bench.driver.held.keys() - {"i1"})
+        await soon(lambda: len(bench.cache.got) == 2 and not bench.driver.requests.keys() - {"i1"})
         slow[0].write(hit(b"i1"))
         assert [await caller.answer() for _ in range(3)] == [b"i1", b"i2", b"PONG"]
 
 
 async def test_one_connection_serves_one_attempt_after_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router() as bench:
         caller = await bench.caller()
         for n in range(20):
@@ -114,7 +114,7 @@
         assert isinstance(answer, hiredis.ReplyError) and str(answer) == "ERR failed"
         assert time.monotonic() - begun >= 0.2
         await soon(lambda: bench.cache.ended == 1)
-        assert len(bench.cache.got) == 1 and not bench.driver.held
+        assert len(bench.cache.got) == 1 and not bench.driver.requests
 
 
 @pytest.mark.parametrize("info", [once(), INFO])
@@ -147,15 +147,15 @@
         await asyncio.sleep(0.1)
         writer.transport.abort()
 
-    statuses: list[api.Status] = []
+    statuses: list[api.AttemptStatus] = []
     async with router() as bench:
         pool = bench.pools.pools["o"]
         server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
-        pool.endpoint = server.sockets[0].getsockname()[:2]
-        call = Call(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, 0, 9000, False)
+        pool.address = server.sockets[0].getsockname()[:2]
+        call = ClientRequest(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, 0, 9000, False)
         pool.start(Exchange(call, 9000, lambda ending: statuses.append(ending.status), unwanted))
         await soon(lambda: statuses)
-        assert statuses == [api.Status.CONNECT_FAILED]
+        assert statuses == [api.AttemptStatus.CONNECT_FAILED]
         server.close()
 
 
@@ -193,25 +193,25 @@
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", once(900), b"value")
         assert str(await caller.answer()) == answer
-        await soon(lambda: not bench.driver.held)
+        await soon(lambda: not bench.driver.requests)
 
 
 async def test_a_client_that_leaves_is_withdrawn_and_its_attempt_runs_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
         caller.writer.close()
-        await soon(lambda: not bench.driver.held["i1"].open)
+        await soon(lambda: not bench.driver.requests["i1"].open)
         bench.cache.lines[0].write(hit())
-        await soon(lambda: not bench.driver.held)
+        await soon(lambda: not bench.driver.requests)
         other = await bench.caller()
         other.get(name=b"i2")
         assert await other.answer() == b"v"
-        assert len(bench.cache.lines) == 1 and "i1" not in bench.driver.balancer.jobs
+        assert len(bench.cache.lines) == 1 and "i1" not in bench.driver.balancer.requests
 
 
 @pytest.mark.parametrize(
@@ -277,16 +277,16 @@
         caller = await bench.caller()
         for n in range(2):
             caller.get(name=b"i%d" % n)
-        await soon(lambda: len(bench.driver.held) == 2)
+        await soon(lambda: len(bench.driver.requests) == 2)
         other = await bench.caller()
         other.get(name=b"i3")
         assert str(await other.answer()) == "BUSY"
 
 
 async def test_a_reader_that_takes_nothing_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    from rainhitch.node import clients
+    from rainhitch.node import client_connections
 
-    monkeypatch.setattr(clients, "STUCK", 0.2)
+    monkeypatch.setattr(client_connections, "STUCK", 0.2)
     async with router(lambda asked, line: hit(bytes(resp.MOST_VALUE))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -294,8 +294,8 @@
             caller.get(name=b"i%d" % n)
         await soon(lambda: bench.clients.open)
         await soon(lambda: not bench.clients.open)
-        await soon(lambda: not bench.driver.held)
-        assert bench.clients.buffered == 0
+        await soon(lambda: not bench.driver.requests)
+        assert bench.clients.buffered_bytes == 0
 
 
 async def test_a_fault_in_a_decision_fails_that_request_and_no_other(
@@ -315,7 +315,7 @@
         caller.get(name=b"good")
         assert str(await caller.answer()) == "ERR failed"
         assert await caller.answer() == b"v"
-        assert "ZeroDivisionError" in caplog.text and not bench.driver.held
+        assert "ZeroDivisionError" in caplog.text and not bench.driver.requests
 
 
 async def test_a_request_that_the_decisions_lose_fails_in_time() -> None:
@@ -323,13 +323,13 @@
         bench.driver.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
-        (held,) = await soon(lambda: list(bench.driver.held.values()))
+        (held,) = await soon(lambda: list(bench.driver.requests.values()))
         # The guard comes after the decisions' deadline and before the client's.
         assert held.guard.when() * 1e9 - held.deadline < WAY_BACK
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver._overdue(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
-        assert not bench.driver.held
+        assert not bench.driver.requests
 
 
 async def test_a_close_by_the_server_is_noticed_at_once() -> None:
@@ -346,9 +346,9 @@
 async def test_an_idle_connection_is_closed_well_before_the_server_does(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    from rainhitch.node import pool
+    from rainhitch.node import connection_pool
 
-    monkeypatch.setattr(pool, "SWEEP", 0.05)
+    monkeypatch.setattr(connection_pool, "SWEEP", 0.05)
     async with router(keepalive=200_000_000) as bench:
         caller = await bench.caller()
         caller.get()
@@ -388,8 +388,8 @@
         def impatient(now: int, event: api.Event) -> list[api.Action]:
             actions = handle(now, event)
             for action in actions:
-                if isinstance(action, api.Send) and len(order) == 0:
-                    action.timeout = 200_000_000
+                if isinstance(action, api.StartAttempt) and len(order) == 0:
+                    action.timeout_ns = 200_000_000
             return actions
 
         bench.driver.balancer.handle = impatient  # type: ignore[method-assign]
@@ -449,18 +449,18 @@
         assert idle.transport is not None
         idle.transport.close()  # as the end of the stream does; the rest comes in the next round
         endings: list[Any] = []
-        call = Call(b"C.GET", b"k", b"i2", INFO, None, 0, 0, 9000, False)
+        call = ClientRequest(b"C.GET", b"k", b"i2", INFO, None, 0, 0, 9000, False)
         pool = bench.pools.pools["c0"]
         pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, endings.append, unwanted))
         await soon(lambda: endings)
-        assert endings[0].status is api.Status.OK
+        assert endings[0].status is api.AttemptStatus.OK
 
 
 async def test_answered_requests_leave_no_cycles() -> None:
     """Values of up to 64 KiB were kept until the collector came by."""
 
-    def kept() -> list[Held]:
-        return [one for one in gc.get_objects() if isinstance(one, Held)]
+    def kept() -> list[InFlightRequest]:
+        return [one for one in gc.get_objects() if isinstance(one, InFlightRequest)]
 
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
@@ -499,7 +499,7 @@
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
         caller.get(name=b"i2", info=once())
-        await soon(lambda: len(bench.driver.held) == 1)
+        await soon(lambda: len(bench.driver.requests) == 1)
         bench.cache.lines[0].write(hit())
         assert await caller.answer() == b"v"
         assert str(await caller.answer()) == "BUSY"
--- a/tests/storms/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -4,25 +4,25 @@
 from support import SECOND
 
 from rainhitch import interface as api
+from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
 from rainhitch.rehearsal.population import Course, Crowd, World
-from rainhitch.storms.damper import Damper
 
 SETTINGS = api.Settings(
     [
-        api.RequestClass(SECOND, 3 * SECOND, late_worth=0.3),
-        api.RequestClass(SECOND, 3 * SECOND, api.Effect.KEYED, "all", 5 * SECOND),
+        api.RequestClass(SECOND, 3 * SECOND, late_weight=0.3),
+        api.RequestClass(SECOND, 3 * SECOND, api.Idempotency.IDEMPOTENCY_KEY, "all", 5 * SECOND),
     ],
     max_attempts=4,
-    retry_after=True,
-    max_retry_after=2 * SECOND,
+    retry_after_allowed=True,
+    max_retry_after_ns=2 * SECOND,
 )
 
 
 def played(seed: int = 1, **changes: object) -> Course:
     values: dict[str, object] = {"rate": 150.0, "storm": 3000, "storm_at": 6.0, "length_s": 18.0}
     crowd = Crowd(**{**values, **changes})  # type: ignore[arg-type]
-    return World(crowd, SETTINGS, lambda told: Balancer(told, 7, Damper(told, 7)), seed).play()
+    return World(crowd, SETTINGS, lambda told: Balancer(told, 7, OverloadController(told, 7)), seed).play()
 
 
 @pytest.mark.parametrize(
--- a/tests/storms/test_damper.py
+++ b/tests/overload/test_damper.py
@@ -4,34 +4,34 @@
 from support import MILLI, SECOND, Router, settings
 
 from rainhitch import interface as api
-from rainhitch.storms.damper import Damper, Options
-from rainhitch.storms.detector import PERIOD
+from rainhitch.overload.controller import OverloadController, OverloadOptions
+from rainhitch.overload.storm_detector import PERIOD
 
-S = api.Status
+S = api.AttemptStatus
 
 
-def damped(**changes: object) -> tuple[Router, Damper]:
+def damped(**changes: object) -> tuple[Router, OverloadController]:
     options = settings(**changes)
-    damper = Damper(options, 7)
+    damper = OverloadController(options, 7)
     return Router(options, damper=damper), damper
 
 
-def storm(router: Router, damper: Damper) -> None:
+def storm(router: Router, damper: OverloadController) -> None:
     """Connects by the hundred, until the damper has seen them for what they are."""
     for _ in range(4):
         for _ in range(200):
-            damper.connected(router.now, 200)
+            damper.connection_accepted(router.now, 200)
         for n in range(10):
-            request = api.Request(f"s{router.now}.{n}", 0, router.now + SECOND, f"s{n}", repeat=True)
+            request = api.Request(f"s{router.now}.{n}", 0, router.now + SECOND, f"s{n}", is_client_retry=True)
             for action in router.tell(request):
-                if isinstance(action, api.Send):
+                if isinstance(action, api.StartAttempt):
                     router.end(action, S.OK)
         router.wait(PERIOD)
-    assert damper.storm
+    assert damper.storm_active
 
 
-def refusals(actions: list[api.Action]) -> list[api.Refuse]:
-    return [one for one in actions if isinstance(one, api.Refuse)]
+def refusals(actions: list[api.Action]) -> list[api.Reject]:
+    return [one for one in actions if isinstance(one, api.Reject)]
 
 
 def test_a_storm_is_told_in_one_line_at_its_begin_and_one_at_its_end() -> None:
@@ -41,15 +41,15 @@
         router.wait(PERIOD)
     lines = [line for line in router.log if line.startswith("storm")]
     assert [line.split(":")[0].split(" after")[0] for line in lines] == ["storm seen", "storm over"]
-    assert "limit" in lines[1] and not damper.storm
+    assert "limit" in lines[1] and not damper.storm_active
 
 
 def test_in_a_storm_what_is_beyond_the_limit_is_refused_at_once_with_a_time() -> None:
-    router, damper = damped(retry_after=True, max_retry_after=2 * SECOND)
+    router, damper = damped(retry_after_allowed=True, max_retry_after_ns=2 * SECOND)
     storm(router, damper)
     damper.limit.limit = 3.0
     assert not refusals(router.ask("a")[1]) and not refusals(router.ask("b")[1])
-    told = [refusals(router.ask(f"c{n}")[1])[0].retry_after for n in range(5)]
+    told = [refusals(router.ask(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
     assert all(0 < one <= 2 * SECOND for one in told) and len(set(told)) == 5
 
 
@@ -75,14 +75,14 @@
         _, (first,) = router.ask(f"m{n}")
         assert damper.limit.in_work == 1
         (second,) = router.end(first, S.MISS)
-        assert isinstance(second, api.Send) and second.server == "origin"
+        assert isinstance(second, api.StartAttempt) and second.server == "origin"
     assert damper.limit.in_work == 0
 
 
-def finish(router: Router, actions: list[api.Action], status: api.Status) -> list[api.Action]:
+def finish(router: Router, actions: list[api.Action], status: api.AttemptStatus) -> list[api.Action]:
     """Ends every attempt of a request so, until it has its answer."""
     number = 0
-    while actions and isinstance(actions[0], api.Send):
+    while actions and isinstance(actions[0], api.StartAttempt):
         actions = router.end(actions[0], status, number)
         number += 1
     return actions
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("damping", [True, False])
 def test_without_damping_storms_are_seen_and_nothing_is_done(damping: bool) -> None:
     options = settings()
-    damper = Damper(options, 7, Options(damping=damping))
+    damper = OverloadController(options, 7, OverloadOptions(damping=damping))
     router = Router(options, damper=damper)
     storm(router, damper)
     damper.limit.limit = 0.0
@@ -112,9 +112,9 @@
     for n in range(50):
         name, actions = router.ask(f"k{n}", cls=n % 2, write=bool(n % 2))
         if n % 3:
-            router.tell(api.Withdrawn(name))
+            router.tell(api.ClientGone(name))
         finish(router, actions, S.ERROR)
     for action in router.wait(20 * SECOND):
-        if isinstance(action, api.Send):
-            router.end(action, S.OK, router.balancer.jobs[action.id].made - 1)
+        if isinstance(action, api.StartAttempt):
+            router.end(action, S.OK, router.balancer.requests[action.id].attempts_started - 1)
     assert not damper.entered and not damper.out and damper.limit.in_work == 0
--- a/tests/storms/test_orders.py
+++ b/tests/overload/test_orders.py
@@ -6,18 +6,18 @@
 from support import MILLI, SECOND, START, Router, settings
 
 from rainhitch import interface as api
-from rainhitch.storms.damper import Damper
-from rainhitch.storms.orders import Entry, Orders
+from rainhitch.overload.controller import OverloadController
+from rainhitch.overload.idempotency_keys import Entry, IdempotencyKeyGuard
 
-S = api.Status
-SERVER = api.Member("o")
+S = api.AttemptStatus
+SERVER = api.Endpoint("o")
 WINDOW = 3 * SECOND // 2
 
 
 def storming(**changes: object) -> Router:
     """A balancer with its damper; class 1 is keyed and its repeats are dropped for WINDOW."""
     options = settings(**changes)
-    return Router(options, damper=Damper(options, 7))
+    return Router(options, damper=OverloadController(options, 7))
 
 
 def order(
@@ -34,11 +34,11 @@
     """The client gave up and came again while its order was still out: the database had it twice at once."""
     router = storming()
     (first,) = order(router, "a")
-    assert kinds([first]) == ["Send a"]
-    router.tell(api.Withdrawn("a"))
+    assert kinds([first]) == ["StartAttempt a"]
+    router.tell(api.ClientGone("a"))
     assert order(router, "b") == []
     router.wait(300 * MILLI)
-    assert kinds(router.end(first, S.OK)) == ["Send b"]
+    assert kinds(router.end(first, S.OK)) == ["StartAttempt b"]
 
 
 def test_only_one_of_several_retries_goes_at_a_time_in_the_order_they_came() -> None:
@@ -48,21 +48,21 @@
         assert order(router, name) == []
     for name in ("b", "c", "d"):
         (send,) = router.end(send, S.OK)
-        assert kinds([send]) == [f"Send {name}"]
+        assert kinds([send]) == [f"StartAttempt {name}"]
 
 
 def test_a_retry_whose_own_time_ends_while_it_waits_gets_its_one_answer() -> None:
     router = storming()
     order(router, "a", live=2 * SECOND)
     assert order(router, "b", live=SECOND) == []
-    assert kinds(router.wait(SECOND + MILLI)) == ["Refuse b"]  # repeats are still dropped, so it is harmless
+    assert kinds(router.wait(SECOND + MILLI)) == ["Reject b"]  # repeats are still dropped, so it is harmless
 
 
 def test_what_may_have_run_longer_ago_than_it_is_remembered_fails_and_is_not_sent() -> None:
     """The first attempt ran into its time-out; by the retry's turn a repeat would be carried out again."""
     router = storming()
     (first,) = order(router, "a", live=2 * SECOND)
-    router.tell(api.Withdrawn("a"))
+    router.tell(api.ClientGone("a"))
     assert order(router, "b") == []
     router.wait(WINDOW + MILLI)
     assert kinds(router.end(first, S.TIMEOUT)) == ["Fail b"]
@@ -75,41 +75,41 @@
     router.wait(WINDOW + MILLI)
     assert kinds(order(router, "b")) == ["Fail b"]
     router.wait(2 * SECOND)
-    assert kinds(order(router, "c")) == ["Send c"]
+    assert kinds(order(router, "c")) == ["StartAttempt c"]
 
 
 def test_an_attempt_that_never_ran_binds_nobody() -> None:
     router = storming()
     (first,) = order(router, "a")
-    router.tell(api.Withdrawn("a"))
+    router.tell(api.ClientGone("a"))
     router.end(first, S.FULL)
     router.wait(WINDOW + MILLI)
-    assert kinds(order(router, "b")) == ["Send b"]
+    assert kinds(order(router, "b")) == ["StartAttempt b"]
 
 
 def test_a_retry_stays_within_the_group_that_drops_its_repeats() -> None:
     """Class 3 drops repeats within a zone only; elsewhere the order would be placed again."""
-    router = storming(aside=False, origin_kind=-1)
+    router = storming(cache_aside=False, origin_kind=-1)
     (first,) = order(router, "a", cls=3)
-    assert isinstance(first, api.Send)
-    zone = router.balancer.fleet.servers[first.server].member.zone
-    router.tell(api.Withdrawn("a"))
+    assert isinstance(first, api.StartAttempt)
+    zone = router.balancer.servers.servers[first.server].endpoint.zone
+    router.tell(api.ClientGone("a"))
     order(router, "b", cls=3)
     sent = router.end(first, S.RESET)
-    while sent and isinstance(sent[0], api.Send):
-        assert router.balancer.fleet.servers[sent[0].server].member.zone == zone
-        sent = router.end(sent[0], S.FULL, router.balancer.jobs["b"].made - 1)
+    while sent and isinstance(sent[0], api.StartAttempt):
+        assert router.balancer.servers.servers[sent[0].server].endpoint.zone == zone
+        sent = router.end(sent[0], S.FULL, router.balancer.requests["b"].attempts_started - 1)
     assert kinds(sent) == ["Fail b"]
 
 
 def test_other_orders_are_not_held_up() -> None:
     router = storming()
     order(router, "a")
-    assert kinds(order(router, "b", key="o2")) == ["Send b"]
+    assert kinds(order(router, "b", key="o2")) == ["StartAttempt b"]
 
 
 def test_memory_is_bounded_and_what_is_out_is_never_forgotten() -> None:
-    orders = Orders(patience=SECOND, most=8, in_line=2)
+    orders = IdempotencyKeyGuard(patience=SECOND, most=8, in_line=2)
     for n in range(8):
         assert orders.enter(n, f"o{n}", f"r{n}") is Entry.HOLDS
         orders.sent(n, f"r{n}", 0, SERVER, WINDOW)
@@ -126,7 +126,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.orders, self.now, self.count = Orders(patience=SECOND, most=64, in_line=4), START, 0
+        self.orders, self.now, self.count = IdempotencyKeyGuard(patience=SECOND, most=64, in_line=4), START, 0
         self.open: dict[str, str] = {}  # holders and waiters that have no answer: id -> order
         self.may_send: set[str] = set()
         self.out: dict[tuple[str, int], str] = {}
@@ -198,7 +198,7 @@
 
 @given(st.lists(st.integers(0, 3), max_size=30))
 def test_requests_that_end_in_any_order_leave_nothing_behind(order_of: list[int]) -> None:
-    orders = Orders(SECOND, most=16, in_line=8)
+    orders = IdempotencyKeyGuard(SECOND, most=16, in_line=8)
     for n, which in enumerate(order_of):
         orders.enter(n, str(which), f"r{n}")
     for n in range(len(order_of)):
--- a/tests/storms/test_parts.py
+++ b/tests/overload/test_parts.py
@@ -5,11 +5,11 @@
 from support import MILLI, SECOND
 
 from rainhitch import interface as api
-from rainhitch.storms.accepts import Pace
-from rainhitch.storms.appointments import LEAST, Appointments, Return, question
-from rainhitch.storms.budget import KEPT, RetryBudget
-from rainhitch.storms.detector import PERIOD, Detector
-from rainhitch.storms.limit import Lane, Limit
+from rainhitch.overload.accept_pacer import AcceptPacer
+from rainhitch.overload.concurrency_limit import AdaptiveConcurrencyLimit, Lane
+from rainhitch.overload.retry_after import LEAST, RetryAfterScheduler, Return, question
+from rainhitch.overload.retry_budget import KEPT, RetryBudget
+from rainhitch.overload.storm_detector import PERIOD, RetryStormDetector
 
 START = 1000 * SECOND
 
@@ -68,7 +68,7 @@
 @given(st.integers(1, 400), st.sampled_from([5.0, 50.0, 500.0]), st.integers(0, 99))
 def test_times_are_within_bounds_spread_and_grow_with_the_storm(many: int, pace: float, seed: int) -> None:
     """Clients refused together and told the same came back together."""
-    book = Appointments(2 * SECOND, seed)
+    book = RetryAfterScheduler(2 * SECOND, seed)
     waits = [book.give(START, pace, question(asked(n, f"k{n}"))) for n in range(many)]
     assert all(LEAST <= wait <= 2 * SECOND for wait in waits)
     slot = SECOND / 4
@@ -81,13 +81,13 @@
 
 
 def test_two_routers_that_refuse_in_step_tell_different_times() -> None:
-    one, two = Appointments(2 * SECOND, 1), Appointments(2 * SECOND, 2)
+    one, two = RetryAfterScheduler(2 * SECOND, 1), RetryAfterScheduler(2 * SECOND, 2)
     told = [[book.give(START, 20.0) for _ in range(30)] for book in (one, two)]
     assert sum(abs(a - b) > MILLI for a, b in zip(*told, strict=True)) > 25
 
 
 def test_who_keeps_its_time_is_known_and_who_comes_before_is_too() -> None:
-    book, what = Appointments(2 * SECOND, 1), question(asked())
+    book, what = RetryAfterScheduler(2 * SECOND, 1), question(asked())
     assert book.arrived(START, what, True) is Return.NEW
     wait = book.give(START, 2.0, what)
     assert book.arrived(START + wait // 2, what, False) is Return.NEW  # another client's first try
@@ -98,13 +98,13 @@
 
 
 def test_no_time_is_told_where_the_settings_allow_none() -> None:
-    book, what = Appointments(0, 1), question(asked())
+    book, what = RetryAfterScheduler(0, 1), question(asked())
     assert book.give(START, 2.0, what) == 0
     assert book.arrived(START + 1, what, False) is Return.NEW
 
 
 def test_appointments_are_bounded_and_forgotten() -> None:
-    book = Appointments(2 * SECOND, 1, most=50)
+    book = RetryAfterScheduler(2 * SECOND, 1, most=50)
     for n in range(500):
         for _ in range(9):
             book.give(START, 1000.0, question(asked(key=f"k{n}")))
@@ -115,7 +115,7 @@
 # Limit
 
 
-def pressed(limit: Limit, now: int, bad: float, ends: int = 20) -> None:
+def pressed(limit: AdaptiveConcurrencyLimit, now: int, bad: float, ends: int = 20) -> None:
     """A period with the limit in use and this part of its ends bad."""
     limit.peak, limit.turned = int(limit.limit), 1
     for n in range(ends):
@@ -124,7 +124,7 @@
 
 
 def test_the_limit_falls_while_answers_are_late_and_recovers() -> None:
-    limit, now = Limit(100 * MILLI, 8, 0.2), START
+    limit, now = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2), START
     limit.peaks.append(100)
     limit.step(now, False)
     assert limit.limit == 400
@@ -139,7 +139,7 @@
 
 
 def test_one_jam_is_cut_for_once() -> None:
-    limit = Limit(100 * MILLI, 8, 0.2)
+    limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
     limit.limit = 100.0
     pressed(limit, START, 1.0)
     cut = limit.limit
@@ -151,7 +151,7 @@
 
 
 def test_an_unused_limit_does_not_rise() -> None:
-    limit = Limit(100 * MILLI, 8, 0.2)
+    limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
     limit.limit = 100.0
     limit.peak = 10
     for _ in range(20):
@@ -160,7 +160,9 @@
     assert limit.limit == 100
 
 
-def filled(limit: Limit, offers: list[tuple[Lane, bool]], rounds: int) -> dict[tuple[Lane, bool], int]:
+def filled(
+    limit: AdaptiveConcurrencyLimit, offers: list[tuple[Lane, bool]], rounds: int
+) -> dict[tuple[Lane, bool], int]:
     """What is admitted while all are offered in turn and nothing ends."""
     taken = dict.fromkeys(offers, 0)
     for _ in range(rounds):
@@ -173,7 +175,7 @@
 
 def test_lanes_stop_in_their_order() -> None:
     for lane, most in ((Lane.SHED, 50), (Lane.READ, 85), (Lane.KEPT, 95), (Lane.ORDER, 100)):
-        limit = Limit(100 * MILLI, 8, 0.2)
+        limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
         limit.limit = 100.0
         assert filled(limit, [(lane, False)], 200) == {(lane, False): most}
 
@@ -181,7 +183,7 @@
 @given(st.sampled_from([0.1, 0.2, 0.4]), st.integers(10, 400), st.booleans())
 def test_neither_first_tries_nor_retries_starve_the_other(floor: float, size: int, flood: bool) -> None:
     """Retries that came first, and many, took every place; or the other way round."""
-    limit = Limit(100 * MILLI, 8, floor)
+    limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, floor)
     limit.limit = float(size)
     limit.admits(START, Lane.READ, not flood)  # the other kind is wanted
     filled(limit, [(Lane.ORDER, flood)], 3 * size)
@@ -193,14 +195,14 @@
 # Detector
 
 
-def period(detector: Detector, now: int, **counts: int) -> str:
+def period(detector: RetryStormDetector, now: int, **counts: int) -> str:
     for name, value in counts.items():
         setattr(detector.now_counts, name, value)
     detector.open = counts.get("connects", 0) + 200
     return detector.step(now)
 
 
-def usual(detector: Detector, seconds: int = 30) -> int:
+def usual(detector: RetryStormDetector, seconds: int = 30) -> int:
     now = START
     detector.step(now)
     for _ in range(4 * seconds):
@@ -210,7 +212,7 @@
 
 
 def test_an_ordinary_peak_is_no_storm_and_one_made_of_reconnects_is() -> None:
-    detector = Detector()
+    detector = RetryStormDetector()
     now = usual(detector)
     for _ in range(40):  # 2.5 times the load, much of it refused and tried once more
         now += PERIOD
@@ -220,7 +222,7 @@
 
 
 def test_retries_that_feed_on_themselves_are_a_storm() -> None:
-    detector = Detector()
+    detector = RetryStormDetector()
     now = usual(detector)
     assert period(detector, now + PERIOD, arrivals=130, connects=5, retries=90, hurried=30).startswith(
         "storm"
@@ -228,7 +230,7 @@
 
 
 def test_the_end_is_seen_only_when_it_lasts() -> None:
-    detector = Detector()
+    detector = RetryStormDetector()
     now = usual(detector) + PERIOD
     assert period(detector, now, arrivals=200, connects=190, retries=60, hurried=20)
     lines = []
@@ -241,7 +243,7 @@
 
 
 def test_a_storm_does_not_become_what_is_usual() -> None:
-    detector = Detector()
+    detector = RetryStormDetector()
     now = usual(detector)
     before = detector.usual_connects
     for _ in range(400):
@@ -255,7 +257,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 50 * MILLI), st.integers(0, 100 * MILLI)), max_size=200))
 def test_newcomers_wait_while_the_router_is_late_but_never_starve(steps: list[tuple[int, int]]) -> None:
-    pace, now = Pace(100, 4000), START
+    pace, now = AcceptPacer(100, 4000), START
     for step, late in steps:
         now += step
         pace.noted(late)
@@ -266,7 +268,7 @@
 
 
 def test_lateness_slows_the_accepts_and_they_come_back() -> None:
-    pace, now = Pace(100, 4000), START
+    pace, now = AcceptPacer(100, 4000), START
     for _ in range(20):
         now += 60 * MILLI
         pace.noted(40 * MILLI)
@@ -279,13 +281,13 @@
 
 
 def test_in_calm_nobody_waits() -> None:
-    pace, now = Pace(100, 4000), START
+    pace, now = AcceptPacer(100, 4000), START
     assert all(pace.accepted(now + n * MILLI) == 0 for n in range(1000))
 
 
 def test_a_router_that_has_just_started_takes_its_first_crowd_for_no_storm() -> None:
     """It knows of no usual number, and everybody connects to it."""
-    detector = Detector()
+    detector = RetryStormDetector()
     detector.step(START)
     assert period(detector, START + PERIOD, arrivals=200, connects=40, retries=2) == ""
 
@@ -293,7 +295,7 @@
 def test_two_processes_of_one_router_are_no_storm() -> None:
     """In an upgrade all clients came over at once, and the new process refused work for it."""
     for excused in (False, True):
-        detector, lines = Detector(), []
+        detector, lines = RetryStormDetector(), []
         for n in range(40):
             detector.step(START + n * PERIOD)
         now = START + 40 * PERIOD
--- a/tests/storms/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -7,7 +7,7 @@
 import pytest
 from peers import FETCHED, http, router, soon
 
-from rainhitch.node import clients
+from rainhitch.node import client_connections
 from rainhitch.protocol import resp
 
 PUT = b"c=put,t=acme,d=9000,k=order-1"
@@ -21,7 +21,7 @@
         await soon(lambda: bench.origin.got)
         first.writer.transport.abort()
         second.send(b"C.SET", b"k", b"i2", PUT + b",r=1", b"v")
-        await soon(lambda: "i2" in bench.driver.held)
+        await soon(lambda: "i2" in bench.driver.requests)
         assert len(bench.origin.got) == 1
         bench.origin.lines[0].write(FETCHED)
         await soon(lambda: len(bench.origin.got) == 2)
@@ -54,11 +54,11 @@
         with socket.create_connection(("127.0.0.1", bench.port)) as late:
             late.sendall(resp.command(b"C.GET", b"k", b"i1", b"c=read,t=acme,d=1500"))
             sent = time.monotonic()
-            held = await soon(lambda: bench.driver.held.get("i1"))
+            held = await soon(lambda: bench.driver.requests.get("i1"))
             assert held.call.wait <= 1500 - 400
             assert held.deadline / 1e9 < sent + 1.5
             late.sendall(resp.command(b"C.GET", b"k", b"i2", b"c=read,t=acme,d=1500"))
-            again = await soon(lambda: bench.driver.held.get("i2"))
+            again = await soon(lambda: bench.driver.requests.get("i2"))
             assert again.call.wait == 1500  # what lay in the backlog was the first command alone
 
 
@@ -81,7 +81,7 @@
 ) -> None:
     """Clients that keep what they open ran out of connections of their own, long before the cap here; those
     that ask once and stay never grew fewer, with one going for one that came."""
-    monkeypatch.setattr(clients, "AT_NEED", 0.05)
+    monkeypatch.setattr(client_connections, "AT_NEED", 0.05)
     async with router(sockets=8) as bench:
         old = [await bench.caller() for _ in range(5)]
         for n, one in enumerate(old):
@@ -98,7 +98,7 @@
 
 async def test_connects_are_counted_and_paced_by_lateness() -> None:
     async with router() as bench:
-        damper = bench.clients.damper
+        damper = bench.clients.overload
         assert damper is not None
         damper.pace.rate, damper.pace.tokens = damper.pace.least, 0.0
         damper.pace.changed = time.monotonic_ns() + 60_000_000_000  # the rate stays
--- a/tests/pages/test_docs.py
+++ b/tests/pages/test_docs.py
@@ -24,19 +24,19 @@
 
 
 def test_every_log_line_on_the_on_call_page_exists_and_no_other() -> None:
-    router = Router(settings(must_ask=True), fleet(6))
+    router = Router(settings(endpoints_polled=True), fleet(6))
     router.throttle_on()
     router.wait(60 * SECOND)
     _, (first,) = router.ask("k")
-    router.end(first, api.Status.RESET)
+    router.end(first, api.AttemptStatus.RESET)
     router.wait(2 * SECOND)
     _, (again,) = router.ask("k")
-    router.end(again, api.Status.OK, elapsed=MILLI)
+    router.end(again, api.AttemptStatus.OK, elapsed=MILLI)
     for name in ("c1", "c3", "c5"):
-        router.tell(api.Outcome("x", 0, name, api.Status.CONNECT_FAILED, False, MILLI))
-    router.tell(api.Outcome("x", 0, "c1", api.Status.OK, False, MILLI))
-    router.tell(api.Members(api.ListKind.FAILED, []))
-    router.tell(api.Members(api.ListKind.DELTA, [api.Member("c9")]))
+        router.tell(api.AttemptFinished("x", 0, name, api.AttemptStatus.CONNECT_FAILED, False, MILLI))
+    router.tell(api.AttemptFinished("x", 0, "c1", api.AttemptStatus.OK, False, MILLI))
+    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
+    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c9")]))
     router.wait(3 * SECOND)
     told = {re.sub(r"\bc\d\b", "S", re.sub(r"\b\d+\b", "N", line)) for line in router.log}
     page = (ROOT / "docs" / "on-call.md").read_text()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -8,15 +8,15 @@
 
 import hiredis
 
-from rainhitch.node.caches3 import Resp3Connection
-from rainhitch.node.clients import Clients
-from rainhitch.node.discovery import Directory
-from rainhitch.node.driver import Driver
-from rainhitch.node.pool import Pools
+from rainhitch.node.client_connections import ClientConnections
+from rainhitch.node.connection_pool import ConnectionPools
+from rainhitch.node.discovery import EndpointDirectory
+from rainhitch.node.request_driver import RequestDriver
+from rainhitch.node.resp3_cache_connection import Resp3Connection
+from rainhitch.overload.controller import OverloadController
 from rainhitch.protocol import resp3
 from rainhitch.protocol.resp import FramingError, command
 from rainhitch.settings import read_ceilings, read_names, read_settings
-from rainhitch.storms.damper import Damper
 
 PATIENCE = 20.0  # s; every wait of these tests is on an event, and this long at the most
 Json = dict[str, Any]
@@ -210,10 +210,10 @@
 
     cache: Cache
     origin: Web
-    driver: Driver
-    clients: Clients
-    directory: Directory
-    pools: Pools
+    driver: RequestDriver
+    clients: ClientConnections
+    directory: EndpointDirectory
+    pools: ConnectionPools
     port: int
     callers: list[Caller] = field(default_factory=list)
     version: int = 2  # the protocol of the clients
@@ -256,18 +256,18 @@
         await peer.start()
     told = info(**ceilings)
     settings, limits, names = read_settings(told), read_ceilings(told), read_names(told)
-    pools = Pools(sockets, limits.dial_timeout / 1e9, limits.keepalive / 1e9)
-    damper = Damper(settings, 1)
-    driver = Driver(Balancer(settings, 1, damper), pools, limits.most_held, memory)
-    clients = Clients(driver, names, sockets, memory, damper)
-    directory = Directory(names, 1, pools, driver.members)
+    pools = ConnectionPools(sockets, limits.dial_timeout / 1e9, limits.keepalive / 1e9)
+    damper = OverloadController(settings, 1)
+    driver = RequestDriver(Balancer(settings, 1, damper), pools, limits.most_held, memory)
+    clients = ClientConnections(driver, names, sockets, memory, damper)
+    directory = EndpointDirectory(names, 1, pools, driver.endpoints_updated)
     clients.can_serve = lambda: directory.can_serve
     if versions[1] == 3:
-        directory.connect, pools.voided = Resp3Connection, driver.voided
+        directory.cache_connection_class, pools.keys_invalidated = Resp3Connection, driver.keys_invalidated
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
     if entries is not None:
         listed = entries(*peers)
-    directory.take({"rev": 5, "all": True, "targets": listed}, cached=True)
+    directory.apply({"rev": 5, "all": True, "targets": listed}, cached=True)
     _, port = await clients.listen("127.0.0.1", 0)
     bench = Bench(*peers, driver, clients, directory, pools, port, version=versions[0])
     try:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -4,16 +4,16 @@
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
-from rainhitch.policy.jobs import WINDOW_RESERVE
+from rainhitch.policy.pending_request import WINDOW_RESERVE
 from rainhitch.policy.placement import KEYS_KEPT, KeyMemory, Popularity
-from rainhitch.policy.servers import Server
-from rainhitch.policy.throttle import Monitor
+from rainhitch.policy.server_registry import Server
+from rainhitch.policy.throttle import OriginMonitor
 
-S = api.Status
+S = api.AttemptStatus
 
 
 def sends(actions: list[api.Action]) -> list[str]:
-    return [action.server for action in actions if isinstance(action, api.Send)]
+    return [action.server for action in actions if isinstance(action, api.StartAttempt)]
 
 
 @pytest.fixture(autouse=True)
@@ -26,24 +26,26 @@
 
 
 def test_ranges_are_equal_and_blind_to_the_order_of_hearing() -> None:
-    one = Router(members=[api.Member(name) for name in "abcd"])
-    other = Router(members=[api.Member(name) for name in "cadb"])
-    owners = [one.candidates(f"key{n}")[0].member.server for n in range(4000)]
-    assert owners == [other.candidates(f"key{n}")[0].member.server for n in range(4000)]
+    one = Router(members=[api.Endpoint(name) for name in "abcd"])
+    other = Router(members=[api.Endpoint(name) for name in "cadb"])
+    owners = [one.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
+    assert owners == [other.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
 
 
 def test_origin_draining_and_gone_members_own_no_range() -> None:
     members = fleet(4)
-    members[1].state = api.State.DRAINING
+    members[1].state = api.EndpointState.DRAINING
     router = Router(members=members)
-    router.tell(api.Members(api.ListKind.DELTA, [api.Member("c2", api.State.GONE)]))
+    router.tell(
+        api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c2", api.EndpointState.GONE)])
+    )
     assert router.balancer.placement.ranges.names == ["c0", "c3"]
 
 
 def test_a_full_list_removes_whom_it_does_not_name() -> None:
     router = Router()
-    router.tell(api.Members(api.ListKind.FULL, fleet(2)))
+    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FULL, fleet(2)))
     assert router.balancer.placement.ranges.names == ["c0", "c1"]
 
 
@@ -53,7 +55,7 @@
 def test_memory_is_bounded_and_forgets_the_oldest() -> None:
     memory = KeyMemory()
     for n in range(KEYS_KEPT + 5):
-        memory.put(str(n), n, "s")
+        memory.remember(str(n), n, "s")
     assert len(memory.seen) == KEYS_KEPT
     assert memory.likely_miss("0", KEYS_KEPT) and not memory.likely_miss(str(KEYS_KEPT), KEYS_KEPT)
 
@@ -61,9 +63,9 @@
 def test_an_age_at_which_hits_turned_to_misses_is_learned() -> None:
     memory = KeyMemory()
     for n in range(10):
-        memory.put(str(n), 0, "s")
-        memory.learn(str(n), 8 * SECOND, "s", False)
-    memory.put("k", 0, "s")
+        memory.remember(str(n), 0, "s")
+        memory.record_read(str(n), 8 * SECOND, "s", False)
+    memory.remember("k", 0, "s")
     assert memory.likely_miss("k", 8 * SECOND) and not memory.likely_miss("k", SECOND // 8)
 
 
@@ -75,13 +77,13 @@
     name = router.serve("k")
     _, actions = router.ask("k")
     assert sends(actions) == [name]
-    assert not router.balancer.memory.likely_miss("k", router.now)
+    assert not router.balancer.key_memory.likely_miss("k", router.now)
 
 
 def test_overload_of_likely_misses_waits_then_is_refused_by_its_aim() -> None:
     router = Router()
     router.throttle_on()
-    throttle = router.balancer.gate.monitor.throttle
+    throttle = router.balancer.origin_admission.monitor.throttle
     assert throttle is not None
     asked, at_once = [], []
     for n in range(30):
@@ -92,8 +94,8 @@
     assert waiting and len(waiting) <= throttle.buffer
     later = router.wait(SECOND)
     assert sends(later), "tokens free waiting jobs"
-    refused = {action.id for action in at_once + later if isinstance(action, api.Refuse)}
-    sent = {action.id for action in at_once + later if isinstance(action, api.Send)}
+    refused = {action.id for action in at_once + later if isinstance(action, api.Reject)}
+    sent = {action.id for action in at_once + later if isinstance(action, api.StartAttempt)}
     assert refused | sent == set(asked) and not refused & sent
 
 
@@ -101,7 +103,7 @@
     router = Router()
     router.throttle_on()
     router.wait(SECOND)
-    throttle = router.balancer.gate.monitor.throttle
+    throttle = router.balancer.origin_admission.monitor.throttle
     assert throttle is not None
     throttle.refill(router.now)
     throttle.level = 3
@@ -123,7 +125,7 @@
     router = Router()
     router.throttle_on()
     router.wait(60 * SECOND)
-    assert router.balancer.gate.monitor.throttle is None
+    assert router.balancer.origin_admission.monitor.throttle is None
     assert router.log[0].startswith("throttle on: ") and router.log[-1] == "throttle off"
 
 
@@ -132,11 +134,11 @@
     router.throttle_on()
     for n in range(40):
         _, actions = router.ask(f"n{n}", tenant=1)
-    assert [type(action) for action in actions] == [api.Refuse]
+    assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_a_short_past_is_no_sign_of_a_low_rate() -> None:
-    monitor = Monitor(SECOND)
+    monitor = OriginMonitor(SECOND)
     monitor.born = START
     for n in range(100):  # fifty likely misses a second from the very start
         monitor.spent.add(START + n * SECOND // 50)
@@ -147,7 +149,7 @@
     ("seen", "bad", "acts"), [(2, 2, True), (10, 2, False), (10, 3, True), (50, 6, False)]
 )
 def test_a_slow_tail_within_chance_is_no_alarm(seen: int, bad: int, acts: bool) -> None:
-    monitor = Monitor(SECOND)
+    monitor = OriginMonitor(SECOND)
     for n in range(seen):
         monitor.note(n >= bad, START)
     monitor.step(START, False)
@@ -156,7 +158,7 @@
 
 def test_one_jam_cuts_r_once() -> None:
     """Guards against reads sent before a cut cutting r again."""
-    monitor = Monitor(SECOND)
+    monitor = OriginMonitor(SECOND)
     for _ in range(8):
         monitor.spent.add(SECOND)
         monitor.note(False, 0)
@@ -177,7 +179,7 @@
 
 def test_r_does_not_rise_while_reads_hang_between_two_cuts() -> None:
     """Guards against a jam that feeds itself."""
-    monitor = Monitor(SECOND)
+    monitor = OriginMonitor(SECOND)
     for _ in range(8):
         monitor.spent.add(SECOND)
         monitor.note(False, 0)
@@ -203,7 +205,7 @@
         _, (first,) = router.ask(f"h{n}")
         router.end(first, S.MISS)
     router.wait(3 * SECOND // 2)
-    assert router.balancer.gate.monitor.throttle is not None
+    assert router.balancer.origin_admission.monitor.throttle is not None
 
 
 def test_one_read_a_key_is_out_and_who_waits_is_served_by_the_cache() -> None:
@@ -214,7 +216,7 @@
     name, actions = router.ask("hot")
     assert actions == []
     (served,) = router.end(read, S.OK, 1)
-    assert isinstance(served, api.Send) and isinstance(first, api.Send)
+    assert isinstance(served, api.StartAttempt) and isinstance(first, api.StartAttempt)
     assert (served.id, served.server) == (name, first.server)
 
 
@@ -225,12 +227,12 @@
     second, _ = router.ask("hot")
     third, _ = router.ask("hot")
     actions = router.end(read, S.ERROR, 1)
-    assert [type(action) for action in actions] == [api.Refuse, api.Send, api.Send]
+    assert [type(action) for action in actions] == [api.Reject, api.StartAttempt, api.StartAttempt]
     (again,) = router.end(actions[1], S.MISS)
-    assert isinstance(again, api.Send) and (again.id, again.server) == (second, "origin")
+    assert isinstance(again, api.StartAttempt) and (again.id, again.server) == (second, "origin")
     assert router.end(actions[2], S.MISS) == []
     later = router.wait(2 * SECOND)
-    assert [action.id for action in later if isinstance(action, api.Refuse)] == [third]
+    assert [action.id for action in later if isinstance(action, api.Reject)] == [third]
 
 
 # Server view
@@ -239,16 +241,16 @@
 def test_full_answers_make_a_server_swamped_not_quick() -> None:
     """Guards against a storm of full answers: work spills once, to a calm server, or is refused."""
     router = Router()
-    home = router.balancer.fleet.servers[router.serve("k")]
+    home = router.balancer.servers.servers[router.serve("k")]
     for _ in range(12):
-        home.learn(router.now, SECOND, int(router.balancer.turn.shortest_aim), 1, 1)
-    home.out, home.sent_at = 1, router.now
+        home.record_answer(router.now, SECOND, int(router.balancer.context.shortest_objective_ns), 1, 1)
+    home.in_flight, home.last_sent_at_ns = 1, router.now
     _, actions = router.ask("k")
-    assert sends(actions) and sends(actions) != [home.member.server]
-    for one in router.balancer.fleet.servers.values():
-        one.latency, one.out, one.sent_at = float(5 * SECOND), 1, router.now
+    assert sends(actions) and sends(actions) != [home.endpoint.server]
+    for one in router.balancer.servers.servers.values():
+        one.latency_ns, one.in_flight, one.last_sent_at_ns = float(5 * SECOND), 1, router.now
     _, actions = router.ask("k")
-    assert [type(action) for action in actions] == [api.Refuse]
+    assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_a_second_full_answer_ends_the_request() -> None:
@@ -256,22 +258,22 @@
     _, (first,) = router.ask("k")
     (second,) = router.end(first, S.FULL)
     assert sends([first]) != sends([second])
-    assert [type(action) for action in router.end(second, S.FULL, 1)] == [api.Refuse]
+    assert [type(action) for action in router.end(second, S.FULL, 1)] == [api.Reject]
 
 
 def test_a_swamped_server_gets_a_trial_an_answer_time() -> None:
-    one = Server(api.Member("c"), float(SECOND))
-    assert not one.calm(SECOND // 2, SECOND / 4, 4, 1, 1)
-    assert one.calm(SECOND, SECOND / 4, 4, 1, 1)
-    one.learn(SECOND, SECOND, SECOND // 10, 1, 1)
-    assert one.latency < 0.6 * SECOND, "a trial's answer counts for half"
+    one = Server(api.Endpoint("c"), float(SECOND))
+    assert not one.has_capacity(SECOND // 2, SECOND / 4, 4, 1, 1)
+    assert one.has_capacity(SECOND, SECOND / 4, 4, 1, 1)
+    one.record_answer(SECOND, SECOND, SECOND // 10, 1, 1)
+    assert one.latency_ns < 0.6 * SECOND, "a trial's answer counts for half"
 
 
 def test_trials_of_a_swamped_server_add_up_over_all_routers() -> None:
     """Forty routers with one trial an answer time each were more than a server's whole work."""
-    one = Server(api.Member("c"), float(SECOND), base=SECOND / 10)
-    assert not one.calm(2 * SECOND, SECOND / 4, 4, 40, 40)
-    assert one.calm(4 * SECOND, SECOND / 4, 4, 40, 40)
+    one = Server(api.Endpoint("c"), float(SECOND), uncrowded_latency_ns=SECOND / 10)
+    assert not one.has_capacity(2 * SECOND, SECOND / 4, 4, 40, 40)
+    assert one.has_capacity(4 * SECOND, SECOND / 4, 4, 40, 40)
 
 
 def test_a_first_answer_is_waited_for_by_what_is_usual_in_the_fleet() -> None:
@@ -279,12 +281,12 @@
     waits = []
     for usual in (SECOND // 100, SECOND // 10):
         router = Router()
-        for server in router.balancer.fleet.servers.values():
-            server.latency = SECOND / 100
-        router.balancer.fleet.usual = usual
+        for server in router.balancer.servers.servers.values():
+            server.latency_ns = SECOND / 100
+        router.balancer.servers.fleet_latency_ns = usual
         (first,) = router.ask("k")[1]
-        assert isinstance(first, api.Send)
-        waits.append(first.timeout)
+        assert isinstance(first, api.StartAttempt)
+        waits.append(first.timeout_ns)
     assert waits == [SECOND // 4, 8 * SECOND // 10]
 
 
@@ -292,11 +294,11 @@
     router = Router()
     router.serve("k")
     _, (send,) = router.ask("k")
-    router.end(send, S.OK, load=api.Load(inflight=40, latency_ms=100, qps=10))
-    one = router.balancer.fleet.servers[sends([send])[0]]
-    assert one.reported(router.now) == pytest.approx(4.1e9)
-    assert one.reported(router.now + 2 * SECOND) == 0
-    assert sends(router.ask("k")[1]) != [one.member.server]
+    router.end(send, S.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10))
+    one = router.balancer.servers.servers[sends([send])[0]]
+    assert one.reported_latency_ns(router.now) == pytest.approx(4.1e9)
+    assert one.reported_latency_ns(router.now + 2 * SECOND) == 0
+    assert sends(router.ask("k")[1]) != [one.endpoint.server]
 
 
 def test_an_unreachable_server_is_left_alone_then_tried_once() -> None:
@@ -315,7 +317,7 @@
 @pytest.mark.parametrize("routers", [1, 40])
 def test_a_cold_server_takes_up_its_part_evenly_however_many_routers(routers: int) -> None:
     """Guards against a first token for each router, which pushed cold servers over at full size."""
-    fresh = api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)])
+    fresh = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
     several = [Router() for _ in range(routers)]
     for router in several:
         router.tell(fresh)
@@ -338,8 +340,10 @@
 ) -> None:
     """Six in ten servers new within 7 s left all the work to the others, as if they began from nothing."""
     for wait, taken in ((after, True), (after - 2, False)):
-        router = Router(settings(cold_from=0.3))
-        router.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)]))
+        router = Router(settings(slow_start_initial_fraction=0.3))
+        router.tell(
+            api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
+        )
         located = {f"k{n}": router.balancer.placement.ranges.locate(f"k{n}") for n in range(4000)}
         key = next(
             key for key, (_, at, names) in located.items() if names[0] == "c1" and abs(at - instant) < 0.02
@@ -352,10 +356,14 @@
 def test_a_server_listed_with_a_newer_start_is_cold_again() -> None:
     router = Router()
     for _ in range(2):
-        router.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", since=router.now - SECOND)]))
-        assert router.balancer.fleet.servers["c1"].cold_since == router.now - SECOND
+        router.tell(
+            api.EndpointUpdate(
+                api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=router.now - SECOND)]
+            )
+        )
+        assert router.balancer.servers.servers["c1"].slow_start_at_ns == router.now - SECOND
     router.wait(20 * SECOND)
-    owned = [key for key in map(str, range(40)) if router.candidates(key)[0].member.server == "c1"]
+    owned = [key for key in map(str, range(40)) if router.candidates(key)[0].endpoint.server == "c1"]
     assert owned
     for key in owned:
         _, actions = router.ask(key)
@@ -371,29 +379,29 @@
     _, actions = router.ask("k")
     assert sends(actions) == sends([first])
     router.end(actions[0], S.OK)
-    assert router.balancer.fleet.servers[sends([first])[0]].cold_since == router.now
+    assert router.balancer.servers.servers[sends([first])[0]].slow_start_at_ns == router.now
     assert router.log[-1].endswith("answers again")
 
 
 def test_what_joins_the_list_later_without_a_start_time_is_taken_as_cold() -> None:
     router = Router()
-    router.tell(api.Members(api.ListKind.DELTA, [api.Member("c9")]))
-    assert router.balancer.fleet.servers["c9"].cold_since == router.now
-    assert router.balancer.fleet.servers["c0"].cold_since == 0
+    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c9")]))
+    assert router.balancer.servers.servers["c9"].slow_start_at_ns == router.now
+    assert router.balancer.servers.servers["c0"].slow_start_at_ns == 0
 
 
 # Lifecycle
 
 
-@pytest.mark.parametrize("members", [[], fleet(0), [api.Member("c0", api.State.DRAINING)]])
-def test_without_a_server_a_read_is_refused_at_once(members: list[api.Member]) -> None:
+@pytest.mark.parametrize("members", [[], fleet(0), [api.Endpoint("c0", api.EndpointState.DRAINING)]])
+def test_without_a_server_a_read_is_refused_at_once(members: list[api.Endpoint]) -> None:
     _, actions = Router(members=members).ask()
-    assert [type(action) for action in actions] == [api.Refuse]
+    assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_without_an_origin_a_write_is_refused_at_once() -> None:
     _, actions = Router(members=fleet(3, origin=False)).ask(cls=2, write=True)
-    assert [type(action) for action in actions] == [api.Refuse]
+    assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_a_write_goes_to_the_origin_and_tries_again_while_its_aim_lasts() -> None:
@@ -407,23 +415,27 @@
 def test_reads_do_not_keep_a_swamped_origin_swamped() -> None:
     """Guards against the second's excess that is out before the first slow read shows."""
     router = Router()
-    origin = router.balancer.fleet.origin
+    origin = router.balancer.servers.origin
     assert origin is not None
-    origin.latency, origin.base, origin.sent_at = SECOND / 4, SECOND / 4, router.now
+    origin.latency_ns, origin.uncrowded_latency_ns, origin.last_sent_at_ns = (
+        SECOND / 4,
+        SECOND / 4,
+        router.now,
+    )
     reads: list[api.Action] = []
     for n in range(8):
         _, (first,) = router.ask(f"k{n}")
         reads += router.end(first, S.MISS)
-    assert [type(one) for one in reads] == [api.Send] * 3 + [api.Refuse] * 5
+    assert [type(one) for one in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
 
 
 def test_writes_do_not_keep_a_swamped_origin_swamped() -> None:
     """Guards against writes that keep a jammed origin jammed; a trial still shows when it recovers."""
     router = Router()
-    origin = router.balancer.fleet.origin
+    origin = router.balancer.servers.origin
     assert origin is not None
-    origin.latency, origin.sent_at = 3.0 * SECOND, router.now
-    assert [type(action) for action in router.ask(cls=2, write=True)[1]] == [api.Refuse]
+    origin.latency_ns, origin.last_sent_at_ns = 3.0 * SECOND, router.now
+    assert [type(action) for action in router.ask(cls=2, write=True)[1]] == [api.Reject]
     router.wait(3 * SECOND)
     assert sends(router.ask(cls=2, write=True)[1]) == ["origin"]
 
@@ -431,7 +443,7 @@
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
     router = Router()
     _, (first,) = router.ask(cls=2, write=True)
-    assert isinstance(first, api.Send) and first.timeout == 0, "no time-out of our own cuts it off"
+    assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "no time-out of our own cuts it off"
     assert [type(action) for action in router.end(first, S.ERROR)] == [api.Fail]
 
 
@@ -442,7 +454,11 @@
     assert router.end(first, S.ERROR) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
     router = Router(
-        settings(classes=[api.RequestClass(SECOND, 4 * SECOND, api.Effect.KEYED, "all", SECOND // 4)])
+        settings(
+            classes=[
+                api.RequestClass(SECOND, 4 * SECOND, api.Idempotency.IDEMPOTENCY_KEY, "all", SECOND // 4)
+            ]
+        )
     )
     _, (first,) = router.ask(write=True)
     router.wait(SECOND // 2)
@@ -452,11 +468,11 @@
 @pytest.mark.parametrize(("cls", "same"), [(3, "zone"), (4, "cell")])
 def test_a_keyed_request_stays_in_its_group(cls: int, same: str) -> None:
     for n in range(20):
-        router = Router(settings(aside=False), fleet(6, origin=False))
+        router = Router(settings(cache_aside=False), fleet(6, origin=False))
         _, (first,) = router.ask(f"k{n}", cls)
         for action in router.end(first, S.ERROR):
-            if isinstance(action, api.Send):
-                one, two = (router.balancer.fleet.servers[name].member for name in sends([first, action]))
+            if isinstance(action, api.StartAttempt):
+                one, two = (router.balancer.servers.servers[name].endpoint for name in sends([first, action]))
                 assert getattr(one, same) == getattr(two, same)
             else:
                 assert type(action) is api.Fail
@@ -466,67 +482,67 @@
     router = Router(settings(max_attempts=2))
     _, (send,) = router.ask("k")
     (send,) = router.end(send, S.CONNECT_FAILED)
-    assert [type(action) for action in router.end(send, S.CONNECT_FAILED, 1)] == [api.Refuse]
+    assert [type(action) for action in router.end(send, S.CONNECT_FAILED, 1)] == [api.Reject]
 
 
 def test_an_origin_read_runs_until_the_client_gives_up() -> None:
     """Guards against an origin slower than an aim, at which reads given up would fill no cache."""
-    router = Router(settings(classes=[api.RequestClass(aim=SECOND, deadline=2 * SECOND)]))
+    router = Router(settings(classes=[api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]))
     _, (first,) = router.ask("k")
     (read,) = router.end(first, S.MISS)
-    assert isinstance(first, api.Send) and isinstance(read, api.Send)
-    assert (first.timeout, read.timeout) == (SECOND, 2 * SECOND)
+    assert isinstance(first, api.StartAttempt) and isinstance(read, api.StartAttempt)
+    assert (first.timeout_ns, read.timeout_ns) == (SECOND, 2 * SECOND)
 
 
 def test_neighbours_that_fail_together_are_passed_by() -> None:
     router = Router(members=fleet(6))
     owner, *rest = router.candidates("k")
     for one in [owner, *rest[:2]]:  # slow with nothing of ours out, and a trial is out at each
-        one.latency, one.base, one.out = 1.0 * SECOND, SECOND / 10, 1
-    assert sends(router.ask("k")[1]) == [rest[2].member.server]
+        one.latency_ns, one.uncrowded_latency_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
+    assert sends(router.ask("k")[1]) == [rest[2].endpoint.server]
 
 
 def test_a_trial_that_is_out_stays_one() -> None:
     """Guards against a long memory of a jam: its answer counts half, whoever asked meanwhile."""
-    tested = Server(api.Member("c"), 4.0 * SECOND)
-    assert tested.calm(START, SECOND, 4, 1, 1) and tested.trial
-    tested.out, tested.sent_at = 1, START
-    assert not tested.calm(START, SECOND, 4, 1, 1)
-    tested.learn(START, SECOND, 0, 1, 1)
-    assert tested.latency == 2 * SECOND
+    tested = Server(api.Endpoint("c"), 4.0 * SECOND)
+    assert tested.has_capacity(START, SECOND, 4, 1, 1) and tested.is_probing
+    tested.in_flight, tested.last_sent_at_ns = 1, START
+    assert not tested.has_capacity(START, SECOND, 4, 1, 1)
+    tested.record_answer(START, SECOND, 0, 1, 1)
+    assert tested.latency_ns == 2 * SECOND
 
 
 def test_an_answer_after_a_long_silence_counts_more() -> None:
     """Guards against a fleet so wide that this router sees a server seldom."""
-    often, seldom = (Server(api.Member("c"), 1.0 * SECOND, learned_at=START) for _ in range(2))
-    often.learn(START + MILLI, 2 * SECOND, 0, 1, 1)
-    seldom.learn(START + 5 * SECOND, 2 * SECOND, 0, 1, 1)
-    assert (often.latency, seldom.latency) == (SECOND * 7 / 8, SECOND / 2)
+    often, seldom = (Server(api.Endpoint("c"), 1.0 * SECOND, latency_at_ns=START) for _ in range(2))
+    often.record_answer(START + MILLI, 2 * SECOND, 0, 1, 1)
+    seldom.record_answer(START + 5 * SECOND, 2 * SECOND, 0, 1, 1)
+    assert (often.latency_ns, seldom.latency_ns) == (SECOND * 7 / 8, SECOND / 2)
 
 
 def test_a_trial_that_misses_shows_recovery() -> None:
     """Guards against a swamped server whose keys went elsewhere: it would never be seen to recover."""
     router = Router()
     owner = router.candidates("k")[0]
-    owner.latency, owner.base = 4.0 * SECOND, SECOND / 10
+    owner.latency_ns, owner.uncrowded_latency_ns = 4.0 * SECOND, SECOND / 10
     _, (trial,) = router.ask("k")
-    assert sends([trial]) == [owner.member.server] and owner.trial
+    assert sends([trial]) == [owner.endpoint.server] and owner.is_probing
     router.end(trial, S.MISS)
-    assert owner.latency < 2.1 * SECOND
+    assert owner.latency_ns < 2.1 * SECOND
 
 
 def test_what_was_out_is_forgotten_slowly() -> None:
     """Guards against a crowded server that looks slow by itself as soon as it gets one request at a time."""
-    one = Server(api.Member("c"), 1.0 * SECOND, held=9.0, trial=True)
-    one.learn(START, 2 * SECOND, SECOND, 1, 1)
-    assert one.held == 8 and one.predict(START, 1) < SECOND / 4
+    one = Server(api.Endpoint("c"), 1.0 * SECOND, mean_in_flight=9.0, is_probing=True)
+    one.record_answer(START, 2 * SECOND, SECOND, 1, 1)
+    assert one.mean_in_flight == 8 and one.expected_latency_ns(START, 1) < SECOND / 4
 
 
 def test_never_two_attempts_are_out() -> None:
     router = Router()
     name, (first,) = router.ask("k")
-    router.balancer._proceed(router.balancer.jobs[name])
-    assert router.tell(api.Alarm("any")) == [] and router.balancer.jobs[name].made == 1
+    router.balancer._proceed(router.balancer.requests[name])
+    assert router.tell(api.TimerFired("any")) == [] and router.balancer.requests[name].attempts_started == 1
     assert sends([first])
 
 
@@ -538,9 +554,9 @@
     assert none == []
     when, token = router.alarms.pop()
     router.now = when - 300
-    router.tell(api.Alarm(token))
+    router.tell(api.TimerFired(token))
     answers = router.wait(SECOND)
-    assert [one.id for one in answers if isinstance(one, api.Refuse)] == [waits]
+    assert [one.id for one in answers if isinstance(one, api.Reject)] == [waits]
 
 
 def test_an_alarm_that_never_came_is_asked_for_anew() -> None:
@@ -548,28 +564,28 @@
     router.ask("k")
     router.alarms.clear()
     router.now += SECOND
-    router.tell(api.Withdrawn("nobody"))
+    router.tell(api.ClientGone("nobody"))
     assert min(router.alarms)[0] > router.now
 
 
 def test_withdrawn_and_late_news_of_ended_requests_are_passed_over() -> None:
     router = Router()
     name, (first,) = router.ask("k")
-    assert router.tell(api.Withdrawn(name)) == []
-    assert router.tell(api.Withdrawn(name)) == []
+    assert router.tell(api.ClientGone(name)) == []
+    assert router.tell(api.ClientGone(name)) == []
     assert router.end(first, S.MISS) == []
-    assert router.balancer.jobs == {}
+    assert router.balancer.requests == {}
 
 
 def test_a_stream_that_has_begun_is_left_to_the_client() -> None:
-    spec = api.RequestClass(SECOND, 2 * SECOND, stream=True)
+    spec = api.RequestClass(SECOND, 2 * SECOND, is_streamed=True)
     router = Router(settings(classes=[spec]))
     name, (first,) = router.ask("k")
-    assert isinstance(first, api.Send) and first.timeout == 0
-    assert router.tell(api.Opened(name, 0, first.server)) == []
+    assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0
+    assert router.advance() == []
     assert router.wait(10 * SECOND) == []
-    assert router.tell(api.Outcome(name, 0, first.server, S.RESET, True, 9 * SECOND)) == []
-    assert router.balancer.jobs == {}
+    assert router.tell(api.AttemptFinished(name, 0, first.server, S.RESET, True, 9 * SECOND)) == []
+    assert router.balancer.requests == {}
 
 
 def test_a_request_without_a_key_is_placed_and_never_throttled() -> None:
@@ -580,50 +596,49 @@
 
 
 def test_through_mode_takes_a_key_not_lately_sent_as_a_likely_miss() -> None:
-    router = Router(settings(aside=False), fleet(4, origin=False))
-    assert router.balancer.memory.likely_miss("k", router.now)
+    router = Router(settings(cache_aside=False), fleet(4, origin=False))
+    assert router.balancer.key_memory.likely_miss("k", router.now)
     _, (first,) = router.ask("k")
-    assert not router.balancer.memory.likely_miss("k", router.now)
+    assert not router.balancer.key_memory.likely_miss("k", router.now)
     router.end(first, S.OK)
     for n in range(20):
         _, (send,) = router.ask(f"t{n}")
         router.end(send, S.ERROR)
     router.wait(SECOND)
-    assert router.balancer.gate.monitor.throttle is not None
+    assert router.balancer.origin_admission.monitor.throttle is not None
 
 
 def test_refusals_tell_when_to_come_back_only_where_clients_are_told() -> None:
-    told = Router(settings(retry_after=True, max_retry_after=SECOND // 2), [])
-    assert told.ask()[1] == [api.Refuse("r1", SECOND // 2)]
-    assert Router(members=[]).ask()[1] == [api.Refuse("r1", 0)]
+    told = Router(settings(retry_after_allowed=True, max_retry_after_ns=SECOND // 2), [])
+    assert told.ask()[1] == [api.Reject("r1", SECOND // 2)]
+    assert Router(members=[]).ask()[1] == [api.Reject("r1", 0)]
 
 
 # The list on request
 
 
 def test_a_list_on_request_is_watched_and_asked_again_after_a_failure() -> None:
-    router = Router(settings(must_ask=True))
+    router = Router(settings(endpoints_polled=True))
     asked = 0
     for _ in range(4):
-        router.tell(api.Members(api.ListKind.FAILED, []))
+        router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
         actions = router.wait(10 * SECOND)
-        asked += sum(isinstance(action, api.Watch) for action in actions)
+        asked += sum(isinstance(action, api.WatchEndpoints) for action in actions)
     assert asked == 4
-    router.tell(api.Members(api.ListKind.DELTA, []))
+    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, []))
     assert router.wait(60 * SECOND) == []
 
 
 def test_a_restart_asks_at_once_and_keeps_the_restored_list() -> None:
-    router = Router(settings(must_ask=True), [])
-    actions = router.tell(api.Members(api.ListKind.CACHED, fleet()))
-    assert actions == [api.Watch()]
+    router = Router(settings(endpoints_polled=True), [])
+    actions = router.tell(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
+    assert actions == [api.WatchEndpoints()]
     assert sends(router.ask()[1])
 
 
-def test_peers_and_probes_are_passed_over() -> None:
+def test_time_that_passes_with_no_event_brings_about_nothing_by_itself() -> None:
     router = Router()
-    assert router.tell(api.PeerMessage(1, "00")) == []
-    assert router.tell(api.Probed("c0", S.OK, 1)) == []
+    assert router.advance() == []
     assert router.now == START and router.balancer.settings.origin_kind == ORIGIN_KIND
 
 
@@ -631,14 +646,14 @@
     """Where connections broke now and then, each break put a server aside for a third of a second."""
     router = Router()
     owner = router.serve("k")
-    server = router.balancer.fleet.servers[owner]
+    server = router.balancer.servers.servers[owner]
     _, (send,) = router.ask("k")
     router.end(send, S.RESET)
-    assert server.fails < 1 and not router.log
+    assert server.consecutive_failures < 1 and not router.log
     _, (send,) = router.ask("k")
-    assert isinstance(send, api.Send) and send.server == owner
+    assert isinstance(send, api.StartAttempt) and send.server == owner
     router.end(send, S.RESET)
-    assert server.fails > 0  # the second in a row
+    assert server.consecutive_failures > 0  # the second in a row
 
 
 def test_a_server_that_has_not_answered_lately_is_marked_by_the_first_break() -> None:
@@ -647,7 +662,7 @@
     router.wait(SECOND)
     _, (send,) = router.ask("k")
     router.end(send, S.CONNECT_FAILED)
-    assert router.balancer.fleet.servers[owner].fails == 1
+    assert router.balancer.servers.servers[owner].consecutive_failures == 1
 
 
 def test_a_repeat_may_begin_only_within_what_is_left_of_its_window() -> None:
@@ -655,11 +670,14 @@
     connection that came up late. What a hold-up between the decision and the write may take is kept."""
     router = Router()
     _, (first,) = router.ask(cls=1)
-    assert isinstance(first, api.Send) and first.within == 0
+    assert isinstance(first, api.StartAttempt) and first.write_within_ns == 0
     router.wait(SECOND // 2)
     (second,) = router.end(first, S.RESET)
-    assert isinstance(second, api.Send)
-    assert second.within == router.balancer.settings.classes[1].window - SECOND // 2 - WINDOW_RESERVE
+    assert isinstance(second, api.StartAttempt)
+    assert (
+        second.write_within_ns
+        == router.balancer.settings.classes[1].dedup_window_ns - SECOND // 2 - WINDOW_RESERVE
+    )
     _, (read,) = router.ask("other")
     (again,) = router.end(read, S.RESET)
-    assert isinstance(again, api.Send) and again.within == 0
+    assert isinstance(again, api.StartAttempt) and again.write_within_ns == 0
--- a/tests/policy/test_found.py
+++ b/tests/policy/test_found.py
@@ -6,37 +6,37 @@
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
 from rainhitch.policy.placement import SAMPLES, Popularity
-from rainhitch.policy.throttle import Monitor
+from rainhitch.policy.throttle import OriginMonitor
 
 
 def test_what_still_earns_something_late_is_waited_for() -> None:
     """Kochi's retry storm: reads sent again half-way to their deadline doubled the work in a jam."""
     router = Router()
-    for one in router.balancer.fleet.servers.values():
-        one.share = 3 / 4  # slow lately
+    for one in router.balancer.servers.servers.values():
+        one.range_share = 3 / 4  # slow lately
     _, (send,) = router.ask("k")
-    assert isinstance(send, api.Send)
-    assert send.timeout == 2 * SECOND
+    assert isinstance(send, api.StartAttempt)
+    assert send.timeout_ns == 2 * SECOND
 
 
 def quick(router: Router) -> list[str]:
     """Keys that one quick server holds, among many."""
     held = {f"q{n}": router.serve(f"q{n}") for n in range(24)}
-    for one in router.balancer.fleet.servers.values():
-        one.latency, one.base, one.share = 20.0 * MILLI, 20.0 * MILLI, 1.0
-    return [key for key in held if held[key] == held["q0"] == router.candidates(key)[0].member.server]
+    for one in router.balancer.servers.servers.values():
+        one.latency_ns, one.uncrowded_latency_ns, one.range_share = 20.0 * MILLI, 20.0 * MILLI, 1.0
+    return [key for key in held if held[key] == held["q0"] == router.candidates(key)[0].endpoint.server]
 
 
 def test_a_first_attempt_waits_for_some_answer_times_and_the_next_for_as_long_as_it_may() -> None:
     """Connections that fell silent cost the whole deadline, 660 ms where 13 are usual."""
     router = Router()
     _, (send,) = router.ask(quick(router)[0])
-    assert isinstance(send, api.Send)
-    assert send.timeout == SECOND // 4
-    router.now += send.timeout
-    (again,) = router.end(send, api.Status.TIMEOUT, elapsed=send.timeout)
-    assert isinstance(again, api.Send) and again.server != send.server
-    assert again.timeout == 2 * SECOND - send.timeout
+    assert isinstance(send, api.StartAttempt)
+    assert send.timeout_ns == SECOND // 4
+    router.now += send.timeout_ns
+    (again,) = router.end(send, api.AttemptStatus.TIMEOUT, elapsed=send.timeout_ns)
+    assert isinstance(again, api.StartAttempt) and again.server != send.server
+    assert again.timeout_ns == 2 * SECOND - send.timeout_ns
 
 
 def test_one_silent_connection_is_no_swamped_server() -> None:
@@ -46,31 +46,35 @@
     _, (lost,) = router.ask(first)
     router.now += 10 * MILLI
     _, (later,) = router.ask(second)
-    assert isinstance(lost, api.Send) and isinstance(later, api.Send) and lost.server == later.server
-    server = router.balancer.fleet.servers[lost.server]
+    assert (
+        isinstance(lost, api.StartAttempt)
+        and isinstance(later, api.StartAttempt)
+        and lost.server == later.server
+    )
+    server = router.balancer.servers.servers[lost.server]
     router.now += 20 * MILLI
-    router.end(later, api.Status.OK, elapsed=20 * MILLI)
-    before = server.latency
+    router.end(later, api.AttemptStatus.OK, elapsed=20 * MILLI)
+    before = server.latency_ns
     router.now += SECOND
-    router.end(lost, api.Status.TIMEOUT, elapsed=SECOND + 30 * MILLI)
-    assert server.latency == before and server.share == 1.0
+    router.end(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND + 30 * MILLI)
+    assert server.latency_ns == before and server.range_share == 1.0
     _, (lost,) = router.ask(third)
-    assert isinstance(lost, api.Send) and lost.server == later.server
+    assert isinstance(lost, api.StartAttempt) and lost.server == later.server
     router.now += SECOND
-    router.end(lost, api.Status.TIMEOUT, elapsed=SECOND)
-    assert server.latency > 2 * before  # nothing sent later was answered
+    router.end(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND)
+    assert server.latency_ns > 2 * before  # nothing sent later was answered
 
 
 def test_no_attempt_is_made_that_no_server_could_answer_in_time() -> None:
     """After a time-out at the deadline another attempt went out, and its end after 0.2 ms was learnt."""
     router = Router()
     router.serve("k")
-    for one in router.balancer.fleet.servers.values():
-        one.base = 20.0 * MILLI
+    for one in router.balancer.servers.servers.values():
+        one.uncrowded_latency_ns = 20.0 * MILLI
     _, (send,) = router.ask("k")
     router.now += 2 * SECOND - MILLI
-    (answer,) = router.end(send, api.Status.TIMEOUT, elapsed=2 * SECOND - MILLI)
-    assert isinstance(answer, api.Refuse)
+    (answer,) = router.end(send, api.AttemptStatus.TIMEOUT, elapsed=2 * SECOND - MILLI)
+    assert isinstance(answer, api.Reject)
 
 
 def test_a_hot_key_takes_as_many_ranges_as_it_fills() -> None:
@@ -98,9 +102,9 @@
     for n in range(120):
         key = f"k{n // 2}" if n % 2 else "hot"
         _, (send,) = router.ask(key)
-        assert isinstance(send, api.Send)
+        assert isinstance(send, api.StartAttempt)
         used.setdefault(key, set()).add(send.server)
-        router.end(send, api.Status.OK)
+        router.end(send, api.AttemptStatus.OK)
         router.wait(SECOND // 20)
     assert 5 <= len(used.pop("hot")) <= 8
     assert all(len(servers) == 1 for servers in used.values())
@@ -110,89 +114,89 @@
     """Full size: each of 400 routers gave a slow server one trial an answer time, which was everything."""
     router = Router(members=fleet(4))
     keys = [f"k{n}" for n in range(400)]
-    owned = [key for key in keys if router.candidates(key)[0].member.server == "c1"]
-    slow = router.balancer.fleet.servers["c1"]
+    owned = [key for key in keys if router.candidates(key)[0].endpoint.server == "c1"]
+    slow = router.balancer.servers.servers["c1"]
     for n in range(2):
-        slow.bear(router.now + n, 0, True)
-        slow.bear(router.now + n, SECOND, True)  # sent before the cut: the same jam
-    assert slow.share == 9 / 16
+        slow.adjust_range_share(router.now + n, 0, True)
+        slow.adjust_range_share(router.now + n, SECOND, True)  # sent before the cut: the same jam
+    assert slow.range_share == 9 / 16
     kept = 0
     for key in owned:
         _, (send,) = router.ask(key)
-        assert isinstance(send, api.Send)
+        assert isinstance(send, api.StartAttempt)
         kept += send.server == "c1"
         assert send.server in ("c1", "c2")
-        router.end(send, api.Status.OK)
-        slow.share = 9 / 16
+        router.end(send, api.AttemptStatus.OK)
+        slow.range_share = 9 / 16
     assert abs(kept / len(owned) - 9 / 16) < 0.1
     for _ in range(16):
-        slow.bear(router.now, 0, False)
-    assert slow.share == 1
+        slow.adjust_range_share(router.now, 0, False)
+    assert slow.range_share == 1
 
 
 def test_a_server_that_warms_up_gets_no_work_of_others() -> None:
     """Malabar's deploys: work that left other servers came on top of a cold server's own range."""
-    router = Router(members=[*fleet(3), api.Member("c3", since=START - SECOND)])
+    router = Router(members=[*fleet(3), api.Endpoint("c3", started_at_ns=START - SECOND)])
     router.wait(7 * SECOND)
     owned = 0
     for n in range(300):
         first = router.candidates(f"k{n}")[0]
-        first.share = 1.0 if first.member.server == "c3" else 0.0
+        first.range_share = 1.0 if first.endpoint.server == "c3" else 0.0
         _, actions = router.ask(f"k{n}")
         send = actions[0]
-        if isinstance(send, api.Send) and send.server == "c3":
+        if isinstance(send, api.StartAttempt) and send.server == "c3":
             owned += 1
-            assert first.member.server == "c3"
-        router.end(send, api.Status.OK)
+            assert first.endpoint.server == "c3"
+        router.end(send, api.AttemptStatus.OK)
         router.wait(SECOND // 200)
     assert owned > 5
 
 
 def test_hot_keys_that_a_warming_server_takes_up_do_not_push_it_over() -> None:
     """Kaohsiung in a release: two hot keys moved to a cold server, 95 of its 124 requests in two seconds."""
-    router = Router(members=[*fleet(7), api.Member("c7", since=START - SECOND)])
+    router = Router(members=[*fleet(7), api.Endpoint("c7", started_at_ns=START - SECOND)])
     router.wait(8 * SECOND)
-    mine = [key for key in map(str, range(900)) if router.candidates(key)[0].member.server == "c7"]
+    mine = [key for key in map(str, range(900)) if router.candidates(key)[0].endpoint.server == "c7"]
     mine = [key for key in mine if router.balancer.placement.ranges.locate(key)[1] < 0.8][:4]  # taken up
     sent = 0
     for n in range(400):
         _, (send,) = router.ask(mine[n % 4] if n % 2 else f"other{n}")
-        assert isinstance(send, api.Send)
+        assert isinstance(send, api.StartAttempt)
         sent += send.server == "c7"
-        router.end(send, api.Status.OK)
+        router.end(send, api.AttemptStatus.OK)
         router.wait(SECOND // 400)
     assert 0 < sent < 400 / 8
 
 
 def test_a_read_that_a_cache_could_not_fetch_is_not_sent_to_another() -> None:
     """Kochi with a slow origin: each failed fetch was tried again at a second cache."""
-    router = Router(settings(aside=False), fleet(4, origin=False))
+    router = Router(settings(cache_aside=False), fleet(4, origin=False))
     name, (send,) = router.ask("k")
-    assert router.end(send, api.Status.ERROR) == [api.Refuse(name)]
+    assert router.end(send, api.AttemptStatus.ERROR) == [api.Reject(name)]
 
 
 def test_a_small_machine_bears_a_small_part_of_its_range() -> None:
     """Kochi's slow boxes, listed at half a weight, had the same range as those of three times their speed."""
-    members = [api.Member(f"c{n}", weight=0.5 if n == 1 else 1.5) for n in range(6)]
-    router = Router(settings(aside=False), members)
+    members = [api.Endpoint(f"c{n}", weight=0.5 if n == 1 else 1.5) for n in range(6)]
+    router = Router(settings(cache_aside=False), members)
     counts = {one.server: 0 for one in members}
     for n in range(1200):
         _, (send,) = router.ask(f"k{n}")
-        assert isinstance(send, api.Send)
+        assert isinstance(send, api.StartAttempt)
         counts[send.server] += 1
-        router.end(send, api.Status.OK)
+        router.end(send, api.AttemptStatus.OK)
     assert abs(counts["c1"] / counts["c4"] - 0.5 / (8 / 6)) < 0.1
     assert counts["c1"] + counts["c2"] == pytest.approx(2 * counts["c4"], rel=0.15)
 
 
 @pytest.mark.parametrize("weight", [0.0, 1.0])
 def test_equal_weights_of_any_size_leave_the_ranges_equal(weight: float) -> None:
-    router = Router(settings(aside=False), [api.Member(f"c{n}", weight=weight) for n in range(4)])
+    router = Router(settings(cache_aside=False), [api.Endpoint(f"c{n}", weight=weight) for n in range(4)])
     for n in range(200):
         _, (send,) = router.ask(f"k{n}")
-        assert isinstance(send, api.Send)
-        assert weight == 0 or send.server == router.candidates(f"k{n}")[0].member.server
-        router.end(send, api.Status.OK)
+        assert isinstance(send, api.StartAttempt)
+        assert weight == 0 or send.server == router.candidates(f"k{n}")[0].endpoint.server
+        router.end(send, api.AttemptStatus.OK)
 
 
 def test_while_most_connects_are_refused_a_router_keeps_to_the_connections_it_has() -> None:
@@ -205,13 +209,13 @@
         refused.append(0)
         for attempt in range(4):
             (send,) = actions
-            if not isinstance(send, api.Send):
+            if not isinstance(send, api.StartAttempt):
                 break
             if send.server in taken:
-                router.end(send, api.Status.OK, attempt)
+                router.end(send, api.AttemptStatus.OK, attempt)
                 break
             refused[-1] += 1
-            actions = router.end(send, api.Status.CONNECT_FAILED, attempt, MILLI)
+            actions = router.end(send, api.AttemptStatus.CONNECT_FAILED, attempt, MILLI)
         router.wait(SECOND // 2)
     assert sum(refused[:40]) >= 6
     assert sum(refused[40:]) == 0
@@ -221,25 +225,27 @@
     router = Router(members=fleet(20))
     for n in range(200):
         _, (send,) = router.ask(f"k{n}")
-        assert isinstance(send, api.Send)
+        assert isinstance(send, api.StartAttempt)
         dead = send.server in ("c3", "c7", "c11")
-        for again in router.end(send, api.Status.CONNECT_FAILED if dead else api.Status.OK, 0, MILLI):
-            router.end(again, api.Status.OK, 1)
-        assert router.balancer.fleet.crowded <= 1 / 2
+        for again in router.end(
+            send, api.AttemptStatus.CONNECT_FAILED if dead else api.AttemptStatus.OK, 0, MILLI
+        ):
+            router.end(again, api.AttemptStatus.OK, 1)
+        assert router.balancer.servers.refused_connects <= 1 / 2
         router.wait(SECOND // 10)
 
 
 def test_a_clock_younger_than_the_warm_up_makes_no_server_cold() -> None:
     """Found by the adapter's tests: at second 1 a server warm since long ago was refused as a cold one."""
     balancer = Balancer(settings(), 7)
-    balancer.handle(0, api.Members(api.ListKind.CACHED, fleet()))
+    balancer.handle(0, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
     actions = balancer.handle(SECOND, api.Request("r", 0, 3 * SECOND, "k"))
-    assert any(isinstance(action, api.Send) for action in actions)
+    assert any(isinstance(action, api.StartAttempt) for action in actions)
 
 
 def test_evidence_of_a_sick_origin_is_kept_until_there_is_enough() -> None:
     """Full size: one of 400 routers sees a likely miss in two seconds, never two within one period."""
-    monitor = Monitor(SECOND // 2)
+    monitor = OriginMonitor(SECOND // 2)
     monitor.born = 0
     for n in range(1, 9):
         if n % 4 == 0:
@@ -251,7 +257,7 @@
 
 
 def test_a_healthy_origin_clears_the_evidence() -> None:
-    monitor = Monitor(SECOND // 2)
+    monitor = OriginMonitor(SECOND // 2)
     monitor.born = 0
     for n in range(1, 60):
         monitor.note(n % 12 != 0, n * SECOND // 2)
--- a/tests/policy/test_moves.py
+++ b/tests/policy/test_moves.py
@@ -12,13 +12,13 @@
 from support import settings as told
 
 from rainhitch import interface as api
-from rainhitch.policy.gate import Gate
-from rainhitch.policy.moves import BURST, Moves
+from rainhitch.policy.decision_context import DecisionContext
+from rainhitch.policy.key_migration import BURST, KeyMigration
+from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.placement import KEYS_KEPT, Popularity
 from rainhitch.policy.throttle import Throttle
-from rainhitch.policy.turn import Turn
 
-S = api.Status
+S = api.AttemptStatus
 
 
 @pytest.fixture(autouse=True)
@@ -32,13 +32,15 @@
 
     def __init__(self, nodes: int = 9, routers: int = 3, share: float = 0.5, memory: int = 200) -> None:
         self.memory = memory
-        self.listed = {f"c{n:02}": api.Member(f"c{n:02}") for n in range(nodes)}
+        self.listed = {f"c{n:02}": api.Endpoint(f"c{n:02}") for n in range(nodes)}
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
         self.origin: list[int] = []  # when it was asked
         self.asked: list[tuple[int, str, str]] = []  # when, which server, and "hit" or "miss"
-        options = told(balancers=routers, move_share=share, classes=[api.RequestClass(SECOND, 2 * SECOND)])
-        origin = api.Member("origin", kind=ORIGIN_KIND)
+        options = told(
+            router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
+        )
+        origin = api.Endpoint("origin", kind=ORIGIN_KIND)
         self.routers = [Router(options, [*self.listed.values(), origin]) for _ in range(routers)]
 
     @property
@@ -49,22 +51,22 @@
         for router in self.routers:
             router.wait(delay)
 
-    def tell(self, *members: api.Member, to: Iterable[int] | None = None) -> None:
+    def tell(self, *members: api.Endpoint, to: Iterable[int] | None = None) -> None:
         for member in members:
             self.listed[member.server] = member
-            if member.state is api.State.GONE:
+            if member.state is api.EndpointState.GONE:
                 del self.listed[member.server]
                 self.caches.pop(member.server, None)
             else:
                 self.caches.setdefault(member.server, OrderedDict())
         for number in range(len(self.routers)) if to is None else to:
-            self.routers[number].tell(api.Members(api.ListKind.DELTA, list(members)))
+            self.routers[number].tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(members)))
 
     def join(self, name: str, to: Iterable[int] | None = None) -> None:
-        self.tell(api.Member(name), to=to)
+        self.tell(api.Endpoint(name), to=to)
 
     def leave(self, name: str) -> None:
-        self.tell(api.Member(name, api.State.GONE))
+        self.tell(api.Endpoint(name, api.EndpointState.GONE))
 
     def order(self, key: str) -> None:
         """A write is carried out: the origin drops the copies."""
@@ -78,7 +80,7 @@
         name, actions = router.ask(key)
         sent: list[str] = []
         missed: list[str] = []
-        while actions and isinstance(actions[0], api.Send):
+        while actions and isinstance(actions[0], api.StartAttempt):
             server = actions[0].server
             attempt, status, elapsed = len(sent), S.OK, 10 * MILLI
             sent.append(server)
@@ -98,7 +100,7 @@
                     self.caches[server].move_to_end(key)
                 self.asked.append((router.now, server, "hit" if held is not None else "miss"))
             closed = status is S.OK
-            actions = router.tell(api.Outcome(name, attempt, server, status, closed, elapsed))
+            actions = router.tell(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
         return sent
 
     def _store(self, server: str, key: str) -> None:
@@ -145,8 +147,8 @@
 
 def no_tokens(world: World) -> None:
     for router in world.routers:
-        bank = router.balancer.moves.bank
-        bank.tokens, bank.at = 0.0, router.now
+        bank = router.balancer.migration.bucket
+        bank.tokens, bank.refilled_at_ns = 0.0, router.now
 
 
 def grown(share: float) -> tuple[float, int, World]:
@@ -166,7 +168,7 @@
     assert most < 2 * steady
     assert grown(-1.0)[1] > 3 * steady  # all at once: what it guards against
     # And the fleet ends on the new ranges.
-    assert all(router.balancer.moves.since < 0 for router in world.routers)
+    assert all(router.balancer.migration.began_at_ns < 0 for router in world.routers)
     assert any("keys have moved" in line for line in world.routers[0].log)
     for n in range(100):
         for number in range(3):
@@ -202,11 +204,11 @@
         world.join(f"b{n:02}")
     after = world.owner("k1")
     for router in world.routers:
-        router.balancer.moves.bank.tokens = 1.0
+        router.balancer.migration.bucket.tokens = 1.0
     assert world.read(0, "k1") == [after, "origin"]
     assert world.read(1, "k1") == [after] and world.read(2, "k1") == [after]
     assert len(world.origin) == 2
-    assert world.routers[1].balancer.moves.bank.tokens >= 1  # it cost the origin nothing
+    assert world.routers[1].balancer.migration.bucket.tokens >= 1  # it cost the origin nothing
 
 
 def moved_away(world: World, key: str) -> str:
@@ -258,10 +260,10 @@
     world.read(0, "k1")
     holder = world.owner("k1")
     no_tokens(world)
-    world.tell(api.Member(holder, api.State.RETIRING))
+    world.tell(api.Endpoint(holder, api.EndpointState.RETIRING))
     assert world.owner("k1") != holder and world.read(0, "k1") == [holder]
     assert holder not in world.read(0, "never seen")
-    world.tell(api.Member(holder, api.State.DRAINING))
+    world.tell(api.Endpoint(holder, api.EndpointState.DRAINING))
     assert world.read(0, "k1") == [world.owner("k1"), "origin"]
 
 
@@ -270,7 +272,7 @@
     world.read(0, "k1")
     holder = moved_away(world, "k1")
     world.wait(MILLI)
-    world.tell(api.Member(holder, since=world.now))
+    world.tell(api.Endpoint(holder, started_at_ns=world.now))
     assert world.read(0, "k1")[0] == world.owner("k1")
 
 
@@ -288,16 +290,16 @@
 
 
 def test_no_key_moves_while_the_throttle_is_short_and_they_go_on_afterwards() -> None:
-    turn = Turn(told(), 1)
-    gate = Gate(turn, lambda job: None, lambda job: None)
-    moves = Moves(turn, gate)
-    turn.now = START
-    moves.bank.tokens, moves.bank.at = BURST, START
+    turn = DecisionContext(told(), 1)
+    gate = OriginAdmission(turn, lambda job: None, lambda job: None)
+    moves = KeyMigration(turn, gate)
+    turn.now_ns = START
+    moves.bucket.tokens, moves.bucket.refilled_at_ns = BURST, START
     throttle = gate.monitor.throttle = Throttle(START, 10.0, 10)
     throttle.level = throttle.bank - 1
-    assert not moves.allowed()
+    assert not moves.may_move()
     throttle.level = throttle.bank
-    assert moves.allowed()
+    assert moves.may_move()
 
 
 @given(
@@ -307,17 +309,17 @@
 def test_in_any_window_moves_are_a_part_of_what_the_origin_is_sent_besides(
     steps: list[tuple[int, bool]], share: float
 ) -> None:
-    turn = Turn(told(move_share=share), 1)
-    moves = Moves(turn, Gate(turn, lambda job: None, lambda job: None))
-    turn.now = START
+    turn = DecisionContext(told(migration_fraction=share), 1)
+    moves = KeyMigration(turn, OriginAdmission(turn, lambda job: None, lambda job: None))
+    turn.now_ns = START
     besides, taken = [], []
     for step, asks in steps:
-        turn.now += step
-        if asks and moves.allowed():
-            taken.append(turn.now)
+        turn.now_ns += step
+        if asks and moves.may_move():
+            taken.append(turn.now_ns)
         elif not asks:
-            moves.sent(False)
-            besides.append(turn.now)
+            moves.origin_request_sent(False)
+            besides.append(turn.now_ns)
     for n, begin in enumerate(taken):
         for m, end in enumerate(taken[n:], 1):
             # What was sent besides long before still counts a little: e^-4 after 32 s.
@@ -341,7 +343,7 @@
         elif what == "late" and name not in world.listed:
             world.join(name, to=[0])
             world.run(0.5, 100, keys)
-            world.routers[1].tell(api.Members(api.ListKind.DELTA, [api.Member(name)]))
+            world.routers[1].tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint(name)]))
         elif what == "join" and name not in world.listed:
             world.join(name)
         for n in range(60):
@@ -354,18 +356,18 @@
                 last = world.read(number, f"k{n}")
                 world.wait(4 * SECOND)
             assert last == [world.owner(f"k{n}")]
-    moved = sum(router.balancer.moves.moved for router in world.routers)
+    moved = sum(router.balancer.migration.moved_keys for router in world.routers)
     assert moved <= 2 * sum(len(one) for one in owners.values())
 
 
 def test_what_is_remembered_of_keys_is_bounded_whatever_the_churn() -> None:
     world = World(nodes=4, routers=1)
-    memory = world.routers[0].balancer.memory
+    memory = world.routers[0].balancer.key_memory
     for n in range(KEYS_KEPT + 100):
-        memory.put(f"k{n}", n, "c00")
+        memory.remember(f"k{n}", n, "c00")
     for n in range(50):
         world.join(f"d{n:02}")
         world.leave(f"d{n:02}")
     assert len(memory.seen) == KEYS_KEPT
     assert len(world.routers[0].balancer.placement.ranges.chains) <= 5
-    assert len(world.routers[0].balancer.turn.agenda) < 10
+    assert len(world.routers[0].balancer.context.timers) < 10
