--- a/tests/policy/test_ramp.py
+++ b/tests/policy/test_ramp.py
@@ -58,15 +58,15 @@
         self.small = SMALL if small else {}
         self.cold_from, self.ramp = cold_from, ramp
         self.options = api.Settings(
-            [api.RequestClass(SECOND, 4 * SECOND, late_worth=0.5)],
-            balancers=routers,
-            aside=True,
+            [api.RequestClass(SECOND, 4 * SECOND, late_weight=0.5)],
+            router_count=routers,
+            cache_aside=True,
             origin_kind=ORIGIN_KIND,
             max_attempts=4,
-            cold_from=cold_from,
-            ramp_time=ramp,
-            tip_multiple=3.0,
-            fall_time=FALL,
+            slow_start_initial_fraction=cold_from,
+            slow_start_ns=ramp,
+            slow_start_overload_factor=3.0,
+            slow_start_window_ns=FALL,
         )
         self.servers = {f"c{n}": Served() for n in range(8)}
         self.load, self.hot = load, hot
@@ -79,15 +79,15 @@
         self.count = 0
         self.sent: list[int] = []  # when something went to the cold server
 
-    def members(self, cold: bool) -> list[api.Member]:
+    def members(self, cold: bool) -> list[api.Endpoint]:
         since = self.servers[COLD].cold_since
-        one = [api.Member(COLD, kind=COLD in self.small, since=since)] if cold else []
-        rest = [api.Member(name, kind=name in self.small) for name in self.servers if name != COLD]
-        return [*one, *rest, api.Member("origin", kind=ORIGIN_KIND)]
+        one = [api.Endpoint(COLD, kind=COLD in self.small, started_at_ns=since)] if cold else []
+        rest = [api.Endpoint(name, kind=name in self.small) for name in self.servers if name != COLD]
+        return [*one, *rest, api.Endpoint("origin", kind=ORIGIN_KIND)]
 
     def begin(self, number: int, cold: bool) -> Balancer:
         balancer = Balancer(self.options, number)
-        balancer.handle(START, api.Members(api.ListKind.CACHED, self.members(cold)))
+        balancer.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, self.members(cold)))
         return balancer
 
     def push(self, at: int, router: int, event: api.Event) -> None:
@@ -107,7 +107,9 @@
                 for router in range(len(self.balancers)):
                     if self.random.random() < self.restarted:
                         self.balancers[router] = self.begin(router, cold=True)
-                    self.push(now, router, api.Members(api.ListKind.FULL, self.members(True)))
+                    self.push(
+                        now, router, api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.members(True))
+                    )
             if self.events and self.events[0][0] <= now:
                 _, _, router, event = heapq.heappop(self.events)
             else:
@@ -122,33 +124,35 @@
     def tell(self, now: int, router: int, event: api.Event) -> None:
         balancer = self.balancers[router]
         for action in balancer.handle(now, event):
-            if isinstance(action, api.Wake):
-                self.push(now + action.delay, router, api.Alarm(action.token))
-            elif isinstance(action, api.Send):
-                job = balancer.jobs[action.id]
-                self.attempt(now, router, action, job.made - 1, job.request.key or "")
+            if isinstance(action, api.SetTimer):
+                self.push(now + action.delay_ns, router, api.TimerFired(action.token))
+            elif isinstance(action, api.StartAttempt):
+                job = balancer.requests[action.id]
+                self.attempt(now, router, action, job.attempts_started - 1, job.request.key or "")
 
-    def attempt(self, now: int, router: int, send: api.Send, number: int, key: str) -> None:
+    def attempt(self, now: int, router: int, send: api.StartAttempt, number: int, key: str) -> None:
         if send.server == "origin":
-            self.outcome(now, router, send, number, api.Status.OK, now + 20 * MILLI)
-            self.servers[self.balancers[router].jobs[send.id].missed or "c1"].held.add(key)
+            self.outcome(now, router, send, number, api.AttemptStatus.OK, now + 20 * MILLI)
+            self.servers[self.balancers[router].requests[send.id].missed_at or "c1"].held.add(key)
             return
         if send.server == COLD:
             self.sent.append(now)
         server = self.servers[send.server]
         done = server.take(now, self.part(send.server, now) * self.small.get(send.server, 1.0))
         if not done:
-            self.outcome(now, router, send, number, api.Status.FULL, now + MILLI)
+            self.outcome(now, router, send, number, api.AttemptStatus.FULL, now + MILLI)
         elif key not in server.held and server.cold_since:
-            self.outcome(now, router, send, number, api.Status.MISS, now + 2 * MILLI)
+            self.outcome(now, router, send, number, api.AttemptStatus.MISS, now + 2 * MILLI)
         else:
-            self.outcome(now, router, send, number, api.Status.OK, done)
+            self.outcome(now, router, send, number, api.AttemptStatus.OK, done)
 
     def outcome(
-        self, now: int, router: int, send: api.Send, number: int, status: api.Status, at: int
+        self, now: int, router: int, send: api.StartAttempt, number: int, status: api.AttemptStatus, at: int
     ) -> None:
-        closed = status is api.Status.OK
-        event = api.Outcome(send.id, number, send.server, status, closed, at - now, reused=True)
+        closed = status is api.AttemptStatus.OK
+        event = api.AttemptFinished(
+            send.id, number, send.server, status, closed, at - now, connection_reused=True
+        )
         self.push(at, router, event)
 
     def part(self, name: str, now: int) -> float:
@@ -164,7 +168,11 @@
         for last, at in enumerate(at for at in self.sent if at < warm):
             while self.sent[first] <= at - FALL:
                 first += 1
-            budget = self.options.tip_multiple * self.part(COLD, max(self.sent[first], at - FALL)) * CAPACITY
+            budget = (
+                self.options.slow_start_overload_factor
+                * self.part(COLD, max(self.sent[first], at - FALL))
+                * CAPACITY
+            )
             budget *= FALL / SECOND * self.small.get(COLD, 1.0)
             worst = max(worst, (last - first + 1) / (budget + 2 * math.sqrt(budget) + 2))
         return worst
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -34,8 +34,8 @@
         self.dice = random.Random(seed)
         self.coarse = self.dice.random() < 0.5
         self.options = router_settings(
-            aside=mode != "through",
-            must_ask=mode == "asked",
+            cache_aside=mode != "through",
+            endpoints_polled=mode == "asked",
             tenants=[api.Tenant(5.0), api.Tenant(5.0)] if mode == "tenants" else [],
         )
         self.now = 100 * SECOND
@@ -53,21 +53,21 @@
         self.known = {
             one.server: one for one in fleet(self.dice.choice([0, 1, 4, 7]), self.dice.random() < 0.9)
         }
-        self.play(api.Members(api.ListKind.CACHED, list(self.known.values())))
+        self.play(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.known.values())))
 
     def play(self, event: api.Event) -> None:
         for action in self.router.handle(self.now, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.check_send(action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 self.check_answer(action)
-            elif isinstance(action, api.Wake):
-                assert action.delay >= 0
+            elif isinstance(action, api.SetTimer):
+                assert action.delay_ns >= 0
                 # Timers are coarser than the clock: an alarm may come a little early, never at once.
-                delay = action.delay // MICRO * MICRO if self.coarse else action.delay
+                delay = action.delay_ns // MICRO * MICRO if self.coarse else action.delay_ns
                 self.alarms.append((self.now + max(1, delay), action.token))
 
-    def check_send(self, action: api.Send) -> None:
+    def check_send(self, action: api.StartAttempt) -> None:
         one = self.held[action.id]
         assert not one.ended, "rule 1: sent for an ended request"
         assert action.server in self.known, "sent to a server no list named"
@@ -76,76 +76,82 @@
         assert all(outcome for _, _, outcome in one.attempts), "rule 2: two attempts out at once"
         ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in PROVEN]
         spec = self.options.classes[one.cls]
-        if ran and spec.effect == "unsafe":
+        if ran and spec.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             raise AssertionError("rule 2: an unsafe request that may have run was sent again")
-        if ran and spec.effect == "keyed":
-            assert self.now < ran[0][1] + spec.window, "rule 2: keyed, past its window"
+        if ran and spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+            assert self.now < ran[0][1] + spec.dedup_window_ns, "rule 2: keyed, past its window"
             for server, _ in ran:
                 for place in ("zone", "cell"):
-                    if spec.group == place:
+                    if spec.dedup_scope == place:
                         first, then = self.known[server], self.known[action.server]
                         assert getattr(first, place) == getattr(then, place), (
                             "rule 2: keyed, out of its group"
                         )
         one.attempts.append((action.server, self.now, ""))
-        limit = one.deadline if action.timeout == 0 else min(one.deadline, self.now + action.timeout)
+        limit = one.deadline if action.timeout_ns == 0 else min(one.deadline, self.now + action.timeout_ns)
         spread = self.dice.choice([MILLI, 100 * MILLI, 3 * SECOND])
         when = min(limit, self.now + self.dice.randrange(1, spread))
         self.due.append((when, action.id, len(one.attempts) - 1))
 
-    def check_answer(self, action: api.Refuse | api.Fail) -> None:
+    def check_answer(self, action: api.Reject | api.Fail) -> None:
         one = self.held[action.id]
         assert not one.ended, "rule 1: a second final answer"
         assert self.now <= one.deadline + 20 * MILLI, "rule 1: late"
         spec = self.options.classes[one.cls]
         ran = any(outcome not in PROVEN for _, _, outcome in one.attempts)
-        if isinstance(action, api.Refuse) and ran and spec.effect != "safe":
-            assert spec.effect == "keyed" and spec.group == "all", "rule 2: refused though it may have run"
+        if isinstance(action, api.Reject) and ran and spec.idempotency is not api.Idempotency.IDEMPOTENT:
+            assert spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY and spec.dedup_scope == "all", (
+                "rule 2: refused though it may have run"
+            )
         one.ended = True
 
     def arrive(self) -> None:
         cls = self.dice.randrange(len(self.options.classes))
         spec = self.options.classes[cls]
         name = f"r{len(self.held)}"
-        deadline = self.now + int(spec.deadline * self.dice.uniform(0.05, 1))
+        deadline = self.now + int(spec.deadline_ns * self.dice.uniform(0.05, 1))
         self.held[name] = Held(cls, deadline)
         key = self.dice.choice([None, "hot", f"k{self.dice.randrange(60)}"])
-        write = spec.effect != "safe" and self.options.aside
+        write = spec.idempotency is not api.Idempotency.IDEMPOTENT and self.options.cache_aside
         self.play(
             api.Request(name, cls, deadline, key, write, self.dice.randrange(2), self.dice.random() < 0.2)
         )
 
     def relist(self) -> None:
-        if self.options.must_ask and self.dice.random() < 0.3:
-            self.play(api.Members(api.ListKind.FAILED, []))
+        if self.options.endpoints_polled and self.dice.random() < 0.3:
+            self.play(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
             return
         entries = []
         for name in (
             self.dice.sample(sorted(self.known), self.dice.randrange(1, 4)) if len(self.known) > 3 else []
         ):
             old = self.known[name]
-            state = self.dice.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
-            since = self.dice.choice([old.since, self.now])
-            entries.append(api.Member(name, state, old.kind, old.zone, old.cell, since))
+            state = self.dice.choice(
+                [api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.GONE]
+            )
+            since = self.dice.choice([old.started_at_ns, self.now])
+            entries.append(api.Endpoint(name, state, old.kind, old.zone, old.cell, since))
         if self.dice.random() < 0.4:
             name = f"n{self.dice.randrange(8)}"
             entries.append(
-                api.Member(name, zone=self.dice.randrange(2), cell=self.dice.randrange(3), since=self.now)
+                api.Endpoint(
+                    name, zone=self.dice.randrange(2), cell=self.dice.randrange(3), started_at_ns=self.now
+                )
             )
         for entry in entries:
             self.known[entry.server] = entry
-            if entry.state is api.State.READY:
+            if entry.state is api.EndpointState.READY:
                 self.left.pop(entry.server, None)
             else:
                 self.left.setdefault(entry.server, self.now)
-        kind = api.ListKind.DELTA
+        kind = api.EndpointUpdateKind.DELTA
         if self.dice.random() < 0.2:
-            kind = api.ListKind.FULL
+            kind = api.EndpointUpdateKind.FULL
             entries = [one for one in self.known.values() if one.server not in self.left]
             for name in self.known:
                 if name not in {one.server for one in entries}:
                     self.left.setdefault(name, self.now)
-        self.play(api.Members(kind, entries))
+        self.play(api.EndpointUpdate(kind, entries))
 
     def finish(self, when: int, name: str, attempt: int) -> None:
         one = self.held[name]
@@ -159,8 +165,16 @@
         one.attempts[attempt] = (server, sent, outcome)
         closed = one.ended or outcome == "ok"
         one.ended = closed
-        load = api.Load(inflight=self.dice.randrange(30), latency_ms=50, qps=20) if trouble else None
-        self.play(api.Outcome(name, attempt, server, api.Status(outcome), closed, self.now - sent, load=load))
+        load = (
+            api.LoadReport(in_flight=self.dice.randrange(30), latency_ms=50, served_per_s=20)
+            if trouble
+            else None
+        )
+        self.play(
+            api.AttemptFinished(
+                name, attempt, server, api.AttemptStatus(outcome), closed, self.now - sent, load=load
+            )
+        )
 
     def run(self, steps: int) -> None:
         self.trouble = self.dice.choice([0.02, 0.3, 0.95])
@@ -180,7 +194,7 @@
             self.now = min(when, alarm)
             if alarm <= when:
                 self.alarms.remove((alarm, token))
-                self.play(api.Alarm(token))
+                self.play(api.TimerFired(token))
             else:
                 self.due.remove((when, name, attempt))
                 self.finish(when, name, attempt)
@@ -193,7 +207,7 @@
         if open_ones:
             name = self.dice.choice(open_ones)
             self.held[name].ended = True
-            self.play(api.Withdrawn(name))
+            self.play(api.ClientGone(name))
 
     def restart(self) -> None:
         self.start()
@@ -209,15 +223,15 @@
     world = World(5, "aside")
     world.trouble = 1.0
     world.known = {one.server: one for one in fleet(6)}
-    world.play(api.Members(api.ListKind.FULL, list(world.known.values())))
+    world.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(world.known.values())))
     for _ in range(300):
         world.advance(world.now + 5 * MILLI)
         world.arrive()
-    world.play(api.Members(api.ListKind.FULL, []))
+    world.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, []))
     world.left.update(dict.fromkeys(world.known, world.now))
     for _ in range(50):
         world.advance(world.now + 5 * MILLI)
         world.arrive()
     world.advance(world.now + 10 * SECOND)
     assert all(one.ended for one in world.held.values())
-    assert world.router.jobs == {} and world.options.origin_kind == ORIGIN_KIND
+    assert world.router.requests == {} and world.options.origin_kind == ORIGIN_KIND
--- a/tests/policy/test_sums.py
+++ b/tests/policy/test_sums.py
@@ -6,13 +6,13 @@
 
 from rainhitch import interface as api
 
-S = api.Status
+S = api.AttemptStatus
 QUOTA = 40.0
 
 
 def of_two(**changes: object) -> Router:
     """A router of ten, and two customers."""
-    return Router(settings(balancers=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
+    return Router(settings(router_count=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
 
 
 def marked(router: Router, rate: int, seconds: int, told: list[float] | None) -> float:
@@ -21,8 +21,8 @@
     for n in range(rate * seconds):
         router.wait(SECOND // rate)
         if told is not None:
-            router.tell(api.Part(told, SECOND))
-        beyond += router.balancer.shares.exceeds(api.Request(str(n), 0, 0, "k", tenant=1))
+            router.tell(api.TrafficFractions(told, SECOND))
+        beyond += router.balancer.tenant_quotas.is_over_quota(api.Request(str(n), 0, 0, "k", tenant=1))
     return beyond / (rate * seconds)
 
 
@@ -48,14 +48,14 @@
     router = of_two()
     for n in range(4000):
         router.wait(SECOND // 800)
-        router.balancer.shares.exceeds(api.Request(f"a{n}", 0, 0, "k", tenant=0))
-        router.balancer.shares.exceeds(api.Request(f"b{n}", 0, 0, "k", tenant=1))
-    assert router.balancer.shares.parts == [1]
+        router.balancer.tenant_quotas.is_over_quota(api.Request(f"a{n}", 0, 0, "k", tenant=0))
+        router.balancer.tenant_quotas.is_over_quota(api.Request(f"b{n}", 0, 0, "k", tenant=1))
+    assert router.balancer.tenant_quotas.traffic_fractions == [1]
 
 
 def test_a_told_part_ends() -> None:
     router = of_two()
-    router.tell(api.Part([1.0, 1.0], SECOND))
+    router.tell(api.TrafficFractions([1.0, 1.0], SECOND))
     router.wait(2 * SECOND)
     assert marked(router, int(QUOTA), 10, None) > 0.5
 
@@ -64,21 +64,23 @@
     """Guards the budget for retries: a full table of its own was tried five times a request at as many
     servers, and nothing was left for those whose server had failed."""
     router = Router(settings(), fleet(6))
-    before = {name: one.latency for name, one in router.balancer.fleet.servers.items()}
+    before = {name: one.latency_ns for name, one in router.balancer.servers.servers.items()}
     for n in range(20):
         _, (send,) = router.ask(f"k{n}")
-        (refused,) = router.end(send, S.NO_ROOM, 0, 1)
-        assert refused == api.Refuse(send.id, refused.retry_after)  # type: ignore[union-attr]
-        assert refused.why == "room"
-    assert {name: one.latency for name, one in router.balancer.fleet.servers.items()} == before
-    assert not any(one.out or one.fails for one in router.balancer.fleet.servers.values())
+        (refused,) = router.end(send, S.NO_LOCAL_CONNECTION, 0, 1)
+        assert refused == api.Reject(send.id, refused.retry_after_ns)  # type: ignore[union-attr]
+        assert refused.reason == "room"
+    assert {name: one.latency_ns for name, one in router.balancer.servers.servers.items()} == before
+    assert not any(
+        one.in_flight or one.consecutive_failures for one in router.balancer.servers.servers.values()
+    )
 
 
 def test_a_write_waits_for_room_while_its_aim_lasts() -> None:
     router = Router(settings(), fleet(6))
     _, (send,) = router.ask("k", 1, write=True)
-    assert router.end(send, S.NO_ROOM, 0, 1) == []
-    assert [type(one) for one in router.wait(200 * MILLI)] == [api.Send]
+    assert router.end(send, S.NO_LOCAL_CONNECTION, 0, 1) == []
+    assert [type(one) for one in router.wait(200 * MILLI)] == [api.StartAttempt]
 
 
 def test_reads_of_the_origin_end_where_the_total_of_all_routers_does() -> None:
@@ -89,12 +91,12 @@
         left[0] -= 1
         return left[0] >= 0
 
-    router.balancer.allowance = allowance
+    router.balancer.fleet_read_allowance = allowance
     how = []
     for n in range(3):
         _, (send,) = router.ask(f"k{n}")
         how.append(router.end(send, S.MISS)[0])
-    assert isinstance(how[0], api.Send)
-    assert [one.why for one in how[1:] if isinstance(one, api.Refuse)] == ["total", "total"]
+    assert isinstance(how[0], api.StartAttempt)
+    assert [one.reason for one in how[1:] if isinstance(one, api.Reject)] == ["total", "total"]
     name, (send,) = router.ask("w", 1, write=True)
-    assert isinstance(send, api.Send) and send.id == name, "orders are not in it"
+    assert isinstance(send, api.StartAttempt) and send.id == name, "orders are not in it"
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -4,17 +4,17 @@
 from hypothesis import strategies as st
 
 from rainhitch.interface import Request, RequestClass, Settings
-from rainhitch.policy.gate import Gate
-from rainhitch.policy.jobs import Job
+from rainhitch.policy.decision_context import DecisionContext
+from rainhitch.policy.origin_admission import OriginAdmission
+from rainhitch.policy.pending_request import PendingRequest
 from rainhitch.policy.throttle import FEW_TOKENS, LEAST_TOTAL, Throttle
-from rainhitch.policy.turn import Turn
 
 SECOND = 1_000_000_000
-SPEC = RequestClass(aim=SECOND, deadline=2 * SECOND)
+SPEC = RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)
 
 
-def job(name: str) -> Job:
-    return Job(Request(name, 0, 2 * SECOND), SPEC, SECOND)
+def job(name: str) -> PendingRequest:
+    return PendingRequest(Request(name, 0, 2 * SECOND), SPEC, SECOND)
 
 
 def test_few_tokens_then_waiting_then_refusal() -> None:
@@ -82,11 +82,11 @@
 
 def test_a_read_that_was_answered_in_time_while_the_router_was_away_is_no_bad_one() -> None:
     """Three processes, one stopped for 4 s: two such reads put its throttle on at what it had used lately."""
-    turn = Turn(Settings([SPEC]), 1)
-    gate = Gate(turn, lambda job: None, lambda job: None)
+    turn = DecisionContext(Settings([SPEC]), 1)
+    gate = OriginAdmission(turn, lambda job: None, lambda job: None)
     for name in ("early", "late"):
-        gate.sent((name, 0), SECOND)
-    turn.now += 4 * SECOND
-    gate.ended(("early", 0), True, SECOND // 50)
-    gate.ended(("late", 0), True, 4 * SECOND)
+        gate.read_started((name, 0), SECOND)
+    turn.now_ns += 4 * SECOND
+    gate.read_finished(("early", 0), True, SECOND // 50)
+    gate.read_finished(("late", 0), True, 4 * SECOND)
     assert (gate.monitor.good, gate.monitor.bad) == (1, 1)
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -5,13 +5,13 @@
 from support import MILLI, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
-from rainhitch.policy.zones import ENOUGH, Zones
+from rainhitch.policy.zone_reachability import ENOUGH, ZoneReachability
 
-S = api.Status
+S = api.AttemptStatus
 
 
 def test_failures_in_a_row_at_several_servers_cut_a_zone_and_an_answer_opens_it() -> None:
-    zones = Zones(SECOND)
+    zones = ZoneReachability(SECOND)
     zones.listed({0, 1})
     told = [zones.failure(1, f"c{n}", START + n) for n in range(ENOUGH + 1)]
     assert told == [False] * (ENOUGH - 1) + [True, False]
@@ -20,26 +20,26 @@
 
 
 def test_one_server_that_fails_again_and_again_cuts_no_zone() -> None:
-    zones = Zones(SECOND)
+    zones = ZoneReachability(SECOND)
     zones.listed({0, 1})
     assert not any(zones.failure(1, "c0", START) for _ in range(99)) and not zones.cut(1)
 
 
 def test_answers_in_between_keep_a_zone_open() -> None:
-    zones = Zones(SECOND)
+    zones = ZoneReachability(SECOND)
     zones.listed({0, 1})
     for n in range(99):
         assert not zones.failure(1, f"c{n}", START) and zones.answer(1) == 0
 
 
 def test_a_fleet_with_one_zone_has_nowhere_else_to_go() -> None:
-    zones = Zones(SECOND)
+    zones = ZoneReachability(SECOND)
     zones.listed({0})
     assert not any(zones.failure(0, f"c{n}", START) for n in range(99)) and zones.open(0, START)
 
 
 def test_a_zone_that_leaves_the_list_is_forgotten() -> None:
-    zones = Zones(SECOND)
+    zones = ZoneReachability(SECOND)
     zones.listed({0, 1})
     for n in range(ENOUGH):
         zones.failure(1, f"c{n}", START)
@@ -52,7 +52,7 @@
 def test_a_zone_is_never_shut_for_good_and_never_on_fewer_failures(
     course: list[tuple[bool, int, int]],
 ) -> None:
-    zones, now, row = Zones(SECOND), START, {zone: set[int]() for zone in range(3)}
+    zones, now, row = ZoneReachability(SECOND), START, {zone: set[int]() for zone in range(3)}
     zones.listed(set(row))
     for failed, server, zone in course:
         now += SECOND // 10
@@ -74,10 +74,10 @@
     for n in range(200):
         _, actions = router.ask(f"key{n}")
         for attempt in range(4):
-            sent = [one for one in actions if isinstance(one, api.Send)]
+            sent = [one for one in actions if isinstance(one, api.StartAttempt)]
             if not sent:
                 break
-            if router.balancer.fleet.servers[sent[0].server].member.zone == 0:
+            if router.balancer.servers.servers[sent[0].server].endpoint.zone == 0:
                 router.end(sent[0], S.OK, attempt)
                 break
             failed += 1
@@ -87,20 +87,20 @@
 
 def test_a_cut_costs_a_few_attempts_and_not_some_at_each_server() -> None:
     """Guards against requests that spend all their attempts on servers behind one cut."""
-    router = Router(settings(connect_timeout=250 * MILLI), fleet(40))
+    router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     assert cut_off(router) <= ENOUGH + 1
     assert any(line == "zone 1 is out of reach" for line in router.log)
-    assert len(router.balancer.fleet.avoided()) == 20
+    assert len(router.balancer.servers.ejected_servers()) == 20
 
 
-def behind(router: Router, reused: bool) -> api.Send:
+def behind(router: Router, reused: bool) -> api.StartAttempt:
     """Cuts zone 1 off for two seconds, and has its trial answered."""
     cut_off(router)
     router.wait(2 * SECOND)
     for n in range(99):
         _, (send, *_) = router.ask(f"after{n}")
-        assert isinstance(send, api.Send)
-        home = router.balancer.fleet.servers[send.server].member.zone
+        assert isinstance(send, api.StartAttempt)
+        home = router.balancer.servers.servers[send.server].endpoint.zone
         router.end(send, S.OK, 0, 10 * MILLI, reused=reused)
         if home == 1:
             return send
@@ -109,16 +109,20 @@
 
 def test_a_room_that_comes_back_is_taken_as_cold_until_a_server_proves_otherwise() -> None:
     """Rule 4: a room that was lost comes back cold before the list tells, at all its servers."""
-    router = Router(settings(connect_timeout=250 * MILLI), fleet(40))
+    router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = behind(router, reused=False)
-    assert router.balancer.fleet.servers[first.server].cold_since == router.now
-    rest = [one for one in router.balancer.fleet.servers.values() if one.member.zone == 1]
-    assert all(one.fails or one.cold_since == router.now for one in rest if one.member.kind != 9)
+    assert router.balancer.servers.servers[first.server].slow_start_at_ns == router.now
+    rest = [one for one in router.balancer.servers.servers.values() if one.endpoint.zone == 1]
+    assert all(
+        one.consecutive_failures or one.slow_start_at_ns == router.now
+        for one in rest
+        if one.endpoint.kind != 9
+    )
 
 
 def test_a_room_whose_connections_outlived_the_cut_is_as_warm_as_before() -> None:
-    router = Router(settings(connect_timeout=250 * MILLI), fleet(40))
+    router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = behind(router, reused=True)
-    assert router.balancer.fleet.servers[first.server].cold_since == 0
-    assert len(router.balancer.fleet.avoided()) <= ENOUGH
-    assert isinstance(router.ask("later")[1][0], api.Send)
+    assert router.balancer.servers.servers[first.server].slow_start_at_ns == 0
+    assert len(router.balancer.servers.ejected_servers()) <= ENOUGH
+    assert isinstance(router.ask("later")[1][0], api.StartAttempt)
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -13,7 +13,7 @@
 
 from rainhitch.rehearsal.faults import KINDS, Fault, check_faults
 from rainhitch.rehearsal.scenario import read_scenario, scenario_of, shipped
-from rainhitch.tables import TableError
+from rainhitch.toml_schema import TableError
 
 WANTED = [
     "lunch",
--- a/tests/resp3/test_four_ways.py
+++ b/tests/resp3/test_four_ways.py
@@ -10,7 +10,7 @@
 from peers import FETCHED, MISS, Bench, Caller, entry, hit, http, router, soon
 
 from rainhitch import interface as api
-from rainhitch.node import pool
+from rainhitch.node import connection_pool
 from rainhitch.node import relay as relay_module
 
 PAIRINGS = [(2, 2), (2, 3), (3, 2), (3, 3)]
@@ -58,7 +58,7 @@
     caller.get()
     told = [await caller.answer()]
     gone = entry("c0", bench.cache.address, state="Terminating")
-    bench.directory.take({"rev": 6, "all": False, "targets": [gone]})
+    bench.directory.apply({"rev": 6, "all": False, "targets": [gone]})
     caller.get(name=b"i2")
     return [*told, await caller.answer()]
 
@@ -126,7 +126,7 @@
 def seen(event: object) -> str:
     """An event or action without its times, and without the log's word, which tells of two timers' order."""
     text = repr(event)
-    for name in ("elapsed", "deadline", "timeout", "delay", "token", "retry_after", "why"):
+    for name in ("elapsed_ns", "deadline_ns", "timeout_ns", "delay_ns", "token", "retry_after_ns", "reason"):
         head, mark, rest = text.partition(f"{name}=")
         if mark:
             text = head + rest.partition(",")[2] if "," in rest else head
@@ -150,21 +150,21 @@
 
         def noted(now: int, event: api.Event) -> list[api.Action]:
             actions = handle(now, event)
-            if not isinstance(event, api.Alarm):
-                told = [one for one in actions if not isinstance(one, api.Wake)]
+            if not isinstance(event, api.TimerFired):
+                told = [one for one in actions if not isinstance(one, api.SetTimer)]
                 transcript.append(f"{seen(event)} -> {', '.join(map(seen, told))}")
             return actions
 
         bench.driver.balancer.handle = noted  # type: ignore[method-assign]
         caller = await bench.caller()
         answers = [repr(one) for one in await case.course(bench, caller)]
-        await soon(lambda: not bench.driver.held or name == "a client that leaves")
+        await soon(lambda: not bench.driver.requests or name == "a client that leaves")
         return answers, list(transcript)
 
 
 @pytest.mark.parametrize("name", CASES)
 async def test_all_four_pairings_are_alike(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     monkeypatch.setattr(relay_module, "STALL", 5.0)
     answers, transcript = await play(name, (2, 2))
     assert transcript or name == "bad commands"
--- a/tests/resp3/test_libraries.py
+++ b/tests/resp3/test_libraries.py
@@ -8,7 +8,7 @@
 import redis.asyncio
 from peers import MISS, Bench, hit, router
 
-from rainhitch.node.session import Gate
+from rainhitch.node.session import Authenticator
 
 INFO = "c=read,t=acme,d=9000"
 
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("protocol", [2, 3])
 async def test_redis_py_names_its_password(protocol: int) -> None:
     async with router(served) as bench:
-        bench.clients.gate = Gate(b"tablet", b"secret")
+        bench.clients.authenticator = Authenticator(b"tablet", b"secret")
         for user, password in (("tablet", "wrong"), ("nobody", "secret")):
             bad = await redis_py(bench, protocol, username=user, password=password)
             with pytest.raises(redis.AuthenticationError):
--- a/tests/resp3/test_nodes.py
+++ b/tests/resp3/test_nodes.py
@@ -6,7 +6,7 @@
 import pytest
 from peers import PATIENCE, Cache, Cache3, entry, hit, router, soon
 
-from rainhitch.node import pool
+from rainhitch.node import connection_pool
 from rainhitch.protocol import resp3
 from rainhitch.protocol.resp3 import Big, Map, Push, Verbatim, encode
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
 
 
 async def test_a_server_that_refuses_hello_speaks_resp2_and_is_greeted_once() -> None:
@@ -43,8 +43,8 @@
         # Its process starts anew, and may speak RESP3 by now.
         bench.cache.greeting = Cache3.greeting  # type: ignore[attr-defined]
         change = entry("c0", bench.cache.address, boot_ms=2_000_000_000_000)
-        bench.directory.take({"rev": 6, "all": False, "targets": [change]})
-        bench.driver.balancer.fleet.servers["c0"].cold_since = 0
+        bench.directory.apply({"rev": 6, "all": False, "targets": [change]})
+        bench.driver.balancer.servers.servers["c0"].slow_start_at_ns = 0
         caller = await bench.caller()
         caller.get(name=b"again")
         assert await caller.answer() == b"v"
@@ -111,13 +111,13 @@
         caller = await bench.caller()
         caller.get()
         await caller.answer()
-        memory = bench.driver.balancer.memory
-        memory.put("elsewhere", 1, "c9")
+        memory = bench.driver.balancer.key_memory
+        memory.remember("elsewhere", 1, "c9")
         assert "k" in memory.seen
         bench.cache.lines[0].write(INVALIDATE + encode(Push((b"invalidate", [b"elsewhere"])), 3))
         await soon(lambda: "k" not in memory.seen)
         assert "elsewhere" in memory.seen  # another server holds that
-        memory.put("k", 1, "c0")
+        memory.remember("k", 1, "c0")
         bench.cache.lines[0].write(encode(Push((b"invalidate", None)), 3))
         await soon(lambda: list(memory.seen) == ["elsewhere"])
 
@@ -146,7 +146,7 @@
         assert await caller.answer() == b"v" and len(bench.cache.lines) == 2
         bench.cache.lines[0].write(INVALIDATE[9:])
         await soon(lambda: not first.reader.buffer)  # type: ignore[attr-defined]
-        assert first.fit() and bench.cache.ended == 0
+        assert first.is_reusable() and bench.cache.ended == 0
 
 
 async def test_a_flood_of_pushes_does_not_starve_replies() -> None:
@@ -264,7 +264,7 @@
             bench.cache.greeting = b"-ERR unknown command\r\n"  # type: ignore[attr-defined]
         rows = [entry("c0", bench.cache.address), entry("c1", second.address)]
         rows.append(entry("o", bench.origin.address, model="origin"))
-        bench.directory.take({"rev": 6, "all": True, "targets": rows}, cached=True)
+        bench.directory.apply({"rev": 6, "all": True, "targets": rows}, cached=True)
         caller = await bench.caller()
         served = 0
         for n in range(12):
--- a/tests/resp3/test_session.py
+++ b/tests/resp3/test_session.py
@@ -5,13 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainhitch.node.session import HANDLERS, Gate, Session
+from rainhitch.node.session import HANDLERS, Authenticator, Session
 from rainhitch.protocol.resp import WAITING
 from rainhitch.protocol.resp3 import Error, Map, Reader, Simple, text_of
 
 
 def session(password: bytes = b"", ready: bool = True) -> Session:
-    return Session(7, Gate(b"tablet", password), lambda: ready)
+    return Session(7, Authenticator(b"tablet", password), lambda: ready)
 
 
 def ask(one: Session, *words: bytes) -> object:
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -8,7 +8,7 @@
 import pytest
 
 from rainhitch.cli import run
-from rainhitch.node.service import write
+from rainhitch.node.router import write
 from rainhitch.rehearsal.plan import draw
 from rainhitch.rehearsal.scenario import scenario_of
 from rainhitch.rehearsal.virtual.stage import play_day
--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -67,17 +67,17 @@
 
 def test_a_fault_in_the_router_is_found_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
     """The guard that ends a request whose decisions have lost it is cut, and so is every refusal's answer."""
-    from rainhitch.node.driver import Driver
+    from rainhitch.node.request_driver import RequestDriver
 
-    answer = Driver._answer
+    answer = RequestDriver._answer
 
-    def forgets(self: Driver, held: Any, text: bytes, counts: list[int], how: str) -> None:
-        if counts is not self.tally.ok:
+    def forgets(self: RequestDriver, held: Any, text: bytes, counts: list[int], how: str) -> None:
+        if counts is not self.metrics.served:
             self._close(held)  # and says nothing
         else:
             answer(self, held, text, counts, how)
 
-    monkeypatch.setattr(Driver, "_answer", forgets)
+    monkeypatch.setattr(RequestDriver, "_answer", forgets)
     faults = [{"kind": "database-stop", "at_s": 0.2, "for_s": 1.0}]
     result = examine(case({**SMALL, "faults": faults}, 1))
     assert any(kind.startswith("lost") for kind in result.kinds)
--- a/tests/virtual/test_model.py
+++ b/tests/virtual/test_model.py
@@ -7,7 +7,7 @@
 
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
-from rainhitch.policy.jobs import Job
+from rainhitch.policy.pending_request import PendingRequest
 from rainhitch.rehearsal.explore.model import WORLDS, World, fingerprint, search
 
 
@@ -20,20 +20,20 @@
 def sends_at_once(patch: pytest.MonkeyPatch) -> None:
     proceed = Balancer._proceed
 
-    def twice(self: Balancer, job: Job | None) -> None:
+    def twice(self: Balancer, job: PendingRequest | None) -> None:
         proceed(self, job)
-        if job is not None and job.out:
-            self._send(job, self.fleet.origin or next(iter(self.fleet.servers.values())))
+        if job is not None and job.in_flight_attempts:
+            self._send(job, self.servers.origin or next(iter(self.servers.servers.values())))
 
     patch.setattr(Balancer, "_proceed", twice)
 
 
 def repeats_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "may_repeat", lambda self, to, now: True)
+    patch.setattr(PendingRequest, "may_retry_at", lambda self, to, now: True)
 
 
 def refuses_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "may_refuse", lambda self, now: True)
+    patch.setattr(PendingRequest, "may_reject", lambda self, now: True)
 
 
 def says_nothing(patch: pytest.MonkeyPatch) -> None:
@@ -71,5 +71,5 @@
 
     assert after() == after()
     assert after(("arrive", "r0")) == after(("arrive", "r0")) != after()
-    drained = ("list", "s0", api.State.DRAINING)
+    drained = ("list", "s0", api.EndpointState.DRAINING)
     assert after(drained) != after()
--- a/tests/virtual/test_virtual_day.py
+++ b/tests/virtual/test_virtual_day.py
@@ -120,23 +120,23 @@
 def test_a_day_says_what_callbacks_ended_with_that_should_not_have(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from rainhitch.node.driver import Driver
+    from rainhitch.node.request_driver import RequestDriver
 
-    def fails(self: Driver, by: float) -> None:
+    def fails(self: RequestDriver, by: float) -> None:
         raise ZeroDivisionError("on purpose")
 
-    monkeypatch.setattr(Driver, "stop", fails)
+    monkeypatch.setattr(RequestDriver, "stop", fails)
     made = play(scenario(tmp_path), "small", 1)
     assert made["exit"] == report.BROKEN and "on purpose" in str(made["breaches"])
 
 
 def test_an_instant_that_does_not_end_stops_the_day(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    from rainhitch.node.clients import Clients
+    from rainhitch.node.client_connections import ClientConnections
 
-    def again(self: Clients) -> None:
+    def again(self: ClientConnections) -> None:
         self.loop.call_soon(again, self)
 
-    monkeypatch.setattr(Clients, "send_away", again)
+    monkeypatch.setattr(ClientConnections, "drain", again)
     with pytest.raises(StuckError):
         play(scenario(tmp_path, DAY + "[virtual]\ncore = 0.0\n"), "small", 1)
 
