--- /dev/null
+++ b/tests/fleet/test_wire_compatibility.py
@@ -0,0 +1,202 @@
+"""Bytes between routers, against a recording of an earlier version: a fleet is upgraded router by router.
+
+`recorded_datagrams.json` holds what that version sent, believed and described in the runs below. Each run is
+deterministic: its times, its seeds and its lost datagrams are fixed. Datagrams are hexadecimal text.
+"""
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from rainhitch.fleet.failure_detector import FailureDetector
+from rainhitch.fleet.gossip_codec import decode, encode, hashes
+from rainhitch.fleet.gossip_exchange import EVERYONE, GossipExchange
+from rainhitch.fleet.options import FleetOptions
+from rainhitch.fleet.quota_escrow import QuotaEscrow
+from rainhitch.fleet.tenant_usage import TenantUsage
+from rainhitch.interface import LatencyObservation
+
+RECORDING = Path(__file__).with_name("recorded_datagrams.json")
+MILLI, SECOND = 1_000_000, 1_000_000_000
+START = 1000 * SECOND
+STEP = SECOND // 10
+ROUTERS = 4
+Run = list[Any]
+
+
+def observations(number: int) -> list[LatencyObservation]:
+    """Answer times of some servers; they differ with `number`."""
+    return [
+        LatencyObservation(
+            f"cache-{(number * 7 + index) % 9}", (number + 1) * (index + 1) * 3 * MILLI, index == 2
+        )
+        for index in range(4)
+    ]
+
+
+def rows(seen: list[LatencyObservation]) -> list[Any]:
+    return [[one.server, one.elapsed_ns, one.is_in_flight] for one in seen]
+
+
+def latency_observations() -> Run:
+    """Answer times (0xA2): what is encoded and what is read of it, with one server that is not listed."""
+    names = hashes([f"cache-{number}" for number in range(8)])
+    run: Run = []
+    for number in range(12):
+        data = encode(observations(number * number))
+        run.append([data.hex(), rows(decode(data, names))])
+    whole = encode([LatencyObservation(f"cache-{number}", number * MILLI) for number in range(200)])
+    run.append([whole.hex(), rows(decode(whole, names))])
+    return run
+
+
+def tenant_usage() -> Run:
+    """Usage counts (0xC1 is put before them by the exchange), with a router that starts anew."""
+    parts = [TenantUsage(me, ROUTERS, 3, 10 + me, START) for me in range(ROUTERS)]
+    run: Run = []
+    for step in range(1, 80):
+        now = START + step * STEP
+        if step == 50:
+            parts[2] = TenantUsage(2, ROUTERS, 3, 99, now)
+        for me, part in enumerate(parts):
+            for tenant in range(3):
+                for _ in range((step * (me + 1) + tenant) % 4):
+                    part.add(tenant)
+            part.mark(now)
+            if step % 10 == me:
+                data = part.encode()
+                heard = [other.receive(now, me, data) for other in parts if other is not part]
+                run.append([step, me, data.hex(), heard, part.taken(), part.fractions(now)])
+    return run
+
+
+def exchanged(
+    parts: list[Any],
+    steps: int,
+    before_step: Callable[[int, int, list[Any]], None],
+    state: Callable[[Any, int], Any],
+) -> Run:
+    """Steps all parts, and delivers a datagram in the step after it was sent; each eleventh is lost."""
+    run: Run = []
+    waiting: list[tuple[int, int, bytes]] = []
+    sent = 0
+    for step in range(1, steps):
+        now = START + step * STEP
+        before_step(step, now, parts)
+        delivered, waiting = waiting, []
+        replies = [
+            (to, answered, payload)
+            for source, to, data in delivered
+            if parts[to] is not None
+            for answered, payload in parts[to].receive(now, source, data)
+        ]
+        for me, part in enumerate(parts):
+            if part is not None:
+                replies += [(me, to, payload) for to, payload in part.step(now)]
+        for source, to, payload in replies:
+            sent += 1
+            run.append([step, source, to, payload.hex()])
+            if sent % 11:
+                waiting.append((source, to, payload))
+        if step % 20 == 0:
+            run.append([step, [None if part is None else state(part, now) for part in parts]])
+    return run
+
+
+def quota_escrow() -> Run:
+    """Questions and answers for leases of a quota (0x51, 0x41), with a need that moves."""
+
+    def before_step(step: int, now: int, parts: list[Any]) -> None:
+        if step == 160:
+            parts[3] = QuotaEscrow(3, ROUTERS, 120.0, now, 77)
+        for me, part in enumerate(parts):
+            for _ in range(9 if me == step // 60 % 2 else 1):
+                part.take(now)
+
+    def state(part: QuotaEscrow, now: int) -> Any:
+        return [part.available_per_s(now), part.demand_per_s, part.tokens, part.refused]
+
+    parts = [QuotaEscrow(me, ROUTERS, 120.0, START, me) for me in range(ROUTERS)]
+    return exchanged(parts, 260, before_step, state)
+
+
+def failure_detector() -> Run:
+    """Pings, answers and indirect pings (0x61 to 0x63), with a router that is gone and comes back."""
+
+    def before_step(step: int, now: int, parts: list[Any]) -> None:
+        if step == 40:
+            parts[3] = None
+        if step == 220:
+            parts[3] = FailureDetector(3, ROUTERS, 9, now, 33)
+        if step == 300:
+            parts[0].step(now + 3 * SECOND)  # it was stopped, and finds time gone on
+
+    def state(part: FailureDetector, now: int) -> Any:
+        return [part.live_routers(), part.generation, part.local_suspicion, part.changes]
+
+    parts = [FailureDetector(me, ROUTERS, me + 1, START, me) for me in range(ROUTERS)]
+    return exchanged(parts, 400, before_step, state)
+
+
+def gossip_exchange() -> Run:
+    """All kinds by the one entry point, with what is believed of them, and the object of `fleet status`."""
+    options = FleetOptions(counts=True, bounded=True, members=True, database_rps=40.0)
+    exchanges = [GossipExchange(me, ROUTERS, 2, 5 + me, START, me, options) for me in range(ROUTERS)]
+    for exchange in exchanges:
+        exchange.set_servers([f"cache-{number}" for number in range(8)])
+    run: Run = []
+    waiting: list[tuple[int, int, bytes]] = []
+    for step in range(1, 62):
+        now = START + step * STEP
+        sent: list[tuple[int, int, bytes]] = []
+        for source, to, data in waiting:
+            received = exchanges[to].receive(now, source, data)
+            sent += [(to, answered, payload) for answered, payload in received.replies]
+            if received.observations:
+                run.append([step, to, rows(received.observations)])
+        for me, exchange in enumerate(exchanges):
+            if step % 2 == 0:
+                data = exchange.encode_observations(now, observations(step + me))
+                sent += [(me, EVERYONE, data)] if data else []
+            for number in range((step + me) % 5):
+                exchange.tenant_usage.add(number % 2)  # type: ignore[union-attr]
+                if me == 0 or step % 10 == 0:  # one router needs more than its part, the others lend
+                    exchange.quota_escrow.take(now)  # type: ignore[union-attr]
+            sent += [(me, to, payload) for to, payload in exchange.step(now)]
+            told = exchange.traffic_fractions(now)
+            if told is not None:
+                run.append([step, me, told.by_tenant, told.valid_for_ns])
+            if step % 20 == 0:
+                run.append([step, me, exchange.describe(now), list(exchange.describe(now))])
+        waiting = []
+        for source, to, payload in sent:
+            run.append([step, source, to, payload.hex()])
+            targets = [one for one in range(ROUTERS) if one != source] if to == EVERYONE else [to]
+            waiting += [(source, one, payload) for one in targets]
+    return run
+
+
+RUNS: dict[str, Callable[[], Run]] = {
+    run.__name__: run
+    for run in (latency_observations, tenant_usage, quota_escrow, failure_detector, gossip_exchange)
+}
+
+
+@pytest.mark.parametrize("name", RUNS)
+def test_datagrams_and_what_is_read_of_them_are_as_recorded(name: str) -> None:
+    """A router of a new version must send the bytes that the routers of the old one read, and read theirs."""
+    recorded = json.loads(RECORDING.read_text())[name]
+    made = json.loads(json.dumps(RUNS[name]()))
+    for number, (mine, theirs) in enumerate(zip(made, recorded, strict=True)):
+        assert mine == theirs, f"row {number} of {name}"
+
+
+def test_recording_holds_each_kind_of_datagram() -> None:
+    recorded = json.loads(RECORDING.read_text())["gossip_exchange"]
+    datagrams = [bytes.fromhex(row[3]) for row in recorded if len(row) == 4 and isinstance(row[3], str)]
+    assert {data[0] for data in datagrams} >= {0xA2, 0xC1, 0x51, 0x41, 0x61, 0x62}
+    detector = json.loads(RECORDING.read_text())["failure_detector"]
+    assert {int(row[3][:2], 16) for row in detector if len(row) == 4} == {0x61, 0x62, 0x63}
