--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -60,7 +60,7 @@
     ),
     "two attempts of an order": (
         "overload/idempotency_keys.py",
-        "        if order.busy:\n            if len",
+        "        if record.state is KeyState.HELD:\n            if len",
         "        if False:\n            if len",
     ),
     "a drained server is used": (
--- a/rainhitch/overload/accept_pacer.py
+++ b/rainhitch/overload/accept_pacer.py
@@ -1,41 +1,52 @@
-"""The pace at which connections are accepted, so that newcomers leave time for requests in work.
+"""Pacing of accepted connections, so that new connections leave CPU time to requests in flight.
 
-A bucket of accepts, filled at a rate that follows the router's own lateness: a late turn cuts it by CUT,
-each period in time raises it. What is not accepted stays in the system's backlog, and is taken up when the
-bucket has filled again: the rate never falls below `least`, so that the backlog is not starved. In calm the
-rate stands at `most`, and nothing waits.
+A token bucket of accepts. Its fill rate follows the router's own timer delay: a delayed timer cuts the rate
+by `CUT_FACTOR`, each period without one raises it by `RAISE_FACTOR`. A connection that is not accepted stays
+in the kernel's backlog until the bucket has filled again. The rate never falls below its minimum, so that the
+backlog is not starved; without delays it stands at its maximum, and no connection waits.
 """
 
-SECOND = 1_000_000_000
-LATE = SECOND // 50  # ns of lateness from which newcomers have to wait
-PERIOD = SECOND // 20  # ns between two changes of the rate
-CUT, RISE = 0.6, 1.15
-BURST = 0.05  # s of the rate that may be accepted at once
+NS_PER_S = 1_000_000_000
+DELAY_LIMIT_NS = NS_PER_S // 50  # a timer later than this cuts the rate
+ADJUST_INTERVAL_NS = NS_PER_S // 20  # between two changes of the rate
+CUT_FACTOR = 0.6
+RAISE_FACTOR = 1.15
+BURST_S = 0.05  # the bucket holds what the rate gives in this time, and one connection at least
 
 
 class AcceptPacer:
-    """Accepts a second, between `least` and `most`."""
-
-    def __init__(self, least: float, most: float) -> None:
-        self.least, self.most = least, most
-        self.rate = most
-        self.tokens = most * BURST
-        self.at = self.changed = 0
-        self.late = 0
-
-    def noted(self, late: int) -> None:
-        """How late an alarm of the router was, ns."""
-        self.late = max(self.late, late)
-
-    def accepted(self, now: int) -> int:
-        """One more was accepted; gives for how long to accept no further ones, ns."""
-        self._change(now)
-        self.tokens = min(self.tokens + (now - self.at) * self.rate / SECOND, max(1.0, self.rate * BURST)) - 1
-        self.at = now
-        return 0 if self.tokens >= 0 else int((1 - self.tokens) * SECOND / self.rate)
-
-    def _change(self, now: int) -> None:
-        if now - self.changed >= PERIOD:
-            cut = self.late > LATE
-            self.rate = max(self.least, self.rate * CUT) if cut else min(self.most, self.rate * RISE)
-            self.changed, self.late = now, 0
+    """Paces accepts between `min_per_s` and `max_per_s` connections a second."""
+
+    def __init__(self, min_per_s: float, max_per_s: float) -> None:
+        self.min_per_s = min_per_s
+        self.max_per_s = max_per_s
+        self.rate_per_s = max_per_s
+        self.tokens = max_per_s * BURST_S  # connections that may be accepted now
+        self.filled_at_ns = 0
+        self.adjusted_at_ns = 0
+        self.max_delay_ns = 0  # largest timer delay since the last adjustment
+
+    def record_delay(self, delay_ns: int) -> None:
+        """Records how late a timer of the router fired, ns."""
+        self.max_delay_ns = max(self.max_delay_ns, delay_ns)
+
+    def pause_after_accept_ns(self, now_ns: int) -> int:
+        """Counts one accepted connection; returns for how long no further one should be accepted, ns."""
+        self._adjust_rate(now_ns)
+        gained = (now_ns - self.filled_at_ns) * self.rate_per_s / NS_PER_S
+        capacity = max(1.0, self.rate_per_s * BURST_S)
+        self.tokens = min(self.tokens + gained, capacity) - 1
+        self.filled_at_ns = now_ns
+        if self.tokens >= 0:
+            return 0
+        return int((1 - self.tokens) * NS_PER_S / self.rate_per_s)
+
+    def _adjust_rate(self, now_ns: int) -> None:
+        if now_ns - self.adjusted_at_ns < ADJUST_INTERVAL_NS:
+            return
+        if self.max_delay_ns > DELAY_LIMIT_NS:
+            self.rate_per_s = max(self.min_per_s, self.rate_per_s * CUT_FACTOR)
+        else:
+            self.rate_per_s = min(self.max_per_s, self.rate_per_s * RAISE_FACTOR)
+        self.adjusted_at_ns = now_ns
+        self.max_delay_ns = 0
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -1,217 +1,273 @@
-"""The one face of this package: what the decisions and the clients' side ask and tell, times in ns.
+"""Entry point of overload control: what the decisions and the clients' side ask, and what they report.
 
-It sees arrivals, connects, retries marked and unmarked, outcomes, and the router's lateness; it says admit,
-wait, refuse, when to come back, and whether one more attempt of the router's own may go. The decision module
-(`policy/`) still chooses the server and gives each answer.
+The controller sees arrivals, connects, client retries, outcomes, and the delay of the router's timers. It
+decides whether a request is admitted, queued or rejected, when a rejected client should come back, whether
+one more retry of the router's own may be sent, and for how long accepting pauses. The decision module
+(`policy/`) still chooses the server and gives each answer. Times are ns.
 """
 
 from dataclasses import dataclass
+from enum import Enum
 
 from rainhitch import interface as api
 from rainhitch.overload.accept_pacer import AcceptPacer
-from rainhitch.overload.concurrency_limit import AdaptiveConcurrencyLimit, Lane
-from rainhitch.overload.idempotency_keys import Entry, IdempotencyKeyGuard
-from rainhitch.overload.retry_after import RetryAfterScheduler, Return, question
+from rainhitch.overload.concurrency_limit import AdaptiveConcurrencyLimit, Priority
+from rainhitch.overload.idempotency_keys import IdempotencyKeyGuard, KeyAdmission
+from rainhitch.overload.retry_after import RetryAfterScheduler, ReturnTiming, fingerprint_of
 from rainhitch.overload.retry_budget import RetryBudget
-from rainhitch.overload.storm_detector import PERIOD, RetryStormDetector
+from rainhitch.overload.service_estimate import ServiceEstimate
+from rainhitch.overload.storm_detector import PERIOD_NS, RetryStormDetector
 
-SECOND = 1_000_000_000
-HURRIED = 0.4  # part of its aim below which a request's time left counts as hurried
-SMOOTHING = 1 / 8
-IN_TIME = 0.5  # part of its aim within which an answer counts as in time for the limit
-HANDOVER = 2 * SECOND  # ns after the last sign of another process of this router
-FADES = 0.99  # a period, of the most that was served a second: halved in 17 s
+NS_PER_S = 1_000_000_000
+HURRIED_FRACTION = 0.4  # of its latency objective: with less time left a request counts as hurried
+GOOD_END_FRACTION = 0.5  # of its latency objective, within which an answer is a good end for the limit
+LIMIT_PERIODS_PER_OBJECTIVE = 8  # the limit is adjusted so often within the shortest latency objective
+UPGRADE_GRACE_NS = 2 * NS_PER_S  # after the last sign of another process of this router
 
 
 @dataclass
 class OverloadOptions:
-    """What an operator may set; see docs/operate/storms.md."""
+    """What an operator may set; see docs/operate/storms.md. The names are those of the operator's file."""
 
-    damping: bool = True  # false: storms are seen and told in the log, and nothing is done about them
-    retry_share: float = 0.2  # retries of the router's own for each first try
-    retries_least: float = 10.0  # a second
-    least_in_work: int = 32  # requests that are always admitted at once
-    floor: float = 0.2  # part of the limit that first tries and retries each keep
+    damping: bool = True  # false: storms are detected and logged, and nothing is done about them
+    retry_share: float = 0.2  # retries of the router's own for each first attempt
+    retries_least: float = 10.0  # retries a second that are always allowed
+    least_in_work: int = 32  # least concurrency limit, requests
+    floor: float = 0.2  # fraction of the limit that first attempts and retries each keep
     accepts_least: float = 100.0  # connections a second
-    accepts_most: float = 4000.0
-    orders: int = 4096
+    accepts_most: float = 4000.0  # connections a second
+    orders: int = 4096  # idempotency keys remembered at once
+
+
+class RejectionCause(Enum):
+    """Why overload control did not let a request or a retry through."""
+
+    CONCURRENCY_LIMIT = "concurrency_limit"
+    TOO_LATE = "too_late"  # it would not be answered in the time that it has left
+    IDEMPOTENCY_KEY = "idempotency_key"  # no room for its key, or too many wait for it
+    RETRY_BUDGET = "retry_budget"  # a retry of the router's own
 
 
 @dataclass(slots=True)
-class Entered:
-    """A request that was taken into work."""
+class TrackedRequest:
+    """A request that has come and has no final answer yet."""
+
+    arrived_at_ns: int
+    latency_objective_ns: int
+    is_retry: bool  # of the client's, as far as is known
+    over_quota: bool  # beyond its tenant's quota
+
+
+def priority_of(request: api.Request, over_quota: bool, timing: ReturnTiming) -> Priority:
+    """Returns a request's priority under the concurrency limit.
 
-    at: int
-    aim: int
-    retry: bool
-    marked: bool  # beyond its customer's share
+    Over the tenant's quota it is low for any request; before the Retry-After time only for reads.
+    """
+    if over_quota:
+        return Priority.LOW
+    if request.is_write:
+        return Priority.WRITE
+    if timing is ReturnTiming.EARLY:
+        return Priority.LOW
+    return Priority.ON_TIME_RETRY if timing is ReturnTiming.ON_TIME else Priority.READ
 
 
 class OverloadController:
-    """The storms of one router."""
+    """Overload control of one router; see `interface.OverloadControl` for the part that the decisions use."""
 
-    period_ns = PERIOD  # ns at which `step` is wanted
+    period_ns = PERIOD_NS  # between two calls of `step`
 
     def __init__(self, settings: api.Settings, seed: int, options: OverloadOptions | None = None) -> None:
-        self.settings, self.options = settings, options or OverloadOptions()
-        told = self.options
-        patience = max(spec.deadline_ns for spec in settings.classes)
-        most_wait = settings.max_retry_after_ns if settings.retry_after_allowed else 0
-        self.orders = IdempotencyKeyGuard(patience, told.orders)
-        self.budget = RetryBudget(told.retry_share, told.retries_least)
-        self.limit = AdaptiveConcurrencyLimit(
-            min(spec.latency_objective_ns for spec in settings.classes) // 8, told.least_in_work, told.floor
+        self.settings = settings
+        self.options = OverloadOptions() if options is None else options
+        longest_deadline_ns = max(one.deadline_ns for one in settings.classes)
+        shortest_objective_ns = min(one.latency_objective_ns for one in settings.classes)
+        self.idempotency_keys = IdempotencyKeyGuard(longest_deadline_ns, self.options.orders)
+        self.retry_budget = RetryBudget(self.options.retry_share, self.options.retries_least)
+        self.concurrency_limit = AdaptiveConcurrencyLimit(
+            shortest_objective_ns // LIMIT_PERIODS_PER_OBJECTIVE,
+            self.options.least_in_work,
+            self.options.floor,
+        )
+        self.retry_after = RetryAfterScheduler(
+            settings.max_retry_after_ns if settings.retry_after_allowed else 0, seed
         )
-        self.appointments = RetryAfterScheduler(most_wait, seed)
         self.detector = RetryStormDetector()
-        self.pace = AcceptPacer(told.accepts_least, told.accepts_most)
+        self.accept_pacer = AcceptPacer(self.options.accepts_least, self.options.accepts_most)
         self.origin_kind = settings.origin_kind if settings.cache_aside else -1
-        self.entered: dict[str, Entered] = {}
-        self.out: dict[tuple[str, int], Entered] = {}  # attempts at cache servers, by id and number
-        self.best_rate = self.first_rate = 0.0  # answers a second at most, and first tries a second, lately
-        self.took = 0.0  # ns that an answer takes, lately
-        self.refused_by: dict[str, int] = {"limit": 0, "too late": 0, "order": 0, "budget": 0}
+        self.requests: dict[str, TrackedRequest] = {}  # by id
+        self.cache_attempts: dict[tuple[str, int], TrackedRequest] = {}  # in flight, by id and number
+        self.service = ServiceEstimate(self.options.floor)
+        self.rejections = dict.fromkeys(RejectionCause, 0)  # since the start, or since the last storm ended
 
     @property
     def storm_active(self) -> bool:
-        return self.detector.storm
+        """Whether a storm is on."""
+        return self.detector.storm_active
 
     @property
-    def binding(self) -> bool:
-        """Whether what is admitted is limited now."""
-        return self.options.damping and self.detector.storm
-
-    def connection_accepted(self, now: int, open_now: int) -> int:
-        """A connection was accepted; gives for how long no more should be, ns."""
-        self.detector.now_counts.connects += 1
-        self.detector.open = open_now
-        return self.pace.accepted(now) if self.options.damping else 0
-
-    def connection_rejected(self, now: int) -> int:
-        """A newcomer found no room; gives after how long to come back, 0 where that may not be told."""
-        self.detector.now_counts.turned_away += 1
-        return self.appointments.give(now, self._returns()) if self.options.damping else 0
-
-    def upgrade_peer_seen(self, now: int) -> None:
-        """Another process of this router runs: its clients come over to this one, and the two share a core,
-        so that neither connects nor lateness tell of a storm for HANDOVER."""
-        self.detector.excused = now + HANDOVER
-
-    def timer_delayed(self, late: int) -> None:
-        """An alarm of the router came so much late, ns."""
-        self.detector.now_counts.late = max(self.detector.now_counts.late, late)
-        self.pace.noted(late)
-
-    def admit(self, now: int, request: api.Request, marked: bool) -> api.AdmissionDecision:
-        """What to do with a request that has come; `marked`: beyond its customer's share."""
-        spec, seen = self.settings.classes[request.class_index], self.detector.now_counts
-        known = bool(request.idempotency_key) and self.orders.known(now, request.idempotency_key)
-        back = self.appointments.arrived(now, question(request), request.is_client_retry)
-        retry = request.is_client_retry or known or back is not Return.NEW
-        left = request.deadline_ns - now
-        seen.arrivals += 1
-        seen.retries += retry
-        seen.hurried += left < spec.latency_objective_ns * HURRIED
-        verdict = api.AdmissionDecision.ADMIT
-        if self.binding:
-            if left < self.took / 2:
-                self.refused_by["too late"] += 1
-                verdict = api.AdmissionDecision.REJECT
-            elif not self.limit.admits(now, self._lane(request, marked, back), retry):
-                self.refused_by["limit"] += 1
-                verdict = api.AdmissionDecision.REJECT
-        if verdict is api.AdmissionDecision.ADMIT and request.idempotency_key:
-            entry = self.orders.enter(now, request.idempotency_key, request.id)
-            if entry is Entry.FULL:
-                self.refused_by["order"] += 1
-                verdict = api.AdmissionDecision.REJECT
-            elif entry is Entry.WAITS:
-                verdict = api.AdmissionDecision.QUEUE
-        self.entered[request.id] = Entered(now, spec.latency_objective_ns, retry, marked)
-        return verdict
-
-    @staticmethod
-    def _lane(request: api.Request, marked: bool, back: Return) -> Lane:
-        if request.is_write and not marked:
-            return Lane.ORDER
-        if marked or back is Return.EARLY:
-            return Lane.SHED
-        return Lane.KEPT if back is Return.KEPT else Lane.READ
+    def is_limiting(self) -> bool:
+        """Whether requests are rejected to end a storm."""
+        return self.options.damping and self.detector.storm_active
+
+    def connection_accepted(self, now_ns: int, open_connections: int) -> int:
+        """Counts an accepted connection; returns for how long no further one should be accepted, ns."""
+        self.detector.current.connects += 1
+        self.detector.open_connections = open_connections
+        return self.accept_pacer.pause_after_accept_ns(now_ns) if self.options.damping else 0
+
+    def connection_rejected(self, now_ns: int) -> int:
+        """Counts a connection for which there was no room.
+
+        Returns after how long its client should come back, ns; 0 where no time may be given.
+        """
+        self.detector.current.connections_rejected += 1
+        return self.retry_after.assign_ns(now_ns, self.service.returns_per_s()) if self.options.damping else 0
+
+    def upgrade_peer_seen(self, now_ns: int) -> None:
+        """Notes that another process of this router runs, as in an upgrade.
+
+        Its clients move to this process and the two share a core, so that for `UPGRADE_GRACE_NS` neither
+        connects nor timer delay are signs of a storm.
+        """
+        self.detector.upgrade_until_ns = now_ns + UPGRADE_GRACE_NS
+
+    def timer_delayed(self, delay_ns: int) -> None:
+        """Records how late a timer of the router fired, ns."""
+        counts = self.detector.current
+        counts.max_timer_delay_ns = max(counts.max_timer_delay_ns, delay_ns)
+        self.accept_pacer.record_delay(delay_ns)
+
+    def admit(self, now_ns: int, request: api.Request, over_quota: bool) -> api.AdmissionDecision:
+        """Decides on a request that has come: admitted, queued behind its idempotency key, or rejected.
+
+        `over_quota`: beyond its tenant's quota. Outside a storm only the idempotency key may hold it up. In
+        one, a request that is too late to be answered is rejected, and so is one that does not fit under the
+        limit.
+        """
+        key = request.idempotency_key
+        key_is_known = bool(key) and self.idempotency_keys.is_known(now_ns, key)
+        timing = self.retry_after.classify_return(now_ns, fingerprint_of(request), request.is_client_retry)
+        is_retry = request.is_client_retry or key_is_known or timing is not ReturnTiming.NEW
+        objective_ns = self.settings.classes[request.class_index].latency_objective_ns
+        is_hurried = request.deadline_ns - now_ns < objective_ns * HURRIED_FRACTION
+        self.detector.current.add_arrival(is_retry, is_hurried)
+        decision = api.AdmissionDecision.ADMIT
+        cause = None
+        if self.is_limiting:
+            priority = priority_of(request, over_quota, timing)
+            cause = self._storm_rejection(now_ns, request, priority, is_retry)
+        if cause is None and key:
+            key_admission = self.idempotency_keys.admit(now_ns, key, request.id)
+            if key_admission is KeyAdmission.REJECTED:
+                cause = RejectionCause.IDEMPOTENCY_KEY
+            elif key_admission is KeyAdmission.QUEUED:
+                decision = api.AdmissionDecision.QUEUE
+        if cause is not None:
+            self.rejections[cause] += 1
+            decision = api.AdmissionDecision.REJECT
+        self.requests[request.id] = TrackedRequest(now_ns, objective_ns, is_retry, over_quota)
+        return decision
+
+    def _storm_rejection(
+        self, now_ns: int, request: api.Request, priority: Priority, is_retry: bool
+    ) -> RejectionCause | None:
+        """Returns why a request is rejected during a storm; None: it is not."""
+        if request.deadline_ns - now_ns < self.service.answer_time_ns / 2:
+            return RejectionCause.TOO_LATE
+        if not self.concurrency_limit.admits(now_ns, priority, is_retry):
+            return RejectionCause.CONCURRENCY_LIMIT
+        return None
 
     def earlier_attempts(self, request: api.Request) -> list[tuple[int, api.Endpoint]]:
-        """When and where other requests' attempts at this request's order may have run."""
-        return self.orders.inherited(request.idempotency_key, request.id)
+        """Returns when and where other requests' attempts at this request's key may have been executed."""
+        return self.idempotency_keys.earlier_executions(request.idempotency_key, request.id)
+
+    def may_start_attempt(self, now_ns: int, is_retry: bool) -> bool:
+        """Returns whether an attempt may be sent, and counts it if so.
 
-    def may_start_attempt(self, now: int, again: bool) -> bool:
-        """Whether an attempt may go; `again`: an earlier one failed. Counts it if it may."""
-        if not again:
-            self.budget.first(now)
+        `is_retry`: an earlier attempt of the same request failed; then the retry budget decides.
+        """
+        if not is_retry:
+            self.retry_budget.record_first_attempt(now_ns)
             return True
-        if not self.options.damping or self.budget.spend(now):
+        if not self.options.damping or self.retry_budget.try_spend(now_ns):
             return True
-        self.refused_by["budget"] += 1
+        self.rejections[RejectionCause.RETRY_BUDGET] += 1
         return False
 
-    def attempt_started(self, now: int, id: str, number: int, member: api.Endpoint, window: int) -> None:
-        """An attempt is out; `window` is for how long its repeats are dropped there, ns."""
-        self.orders.sent(now, id, number, member, window)
-        entered = self.entered.get(id)
-        if entered is not None and member.kind != self.origin_kind:
-            # Guards hits against a slow origin: what waits there takes no place, and is the throttle's to
-            # limit.
-            self.out[id, number] = entered
-            self.limit.began(entered.retry)
-
-    def attempt_finished(self, now: int, event: api.AttemptFinished) -> str:
-        """An attempt has ended; gives the request whose turn at its order it is now, "" for none."""
-        entered = self.out.pop((event.id, event.attempt), None)
-        if entered is not None:
-            self.limit.ended(entered.retry)
+    def attempt_started(
+        self, now_ns: int, request_id: str, number: int, endpoint: api.Endpoint, dedup_window_ns: int
+    ) -> None:
+        """Records that an attempt is in flight.
+
+        Its repeats are dropped at the endpoint for `dedup_window_ns`.
+        """
+        self.idempotency_keys.attempt_started(now_ns, request_id, number, endpoint, dedup_window_ns)
+        tracked = self.requests.get(request_id)
+        if tracked is not None and endpoint.kind != self.origin_kind:
+            # Guards cache hits against a slow origin: misses that waited for it filled the limit and hits
+            # were rejected. What waits for the origin is limited by the origin's own admission.
+            self.cache_attempts[request_id, number] = tracked
+            self.concurrency_limit.attempt_started(tracked.is_retry)
+
+    def attempt_finished(self, now_ns: int, event: api.AttemptFinished) -> str:
+        """Records an attempt's end; returns the request that now holds its key, "" for none new."""
+        tracked = self.cache_attempts.pop((event.id, event.attempt), None)
+        if tracked is not None:
+            self.concurrency_limit.attempt_ended(tracked.is_retry)
+            started_at_ns = now_ns - event.elapsed_ns
             if event.status in (api.AttemptStatus.OK, api.AttemptStatus.MISS):
-                self.limit.note(event.elapsed_ns <= entered.aim * IN_TIME, now - event.elapsed_ns)
+                is_good = event.elapsed_ns <= tracked.latency_objective_ns * GOOD_END_FRACTION
+                self.concurrency_limit.record_end(is_good, started_at_ns)
             elif event.status in (api.AttemptStatus.TIMEOUT, api.AttemptStatus.FULL):
-                self.limit.note(False, now - event.elapsed_ns)
-        return self.orders.outcome(event.id, event.attempt, event.status)
-
-    def request_finished(self, now: int, id: str, served: bool, refused: bool) -> str:
-        """A request has its final answer, or its client has left; gives whose turn at its order it is now."""
-        entered = self.entered.pop(id, None)
-        if entered is not None:
-            self.detector.now_counts.served += served
-            self.detector.now_counts.refused += refused
+                self.concurrency_limit.record_end(False, started_at_ns)
+        return self.idempotency_keys.attempt_finished(event.id, event.attempt, event.status)
+
+    def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
+        """Records a request's final answer, or that its client has left.
+
+        Returns the request that now holds its idempotency key, "" for none new.
+        """
+        tracked = self.requests.pop(request_id, None)
+        if tracked is not None:
+            if rejected:
+                self.detector.current.rejected += 1
             if served:
-                self.took += (now - entered.at - self.took) * SMOOTHING
-        return self.orders.ended(id)
-
-    def retry_after_ns(self, now: int, request: api.Request) -> int:
-        """After how long a request that is refused now should come again, ns; 0 where that may not be
-        told."""
-        # A time within its aim where it has one left: who comes back later earns little by it.
-        entered, aim = (
-            self.entered.get(request.id),
-            self.settings.classes[request.class_index].latency_objective_ns,
+                self.detector.current.served += 1
+                self.service.record_answer(now_ns - tracked.arrived_at_ns)
+        return self.idempotency_keys.request_finished(request_id)
+
+    def retry_after_ns(self, now_ns: int, request: api.Request) -> int:
+        """Returns after how long a rejected request should come again, ns; 0 where no time may be given.
+
+        A first attempt within its quota is given a time that lets it be answered within its latency
+        objective, since a later answer is worth little; any other, one that lets it be answered by its
+        deadline.
+        """
+        tracked = self.requests.get(request.id)
+        answer_by_ns = request.deadline_ns
+        if tracked is not None and not tracked.over_quota and not tracked.is_retry:
+            objective_ns = self.settings.classes[request.class_index].latency_objective_ns
+            answer_by_ns = min(now_ns + objective_ns, request.deadline_ns)
+        time_left_ns = answer_by_ns - now_ns - int(self.service.answer_time_ns)
+        return self.retry_after.assign_ns(
+            now_ns, self.service.returns_per_s(), fingerprint_of(request), time_left_ns
         )
-        worth = entered is not None and not entered.marked and not entered.retry
-        left = (min(now + aim, request.deadline_ns) if worth else request.deadline_ns) - now - int(self.took)
-        return self.appointments.give(now, self._returns(), question(request), left)
-
-    def _returns(self) -> float:
-        """Returns a second that can be served: what first tries leave, and the floor for retries at least."""
-        spare = self.best_rate - self.first_rate
-        return max(1.0, spare, self.best_rate * self.options.floor)
-
-    def step(self, now: int) -> str:
-        """Once a period; gives a line for the operators, or "" for none."""
-        detector = self.detector
-        span, seen = now - detector.stepped, detector.now_counts
-        line = detector.step(now)
-        if detector.now_counts is not seen:
-            served, firsts = seen.served * SECOND / span, (seen.arrivals - seen.retries) * SECOND / span
-            self.best_rate = max(served, self.best_rate * FADES)
-            self.first_rate += (firsts - self.first_rate) * SMOOTHING
-        self.limit.step(now, self.binding)
-        if line and not detector.storm:
-            why = ", ".join(f"{count} by {name}" for name, count in self.refused_by.items() if count)
-            line += f"; limit {self.limit.limit:.0f}; not taken: {why or 'none'}"
-            self.refused_by = dict.fromkeys(self.refused_by, 0)
+
+    def step(self, now_ns: int) -> str:
+        """Ends a period: detects storms and adjusts the limit; returns a log line, "" for none."""
+        counts = self.detector.current
+        span_ns = now_ns - self.detector.period_began_at_ns
+        line = self.detector.step(now_ns)
+        period_is_over = self.detector.current is not counts
+        if period_is_over:
+            self.service.record_period(span_ns, counts.served, counts.arrivals - counts.retries)
+        self.concurrency_limit.step(now_ns, self.is_limiting)
+        if line and not self.detector.storm_active:
+            rejections = " ".join(
+                f"rejected_by_{one.value}={count}" for one, count in self.rejections.items()
+            )
+            line += f" limit={self.concurrency_limit.limit:.0f} {rejections}"
+            self.rejections = dict.fromkeys(RejectionCause, 0)
         return line
--- a/rainhitch/overload/storm_detector.py
+++ b/rainhitch/overload/storm_detector.py
@@ -1,126 +1,202 @@
-"""Tells a storm from an ordinary peak, by what it is made of, and sees its end.
+"""Detection of storms of retries and reconnects, as distinct from ordinary peaks of load.
 
-Theory. A peak is more of the usual: more first tries on the connections that are there. A storm feeds on
-itself: connections that were just there come anew, tries that were just refused come again, and what comes
-has little time left. Each sign is a ratio of what is seen to what would be a storm's by itself, cut at
-MOST, and their sum decides, so that no sign alone makes a storm:
+A peak is more of the usual: more first attempts on the connections that are there. A storm feeds on itself:
+clients that were just connected connect anew, requests that were just rejected come again, and what arrives
+has little time left. Each sign is the ratio of what was seen to what a storm shows in that sign alone, cut at
+a weight, and the sum of the signs decides, so that no sign alone makes a storm:
 
-    connects   a second, against a quarter of the connections usually open, and 3 times the usual pace
-    retries    part of the arrivals that are marked, known again, or bring an order seen before
-    hurried    part of the arrivals with little of their time left
-    arrivals   a second, against 3 times the usual: this one a peak has too
-    lateness   of the router's own alarms
+    connects   connections a second, against a fraction of those usually open and a multiple of the usual rate
+    retries    fraction of the requests that are retries
+    hurried    fraction of the requests with little of their time left
+    arrivals   requests a second, against a multiple of the usual rate: a peak shows this one too
+    lateness   delay of the router's own timers
 
-    calm --sum >= BEGINS--> storm --sum < ENDS for CALM periods in a row--> calm
+    normal --sum >= STORM_BEGINS_AT--> storm --sum < STORM_ENDS_BELOW for CALM_PERIODS in a row--> normal
 
-What is usual is learned while calm, slowly. A router that has just started knows nothing usual: how many
-come is no sign to it, and a sum of the others is a storm all the same.
+What is usual is learned in normal periods. A router that has just started knows no usual rate of requests:
+then the arrivals are no sign, and the sum of the others decides.
 """
 
 from dataclasses import dataclass
 
-SECOND = 1_000_000_000
-PERIOD = SECOND // 4  # ns
-# What each sign counts for at most: none makes a storm alone, and a peak's own the least.
-MOST = {"connects": 2.0, "retries": 1.5, "hurried": 1.0, "arrivals": 0.5, "lateness": 1.0}
-BEGINS, ENDS = 2.25, 1.0
-CALM = 4  # periods
-FEW = 5  # arrivals in a period, below which parts of them tell nothing
-CONNECTS, CONNECTS_PART, CONNECTS_TIMES = 50.0, 0.25, 3.0
-RETRIES, HURRIED = 0.5, 0.3
-ARRIVALS, ARRIVALS_TIMES = 40.0, 3.0
-LATENESS = SECOND // 20
-SLOWLY = 1 / 40  # weight of a calm period in what is usual: 10 s
-KNOWN = 8  # calm periods after which it is known what number of arrivals is usual
+NS_PER_S = 1_000_000_000
+NS_PER_MS = 1_000_000
+PERIOD_NS = NS_PER_S // 4  # between two judgements
+
+STORM_BEGINS_AT = 2.25  # sum of the signs
+STORM_ENDS_BELOW = 1.0  # sum of the signs
+CALM_PERIODS = 4  # in a row below it, until a storm is over
+
+# What each sign counts for at most: none makes a storm alone, and the one that a peak shows too counts least.
+MAX_CONNECTS_SIGN = 2.0
+MAX_RETRIES_SIGN = 1.5
+MAX_HURRIED_SIGN = 1.0
+MAX_ARRIVALS_SIGN = 0.5
+MAX_LATENESS_SIGN = 1.0
+
+# What a storm shows in each sign: the sign is 1 there.
+STORM_CONNECTS_PER_S = 50.0  # at least
+STORM_CONNECTS_FRACTION_PER_S = 0.25  # of the connections usually open
+STORM_CONNECTS_FACTOR = 3.0  # of the usual connects a second
+STORM_RETRIES_FRACTION = 0.5  # of the requests
+STORM_HURRIED_FRACTION = 0.3  # of the requests
+STORM_ARRIVALS_PER_S = 40.0  # at least
+STORM_ARRIVALS_FACTOR = 3.0  # of the usual requests a second
+STORM_TIMER_DELAY_NS = NS_PER_S // 20
+
+MIN_ARRIVALS_TO_JUDGE = 5  # in a period; fractions of fewer requests tell nothing
+LEARNING_WEIGHT = 1 / 40  # of a normal period in what is usual: a time constant of 10 s
+MIN_LEARNED_PERIODS = 8  # normal periods, after which the usual rate of requests is known
 
 
 @dataclass(slots=True)
-class Counts:
-    """What came in a span of time."""
+class TrafficCounts:
+    """What arrived and was answered in a span of time."""
 
     connects: int = 0
-    arrivals: int = 0
-    retries: int = 0
-    hurried: int = 0
-    refused: int = 0
+    arrivals: int = 0  # requests
+    retries: int = 0  # of the arrivals
+    hurried: int = 0  # of the arrivals, those with little time left
+    rejected: int = 0
     served: int = 0
-    turned_away: int = 0
-    late: int = 0  # ns, the most
+    connections_rejected: int = 0
+    max_timer_delay_ns: int = 0
+
+    def add_arrival(self, is_retry: bool, is_hurried: bool) -> None:
+        """Counts a request; `is_hurried`: little of its time is left."""
+        self.arrivals += 1
+        if is_retry:
+            self.retries += 1
+        if is_hurried:
+            self.hurried += 1
+
+    def add(self, other: "TrafficCounts") -> None:
+        """Adds the counts of a later span."""
+        self.connects += other.connects
+        self.arrivals += other.arrivals
+        self.retries += other.retries
+        self.hurried += other.hurried
+        self.rejected += other.rejected
+        self.served += other.served
+        self.connections_rejected += other.connections_rejected
+        self.max_timer_delay_ns = max(self.max_timer_delay_ns, other.max_timer_delay_ns)
+
+    def log_fields(self) -> str:
+        """Returns the counts as fields of a log line."""
+        return (
+            f"connects={self.connects} requests={self.arrivals} retries={self.retries} "
+            f"hurried={self.hurried} served={self.served} rejected={self.rejected} "
+            f"connections_rejected={self.connections_rejected} "
+            f"timer_delay_ms={self.max_timer_delay_ns / NS_PER_MS:.0f}"
+        )
+
+
+@dataclass(slots=True)
+class StormSigns:
+    """The signs of one period; 1 is what a storm shows in one alone."""
+
+    connects: float = 0.0
+    retries: float = 0.0
+    hurried: float = 0.0
+    arrivals: float = 0.0
+    lateness: float = 0.0
 
-    def add(self, other: "Counts") -> None:
-        for name in ("connects", "arrivals", "retries", "hurried", "refused", "served", "turned_away"):
-            setattr(self, name, getattr(self, name) + getattr(other, name))
-        self.late = max(self.late, other.late)
+    def total(self) -> float:
+        """Returns the sum that decides."""
+        return sum((self.connects, self.retries, self.hurried, self.arrivals, self.lateness))
+
+    def log_fields(self) -> str:
+        """Returns the signs as fields of a log line."""
+        return (
+            f"connects_sign={self.connects:.1f} retries_sign={self.retries:.1f} "
+            f"hurried_sign={self.hurried:.1f} arrivals_sign={self.arrivals:.1f} "
+            f"lateness_sign={self.lateness:.1f}"
+        )
 
 
 class RetryStormDetector:
-    """Counts what comes; `step` once a period says whether a storm has begun or ended, in a line."""
+    """Judges each period's counts; its host adds to `current` and calls `step`."""
 
     def __init__(self) -> None:
-        self.now_counts, self.storm = Counts(), False
-        self.whole = Counts()  # of the storm
-        self.open = 0  # connections
-        self.usual_open = self.usual_connects = self.usual_arrivals = 0.0
-        self.since = self.stepped = 0
-        self.calm = self.learned = 0  # calm periods: in a row within a storm; learned from
-        self.signs: dict[str, float] = {}
-        self.excused = 0  # until then connects and lateness are no signs, ns
-
-    @property
-    def level(self) -> float:
-        """The sum of the signs in the last period."""
-        return sum(self.signs.values())
-
-    def step(self, now: int) -> str:
-        """Judges the period that ends now; gives a line for the operators where a storm begins or ends."""
-        if not self.stepped:
-            self.stepped = now
-        span = now - self.stepped
-        if span < PERIOD:
+        self.storm_active = False
+        self.current = TrafficCounts()  # of the period that runs
+        self.open_connections = 0
+        self.signs = StormSigns()  # of the last period
+        self.period_began_at_ns = 0  # 0: no step yet
+        self.storm_began_at_ns = 0
+        self.storm_counts = TrafficCounts()  # of the whole storm
+        self.calm_periods = 0  # in a row within a storm
+        self.learned_periods = 0
+        self.usual_open_connections = 0.0
+        self.usual_connects_per_s = 0.0
+        self.usual_arrivals_per_s = 0.0
+        self.upgrade_until_ns = 0  # until then connects and lateness are no signs
+
+    def step(self, now_ns: int) -> str:
+        """Judges the period that ends now; returns a log line where a storm begins or ends, else "".
+
+        Nothing is judged before `PERIOD_NS` are over.
+        """
+        if not self.period_began_at_ns:
+            self.period_began_at_ns = now_ns
+        span_ns = now_ns - self.period_began_at_ns
+        if span_ns < PERIOD_NS:
             return ""
-        self.stepped = now
-        seen, self.now_counts = self.now_counts, Counts()
-        self.signs = self._signs(seen, span / SECOND)
-        if now < self.excused:
-            self.signs |= {"connects": 0.0, "lateness": 0.0}
-        if self.storm:
-            self.whole.add(seen)
-            self.calm = self.calm + 1 if self.level < ENDS else 0
-            if self.calm < CALM:
-                return ""
-            self.storm = False
-            return f"storm over after {(now - self.since) / SECOND:.1f} s: {self._figures(self.whole)}"
-        if self.level < BEGINS:
-            self._learn(seen, span / SECOND)
+        self.period_began_at_ns = now_ns
+        counts = self.current
+        self.current = TrafficCounts()
+        span_s = span_ns / NS_PER_S
+        self.signs = self._signs_of(now_ns, counts, span_s)
+        if self.storm_active:
+            return self._judge_end(now_ns, counts)
+        if self.signs.total() < STORM_BEGINS_AT:
+            self._learn_usual(counts, span_s)
             return ""
-        self.storm, self.since, self.calm, self.whole = True, now, 0, seen
-        told = ", ".join(f"{name} {value:.1f}" for name, value in self.signs.items() if value >= 0.1)
-        return f"storm seen: {told}; {self._figures(seen)}"
-
-    def _signs(self, seen: Counts, span: float) -> dict[str, float]:
-        bound = max(CONNECTS, self.usual_open * CONNECTS_PART, self.usual_connects * CONNECTS_TIMES)
-        many = max(ARRIVALS, self.usual_arrivals * ARRIVALS_TIMES)
-        arrivals, enough = max(1, seen.arrivals), seen.arrivals >= FEW
-        signs = {
-            "connects": seen.connects / span / bound,
-            "retries": seen.retries / arrivals / RETRIES * enough,
-            "hurried": seen.hurried / arrivals / HURRIED * enough,
-            "arrivals": seen.arrivals / span / many if self.learned >= KNOWN else 0.0,
-            "lateness": seen.late / LATENESS,
-        }
-        return {name: min(MOST[name], value) for name, value in signs.items()}
-
-    def _learn(self, seen: Counts, span: float) -> None:
-        self.learned += 1
-        weight = max(SLOWLY, 1 / self.learned)
-        self.usual_open += (self.open - self.usual_open) * weight
-        self.usual_connects += (seen.connects / span - self.usual_connects) * weight
-        self.usual_arrivals += (seen.arrivals / span - self.usual_arrivals) * weight
-
-    @staticmethod
-    def _figures(seen: Counts) -> str:
-        return (
-            f"{seen.connects} connects, {seen.arrivals} requests, {seen.retries} of them retries, "
-            f"{seen.hurried} hurried, {seen.served} served, {seen.refused} refused, "
-            f"{seen.turned_away} turned away, {seen.late / 1e6:.0f} ms late"
-        )
+        self.storm_active = True
+        self.storm_began_at_ns = now_ns
+        self.calm_periods = 0
+        self.storm_counts = counts
+        return f"storm began {self.signs.log_fields()} {counts.log_fields()}"
+
+    def _judge_end(self, now_ns: int, counts: TrafficCounts) -> str:
+        self.storm_counts.add(counts)
+        if self.signs.total() < STORM_ENDS_BELOW:
+            self.calm_periods += 1
+        else:
+            self.calm_periods = 0
+        if self.calm_periods < CALM_PERIODS:
+            return ""
+        self.storm_active = False
+        duration_s = (now_ns - self.storm_began_at_ns) / NS_PER_S
+        return f"storm ended duration_s={duration_s:.1f} {self.storm_counts.log_fields()}"
+
+    def _signs_of(self, now_ns: int, counts: TrafficCounts, span_s: float) -> StormSigns:
+        """Returns the signs of a period of `span_s` seconds."""
+        signs = StormSigns()
+        if now_ns >= self.upgrade_until_ns:
+            storm_connects_per_s = max(
+                STORM_CONNECTS_PER_S,
+                self.usual_open_connections * STORM_CONNECTS_FRACTION_PER_S,
+                self.usual_connects_per_s * STORM_CONNECTS_FACTOR,
+            )
+            signs.connects = min(MAX_CONNECTS_SIGN, counts.connects / span_s / storm_connects_per_s)
+            signs.lateness = min(MAX_LATENESS_SIGN, counts.max_timer_delay_ns / STORM_TIMER_DELAY_NS)
+        if counts.arrivals >= MIN_ARRIVALS_TO_JUDGE:
+            retries_fraction = counts.retries / counts.arrivals
+            hurried_fraction = counts.hurried / counts.arrivals
+            signs.retries = min(MAX_RETRIES_SIGN, retries_fraction / STORM_RETRIES_FRACTION)
+            signs.hurried = min(MAX_HURRIED_SIGN, hurried_fraction / STORM_HURRIED_FRACTION)
+        if self.learned_periods >= MIN_LEARNED_PERIODS:
+            storm_arrivals_per_s = max(
+                STORM_ARRIVALS_PER_S, self.usual_arrivals_per_s * STORM_ARRIVALS_FACTOR
+            )
+            signs.arrivals = min(MAX_ARRIVALS_SIGN, counts.arrivals / span_s / storm_arrivals_per_s)
+        return signs
+
+    def _learn_usual(self, counts: TrafficCounts, span_s: float) -> None:
+        """Moves what is usual towards a normal period's counts; the first periods count evenly."""
+        self.learned_periods += 1
+        weight = max(LEARNING_WEIGHT, 1 / self.learned_periods)
+        self.usual_open_connections += (self.open_connections - self.usual_open_connections) * weight
+        self.usual_connects_per_s += (counts.connects / span_s - self.usual_connects_per_s) * weight
+        self.usual_arrivals_per_s += (counts.arrivals / span_s - self.usual_arrivals_per_s) * weight
--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -40,7 +40,7 @@
     assert set(course.answers.values()) == {1}
 
 
-def test_who_heeds_what_it_is_told_is_spread() -> None:
+def test_clients_that_honour_retry_after_come_back_spread_out() -> None:
     """All that are refused in a second come back over the time that may be told, not in one heap."""
     waits = sorted(played(honour=1.0).waits)
     assert len(waits) > 500 and waits[0] > 0 and waits[-1] <= 2000
--- /dev/null
+++ b/tests/overload/test_concurrency_limit.py
@@ -0,0 +1,92 @@
+"""The concurrency limit: cut by late answers, raised in use, shared by priorities and kinds of attempt."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+from support import MILLI, START
+
+from rainhitch.overload.concurrency_limit import AdaptiveConcurrencyLimit, Priority
+
+
+def pressed(limit: AdaptiveConcurrencyLimit, now: int, bad: float, ends: int = 20) -> None:
+    """A period with the limit in use and this part of its ends bad."""
+    limit.peak_in_flight = int(limit.limit)
+    limit.rejected = 1
+    for n in range(ends):
+        limit.record_end(n >= bad * ends, now)
+    limit.step(now + limit.period_ns, True)
+
+
+def test_the_limit_falls_while_answers_are_late_and_recovers() -> None:
+    limit, now = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2), START
+    limit.normal_peaks.append(100)
+    limit.step(now, False)
+    assert limit.limit == 400
+    for _ in range(30):
+        now += limit.period_ns
+        pressed(limit, now, 0.6)
+    assert limit.limit == 8  # its least
+    for _ in range(60):
+        now += limit.period_ns
+        pressed(limit, now, 0.0)
+    assert limit.limit > 400
+
+
+def test_one_overload_cuts_the_limit_once() -> None:
+    limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
+    limit.limit = 100.0
+    pressed(limit, START, 1.0)
+    cut = limit.limit
+    assert cut == 50
+    for _ in range(50):
+        limit.record_end(False, START)  # admitted before the cut
+    limit.step(START + 2 * limit.period_ns, True)
+    assert limit.limit == cut
+
+
+def test_an_unused_limit_does_not_rise() -> None:
+    limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
+    limit.limit = 100.0
+    limit.peak_in_flight = 10
+    for _ in range(20):
+        limit.record_end(True, START)
+    limit.step(START + limit.period_ns, True)
+    assert limit.limit == 100
+
+
+def filled(
+    limit: AdaptiveConcurrencyLimit, offers: list[tuple[Priority, bool]], rounds: int
+) -> dict[tuple[Priority, bool], int]:
+    """What is admitted while all are offered in turn and nothing ends."""
+    taken = dict.fromkeys(offers, 0)
+    for _ in range(rounds):
+        for priority, retry in offers:
+            if limit.admits(START, priority, retry):
+                limit.attempt_started(retry)
+                taken[priority, retry] += 1
+    return taken
+
+
+def test_priorities_are_rejected_in_their_order() -> None:
+    for priority, most in (
+        (Priority.LOW, 50),
+        (Priority.READ, 85),
+        (Priority.ON_TIME_RETRY, 95),
+        (Priority.WRITE, 100),
+    ):
+        limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
+        limit.limit = 100.0
+        assert filled(limit, [(priority, False)], 200) == {(priority, False): most}
+
+
+@given(st.sampled_from([0.1, 0.2, 0.4]), st.integers(10, 400), st.booleans())
+def test_neither_first_tries_nor_retries_starve_the_other(
+    reserved_fraction: float, size: int, flood: bool
+) -> None:
+    """Retries that came first, and many, took every place; or the other way round."""
+    limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, reserved_fraction)
+    limit.limit = float(size)
+    limit.admits(START, Priority.READ, not flood)  # the other kind is wanted
+    filled(limit, [(Priority.WRITE, flood)], 3 * size)
+    assert (limit.retries if flood else limit.first_attempts).in_flight <= size * (1 - reserved_fraction)
+    taken = filled(limit, [(Priority.READ, not flood)], 3 * size)[Priority.READ, not flood]
+    assert taken >= int(size * reserved_fraction)
--- a/tests/overload/test_orders.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Order keys: never two attempts of one order out at a router, and nothing forgotten too soon."""
+"""Idempotency keys: never two attempts of one order out at a router, and nothing forgotten too soon."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 
 from rainhitch import interface as api
 from rainhitch.overload.controller import OverloadController
-from rainhitch.overload.idempotency_keys import Entry, IdempotencyKeyGuard
+from rainhitch.overload.idempotency_keys import IdempotencyKeyGuard, KeyAdmission
 
 S = api.AttemptStatus
 SERVER = api.Endpoint("o")
@@ -15,7 +15,7 @@
 
 
 def storming(**changes: object) -> Router:
-    """A balancer with its damper; class 1 is keyed and its repeats are dropped for WINDOW."""
+    """A balancer with overload control; class 1 is keyed and its repeats are dropped for WINDOW."""
     options = settings(**changes)
     return Router(options, damper=OverloadController(options, 7))
 
@@ -78,7 +78,7 @@
     assert kinds(order(router, "c")) == ["StartAttempt c"]
 
 
-def test_an_attempt_that_never_ran_binds_nobody() -> None:
+def test_an_attempt_that_never_ran_does_not_restrict_a_retry() -> None:
     router = storming()
     (first,) = order(router, "a")
     router.tell(api.ClientGone("a"))
@@ -87,7 +87,7 @@
     assert kinds(order(router, "b")) == ["StartAttempt b"]
 
 
-def test_a_retry_stays_within_the_group_that_drops_its_repeats() -> None:
+def test_a_retry_stays_within_the_scope_that_drops_its_repeats() -> None:
     """Class 3 drops repeats within a zone only; elsewhere the order would be placed again."""
     router = storming(cache_aside=False, origin_kind=-1)
     (first,) = order(router, "a", cls=3)
@@ -102,23 +102,27 @@
     assert kinds(sent) == ["Fail b"]
 
 
-def test_other_orders_are_not_held_up() -> None:
+def test_requests_with_other_keys_are_not_held_up() -> None:
     router = storming()
     order(router, "a")
     assert kinds(order(router, "b", key="o2")) == ["StartAttempt b"]
 
 
-def test_memory_is_bounded_and_what_is_out_is_never_forgotten() -> None:
-    orders = IdempotencyKeyGuard(patience=SECOND, most=8, in_line=2)
+def test_memory_is_bounded_and_keys_with_attempts_in_flight_are_never_forgotten() -> None:
+    guard = IdempotencyKeyGuard(client_patience_ns=SECOND, max_keys=8, max_queued=2)
     for n in range(8):
-        assert orders.enter(n, f"o{n}", f"r{n}") is Entry.HOLDS
-        orders.sent(n, f"r{n}", 0, SERVER, WINDOW)
-    assert orders.enter(9, "o9", "r9") is Entry.FULL
-    orders.outcome("r3", 0, S.OK)
-    orders.ended("r3")
-    assert orders.enter(10, "o9", "r9") is Entry.HOLDS  # in place of the one that is over
-    assert len(orders) == 8 and not orders.known(11, "o3") and orders.known(11, "o0")
-    assert [orders.enter(12, "o0", name) for name in "xyz"] == [Entry.WAITS, Entry.WAITS, Entry.FULL]
+        assert guard.admit(n, f"o{n}", f"r{n}") is KeyAdmission.HELD
+        guard.attempt_started(n, f"r{n}", 0, SERVER, WINDOW)
+    assert guard.admit(9, "o9", "r9") is KeyAdmission.REJECTED
+    guard.attempt_finished("r3", 0, S.OK)
+    guard.request_finished("r3")
+    assert guard.admit(10, "o9", "r9") is KeyAdmission.HELD  # in place of the one that is over
+    assert len(guard) == 8 and not guard.is_known(11, "o3") and guard.is_known(11, "o0")
+    assert [guard.admit(12, "o0", name) for name in "xyz"] == [
+        KeyAdmission.QUEUED,
+        KeyAdmission.QUEUED,
+        KeyAdmission.REJECTED,
+    ]
 
 
 class OneAtATime(RuleBasedStateMachine):
@@ -126,7 +130,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.orders, self.now, self.count = IdempotencyKeyGuard(patience=SECOND, most=64, in_line=4), START, 0
+        self.guard = IdempotencyKeyGuard(client_patience_ns=SECOND, max_keys=64, max_queued=4)
+        self.now = START
+        self.count = 0
         self.open: dict[str, str] = {}  # holders and waiters that have no answer: id -> order
         self.may_send: set[str] = set()
         self.out: dict[tuple[str, int], str] = {}
@@ -140,10 +146,10 @@
     def come(self, key: str) -> None:
         self.count += 1
         name = f"r{self.count}"
-        entry = self.orders.enter(self.now, key, name)
-        if entry is not Entry.FULL:
+        entry = self.guard.admit(self.now, key, name)
+        if entry is not KeyAdmission.REJECTED:
             self.open[name] = key
-            if entry is Entry.HOLDS:
+            if entry is KeyAdmission.HELD:
                 self.may_send.add(name)
 
     @precondition(lambda self: self.may_send)
@@ -155,14 +161,14 @@
         assert self.open[name] not in self.out.values()  # never two of one order
         self.count += 1
         self.out[name, self.count] = self.open[name]
-        self.orders.sent(self.now, name, self.count, SERVER, WINDOW)
+        self.guard.attempt_started(self.now, name, self.count, SERVER, WINDOW)
 
     @precondition(lambda self: self.out)
     @rule(data=st.data(), status=st.sampled_from([S.OK, S.TIMEOUT, S.FULL, S.RESET]))
     def finish(self, data: st.DataObject, status: S) -> None:
         name, number = data.draw(st.sampled_from(sorted(self.out)))
         del self.out[name, number]
-        self._turn(self.orders.outcome(name, number, status))
+        self._turn(self.guard.attempt_finished(name, number, status))
 
     @precondition(lambda self: self.open)
     @rule(data=st.data())
@@ -170,7 +176,7 @@
         name = data.draw(st.sampled_from(sorted(self.open)))
         del self.open[name]
         self.may_send.discard(name)
-        self._turn(self.orders.ended(name))
+        self._turn(self.guard.request_finished(name))
 
     @rule(seconds=st.sampled_from([0.01, 1.0, 4.0]))
     def wait(self, seconds: float) -> None:
@@ -187,10 +193,10 @@
 
     def teardown(self) -> None:
         for name, number in list(self.out):
-            self.orders.outcome(name, number, S.OK)
+            self.guard.attempt_finished(name, number, S.OK)
         for name in list(self.open):
-            self.orders.ended(name)
-        assert not self.orders.of
+            self.guard.request_finished(name)
+        assert not self.guard.key_of
 
 
 TestOneAtATime = OneAtATime.TestCase
@@ -198,9 +204,9 @@
 
 @given(st.lists(st.integers(0, 3), max_size=30))
 def test_requests_that_end_in_any_order_leave_nothing_behind(order_of: list[int]) -> None:
-    orders = IdempotencyKeyGuard(SECOND, most=16, in_line=8)
+    guard = IdempotencyKeyGuard(SECOND, max_keys=16, max_queued=8)
     for n, which in enumerate(order_of):
-        orders.enter(n, str(which), f"r{n}")
+        guard.admit(n, str(which), f"r{n}")
     for n in range(len(order_of)):
-        orders.ended(f"r{n}")
-    assert not orders.of and not orders.orders
+        guard.request_finished(f"r{n}")
+    assert not guard.key_of and not guard.records
--- /dev/null
+++ b/tests/overload/test_retry_after.py
@@ -0,0 +1,69 @@
+"""Retry-After times: spread, bounded, and recognized when their clients return."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+from support import MILLI, SECOND, START
+
+from rainhitch import interface as api
+from rainhitch.overload.retry_after import (
+    MIN_RETRY_AFTER_NS,
+    RetryAfterScheduler,
+    ReturnTiming,
+    fingerprint_of,
+)
+
+
+def asked(number: int = 0, key: str = "k") -> api.Request:
+    return api.Request(f"r{number}", 0, START + SECOND, key)
+
+
+@given(st.integers(1, 400), st.sampled_from([5.0, 50.0, 500.0]), st.integers(0, 99))
+def test_times_are_within_bounds_spread_and_grow_with_the_storm(many: int, pace: float, seed: int) -> None:
+    """Clients refused together and told the same came back together."""
+    scheduler = RetryAfterScheduler(2 * SECOND, seed)
+    waits = [scheduler.assign_ns(START, pace, fingerprint_of(asked(n, f"k{n}"))) for n in range(many)]
+    assert all(MIN_RETRY_AFTER_NS <= wait <= 2 * SECOND for wait in waits)
+    slot_ns = SECOND / 4
+    fits = [wait for wait in waits if wait < SECOND]
+    for at in range(4):
+        inside = sum(at * slot_ns <= wait < (at + 1) * slot_ns for wait in fits)
+        assert inside <= pace / 4 + 2
+    if many > 2 * pace + 2:
+        assert max(waits) >= SECOND  # the later half, once no place is free
+
+
+def test_two_routers_that_reject_at_once_give_different_times() -> None:
+    one, two = RetryAfterScheduler(2 * SECOND, 1), RetryAfterScheduler(2 * SECOND, 2)
+    told = [[scheduler.assign_ns(START, 20.0) for _ in range(30)] for scheduler in (one, two)]
+    assert sum(abs(a - b) > MILLI for a, b in zip(*told, strict=True)) > 25
+
+
+def test_on_time_and_early_returns_are_recognized() -> None:
+    scheduler, what = RetryAfterScheduler(2 * SECOND, 1), fingerprint_of(asked())
+    assert scheduler.classify_return(START, what, True) is ReturnTiming.NEW
+    wait = scheduler.assign_ns(START, 2.0, what)
+    assert (
+        scheduler.classify_return(START + wait // 2, what, False) is ReturnTiming.NEW
+    )  # another client's first try
+    assert scheduler.classify_return(START + wait, what, False) is ReturnTiming.ON_TIME  # marked or not
+    scheduler.assign_ns(START, 0.6, what)
+    assert scheduler.classify_return(START + 1, what, True) is ReturnTiming.EARLY
+    assert scheduler.classify_return(START + 2 * SECOND, what, True) is ReturnTiming.NEW  # each counts once
+
+
+def test_no_time_is_given_where_the_settings_allow_none() -> None:
+    scheduler, what = RetryAfterScheduler(0, 1), fingerprint_of(asked())
+    assert scheduler.assign_ns(START, 2.0, what) == 0
+    assert scheduler.classify_return(START + 1, what, False) is ReturnTiming.NEW
+
+
+def test_remembered_times_are_bounded_and_expire() -> None:
+    scheduler = RetryAfterScheduler(2 * SECOND, 1, max_fingerprints=50)
+    for n in range(500):
+        for _ in range(9):
+            scheduler.assign_ns(START, 1000.0, fingerprint_of(asked(key=f"k{n}")))
+    assert len(scheduler.slots) == 50 and all(len(times) <= 4 for times in scheduler.slots.values())
+    assert (
+        scheduler.classify_return(START + 10 * SECOND, fingerprint_of(asked(key="k499")), True)
+        is ReturnTiming.NEW
+    )
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -31,7 +31,7 @@
         assert await second.answer() == b"receipt"
 
 
-async def test_who_finds_no_room_is_told_when_to_come_back() -> None:
+async def test_a_connection_without_room_is_given_a_retry_after_time() -> None:
     async with router(sockets=2, retryAfter=True, maxRetryAfter=2_000_000_000) as bench:
         for _ in range(2):
             await (await bench.caller()).answer_to_ping()
@@ -98,10 +98,11 @@
 
 async def test_connects_are_counted_and_paced_by_lateness() -> None:
     async with router() as bench:
-        damper = bench.clients.overload
-        assert damper is not None
-        damper.pace.rate, damper.pace.tokens = damper.pace.least, 0.0
-        damper.pace.changed = time.monotonic_ns() + 60_000_000_000  # the rate stays
+        assert bench.clients.overload is not None
+        pacer = bench.clients.overload.accept_pacer
+        pacer.rate_per_s = pacer.min_per_s
+        pacer.tokens = 0.0
+        pacer.adjusted_at_ns = time.monotonic_ns() + 60_000_000_000  # the rate stays
         for _ in range(12):
             await (await bench.caller()).answer_to_ping()
         assert bench.clients.listener is not None and bench.clients.listener.pauses > 0
--- /dev/null
+++ b/tests/overload/test_storm_detector.py
@@ -0,0 +1,99 @@
+"""Storms are told from ordinary peaks, and their end is seen when it lasts."""
+
+from support import MILLI, SECOND, START
+
+from rainhitch.overload.storm_detector import PERIOD_NS, RetryStormDetector
+
+
+def period(detector: RetryStormDetector, now: int, **counts: int) -> str:
+    for name, value in counts.items():
+        setattr(detector.current, name, value)
+    detector.open_connections = counts.get("connects", 0) + 200
+    return detector.step(now)
+
+
+def storm_period(detector: RetryStormDetector) -> None:
+    counts = detector.current
+    counts.connects = 200
+    counts.arrivals = 200
+    counts.retries = 60
+    counts.max_timer_delay_ns = SECOND // 10
+
+
+def usual(detector: RetryStormDetector, seconds: int = 30) -> int:
+    now = START
+    detector.step(now)
+    for _ in range(4 * seconds):
+        now += PERIOD_NS
+        assert period(detector, now, arrivals=40, connects=2, retries=4, hurried=1) == ""
+    return now
+
+
+def test_an_ordinary_peak_is_no_storm_and_one_made_of_reconnects_is() -> None:
+    detector = RetryStormDetector()
+    now = usual(detector)
+    for _ in range(40):  # 2.5 times the load, much of it refused and tried once more
+        now += PERIOD_NS
+        assert (
+            period(
+                detector, now, arrivals=100, connects=6, retries=30, hurried=10, max_timer_delay_ns=5 * MILLI
+            )
+            == ""
+        )
+    line = period(detector, now + PERIOD_NS, arrivals=200, connects=190, retries=60, hurried=20)
+    assert line.startswith("storm began connects_sign=2.0 ") and " connects=190 requests=200 " in line
+
+
+def test_retries_that_feed_on_themselves_are_a_storm() -> None:
+    detector = RetryStormDetector()
+    now = usual(detector)
+    assert period(detector, now + PERIOD_NS, arrivals=130, connects=5, retries=90, hurried=30).startswith(
+        "storm"
+    )
+
+
+def test_the_end_is_seen_only_when_it_lasts() -> None:
+    detector = RetryStormDetector()
+    now = usual(detector) + PERIOD_NS
+    assert period(detector, now, arrivals=200, connects=190, retries=60, hurried=20)
+    lines = []
+    for n in range(8):
+        now += PERIOD_NS
+        worse = n == 2
+        lines.append(period(detector, now, arrivals=200 if worse else 40, connects=190 if worse else 2))
+    assert lines[:6] == [""] * 6 and lines[6].startswith("storm ended duration_s=1.8 connects=392 ")
+    assert not detector.storm_active
+
+
+def test_a_storm_does_not_become_what_is_usual() -> None:
+    detector = RetryStormDetector()
+    now = usual(detector)
+    before = detector.usual_connects_per_s
+    for _ in range(400):
+        now += PERIOD_NS
+        period(detector, now, arrivals=200, connects=190, retries=100, hurried=50)
+    assert detector.storm_active and detector.usual_connects_per_s == before
+
+
+def test_a_router_that_has_just_started_takes_its_first_crowd_for_no_storm() -> None:
+    """It knows of no usual number, and everybody connects to it."""
+    detector = RetryStormDetector()
+    detector.step(START)
+    assert period(detector, START + PERIOD_NS, arrivals=200, connects=40, retries=2) == ""
+
+
+def test_two_processes_of_one_router_are_no_storm() -> None:
+    """In an upgrade all clients came over at once, and the new process refused work for it."""
+    for excused in (False, True):
+        detector, lines = RetryStormDetector(), []
+        for n in range(40):
+            detector.step(START + n * PERIOD_NS)
+        now = START + 40 * PERIOD_NS
+        detector.upgrade_until_ns = now + 8 * PERIOD_NS if excused else 0
+        for n in range(8):
+            storm_period(detector)
+            lines.append(detector.step(now + n * PERIOD_NS))
+        assert any(lines) is not excused
+        storm_period(detector)
+        line = detector.step(now + 9 * PERIOD_NS)
+        assert line.startswith("storm began") or detector.storm_active  # the grace time is over
