--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -44,19 +44,19 @@
         "for connection in []:",
     ),
     "an order's window does not end": (
-        "policy/pending_request.py",
-        "is api.Idempotency.NOT_IDEMPOTENT or not self.in_dedup_window(now):",
+        "policy/retry_policy.py",
+        "is api.Idempotency.NOT_IDEMPOTENT or not is_in_dedup_window(job, now_ns):",
         "is api.Idempotency.NOT_IDEMPOTENT:",
     ),
     "what may run once is repeated": (
-        "policy/pending_request.py",
-        "is api.Idempotency.NOT_IDEMPOTENT or not self.in_dedup_window(now):",
-        "is api.Idempotency.IDEMPOTENCY_KEY and not self.in_dedup_window(now):",
+        "policy/retry_policy.py",
+        "is api.Idempotency.NOT_IDEMPOTENT or not is_in_dedup_window(job, now_ns):",
+        "is api.Idempotency.IDEMPOTENCY_KEY and not is_in_dedup_window(job, now_ns):",
     ),
     "all is refused": (
-        "policy/pending_request.py",
-        "is api.Idempotency.IDEMPOTENT\n            or not self.possibly_executed",
-        "is not None",
+        "policy/retry_policy.py",
+        "return recognized_everywhere and is_in_dedup_window(job, now_ns)",
+        "return True",
     ),
     "two attempts of an order": (
         "overload/idempotency_keys.py",
--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -1,118 +1,170 @@
-"""What the decision module is told and what it answers: settings, events and actions.
+"""The contract of the decisions (`policy/`): settings, events in, actions out, and overload control.
 
-Times and durations are integer nanoseconds; a clock value is passed in with every event.
-Servers, requests and keys are opaque texts; classes, tenants, zones and kinds are indexes.
+Whoever hosts a router, on sockets or in a simulator, passes events in and carries out the actions.
+Durations and times are integer nanoseconds; times are monotonic, on the clock that is passed in with events.
+Servers, requests and keys are opaque texts; classes, tenants, zones, cells and kinds are indexes.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum, StrEnum
 from typing import Protocol
 
-Address = tuple[str, int]  # an address: host, port
-DEFAULT_MIGRATION_FRACTION = 0.25  # of what the origin is sent besides, for keys that move to another server
+Address = tuple[str, int]  # host, port
+DEFAULT_MIGRATION_FRACTION = 0.25  # of the origin's other requests, for keys that move to another server
+
+
+# Words that settings, events and actions share
 
 
 class Idempotency(StrEnum):
     """What a second execution of a request would do."""
 
-    IDEMPOTENT = "idempotent"
-    IDEMPOTENCY_KEY = "idempotency_key"
-    NOT_IDEMPOTENT = "not_idempotent"
+    IDEMPOTENT = "idempotent"  # nothing
+    IDEMPOTENCY_KEY = "idempotency_key"  # nothing, where the server still knows the key of the first
+    NOT_IDEMPOTENT = "not_idempotent"  # harm
 
 
 class AttemptStatus(StrEnum):
-    """How an attempt or a probe ended."""
-
-    OK = "ok"
-    ERROR = "error"
-    FULL = "full"
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    ABANDONED = "moot"
-    MISS = "miss"
+    """How an attempt at a server ended. The values stand in records and datagrams."""
+
+    OK = "ok"  # it was answered
+    ERROR = "error"  # the server answered that it failed
+    FULL = "full"  # the server refused it: its queue or its connection table is full
+    TIMEOUT = "timeout"  # no answer within the attempt's timeout
+    CONNECT_FAILED = "connect_failed"  # no connection came up
+    RESET = "reset"  # the connection broke
+    CANCELLED = "cancelled"  # this router gave it up, and it may have been executed
+    ABANDONED = "moot"  # given up before it was written
+    MISS = "miss"  # the server lacks the key
     NO_LOCAL_CONNECTION = "room"  # the router itself could open no more connections
 
 
+# After these ends an attempt has certainly not been executed.
+NEVER_EXECUTED = frozenset(
+    (
+        AttemptStatus.FULL,
+        AttemptStatus.CONNECT_FAILED,
+        AttemptStatus.ABANDONED,
+        AttemptStatus.MISS,
+        AttemptStatus.NO_LOCAL_CONNECTION,
+    )
+)
+
+
+class RejectReason(StrEnum):
+    """Which decision ended a request that no server answered. The values stand in records.
+
+    A time limit ends a request that waits; its reason then is what it waited for.
+    """
+
+    # When it arrived
+    OVERLOAD_CONTROL = "storm"  # a retry storm: beyond the concurrency limit, too late, or too many keys
+    IDEMPOTENCY_KEY = "order"  # an earlier request of its key was not over in time, or may have been executed
+    # On its way to the origin
+    NO_TOKEN = "throttle"  # the origin's throttle is on: no token within its objective, or over its quota
+    WAIT_FOR_TOKEN = "buffer"  # it waited for a token until the end of its latency objective
+    READ_OF_ANOTHER_REQUEST = "fetch"  # it waited for another request's read of its key until then
+    # Before an attempt
+    NO_SERVER_WITH_CAPACITY = "placement"  # no cache server that may hold its key has capacity
+    ORIGIN_UNAVAILABLE = "origin"  # the origin is not listed, has no capacity, or has failed the request
+    NO_MORE_ATTEMPTS = "attempts"  # max_attempts, too little time, or a repeat might do harm
+    FLEET_READ_ALLOWANCE = "total"  # all routers together may send the origin no more reads now
+    RETRY_BUDGET = "budget"  # the retry budget is used up
+    # After an attempt that failed
+    OBJECTIVE_PASSED = "late"  # its latency objective is over, and a later answer is worth nothing
+    CACHE_FAILED = "error"  # a cache that reads the origin itself failed to
+    SERVER_FULL = "full"  # a second server was full, or the first one for work over its quota
+    NO_LOCAL_CONNECTION = "room"  # this router can open no more connections
+
+
 class EndpointState(StrEnum):
-    """What the list says of a server."""
+    """What the endpoint list says of a server."""
 
     READY = "ready"
-    RETIRING = "retiring"  # is to go: owns nothing, and is still read for what it holds
-    DRAINING = "draining"
+    RETIRING = "retiring"  # is to go: owns no keys, and is still read for what it holds
+    DRAINING = "draining"  # gets no new requests
     GONE = "gone"
 
 
 class EndpointUpdateKind(StrEnum):
-    """What a Members event carries."""
+    """What an EndpointUpdate carries."""
+
+    DELTA = "delta"  # the entries that changed
+    FULL = "full"  # all entries
+    CACHED = "cached"  # all entries, as they were known before a restart
+    FAILED = "failed"  # none: the list was not to be had
+
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+# Settings
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests; late_worth is the part of its worth that an answer after the aim earns."""
+    """One class of requests."""
 
-    latency_objective_ns: int
-    deadline_ns: int
+    latency_objective_ns: int  # an answer within it has its full worth
+    deadline_ns: int  # after its arrival; there is no answer later
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: str = "all"
-    dedup_window_ns: int = 0
-    priority_weight: float = 1.0
-    late_weight: float = 0.0
-    is_streamed: bool = False
+    dedup_scope: str = (
+        "all"  # who recognizes a repeat by its key: "all" servers, or those of its "zone" or "cell"
+    )
+    dedup_window_ns: int = 0  # for how long after the first attempt
+    priority_weight: float = 1.0  # the worth of an answer within the objective
+    late_weight: float = 0.0  # the fraction of that worth that a later answer has
+    is_streamed: bool = False  # its answer is relayed as it comes
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One customer and what it may send, over all routers, in requests a second."""
+    """One customer and what it may send to all routers together."""
 
-    quota_per_s: float = 0.0
+    quota_per_s: float = 0.0  # requests; 0: no quota
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a router is told when it starts."""
+    """What a router is given when it starts."""
 
     classes: list[RequestClass]
-    router_count: int = 1
+    router_count: int = 1  # routers in the fleet, with this one
     tenants: list[Tenant] = field(default_factory=list)
-    cache_aside: bool = False  # the router itself fetches from the origin after a miss
-    origin_kind: int = -1
-    endpoints_polled: bool = False  # the server list comes only on request
-    retry_after_allowed: bool = False
+    cache_aside: bool = False  # true: the router itself reads the origin after a miss; false: the caches do
+    origin_kind: int = -1  # the `Endpoint.kind` of the origin; -1: there is none
+    endpoints_polled: bool = False  # the endpoint list comes only on request
+    retry_after_allowed: bool = False  # rejected clients may be told when to come again
     max_retry_after_ns: int = 0
-    max_attempts: int = 1
+    max_attempts: int = 1  # of one request
     connect_timeout_ns: int = 250_000_000
-    poll_within_ns: int = 10_000_000_000
-    slow_start_initial_fraction: float = 1.0
-    slow_start_ns: int = 0
-    slow_start_overload_factor: float = 1.0
-    slow_start_window_ns: int = 1_000_000_000
-    gossip_interval_ns: int = 0  # how often the other routers are told; 0: there are none, or they may not be
+    poll_within_ns: int = (
+        10_000_000_000  # the list is asked for again within this, after it was not to be had
+    )
+    slow_start_initial_fraction: float = 1.0  # of its capacity that a server has when it starts
+    slow_start_ns: int = 0  # from a server's start to its full capacity
+    slow_start_overload_factor: float = 1.0  # times its capacity at which a server that warms up collapses
+    slow_start_window_ns: int = 1_000_000_000  # over which that load is averaged
+    gossip_interval_ns: int = 0  # between reports to the other routers; 0: none are sent
     migration_fraction: float = DEFAULT_MIGRATION_FRACTION  # below 0: keys move at once
 
 
+# Events
+
+
 @dataclass(slots=True)
 class Endpoint:
-    """One entry of the server list."""
+    """One entry of the endpoint list."""
 
     server: str
     state: EndpointState = EndpointState.READY
     kind: int = 0
     zone: int = 0
     cell: int = 0
-    started_at_ns: int = 0  # clock time of its latest start; 0: long ago
-    weight: float = 1.0
+    started_at_ns: int = 0  # its latest start, on the clock of the events; 0: long ago
+    weight: float = 1.0  # its capacity, relative to the others
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """News of the server list."""
+    """The endpoint list has changed, or could not be read."""
 
     kind: EndpointUpdateKind
     entries: list[Endpoint]
@@ -124,93 +176,90 @@
 
     id: str
     class_index: int
-    deadline_ns: int
-    key: str | None = None
+    deadline_ns: int  # a time
+    key: str | None = None  # None: any server will do
     is_write: bool = False
     tenant: int = 0
-    is_client_retry: bool = False
-    idempotency_key: str = ""  # the order key of a keyed write
+    is_client_retry: bool = False  # the client marks it as a retry of its own
+    idempotency_key: str = ""  # "": none
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """A server's own report, late and noisy; what it does not tell is negative."""
+    """A server's own report of its load, late and noisy; a field that it does not report is negative."""
 
     in_flight: float = -1.0  # requests it holds
-    queued: float = -1.0  # requests waiting
-    utilization: float = -1.0  # part of its cores in use
-    latency_ms: float = -1.0  # service time lately, without waiting
-    served_per_s: float = -1.0  # requests served a second
-    errors_per_s: float = -1.0  # errors a second
+    queued: float = -1.0  # requests that wait there
+    utilization: float = -1.0  # fraction of its cores in use
+    latency_ms: float = -1.0  # recent service time, without waiting
+    served_per_s: float = -1.0  # requests
+    errors_per_s: float = -1.0
 
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended; closed: the request has its final answer."""
+    """An attempt has ended."""
 
-    id: str
-    attempt: int
+    id: str  # of the request
+    attempt: int  # its number in the request, from 0
     server: str
     status: AttemptStatus
-    request_finished: bool
-    elapsed_ns: int
-    note: int = 0
+    request_finished: bool  # the client has its final answer
+    elapsed_ns: int  # since the attempt started
+    note: int = 0  # what the server says of its answer; 2: it had to read the origin for it
     load: LoadReport | None = None
-    connection_reused: bool | None = (
-        None  # it went on a connection that had carried others before; None: not known
-    )
+    connection_reused: bool | None = None  # the connection had carried others before; None: not known
 
 
 @dataclass(slots=True)
 class LatencyObservation:
-    """An answer of a server as one router saw it, and its time; or how long an attempt there has been out."""
+    """What a router saw of a server: the time of an answer, or for how long an attempt is in flight."""
 
     server: str
     elapsed_ns: int
-    is_in_flight: bool = False  # no answer has come
+    is_in_flight: bool = False  # there is no answer yet
 
 
 @dataclass(slots=True)
 class GossipReceived:
-    """Another router's word on servers: advice, late or lost at times."""
+    """Another router's observations of servers; they may come late, or never."""
 
     observations: list[LatencyObservation]
 
 
 @dataclass(slots=True)
 class TrafficFractions:
-    """This router's part of what all routers take in of each customer, 0 to 1, as their counts tell it; one
-    for all where there is one only. Known for so long."""
+    """This router's fraction of the traffic that all routers receive, as their counts give it."""
 
-    by_tenant: list[float]
+    by_tenant: list[float]  # 0 to 1 each; a single value holds for all tenants
     valid_for_ns: int
 
 
 @dataclass(slots=True)
 class GossipIntervalElapsed:
-    """A period between routers is over: what was seen in it is to be told."""
+    """The gossip interval is over: what was observed in it is to be published."""
 
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client has left; nothing more is owed."""
+    """The client has left; its request needs no answer any more."""
 
-    id: str
+    id: str  # of the request
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A wake-up asked for with Wake."""
+    """A timer that was asked for with SetTimer is due."""
 
     token: str
 
 
 @dataclass(slots=True)
 class KeysInvalidated:
-    """A server holds these keys no more; None: none at all."""
+    """A server no longer holds these keys."""
 
     server: str
-    keys: list[str] | None
+    keys: list[str] | None  # None: it holds none at all
 
 
 Event = (
@@ -226,38 +275,49 @@
 )
 
 
+# Actions
+
+
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; timeout 0: until the client gives up. `within`: it is written whole within so long,
-    or never, since a repeat later than that may do harm; 0: it is none."""
+    """Send a request to a server."""
 
-    id: str
+    id: str  # of the request
     server: str
-    timeout_ns: int = 0
+    timeout_ns: int = 0  # 0: until the client gives up
+    # It is written whole within so long or never, since a repeat after that may do harm; 0: no such limit.
     write_within_ns: int = 0
 
 
+@dataclass(slots=True)
+class CancelAttempt:
+    """End this attempt if it is in flight, as if its timeout were over."""
+
+    id: str  # of the request
+    attempt: int
+
+
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not done, a further try does no harm. `why`: the decision that gave it up, for the log;
-    a "+" behind it: of work beyond its customer's share."""
+    """Final answer: not done, and trying again does no harm."""
 
-    id: str
-    retry_after_ns: int = 0
+    id: str  # of the request
+    retry_after_ns: int = 0  # when the client should come again; 0: it is not told
+    # A RejectReason's value, for records; a "+" behind it marks work over its tenant's quota.
     reason: str = field(default="", compare=False)
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, perhaps done."""
+    """Final answer: failed, and perhaps executed."""
 
-    id: str
-    reason: str = field(default="", compare=False)
+    id: str  # of the request
+    reason: str = field(default="", compare=False)  # as in Reject
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for an Alarm with this token after a delay."""
+    """Ask for a TimerFired with this token after a delay."""
 
     delay_ns: int
     token: str
@@ -265,7 +325,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the server list."""
+    """Ask for the endpoint list, and for its changes."""
 
 
 @dataclass(slots=True)
@@ -277,59 +337,56 @@
 
 @dataclass(slots=True)
 class PublishGossip:
-    """Tell the other routers what was seen since the last time; once a period, also where that is nothing."""
+    """Send the other routers what was observed since the last time: once an interval, even if nothing."""
 
     observations: list[LatencyObservation]
 
 
-@dataclass(slots=True)
-class CancelAttempt:
-    """End this attempt if it is out, as if its time were up."""
-
-    id: str
-    attempt: int
+Action = StartAttempt | CancelAttempt | Reject | Fail | SetTimer | WatchEndpoints | LogLine | PublishGossip
 
 
-Action = StartAttempt | CancelAttempt | Reject | Fail | SetTimer | WatchEndpoints | LogLine | PublishGossip
+# Overload control
 
 
 class AdmissionDecision(Enum):
-    """What is to become of a request that has just come."""
+    """What becomes of a request that has just arrived."""
 
     ADMIT = "admit"
-    QUEUE = "wait"  # an earlier request for the same order is not over
+    QUEUE = "wait"  # an earlier request with the same idempotency key is not over
     REJECT = "refuse"
 
 
 class OverloadControl(Protocol):
-    """What the decisions ask and tell about storms, and about requests that share an order key. Times are
-    ns."""
+    """What the decisions ask and report about retry storms, and about requests that share an idempotency key.
+
+    Its implementation is `overload/`. Times are monotonic, ns.
+    """
 
-    period_ns: int
+    period_ns: int  # at which `step` is to be called
 
     def admit(self, now: int, request: Request, marked: bool) -> AdmissionDecision:
-        """What to do with a request that has come; marked: beyond its customer's share."""
+        """Whether a request that has arrived is admitted; `marked`: it is over its tenant's quota."""
 
     def earlier_attempts(self, request: Request) -> list[tuple[int, Endpoint]]:
-        """When and where other requests' attempts at this request's order may have run."""
+        """When (ns) and where attempts of other requests with the same key may have been executed."""
 
     def may_start_attempt(self, now: int, again: bool) -> bool:
-        """Whether an attempt may go; again: an earlier one failed. Counts it if it may."""
+        """Whether the retry budget allows an attempt, and counts it; `again`: an earlier one failed."""
 
     def attempt_started(self, now: int, id: str, number: int, member: Endpoint, window: int) -> None:
-        """An attempt is out; window is for how long its repeats are dropped there."""
+        """An attempt has started; its server recognizes a repeat for `window` ns."""
 
     def attempt_finished(self, now: int, event: AttemptFinished) -> str:
-        """An attempt has ended; gives the request whose turn at its order it is now, "" for none."""
+        """An attempt has ended; returns the id of the queued request that may begin now, "" for none."""
 
     def request_finished(self, now: int, id: str, served: bool, refused: bool) -> str:
-        """A request is over here; gives the request whose turn at its order it is now, "" for none."""
+        """A request has ended here; returns the id of the queued request that may begin now, "" for none."""
 
     def retry_after_ns(self, now: int, request: Request) -> int:
-        """After how long a refused request should come again; 0 where that may not be told."""
+        """After how long a rejected request should come again; 0 where clients may not be told."""
 
     def timer_delayed(self, late: int) -> None:
-        """An alarm came so much late."""
+        """The router's timer fired `late` ns after its time."""
 
     def step(self, now: int) -> str:
-        """Once a period; gives a line to log, or ""."""
+        """Called once a period; returns a line to log, or ""."""
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -146,7 +146,7 @@
             if exchange.tenant_usage is not None:
                 self.driver.on_request_taken = exchange.tenant_usage.add
             if exchange.quota_escrow is not None:
-                self.balancer.fleet_read_allowance = exchange.quota_escrow.take
+                self.balancer.attempt_admission.fleet_read_allowance = exchange.quota_escrow.take
             self._round()
 
     def _round(self) -> None:
@@ -163,7 +163,7 @@
         record = self.counts.cut(system.unix() / 1e9, system.cpu())
         if record is not None:
             record.open = self.pools.open()
-            record.rate = 0.0 if throttle is None else round(throttle.rate, 1)
+            record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
             if self.watch.answered_at:
                 record.list_age = round(loop.time() - self.watch.answered_at, 2)
             write(record)
--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -20,7 +20,6 @@
 from enum import Enum
 
 from rainhitch import interface as api
-from rainhitch.policy.pending_request import NEVER_RAN
 
 MOST_ORDERS = 4096  # remembered at once
 MOST_IN_LINE = 8  # requests that wait for one order
@@ -109,7 +108,7 @@
             return ""
         order = self.orders[key]
         order.out.discard((id, number))
-        if status in NEVER_RAN:
+        if status in api.NEVER_EXECUTED:
             order.ran.pop((id, number), None)
         return self._next(key, order)
 
--- /dev/null
+++ b/rainhitch/policy/attempt_admission.py
@@ -0,0 +1,51 @@
+"""Whether an attempt may start, at a server that was chosen for it."""
+
+from collections.abc import Callable
+
+from rainhitch import interface as api
+from rainhitch.policy import retry_policy
+from rainhitch.policy.decision_context import DecisionContext
+from rainhitch.policy.pending_request import PendingRequest
+from rainhitch.policy.placement import SLOW
+from rainhitch.policy.server_registry import Server
+
+NO_CROWD_LIMIT = 1 << 20  # times its uncrowded answer time: more than any server reaches
+
+
+class AttemptAdmission:
+    """Asks each limit that an attempt is under."""
+
+    def __init__(self, context: DecisionContext, overload_control: api.OverloadControl) -> None:
+        """Takes overload control, which holds the retry budget."""
+        self.context = context
+        self.overload_control = overload_control
+        # Takes one read, at a time (ns), from what all routers together may send the origin; None: no limit.
+        self.fleet_read_allowance: Callable[[int], bool] | None = None
+
+    def reason_not_to_start(self, job: PendingRequest, server: Server | None) -> api.RejectReason | None:
+        """Why an attempt may not start at this server; None: it may.
+
+        The limits are asked in this order, and the last two take from an allowance only if they allow it.
+        """
+        now_ns = self.context.now_ns
+        settings = self.context.settings
+        if server is None:
+            if job.at_origin:
+                return api.RejectReason.ORIGIN_UNAVAILABLE
+            return api.RejectReason.NO_SERVER_WITH_CAPACITY
+        if job.at_origin and not self._origin_has_capacity(job, server):
+            return api.RejectReason.ORIGIN_UNAVAILABLE
+        if not retry_policy.may_start_attempt(job, server, now_ns, settings.max_attempts):
+            return api.RejectReason.NO_MORE_ATTEMPTS
+        is_origin_read = job.at_origin and not job.request.is_write
+        if is_origin_read and self.fleet_read_allowance and not self.fleet_read_allowance(now_ns):
+            return api.RejectReason.FLEET_READ_ALLOWANCE
+        if not retry_policy.retry_budget_allows(job, self.overload_control, now_ns):
+            return api.RejectReason.RETRY_BUDGET
+        return None
+
+    def _origin_has_capacity(self, job: PendingRequest, origin: Server) -> bool:
+        """Guards against work that keeps a crowded origin crowded, by the rule for cache servers."""
+        limit_ns = job.request_class.latency_objective_ns * SLOW
+        routers = self.context.settings.router_count
+        return origin.has_capacity(self.context.now_ns, limit_ns, NO_CROWD_LIMIT, routers, routers)
--- /dev/null
+++ b/rainhitch/policy/request_coalescing.py
@@ -0,0 +1,68 @@
+"""Request coalescing: one origin read of a key at a time; other requests for the key wait for it."""
+
+from rainhitch import interface as api
+from rainhitch.policy.decision_context import TimerCallback
+from rainhitch.policy.origin_admission import OriginAdmission
+from rainhitch.policy.pending_request import IN_FLIGHT, PendingRequest
+
+
+class RequestCoalescing:
+    """The keys that are being read from the origin, and the requests that wait for each read."""
+
+    def __init__(
+        self,
+        origin_admission: OriginAdmission,
+        requests: dict[str, PendingRequest],
+        proceed: TimerCallback,
+        finish_unserved: TimerCallback,
+    ) -> None:
+        """Takes the router's held requests by id, and what sends one on or ends it."""
+        self.context = origin_admission.context
+        self.origin_admission = origin_admission
+        self.requests = requests
+        self.proceed = proceed
+        self.finish_unserved = finish_unserved
+        self.waiting_by_key: dict[str, list[PendingRequest]] = {}
+
+    def __len__(self) -> int:
+        """How many keys are being read."""
+        return len(self.waiting_by_key)
+
+    def read_started(self, key: str) -> None:
+        """An origin read of this key is in flight from now on."""
+        self.waiting_by_key.setdefault(key, [])
+
+    def join_or_read(self, job: PendingRequest) -> None:
+        """Lets a request wait for the read of its key that is in flight, else asks for a read of its own.
+
+        Guards against a flood of origin reads for one key. The wait lasts until the request's latency
+        objective at most; past that a request reads on its own.
+        """
+        now_ns = self.context.now_ns
+        waiting = self.waiting_by_key.get(job.request.key or "")
+        if waiting is None or now_ns >= job.objective_at_ns:
+            self.origin_admission.admit(job)
+            return
+        waiting.append(job)
+        job.wait(api.RejectReason.READ_OF_ANOTHER_REQUEST)
+        self.context.schedule(job.objective_at_ns - now_ns, self.finish_unserved, job)
+
+    def read_finished(self, key: str, is_stored: bool) -> None:
+        """An origin read has ended; sends on the requests that waited for it.
+
+        If the value is now stored in the cache, they are sent there, together with those that wait for a
+        token to read the same key. If not, the first of them reads, and the others wait again.
+        """
+        waiting = self.waiting_by_key.pop(key, [])
+        if is_stored:
+            waiting += self.origin_admission.waiting_for(key)
+        for job in waiting:
+            if self.requests.get(job.request.id) is not job or job.state is IN_FLIGHT:
+                continue
+            self.origin_admission.withdraw(job)
+            if is_stored:
+                job.at_origin = False
+                job.tried_servers.clear()
+                self.proceed(job)
+            else:
+                self.join_or_read(job)
--- /dev/null
+++ b/rainhitch/policy/retry_policy.py
@@ -0,0 +1,130 @@
+"""Whether a request may be sent once more, and whether it may be rejected.
+
+Two rules hold for every request. Rule 1: exactly one final answer, by its deadline, and one attempt in flight
+at a time. Rule 2: an attempt that may have been executed is repeated only where a second execution does no
+harm, and a rejection says just that: trying again does no harm.
+
+All times are monotonic, ns.
+"""
+
+import random
+
+from rainhitch import interface as api
+from rainhitch.policy.pending_request import PendingRequest
+from rainhitch.policy.server_registry import Server
+
+# The end of a dedup window in which no retry begins any more, so that the router may be held up between the
+# decision and the write: 0.15 s, less the protocol's slack of 0.05 s. Of a short window one part in
+# WINDOW_RESERVE_DIVISOR at most.
+WINDOW_RESERVE_NS = 100_000_000
+WINDOW_RESERVE_DIVISOR = 4
+ORIGIN_BACKOFF_DIVISOR = 32  # the first wait before a write's retry is up to 2 / 32 of its latency objective
+
+
+def may_start_attempt(job: PendingRequest, server: Server, now_ns: int, max_attempts: int) -> bool:
+    """Whether this attempt is allowed by its number, the time left, and what earlier ones have shown."""
+    if job.attempts_started >= max_attempts:
+        return False
+    # Guards against a last attempt that no server could answer in time, and whose end would tell nothing.
+    if now_ns + server.uncrowded_latency_ns / 2 >= job.request.deadline_ns:
+        return False
+    return may_retry_at(job, server.endpoint, now_ns)
+
+
+def may_retry_at(job: PendingRequest, endpoint: api.Endpoint, now_ns: int) -> bool:
+    """Rule 2: whether one more attempt may go to this endpoint.
+
+    An idempotent request may always be repeated, and any request of which nothing may have been executed. One
+    with an idempotency key may be repeated within its dedup window, at an endpoint in the same dedup scope as
+    each earlier attempt that may have been executed.
+    """
+    spec = job.request_class
+    if spec.idempotency is api.Idempotency.IDEMPOTENT or not job.possibly_executed:
+        return True
+    if spec.idempotency is api.Idempotency.NOT_IDEMPOTENT or not is_in_dedup_window(job, now_ns):
+        return False
+    if spec.dedup_scope == "all":
+        return True
+    earlier = [sent_to for sent_to, _ in job.possibly_executed.values()]
+    if spec.dedup_scope == "zone":
+        return all(one.zone == endpoint.zone for one in earlier)
+    return all(one.cell == endpoint.cell for one in earlier)
+
+
+def may_reject(job: PendingRequest, now_ns: int) -> bool:
+    """Rule 2: whether trying again does no harm, which is what a rejection says; else the request fails.
+
+    A client's next try may go anywhere, so of a request that may have been executed only one that every
+    server recognizes is rejected, within its dedup window.
+    """
+    spec = job.request_class
+    if spec.idempotency is api.Idempotency.IDEMPOTENT or not job.possibly_executed:
+        return True
+    recognized_everywhere = spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY and spec.dedup_scope == "all"
+    return recognized_everywhere and is_in_dedup_window(job, now_ns)
+
+
+def is_in_dedup_window(job: PendingRequest, now_ns: int) -> bool:
+    """Whether servers still recognize a repeat that is begun now."""
+    return now_ns < retry_deadline_ns(job)
+
+
+def retry_deadline_ns(job: PendingRequest) -> int:
+    """Until when a repeat may be begun; the router may be held up between this and its write.
+
+    Only for a request of which an attempt may have been executed.
+    """
+    window_ns = job.request_class.dedup_window_ns
+    reserve_ns = min(WINDOW_RESERVE_NS, window_ns // WINDOW_RESERVE_DIVISOR)
+    first_sent_ns = min(sent_ns for _, sent_ns in job.possibly_executed.values())
+    return first_sent_ns + window_ns - reserve_ns
+
+
+def may_cancel(job: PendingRequest) -> bool:
+    """Whether an attempt in flight may be cancelled, to be sent elsewhere without harm."""
+    spec = job.request_class
+    return spec.idempotency is api.Idempotency.IDEMPOTENT and not spec.is_streamed
+
+
+def write_within_ns(job: PendingRequest, now_ns: int) -> int:
+    """For how long from now this attempt may be written; 0: it is no repeat, so at any time."""
+    is_repeat = bool(job.possibly_executed)
+    if is_repeat and job.request_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+        return retry_deadline_ns(job) - now_ns
+    return 0
+
+
+def retry_budget_allows(job: PendingRequest, control: api.OverloadControl, now_ns: int) -> bool:
+    """Whether the retry budget allows this attempt; takes from the budget if it does.
+
+    An attempt after a miss, or after one that never left this router, is neither a first try nor a retry.
+    """
+    if job.attempts_started and not job.attempts_failed:
+        return True
+    return control.may_start_attempt(now_ns, job.attempts_failed > 0)
+
+
+def reason_not_to_retry(
+    job: PendingRequest, event: api.AttemptFinished, cache_aside: bool, now_ns: int
+) -> api.RejectReason | None:
+    """Why a request whose attempt at a cache server failed is not sent to another; None: it may be."""
+    status = event.status
+    if now_ns >= job.objective_at_ns and not job.request_class.late_weight:
+        return api.RejectReason.OBJECTIVE_PASSED
+    # Guards a slow origin behind the caches: what one cache could not read there, no other should try.
+    if status is api.AttemptStatus.ERROR and not cache_aside and not job.request.is_write:
+        return api.RejectReason.CACHE_FAILED
+    # Guards the retry budget against work for which this router has no connection left anywhere.
+    if status is api.AttemptStatus.NO_LOCAL_CONNECTION:
+        return api.RejectReason.NO_LOCAL_CONNECTION
+    # On a connection just opened it may be the connection table that is full, and not the queue.
+    is_queue_full = status is api.AttemptStatus.FULL and event.connection_reused is not False
+    if is_queue_full and (job.over_quota or job.attempts_started > 1):
+        return api.RejectReason.SERVER_FULL
+    return None
+
+
+def origin_retry_delay_ns(job: PendingRequest, source: random.Random) -> int:
+    """Exponential backoff with jitter before a write's next attempt at the origin."""
+    most_ns = job.request_class.latency_objective_ns << job.attempts_started
+    return int(most_ns * source.uniform(0.5, 1)) // ORIGIN_BACKOFF_DIVISOR
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -4,10 +4,10 @@
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
-from rainhitch.policy.pending_request import WINDOW_RESERVE
+from rainhitch.policy.origin_monitor import OriginMonitor
 from rainhitch.policy.placement import KEYS_KEPT, KeyMemory, Popularity
+from rainhitch.policy.retry_policy import WINDOW_RESERVE_NS
 from rainhitch.policy.server_registry import Server
-from rainhitch.policy.throttle import OriginMonitor
 
 S = api.AttemptStatus
 
@@ -126,7 +126,7 @@
     router.throttle_on()
     router.wait(60 * SECOND)
     assert router.balancer.origin_admission.monitor.throttle is None
-    assert router.log[0].startswith("throttle on: ") and router.log[-1] == "throttle off"
+    assert router.log[0].startswith("throttle on likely_misses_per_s=") and router.log[-1] == "throttle off"
 
 
 def test_marked_work_does_not_wait_for_tokens() -> None:
@@ -139,10 +139,10 @@
 
 def test_a_short_past_is_no_sign_of_a_low_rate() -> None:
     monitor = OriginMonitor(SECOND)
-    monitor.born = START
+    monitor.started_at_ns = START
     for n in range(100):  # fifty likely misses a second from the very start
-        monitor.spent.add(START + n * SECOND // 50)
-    assert 45 < monitor.recent(START + 2 * SECOND) < 55
+        monitor.admitted_rate.add(START + n * SECOND // 50)
+    assert 45 < monitor.recent_rate_per_s(START + 2 * SECOND) < 55
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
 def test_a_slow_tail_within_chance_is_no_alarm(seen: int, bad: int, acts: bool) -> None:
     monitor = OriginMonitor(SECOND)
     for n in range(seen):
-        monitor.note(n >= bad, START)
+        monitor.record_end(n >= bad, START)
     monitor.step(START, False)
     assert (monitor.throttle is not None) is acts
 
@@ -160,20 +160,20 @@
     """Guards against reads sent before a cut cutting r again."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
-        monitor.spent.add(SECOND)
-        monitor.note(False, 0)
-    assert monitor.step(SECOND, False).startswith("throttle on")
+        monitor.admitted_rate.add(SECOND)
+        monitor.record_end(False, 0)
+    assert monitor.step(SECOND, False).startswith("throttle on ")
     throttle = monitor.throttle
     assert throttle is not None
-    rate = throttle.rate
+    rate = throttle.rate_per_s
     for _ in range(8):
-        monitor.note(False, SECOND // 2)
+        monitor.record_end(False, SECOND // 2)
     monitor.step(2 * SECOND, False)
-    assert throttle.rate >= rate
+    assert throttle.rate_per_s >= rate
     for _ in range(8):
-        monitor.note(False, 2 * SECOND)
+        monitor.record_end(False, 2 * SECOND)
     monitor.step(3 * SECOND, False)
-    assert throttle.rate < rate
+    assert throttle.rate_per_s < rate
     assert throttle.bank > 2 and throttle.bank + throttle.buffer >= 10
 
 
@@ -181,22 +181,22 @@
     """Guards against a jam that feeds itself."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
-        monitor.spent.add(SECOND)
-        monitor.note(False, 0)
+        monitor.admitted_rate.add(SECOND)
+        monitor.record_end(False, 0)
     monitor.step(SECOND, True)
     throttle = monitor.throttle
     assert throttle is not None
-    rate, throttle.level = throttle.rate, 0
+    rate, throttle.level = throttle.rate_per_s, 0
     monitor.step(2 * SECOND, True)
-    assert throttle.rate == rate
+    assert throttle.rate_per_s == rate
     for _ in range(24):
-        monitor.spent.add(2 * SECOND)
-    monitor.note(True, 2 * SECOND)
+        monitor.admitted_rate.add(2 * SECOND)
+    monitor.record_end(True, 2 * SECOND)
     monitor.step(2 * SECOND, True)
-    assert throttle.rate > rate
+    assert throttle.rate_per_s > rate
     for _ in range(9):
         monitor.step(2 * SECOND, False)
-    assert throttle.rate < 2.5 * monitor.recent(2 * SECOND), "nor far past what is spent"
+    assert throttle.rate_per_s < 2.5 * monitor.recent_rate_per_s(2 * SECOND), "nor far past what is spent"
 
 
 def test_an_origin_that_hangs_turns_the_throttle_on_before_any_outcome() -> None:
@@ -676,7 +676,7 @@
     assert isinstance(second, api.StartAttempt)
     assert (
         second.write_within_ns
-        == router.balancer.settings.classes[1].dedup_window_ns - SECOND // 2 - WINDOW_RESERVE
+        == router.balancer.settings.classes[1].dedup_window_ns - SECOND // 2 - WINDOW_RESERVE_NS
     )
     _, (read,) = router.ask("other")
     (again,) = router.end(read, S.RESET)
--- a/tests/policy/test_found.py
+++ b/tests/policy/test_found.py
@@ -5,8 +5,8 @@
 
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
+from rainhitch.policy.origin_monitor import OriginMonitor
 from rainhitch.policy.placement import SAMPLES, Popularity
-from rainhitch.policy.throttle import OriginMonitor
 
 
 def test_what_still_earns_something_late_is_waited_for() -> None:
@@ -246,21 +246,21 @@
 def test_evidence_of_a_sick_origin_is_kept_until_there_is_enough() -> None:
     """Full size: one of 400 routers sees a likely miss in two seconds, never two within one period."""
     monitor = OriginMonitor(SECOND // 2)
-    monitor.born = 0
+    monitor.started_at_ns = 0
     for n in range(1, 9):
         if n % 4 == 0:
-            monitor.spent.add(n * SECOND // 2)
-            monitor.note(False, n * SECOND // 2)
+            monitor.admitted_rate.add(n * SECOND // 2)
+            monitor.record_end(False, n * SECOND // 2)
         monitor.step(n * SECOND // 2, False)
     assert monitor.throttle is not None
-    assert monitor.throttle.rate < 1
+    assert monitor.throttle.rate_per_s < 1
 
 
 def test_a_healthy_origin_clears_the_evidence() -> None:
     monitor = OriginMonitor(SECOND // 2)
-    monitor.born = 0
+    monitor.started_at_ns = 0
     for n in range(1, 60):
-        monitor.note(n % 12 != 0, n * SECOND // 2)
+        monitor.record_end(n % 12 != 0, n * SECOND // 2)
         monitor.step(n * SECOND // 2, False)
     assert monitor.throttle is None
 
--- a/tests/policy/test_sums.py
+++ b/tests/policy/test_sums.py
@@ -91,7 +91,7 @@
         left[0] -= 1
         return left[0] >= 0
 
-    router.balancer.fleet_read_allowance = allowance
+    router.balancer.attempt_admission.fleet_read_allowance = allowance
     how = []
     for n in range(3):
         _, (send,) = router.ask(f"k{n}")
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -7,7 +7,7 @@
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.pending_request import PendingRequest
-from rainhitch.policy.throttle import FEW_TOKENS, LEAST_TOTAL, Throttle
+from rainhitch.policy.throttle import FEW_TOKENS, LEAST_TOTAL, Throttle, TokenOffer
 
 SECOND = 1_000_000_000
 SPEC = RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)
@@ -19,8 +19,10 @@
 
 def test_few_tokens_then_waiting_then_refusal() -> None:
     throttle = Throttle(0, 10.0, LEAST_TOTAL)
-    verdicts = [throttle.offer(job(str(n))) for n in range(LEAST_TOTAL + 2)]
-    assert verdicts == [True] * FEW_TOKENS + [None] * (LEAST_TOTAL - FEW_TOKENS) + [False] * 2
+    offers = [throttle.offer(job(str(n))) for n in range(LEAST_TOTAL + 2)]
+    admitted = [TokenOffer.ADMITTED] * FEW_TOKENS
+    queued = [TokenOffer.QUEUED] * (LEAST_TOTAL - FEW_TOKENS)
+    assert offers == admitted + queued + [TokenOffer.REJECTED] * 2
     assert throttle.level == -(LEAST_TOTAL - FEW_TOKENS)
 
 
@@ -46,7 +48,7 @@
         throttle.offer(job(str(n)))
     throttle.shift(LEAST_TOTAL)
     assert (throttle.bank, throttle.buffer) == (LEAST_TOTAL, 0)
-    assert throttle.offer(job("late")) is False
+    assert throttle.offer(job("late")) is TokenOffer.REJECTED
     assert len(throttle.refill(SECOND)) == 4
     assert throttle.level == 6
 
@@ -74,7 +76,7 @@
         for place, gap in enumerate(gaps):
             now += gap
             throttle.refill(now)
-            if throttle.offer(job(str(place))) is False:
+            if throttle.offer(job(str(place))) is TokenOffer.REJECTED:
                 places.append(place)
         blocked.append(places)
     assert blocked[0] == blocked[1]
@@ -89,4 +91,4 @@
     turn.now_ns += 4 * SECOND
     gate.read_finished(("early", 0), True, SECOND // 50)
     gate.read_finished(("late", 0), True, 4 * SECOND)
-    assert (gate.monitor.good, gate.monitor.bad) == (1, 1)
+    assert (gate.monitor.healthy, gate.monitor.unhealthy) == (1, 1)
--- a/tests/virtual/test_model.py
+++ b/tests/virtual/test_model.py
@@ -6,8 +6,9 @@
 import pytest
 
 from rainhitch import interface as api
+from rainhitch.policy import retry_policy
 from rainhitch.policy.balancer import Balancer
-from rainhitch.policy.pending_request import PendingRequest
+from rainhitch.policy.pending_request import PendingRequest, RequestState
 from rainhitch.rehearsal.explore.model import WORLDS, World, fingerprint, search
 
 
@@ -22,22 +23,22 @@
 
     def twice(self: Balancer, job: PendingRequest | None) -> None:
         proceed(self, job)
-        if job is not None and job.in_flight_attempts:
-            self._send(job, self.servers.origin or next(iter(self.servers.servers.values())))
+        if job is not None and job.state is RequestState.IN_FLIGHT:
+            self._start_attempt(job, self.servers.origin or next(iter(self.servers.servers.values())))
 
     patch.setattr(Balancer, "_proceed", twice)
 
 
 def repeats_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PendingRequest, "may_retry_at", lambda self, to, now: True)
+    patch.setattr(retry_policy, "may_retry_at", lambda job, endpoint, now_ns: True)
 
 
 def refuses_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PendingRequest, "may_reject", lambda self, now: True)
+    patch.setattr(retry_policy, "may_reject", lambda job, now_ns: True)
 
 
 def says_nothing(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Balancer, "_give_up", lambda self, job, why="": None)
+    patch.setattr(Balancer, "_finish_unserved", lambda self, job, reason=None: None)
 
 
 @pytest.mark.parametrize(
