--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -21,7 +21,6 @@
 from enum import Enum
 
 from rainhitch import interface as api
-from rainhitch.policy.pending_request import NEVER_RAN
 
 MAX_KEYS = 4096  # remembered at once
 MAX_QUEUED = 8  # requests that wait for one key
@@ -139,7 +138,7 @@
             return ""
         record = self.records[key]
         record.in_flight.discard((request_id, number))
-        if status in NEVER_RAN:
+        if status in api.NEVER_EXECUTED:
             record.executed.pop((request_id, number), None)
         return self._pass_on(key, record)
 
