--- /dev/null
+++ b/tests/telemetry/test_records.py
@@ -0,0 +1,34 @@
+"""The lines `second {...}` and `bad {...}` stay as they are, to the byte: other programs read them.
+
+The fixture was recorded from the version before the renaming of modules and types, with every field set.
+"""
+
+import logging
+from dataclasses import asdict, fields
+from pathlib import Path
+
+import pytest
+
+from rainhitch.node.router import write
+from rainhitch.telemetry.records import Bad, Second
+from rainhitch.telemetry.sums import read_line
+
+LINES = (Path(__file__).parent / "fixtures" / "records.txt").read_text().splitlines()
+
+
+@pytest.mark.parametrize(("line", "kind"), list(zip(LINES, (Second, Bad), strict=True)))
+def test_a_record_is_read_and_written_as_the_same_bytes(
+    line: str, kind: type, caplog: pytest.LogCaptureFixture
+) -> None:
+    record = read_line(f"2026-12-01 10:00:00,000 INFO {line}")
+    assert isinstance(record, Second | Bad) and type(record) is kind
+    with caplog.at_level(logging.INFO, "rainhitch"):
+        write(record)
+    assert caplog.messages == [line]
+
+
+def test_every_field_of_a_second_is_set_in_the_fixture() -> None:
+    record = read_line(LINES[0])
+    assert isinstance(record, Second)
+    idle = asdict(Second(0.0))
+    assert [one.name for one in fields(Second) if getattr(record, one.name) == idle[one.name]] == []
