--- a/rainhitch/admin/endpoint.py
+++ b/rainhitch/admin/endpoint.py
@@ -9,7 +9,7 @@
 from rainhitch.admin.server import AdminServer
 from rainhitch.admin.upgrade_peers import UpgradePeers
 from rainhitch.node.client_connections import ClientConnections
-from rainhitch.node.discovery import EndpointDirectory
+from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.node.request_driver import RequestDriver
 
 LOOK = 0.1  # s between looks at what the other process has left in the folder
--- a/rainhitch/admin/router_control.py
+++ b/rainhitch/admin/router_control.py
@@ -9,7 +9,7 @@
 from rainhitch.admin.cordons import Cordons
 from rainhitch.interface import EndpointState
 from rainhitch.node.client_connections import ClientConnections
-from rainhitch.node.discovery import EndpointDirectory
+from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.node.request_driver import RequestDriver
 
 Json = dict[str, Any]
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -14,7 +14,7 @@
 from rainhitch.node.listener import Listener
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.session import OPEN
-from rainhitch.node.shutdown import LONGEST, schedule
+from rainhitch.node.shutdown import MAX_DEADLINE_WAIT_S, shutdown_schedule
 from rainhitch.protocol import resp
 from rainhitch.settings import Names
 
@@ -65,7 +65,9 @@
             False
         )  # has the servers' side close one that it does not use
         self.closing = self.sweeping = self.draining = False
-        self.schedule = schedule(LONGEST)  # of a drain; where the router ends, the settings' own
+        self.schedule = shutdown_schedule(
+            MAX_DEADLINE_WAIT_S
+        )  # of a drain; where the router ends, the settings' own
         self.left_at = 0.0
         self.told: Counter[str] = Counter()
         self._empty = asyncio.Event()
@@ -230,13 +232,13 @@
         if not self.draining or self.left_at != begun:
             return
         gone = self.loop.time() - begun
-        if gone >= self.schedule.idle_from:
+        if gone >= self.schedule.close_idle_s:
             for group in (self.awaited, self.idle):
                 for client in list(self._spent(group, REST)):
                     self._retire(client)
-        if gone >= self.schedule.no_more:
+        if gone >= self.schedule.stop_reading_s:
             # Who has half a command on its way has a little longer to send the rest.
-            late = gone >= self.schedule.answered
+            late = gone >= self.schedule.all_answered_s
             for client in [one for one in self.open if not one.last and (one.slots or late)]:
                 client.finish()
         self.loop.call_later(SWEEP / 2, self._usher, begun)
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -8,7 +8,7 @@
 import orjson
 
 from rainhitch.interface import Address, Settings
-from rainhitch.node.discovery import ListError, read_endpoint
+from rainhitch.node.endpoint_list import EndpointListError, read_address
 from rainhitch.node.session import OPEN, Authenticator
 from rainhitch.settings import (
     Ceilings,
@@ -86,8 +86,8 @@
         if type(memory) not in (int, float) or not 16 <= memory < 1 << 20:
             raise ConfigurationError(f"{path}: limits.memory_mb makes no sense: {memory!r}")
         return Configuration(
-            read_endpoint(told.get("listen")),
-            read_endpoint(told.get("discovery")),
+            read_address(told.get("listen")),
+            read_address(told.get("discovery")),
             int(str(told.get("seed") or "0"), 16),
             sockets,
             int(memory * (1 << 20)),
@@ -99,7 +99,7 @@
             read_peers(told, info),
             read_inherited(),
         )
-    except (SettingError, ListError, ValueError) as problem:
+    except (SettingError, EndpointListError, ValueError) as problem:
         if isinstance(problem, ConfigurationError):
             raise
         raise ConfigurationError(f"{path}: {problem}") from None
@@ -108,7 +108,7 @@
 def read_admin(told: Json) -> Address | None:
     """The second address: the configuration's word, else the environment's."""
     named = told.get("admin_addr") or os.environ.get("BALANCER_ADMIN_ADDR")
-    return None if named is None else read_endpoint(named)
+    return None if named is None else read_address(named)
 
 
 def read_peers(told: Json, info: Json) -> Peering | None:
@@ -119,13 +119,13 @@
         return None
     listed = told.get("peers")
     if not isinstance(listed, list):
-        raise ListError("peers is no list")
-    peers = [read_endpoint(one) for one in listed]
+        raise EndpointListError("peers is no list")
+    peers = [read_address(one) for one in listed]
     if len(peers) < 2:
         return None
     me = info.get("me")
     me = me if type(me) is int and 0 <= me < len(peers) else -1
-    return Peering(read_endpoint(told["peer_listen"]), peers, read_endpoint(told["peers_all"]), me)
+    return Peering(read_address(told["peer_listen"]), peers, read_address(told["peers_all"]), me)
 
 
 def read_inherited() -> int | None:
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -18,9 +18,11 @@
     read_gate,
 )
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.discovery import DiscoveryWatch, EndpointDirectory, ListError
+from rainhitch.node.discovery_watch import DiscoveryWatch
+from rainhitch.node.endpoint_directory import EndpointDirectory
+from rainhitch.node.endpoint_list import EndpointListError
 from rainhitch.node.request_driver import RequestDriver
-from rainhitch.node.shutdown import schedule
+from rainhitch.node.shutdown import shutdown_schedule
 from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
 from rainhitch.telemetry.records import WORDS, Bad, Second
@@ -91,7 +93,7 @@
             await self._join(told.peers)
         try:
             self.directory.apply(told.known, cached=True)
-        except ListError as problem:
+        except EndpointListError as problem:
             log.warning("the known list is of no use: %s", problem)
         try:
             host, port = await self.clients.listen(*told.listen, told.inherited)
@@ -193,19 +195,19 @@
         loop = asyncio.get_running_loop()
         log.info("told to stop")
         self.stopping, begun = True, loop.time()
-        times = self.clients.schedule = schedule(
+        times = self.clients.schedule = shutdown_schedule(
             max(one.deadline_ns for one in self.configuration.settings.classes) / 1e9
         )
-        self.driver.stop(times.answered)
+        self.driver.stop(times.all_answered_s)
         self.clients.drain()
         if self.admin is not None:
             self.admin.stop()
         if self.configuration.inherited is None:
-            await asyncio.sleep(times.accepting)
+            await asyncio.sleep(times.stop_accepting_s)
             if self.clients.listener is not None:
                 await self.clients.listener.drain()
         self.clients.close()
-        await self.clients.emptied(begun + times.gone - loop.time())
+        await self.clients.emptied(begun + times.exit_s - loop.time())
         if self.admin is not None:
             self.admin.close()
         self.watch.stop()
--- a/tests/admin/test_desk.py
+++ b/tests/admin/test_desk.py
@@ -140,7 +140,7 @@
 
 async def test_who_pipelines_without_end_is_sent_away_in_time() -> None:
     async with router() as bench, attended(bench) as address:
-        bench.clients.schedule = replace(bench.clients.schedule, idle_from=0.1, no_more=0.2)
+        bench.clients.schedule = replace(bench.clients.schedule, close_idle_s=0.1, stop_reading_s=0.2)
         caller = await bench.caller()
         assert (await call(address, b"quiesce"))[0].startswith("OK")
 
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -8,8 +8,8 @@
 from support import SECOND, Router
 
 from rainhitch import interface as api
-from rainhitch.node.polling import ASKED, PUSHED
-from rainhitch.node.shutdown import schedule
+from rainhitch.node.polling import POLLED_TIMES, PUSHED_TIMES
+from rainhitch.node.shutdown import shutdown_schedule
 from rainhitch.settings import read_ceilings, read_names, read_settings
 
 ROOT = Path(__file__).parents[2]
@@ -83,8 +83,8 @@
     assert settings.slow_start_window_ns == site["rules"]["fall_ms"] * MS
     assert ceilings.dial_timeout == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
     longest = max(one.deadline_ns for one in settings.classes) / SECOND
-    assert schedule(longest).gone < min(longest, 3) + 0.7
-    assert (ASKED if settings.endpoints_polled else PUSHED).longest() < 6
+    assert shutdown_schedule(longest).exit_s < min(longest, 3) + 0.7
+    assert (POLLED_TIMES if settings.endpoints_polled else PUSHED_TIMES).longest() < 6
 
 
 def test_each_class_of_a_site_is_served_and_refused_or_failed_as_its_effect_allows(site: Json) -> None:
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -16,7 +16,7 @@
 from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
 from rainhitch.membership.etcd_source import EtcdOptions, EtcdSource
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.discovery import EndpointDirectory
+from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.rehearsal.world.etcd import Etcd
 from rainhitch.settings import read_names
 
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -25,9 +25,10 @@
 from rainhitch.node.client_connection import MOST_PIPELINED
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.configuration import configured
-from rainhitch.node.discovery import DiscoveryWatch, read_endpoint
+from rainhitch.node.discovery_watch import DiscoveryWatch
+from rainhitch.node.endpoint_list import read_address
 from rainhitch.node.router import Router
-from rainhitch.node.shutdown import schedule
+from rainhitch.node.shutdown import shutdown_schedule
 from rainhitch.protocol.resp import command
 
 CONFIG = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1"}
@@ -463,8 +464,8 @@
     await new.start()
     async with router() as bench:
         gate = Gate(monkeypatch, old)
-        first, second = (read_endpoint(web.address) for web in (old, new))
-        watch = DiscoveryWatch(first, bench.directory, 1, must_ask=False)
+        first, second = (read_address(web.address) for web in (old, new))
+        watch = DiscoveryWatch(first, bench.directory, 1, polled=False)
         watch.start()
         await soon(lambda: gate.waiting)
         gate.open.set()
@@ -552,8 +553,8 @@
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
     times = service.clients.schedule
-    assert times == schedule(0.4) and times.gone < times.kill == pytest.approx(1.1)
-    assert 0 < service.driver.answer_by_ns - service.driver.now() <= times.answered * 1e9
+    assert times == shutdown_schedule(0.4) and times.exit_s < times.kill_s == pytest.approx(1.1)
+    assert 0 < service.driver.answer_by_ns - service.driver.now() <= times.all_answered_s * 1e9
     await ending
 
 
@@ -570,7 +571,7 @@
     def late(one: Any, data: bytes) -> None:
         came.append(socket.create_connection(address))
         came[0].sendall(command(b"PING"))
-        time.sleep(service.clients.schedule.accepting)  # what it read keeps the loop this long
+        time.sleep(service.clients.schedule.stop_accepting_s)  # what it read keeps the loop this long
 
     monkeypatch.setattr(client_module.ClientConnection, "data_received", late)
     first = socket.create_connection(address)
--- /dev/null
+++ b/tests/node/test_discovery_watch.py
@@ -0,0 +1,95 @@
+"""The watch on discovery over loopback sockets."""
+
+import json
+from typing import Any
+
+import orjson
+import pytest
+from peers import Web, entry, http, info, soon
+from program import listing
+
+from rainhitch import interface as api
+from rainhitch.node.connection_pool import ConnectionPools
+from rainhitch.node.discovery_watch import DiscoveryWatch, failure_label
+from rainhitch.node.endpoint_directory import EndpointDirectory
+from rainhitch.node.endpoint_list import EndpointListError
+from rainhitch.node.polling import PollTimes
+from rainhitch.protocol.http1 import HttpError
+from rainhitch.settings import read_names
+
+
+def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
+    told: list[api.EndpointUpdate] = []
+    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append), told
+
+
+def whole_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
+    return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
+
+
+async def test_the_watch_goes_on_and_after_a_failure_asks_for_the_whole_list() -> None:
+    c0, c1 = entry("c0", "127.0.0.1:1"), entry("c1", "127.0.0.1:1")
+    script: list[bytes | None] = [
+        whole_list(7, c0),
+        whole_list(8, c1, whole=False),
+        http(503),  # down
+        whole_list(9, c0, c1),
+        None,  # silent
+        b"garbage\r\n\r\n",
+        http(200, b"{not JSON"),
+        whole_list(10, c0),
+    ]
+    web = Web(lambda asked, line: script.pop(0) if script else None)
+    await web.start()
+    one, told = directory()
+    host, _, port = web.address.partition(":")
+    watch = DiscoveryWatch((host, int(port)), one, 1, polled=False)
+    watch.times = PollTimes(
+        hold_s=0.1, hold_margin_s=0.3, patience_s=0.3, first_pause_s=0.05, max_pause_s=1.0
+    )
+    watch.start()
+    await soon(lambda: one.version == 10 and len(web.got) > 8)
+    targets = [asked[1] for asked in web.got[:9]]
+    full, after = b"/api/targets", b"/api/targets?from=%d&hold_ms=100"
+    assert targets == [full, after % 7, after % 8, full, after % 9, full, full, full, after % 10]
+    assert [event.kind for event in told] == [
+        api.EndpointUpdateKind.FULL,
+        api.EndpointUpdateKind.DELTA,
+        api.EndpointUpdateKind.FULL,
+        api.EndpointUpdateKind.FULL,
+    ]
+    watch.stop()
+    await web.stop()
+
+
+async def test_where_lists_are_asked_for_a_failure_is_told_to_the_decisions() -> None:
+    web = Web(lambda asked, line: http(503))
+    await web.start()
+    one, told = directory()
+    host, _, port = web.address.partition(":")
+    watch = DiscoveryWatch((host, int(port)), one, 1, polled=True)
+    watch.start()
+    await soon(lambda: told)
+    assert told[0].kind is api.EndpointUpdateKind.FAILED and len(web.got) == 1
+    await soon(lambda: watch.task is not None and watch.task.done())
+    watch.start()
+    await soon(lambda: len(told) == 2)
+    watch.stop()
+    await web.stop()
+
+
+@pytest.mark.parametrize(
+    ("problem", "label"),
+    [
+        (EndpointListError("no list"), "ListError"),
+        (HttpError("status 503"), "HttpError"),
+        (orjson.JSONDecodeError("odd", "{", 0), "JSONDecodeError"),
+        (TimeoutError("no answer in time"), "TimeoutError"),
+        (ConnectionRefusedError(), "ConnectionRefusedError"),
+        (ConnectionResetError(), "ConnectionResetError"),
+    ],
+)
+def test_a_failed_call_is_counted_under_the_label_that_records_have_always_had(
+    problem: Exception, label: str
+) -> None:
+    assert failure_label(problem) == label
--- /dev/null
+++ b/tests/node/test_endpoint_directory.py
@@ -0,0 +1,105 @@
+"""The endpoint list as a router holds it: versions, entries, and what its pools do."""
+
+import time
+from typing import Any
+
+import pytest
+from peers import PATIENCE, Cache, entry, hit, info, router, soon
+from program import listing
+
+from rainhitch import interface as api
+from rainhitch.node import connection_pool
+from rainhitch.node.connection_pool import ConnectionPools
+from rainhitch.node.endpoint_directory import EndpointDirectory
+from rainhitch.node.endpoint_list import EndpointListError
+from rainhitch.settings import read_names
+
+
+def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
+    told: list[api.EndpointUpdate] = []
+    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append), told
+
+
+async def test_a_list_is_told_with_names_as_indexes_and_start_times_on_the_clock() -> None:
+    one, told = directory()
+    boot = time.time_ns() // 1_000_000 - 1000
+    entries = (
+        entry("c0", "127.0.0.1:1", az="b", pod_group=3, capacity_hint=1.5, boot_ms=boot),
+        entry("o", "h:2"),
+    )
+    one.apply(listing(1, *entries), cached=True)
+    one.apply(listing(2, *entries))
+    member = told[0].entries[0]
+    assert (member.server, member.zone, member.cell, member.weight) == ("c0", 1, 3, 1.5)
+    assert abs(time.monotonic_ns() - 1_000_000_000 - member.started_at_ns) < PATIENCE * 1e9
+    assert told[0].entries[1].started_at_ns == 0
+    assert [event.kind for event in told] == [api.EndpointUpdateKind.CACHED, api.EndpointUpdateKind.FULL]
+    assert told[1].entries[0].started_at_ns == member.started_at_ns  # the same start, not a restart
+
+
+async def test_an_older_version_changes_nothing() -> None:
+    one, told = directory()
+    one.apply(listing(5, entry("c0", "127.0.0.1:1")))
+    one.apply(listing(4))
+    one.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
+    assert len(told) == 1 and one.version == 5 and one.can_serve
+
+
+async def test_an_entry_that_makes_no_sense_is_skipped_with_a_line(caplog: pytest.LogCaptureFixture) -> None:
+    one, told = directory()
+    odd: list[Any] = [
+        entry("x1", "127.0.0.1:1", model="m99"),
+        entry("x2", "127.0.0.1:1", az="z"),
+        entry("x3", "127.0.0.1:1", state="Dreaming"),
+        entry("x4", "nowhere"),
+        entry("x5", "127.0.0.1:1", boot_ms="then"),
+        {"uid": "x6"},
+        "x7",
+    ]
+    one.apply(listing(1, *odd, entry("c0", "127.0.0.1:1")))
+    assert [member.server for member in told[0].entries] == ["c0"]
+    assert caplog.text.count("endpoint list entry skipped") == len(odd)
+    answers: list[Any] = [None, [], {"targets": []}, {"rev": "1", "targets": []}, {"rev": 2}]
+    for bad in answers:
+        with pytest.raises(EndpointListError):
+            one.apply(bad)
+
+
+async def test_a_changed_endpoint_or_start_drops_the_old_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
+        caller = await bench.caller()
+        caller.get()
+        await caller.answer()
+        caller.get(name=b"hang", info=b"c=once,t=acme,d=9000")
+        await soon(lambda: len(bench.cache.got) == 2)
+        boot = time.time_ns() // 1_000_000 + 1
+        change = entry("c0", bench.cache.address, boot_ms=boot)
+        bench.directory.apply(listing(6, change, whole=False))
+        # The old process is gone with what it held, which may have run.
+        assert str(await caller.answer()) == "ERR failed"
+        await soon(lambda: bench.cache.ended == 1)
+        second = Cache(lambda asked, line: hit(b"second"))
+        await second.start()
+        first = bench.pools.pools["c0"]
+        bench.directory.apply(listing(7, {**change, "endpoint": second.address}, whole=False))
+        assert bench.pools.pools["c0"] is not first and first.retired
+        await second.stop()
+
+
+async def test_nothing_goes_to_a_server_that_drains_and_what_is_out_is_answered() -> None:
+    async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
+        caller = await bench.caller()
+        caller.get(name=b"i1")
+        await soon(lambda: bench.cache.got)
+        gone = entry("c0", bench.cache.address, state="Terminating")
+        bench.directory.apply(listing(6, gone, whole=False))
+        other = await bench.caller()
+        other.get(name=b"i2")
+        assert str(await other.answer()).startswith("BUSY")
+        bench.cache.lines[0].write(hit(b"late"))
+        assert await caller.answer() == b"late"
+        await soon(lambda: bench.cache.ended == 1)
+        assert len(bench.cache.got) == 1 and not bench.directory.can_serve
+        other.send(b"PING")
+        assert str(await other.answer()).startswith("LOADING")
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -1,5 +1,5 @@
-"""Which call to discovery is owed by when: no change stays unknown for as long as TOLD, whatever failed
-before, wherever outages and silences fall."""
+"""Which call to discovery is due, and when: no change stays unknown for as long as MAX_STALENESS_S, whatever
+failed before, wherever outages and silences fall."""
 
 import itertools
 
@@ -9,7 +9,7 @@
 from support import SECOND, Router, settings
 
 from rainhitch import interface as api
-from rainhitch.node.polling import ASKED, PUSHED, TOLD, PollSchedule, PollTimes
+from rainhitch.node.polling import MAX_STALENESS_S, POLLED_TIMES, PUSHED_TIMES, PollSchedule, PollTimes
 from rainhitch.policy.server_registry import ASK_AGAIN
 
 ALL = 1.0  # the longest that a pause may be: no jitter
@@ -17,7 +17,7 @@
 
 def known_after(
     times: PollTimes,
-    asked: bool,
+    polled: bool,
     change: float,
     outages: list[tuple[float, float]],
     silent_from: float,
@@ -37,13 +37,13 @@
     def broken(start: float, end: float) -> bool:
         return any(down < end and start < back for down, back in outages)
 
-    polling, now, known = PollSchedule(times, asked, lambda: jitter), begin, False
+    polling, now, known = PollSchedule(times, polled, lambda: jitter), begin, False
     while True:
         call = polling.call()
-        until = now + call.patience
+        until = now + call.patience_s
         answer = now
-        if call.hold:  # answered with the change, at the end of its hold, or never
-            answer = max(now, change) if not known and change <= now + call.hold else now + call.hold
+        if call.hold_s:  # answered with the change, at the end of its hold, or never
+            answer = max(now, change) if not known and change <= now + call.hold_s else now + call.hold_s
             if now <= silent_from <= answer:
                 answer = until + 1
         if answer > until or broken(now, answer) or up_at(now) > now:
@@ -52,36 +52,36 @@
             now += ASK_AGAIN / SECOND * jitter if pause is None else pause
         else:
             now = answer
-            polling.answered()
+            polling.succeeded()
             known = change <= now
             if known:
                 return now - max([change, begin, *(back for _, back in outages if back <= now)])
 
 
-@pytest.mark.parametrize(("times", "asked"), [(PUSHED, False), (ASKED, True)])
+@pytest.mark.parametrize(("times", "polled"), [(PUSHED_TIMES, False), (POLLED_TIMES, True)])
 def test_the_bound_is_the_sum_of_its_parts_with_a_reserve_for_a_late_loop(
-    times: PollTimes, asked: bool
+    times: PollTimes, polled: bool
 ) -> None:
-    assert times.longest() <= TOLD - 0.5
-    assert times.most_pause >= ASK_AGAIN / SECOND or not asked
+    assert times.longest() <= MAX_STALENESS_S - 0.5
+    assert times.max_pause_s >= ASK_AGAIN / SECOND or not polled
 
 
-@pytest.mark.parametrize(("times", "asked"), [(PUSHED, False), (ASKED, True)])
+@pytest.mark.parametrize(("times", "polled"), [(PUSHED_TIMES, False), (POLLED_TIMES, True)])
 def test_no_interleaving_of_outages_and_silences_hides_a_change_for_longer(
-    times: PollTimes, asked: bool
+    times: PollTimes, polled: bool
 ) -> None:
     grid = [n * 0.4 for n in range(18)]
     lengths = [0.2, 1.0, 2.6, 8.0]
     worst = 0.0
     for change, start, length, silent in itertools.product(grid, grid, lengths, grid):
         outages = [(start, start + length), (start + length + 0.3, start + length + 0.9)]
-        worst = max(worst, known_after(times, asked, change, outages, silent))
+        worst = max(worst, known_after(times, polled, change, outages, silent))
     assert worst <= times.longest() + 1e-9
     assert worst > times.longest() / 2  # the sum is no idle guess
 
 
 @given(
-    st.sampled_from([(PUSHED, False), (ASKED, True)]),
+    st.sampled_from([(PUSHED_TIMES, False), (POLLED_TIMES, True)]),
     st.floats(0, 30),
     st.lists(st.tuples(st.floats(0, 30), st.floats(0.01, 9)), max_size=5),
     st.floats(0, 30),
@@ -98,23 +98,23 @@
     for start, length in sorted(outages):
         if start > end:
             downs.append((start, end := start + length))
-    times, asked = kind
-    assert known_after(times, asked, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
+    times, polled = kind
+    assert known_after(times, polled, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
 
 
 def test_what_an_agent_gets_at_its_return_is_asked_for_within_a_drains_grace() -> None:
-    assert PUSHED.patience + PUSHED.most_pause < 1.0
+    assert PUSHED_TIMES.patience_s + PUSHED_TIMES.max_pause_s < 1.0
 
 
 def test_a_failed_watch_is_followed_by_a_call_also_where_the_decisions_choose() -> None:
-    polling = PollSchedule(ASKED, True, lambda: ALL)
-    polling.answered()
-    assert polling.call().hold == ASKED.hold
-    assert polling.failed() == ASKED.first_pause  # it may be the watch alone that broke
-    assert polling.call().hold == 0
+    polling = PollSchedule(POLLED_TIMES, True, lambda: ALL)
+    polling.succeeded()
+    assert polling.call().hold_s == POLLED_TIMES.hold_s
+    assert polling.failed() == POLLED_TIMES.first_pause_s  # it may be the watch alone that broke
+    assert polling.call().hold_s == 0
     assert polling.failed() is None
-    polling.answered()
-    assert polling.call().hold
+    polling.succeeded()
+    assert polling.call().hold_s
 
 
 def test_the_decisions_ask_again_in_time_however_often_it_failed() -> None:
--- /dev/null
+++ b/tests/node/test_program.py
@@ -0,0 +1,140 @@
+"""The program as a process: its configuration, what it serves, SIGHUP and SIGTERM."""
+
+import asyncio
+import json
+import os
+import signal
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+import pytest
+from peers import PATIENCE, Cache, Caller, Web, entry, hit, http, soon
+from program import ROOT, configuration, listing, started
+
+
+def whole_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
+    return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
+
+
+async def program(env: dict[str, str]) -> asyncio.subprocess.Process:
+    return await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+    )
+
+
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"listen": "nowhere"},
+        {"discovery": None},
+        {"seed": "xyz"},
+        {"settings": None},
+        {"settings": {"classes": []}},
+        {"limits": {"sockets": "many"}},
+        {"listen": "127.0.0.1:99999"},
+    ],
+)
+async def test_a_bad_configuration_ends_with_one_plain_line(tmp_path: Path, changes: Any) -> None:
+    running = await program(configuration(tmp_path, **changes))
+    _, lines = await asyncio.wait_for(running.communicate(), PATIENCE)
+    assert running.returncode == 2
+    assert lines.startswith(b"rainhitch: ") and lines.count(b"\n") == 1
+
+
+async def test_a_port_in_use_ends_with_one_plain_line(tmp_path: Path) -> None:
+    taken = Web(lambda asked, line: None)
+    await taken.start()
+    running = await program(configuration(tmp_path, listen=taken.address))
+    _, lines = await asyncio.wait_for(running.communicate(), PATIENCE)
+    assert running.returncode == 2
+    assert lines.startswith(b"rainhitch: can't listen") and lines.count(b"\n") == 1
+    await taken.stop()
+
+
+async def test_no_configuration_ends_with_one_plain_line(tmp_path: Path) -> None:
+    for env in ({"BALANCER_CONFIG": ""}, {"BALANCER_CONFIG": str(tmp_path / "none")}):
+        running = await program({**os.environ, **env})
+        _, lines = await asyncio.wait_for(running.communicate(), PATIENCE)
+        assert running.returncode == 2
+        assert lines.startswith(b"rainhitch: ") and lines.count(b"\n") == 1
+
+
+async def test_the_program_serves_and_on_sigterm_answers_what_it_holds(tmp_path: Path) -> None:
+    cache = Cache(lambda asked, line: None if asked[2] == b"slow" else hit())
+    await cache.start()
+    known = listing(3, entry("c0", cache.address))
+    running = await program(configuration(tmp_path, known=known))
+    address = await started(running)
+    assert running.stderr is not None
+    drain = asyncio.create_task(running.stderr.read())
+    caller = Caller(*await asyncio.open_connection(*address))
+    slow = Caller(*await asyncio.open_connection(*address))
+    caller.send(b"PING")
+    assert await caller.answer() == b"PONG"
+    slow.get(name=b"slow")
+    await soon(lambda: cache.got)
+    begun = time.monotonic()
+    running.send_signal(signal.SIGTERM)
+    late = Caller(*await asyncio.open_connection(*address))
+    late.get(name=b"late")
+    assert await late.answer() == b"v"
+    caller.get(name=b"i1")
+    assert await caller.answer() == b"v"
+    assert str(await slow.answer()) == "ERR failed"
+    assert [await one.answer() for one in (caller, slow, late)] == [None] * 3
+    assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
+    assert time.monotonic() - begun >= 0.5
+    await drain
+    await cache.stop()
+
+
+async def test_sighup_moves_the_watch_and_nothing_else(tmp_path: Path) -> None:
+    """The program ended on SIGHUP, with all that it held. The new address counts its versions anew."""
+    cache = Cache(lambda asked, line: None if asked[2] == b"slow" else hit())
+    second = Cache(lambda asked, line: hit(b"second"))
+    await cache.start()
+    await second.start()
+    c0, c1 = (entry(f"c{n}", one.address, boot_ms=1) for n, one in enumerate((cache, second)))
+    told = [whole_list(50, c0)], [whole_list(3, {**c0, "state": "Terminating"}, c1)]
+    old = Web(lambda asked, line: told[0].pop() if told[0] else None)
+    new = Web(lambda asked, line: told[1].pop() if told[1] else None)
+    await old.start()
+    await new.start()
+    running = await program(configuration(tmp_path, discovery=old.address))
+    address = await started(running)
+    assert running.stderr is not None
+    caller = Caller(*await asyncio.open_connection(*address))
+    slow = Caller(*await asyncio.open_connection(*address))
+    while await pong(caller) != b"PONG":
+        await asyncio.sleep(0.01)
+    slow.get(name=b"slow")
+    await soon(lambda: cache.got)
+    path = tmp_path / "config.json"
+    good = json.loads(path.read_text())
+    path.write_text("{half a fi")
+    running.send_signal(signal.SIGHUP)
+    async with asyncio.timeout(PATIENCE):
+        while b"is of no use" not in await running.stderr.readline():
+            pass
+    path.write_text(json.dumps({**good, "discovery": new.address}))
+    for _ in range(3):
+        running.send_signal(signal.SIGHUP)
+    await soon(lambda: len(new.got) == 2)
+    assert [asked[1].split(b"&")[0] for asked in new.got] == [b"/api/targets", b"/api/targets?from=3"]
+    await soon(lambda: old.ended == len(old.lines))
+    caller.get(name=b"i1")
+    assert await caller.answer() == b"second"
+    cache.lines[0].write(hit(b"held all the while"))
+    assert await slow.answer() == b"held all the while"
+    running.send_signal(signal.SIGTERM)
+    running.send_signal(signal.SIGHUP)
+    assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
+    for peer in (cache, second, old, new):
+        await peer.stop()
+
+
+async def pong(caller: Caller) -> Any:
+    caller.send(b"PING")
+    return await caller.answer()
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -11,23 +11,29 @@
 from peers import PATIENCE
 from program import ROOT, configuration, started
 
-from rainhitch.node.shutdown import NEWCOMERS, schedule
+from rainhitch.node.shutdown import NEW_CONNECTIONS_S, shutdown_schedule
 
 
 @given(st.floats(0.001, 60))
 def test_all_comes_in_order_and_before_sigkill(deadline: float) -> None:
-    times = schedule(deadline)
-    assert NEWCOMERS <= times.accepting <= times.idle_from <= times.no_more <= times.answered
-    assert times.answered < times.gone < times.kill
-    assert times.kill == min(deadline, 3.0) + 0.7
-    assert times.kill - times.answered >= 0.3 - 1e-9
+    times = shutdown_schedule(deadline)
+    assert (
+        NEW_CONNECTIONS_S
+        <= times.stop_accepting_s
+        <= times.close_idle_s
+        <= times.stop_reading_s
+        <= times.all_answered_s
+    )
+    assert times.all_answered_s < times.exit_s < times.kill_s
+    assert times.kill_s == min(deadline, 3.0) + 0.7
+    assert times.kill_s - times.all_answered_s >= 0.3 - 1e-9
 
 
 def test_a_long_deadline_is_used_and_a_short_one_kept() -> None:
-    long, short = schedule(5.0), schedule(0.5)
-    assert long.answered > 3.0  # it was 2.2 s for all: requests were cut a second before they had to be
-    assert short.gone < 1.2  # where SIGKILL comes at 1.2 s
-    assert short.no_more < 0.8
+    long, short = shutdown_schedule(5.0), shutdown_schedule(0.5)
+    assert long.all_answered_s > 3.0  # it was 2.2 s for all: requests were cut a second before they had to be
+    assert short.exit_s < 1.2  # where SIGKILL comes at 1.2 s
+    assert short.stop_reading_s < 0.8
 
 
 async def test_processes_told_to_end_again_and_again_end_with_0(tmp_path: Path) -> None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -10,7 +10,7 @@
 
 from rainhitch.node.client_connections import ClientConnections
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.discovery import EndpointDirectory
+from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.resp3_cache_connection import Resp3Connection
 from rainhitch.overload.controller import OverloadController
