--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -1,4 +1,7 @@
-"""What the router is told at its start: the platform's configuration, and the operator's own file."""
+"""The configuration that the router starts with: the platform's file, and the operator's own file.
+
+Each fault of either file is a ConfigurationError of one line, with which the program ends.
+"""
 
 import os
 import socket
@@ -7,6 +10,7 @@
 
 import orjson
 
+from rainhitch.errors import RainhitchError
 from rainhitch.interface import Address, Settings
 from rainhitch.node.endpoint_list import EndpointListError, read_address
 from rainhitch.node.session import OPEN, Authenticator
@@ -24,38 +28,45 @@
     from rainhitch.operator_config import OperatorConfig
 
 OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
+DEFAULT_SOCKETS = 1024
+MIN_SOCKETS = 64
+DEFAULT_MEMORY_MB = 192
+MIN_MEMORY_MB = 16
+MEMORY_LIMIT_MB = 1 << 20  # what is configured is below it
+BYTES_PER_MB = 1 << 20
+UNKNOWN_ROUTER = -1
 
 
-class ConfigurationError(ValueError):
+class ConfigurationError(RainhitchError, ValueError):
     """The configuration is missing or makes no sense."""
 
 
 @dataclass(slots=True)
 class Peering:
-    """Where this router hears the others, and where they are."""
+    """The addresses for gossip: where this router listens, and where the others do."""
 
     listen: Address
     peers: list[Address]  # of all routers, in the order of their numbers
-    everyone: Address
-    me: int = -1  # this router's number; -1: not told
+    broadcast: Address
+    own_index: int = UNKNOWN_ROUTER  # this router's number
 
 
 @dataclass(slots=True)
 class Configuration:
-    """What the router is told at its start."""
+    """The settings of one router process."""
 
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    memory: int  # bytes
-    known: Json
+    sockets: int  # descriptors that the process may hold
+    memory_bytes: int
+    known_list: Json  # an endpoint list to begin with, as discovery sends it
     settings: Settings
     names: Names
     ceilings: Ceilings
-    admin: Address | None = None  # the second address
-    peers: Peering | None = None  # the other routers, where they may be told
-    inherited: int | None = None  # descriptor of the clients' listening socket, where the platform holds it
+    admin: Address | None = None  # of the operators' endpoint
+    peers: Peering | None = None  # the other routers, where gossip is allowed
+    inherited_fd: int | None = None  # of the clients' listening socket, where the platform holds it
 
 
 def read_configuration(path: str | None) -> Configuration:
@@ -64,76 +75,94 @@
         raise ConfigurationError("BALANCER_CONFIG names no file")
     try:
         with open(path, "rb") as file:
-            told = orjson.loads(file.read())
+            document = orjson.loads(file.read())
     except (OSError, orjson.JSONDecodeError) as problem:
         raise ConfigurationError(f"{path}: {problem}") from None
-    return configured(told, path)
+    return parse_configuration(document, path)
 
 
-def configured(told: Json, path: str) -> Configuration:
-    """What a configuration says; raises ConfigurationError."""
+def parse_configuration(document: Json, path: str) -> Configuration:
+    """The configuration that decoded JSON holds; `path` is for the errors. Raises ConfigurationError."""
     try:
-        if not isinstance(told, dict):
-            raise ConfigurationError(f"{path}: not an object")
-        info = told.get("settings")
-        if not isinstance(info, dict):
-            raise ConfigurationError(f"{path}: settings is missing or not an object")
-        limits = told.get("limits")
-        sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else 1024
-        if type(sockets) is not int or sockets < 64:
-            raise ConfigurationError(f"{path}: limits.sockets makes no sense: {sockets!r}")
-        memory = limits.get("memory_mb", 192) if isinstance(limits, dict) else 192
-        if type(memory) not in (int, float) or not 16 <= memory < 1 << 20:
-            raise ConfigurationError(f"{path}: limits.memory_mb makes no sense: {memory!r}")
-        return Configuration(
-            read_address(told.get("listen")),
-            read_address(told.get("discovery")),
-            int(str(told.get("seed") or "0"), 16),
-            sockets,
-            int(memory * (1 << 20)),
-            told.get("known") or {"rev": 0, "targets": []},
-            read_settings(info),
-            read_names(info),
-            read_ceilings(info),
-            read_admin(told),
-            read_peers(told, info),
-            read_inherited(),
-        )
+        return _configuration(document, path)
+    except ConfigurationError:
+        raise
     except (SettingError, EndpointListError, ValueError) as problem:
-        if isinstance(problem, ConfigurationError):
-            raise
         raise ConfigurationError(f"{path}: {problem}") from None
 
 
-def read_admin(told: Json) -> Address | None:
-    """The second address: the configuration's word, else the environment's."""
-    named = told.get("admin_addr") or os.environ.get("BALANCER_ADMIN_ADDR")
+def _configuration(document: Json, path: str) -> Configuration:
+    if not isinstance(document, dict):
+        raise ConfigurationError(f"{path}: not an object")
+    info = document.get("settings")
+    if not isinstance(info, dict):
+        raise ConfigurationError(f"{path}: settings is missing or not an object")
+    limits = document.get("limits")
+    if not isinstance(limits, dict):
+        limits = {}
+    return Configuration(
+        sockets=_sockets(limits, path),
+        memory_bytes=_memory_bytes(limits, path),
+        listen=read_address(document.get("listen")),
+        discovery=read_address(document.get("discovery")),
+        seed=int(str(document.get("seed") or "0"), 16),
+        known_list=document.get("known") or {"rev": 0, "targets": []},
+        settings=read_settings(info),
+        names=read_names(info),
+        ceilings=read_ceilings(info),
+        admin=read_admin_address(document),
+        peers=read_peers(document, info),
+        inherited_fd=read_inherited_fd(),
+    )
+
+
+def _sockets(limits: Json, path: str) -> int:
+    sockets = limits.get("sockets", DEFAULT_SOCKETS)
+    if type(sockets) is not int or sockets < MIN_SOCKETS:
+        raise ConfigurationError(f"{path}: limits.sockets makes no sense: {sockets!r}")
+    return sockets
+
+
+def _memory_bytes(limits: Json, path: str) -> int:
+    memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
+    if type(memory_mb) not in (int, float) or not MIN_MEMORY_MB <= memory_mb < MEMORY_LIMIT_MB:
+        raise ConfigurationError(f"{path}: limits.memory_mb makes no sense: {memory_mb!r}")
+    return int(memory_mb * BYTES_PER_MB)
+
+
+def read_admin_address(document: Json) -> Address | None:
+    """The address of the operators' endpoint: the configuration's, else the environment's, else None."""
+    named = document.get("admin_addr") or os.environ.get("BALANCER_ADMIN_ADDR")
     return None if named is None else read_address(named)
 
 
-def read_peers(told: Json, info: Json) -> Peering | None:
-    """The other routers; None where there are none, or the settings do not allow a word with them."""
+def read_peers(document: Json, info: Json) -> Peering | None:
+    """The other routers; None where there are none, or the settings do not allow gossip with them."""
     ceilings = info.get("ceilings")
-    allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
-    if not allowed or not told.get("peer_listen") or not told.get("peers_all"):
+    is_allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
+    if not is_allowed or not document.get("peer_listen") or not document.get("peers_all"):
         return None
-    listed = told.get("peers")
+    listed = document.get("peers")
     if not isinstance(listed, list):
         raise EndpointListError("peers is no list")
     peers = [read_address(one) for one in listed]
     if len(peers) < 2:
         return None
-    me = info.get("me")
-    me = me if type(me) is int and 0 <= me < len(peers) else -1
-    return Peering(read_address(told["peer_listen"]), peers, read_address(told["peers_all"]), me)
+    own_index = info.get("me")
+    if type(own_index) is not int or not 0 <= own_index < len(peers):
+        own_index = UNKNOWN_ROUTER
+    return Peering(
+        read_address(document["peer_listen"]), peers, read_address(document["peers_all"]), own_index
+    )
 
 
-def read_inherited() -> int | None:
-    """The descriptor of a listening socket that every process of this router inherits."""
+def read_inherited_fd() -> int | None:
+    """The descriptor of the listening socket that all processes of this router inherit, None without one."""
     named = os.environ.get("BALANCER_SOCKET_FD")
     if not named:
         return None
     try:
+        # On a copy of the descriptor, since the copy is closed behind the check.
         with socket.socket(fileno=os.dup(int(named))) as inherited:
             if inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 return int(named)
@@ -142,16 +171,16 @@
     raise ConfigurationError(f"BALANCER_SOCKET_FD: {named!r} is no listening socket")
 
 
-def operator_settings() -> "OperatorConfig | None":
-    """What the operator's file says; None where there is none: then nothing is imported for it."""
+def find_operator_config() -> "OperatorConfig | None":
+    """What the operator's file says; None where there is no file, and then nothing is imported for it."""
     named = os.environ.get("RAINHITCH_OPERATOR")
     if not named and not os.path.exists(OPERATOR_FILE):
         return None
-    return operator_from(named or OPERATOR_FILE)
+    return load_operator_config(named or OPERATOR_FILE)
 
 
-def operator_from(path: str) -> "OperatorConfig":
-    """What a file of the operator's says; raises ConfigurationError."""
+def load_operator_config(path: str) -> "OperatorConfig":
+    """What an operator's file says; raises ConfigurationError with a line for each bad key."""
     from pathlib import Path
 
     from rainhitch.operator_config import read_operator_config
@@ -163,15 +192,18 @@
         raise ConfigurationError("\nrainhitch: ".join(problem.lines)) from None
 
 
-def read_gate(user: str, path: str) -> Authenticator:
-    """Who may come in; raises ConfigurationError where the file can't be read or is empty."""
-    if not path:
+def read_authenticator(user: str, password_path: str) -> Authenticator:
+    """The check of clients' passwords; without a file, clients need none.
+
+    Raises ConfigurationError where the file can't be read or is empty.
+    """
+    if not password_path:
         return OPEN
     try:
-        with open(path, "rb") as file:
+        with open(password_path, "rb") as file:
             password = file.read().rstrip(b"\r\n")
     except OSError as problem:
-        raise ConfigurationError(f"clients.password_file = {path!r}: {problem.strerror}") from None
+        raise ConfigurationError(f"clients.password_file = {password_path!r}: {problem.strerror}") from None
     if not password:
-        raise ConfigurationError(f"clients.password_file = {path!r}: it holds no password")
+        raise ConfigurationError(f"clients.password_file = {password_path!r}: it holds no password")
     return Authenticator(user.encode(), password)
--- a/rainhitch/node/program.py
+++ b/rainhitch/node/program.py
@@ -13,7 +13,7 @@
 from rainhitch.node.configuration import (
     Configuration,
     ConfigurationError,
-    operator_settings,
+    find_operator_config,
     read_configuration,
 )
 from rainhitch.node.router import Router
@@ -43,7 +43,7 @@
     path = os.environ.get("BALANCER_CONFIG")
     try:
         told = read_configuration(path)
-        operator = operator_settings()
+        operator = find_operator_config()
         gc.freeze()
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(told, path, operator))
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -14,8 +14,8 @@
     Configuration,
     ConfigurationError,
     Peering,
+    read_authenticator,
     read_configuration,
-    read_gate,
 )
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.discovery_watch import DiscoveryWatch
@@ -54,7 +54,7 @@
         )
         # What is left beside the program itself: a quarter for what clients sent, one for what they have not
         # yet sent or read, and half for what servers are sending and what the memory's bookkeeping wastes.
-        quarter = max(1 << 20, (told.memory - PROGRAM) // 4)
+        quarter = max(1 << 20, (told.memory_bytes - PROGRAM) // 4)
         self.overload = OverloadController(
             told.settings, told.seed, None if operator is None else operator.storms.options()
         )
@@ -92,11 +92,11 @@
         if told.peers is not None:
             await self._join(told.peers)
         try:
-            self.directory.apply(told.known, cached=True)
+            self.directory.apply(told.known_list, cached=True)
         except EndpointListError as problem:
             log.warning("the known list is of no use: %s", problem)
         try:
-            host, port = await self.clients.listen(*told.listen, told.inherited)
+            host, port = await self.clients.listen(*told.listen, told.inherited_fd)
         except OSError as problem:
             raise ConfigurationError(
                 f"can't listen on {told.listen[0]}:{told.listen[1]}: {problem}"
@@ -132,7 +132,7 @@
         life = max(1, (system.unix() - LIVES) // LIFE & 0xFFFFFFFF)
         customers = max(1, len(settings.tenants))
         exchange = GossipExchange(
-            told.me,
+            told.own_index,
             len(told.peers),
             customers,
             life,
@@ -140,7 +140,7 @@
             self.configuration.seed,
             self.routers or FleetOptions(),
         )
-        peers = GossipTransport(exchange, told.peers, told.everyone, self.driver.gossip_received)
+        peers = GossipTransport(exchange, told.peers, told.broadcast, self.driver.gossip_received)
         if await join(told.listen, peers):
             self.gossip, self.driver.publish_gossip = peers, peers.publish
             peers.counts = self.counts
@@ -202,7 +202,7 @@
         self.clients.drain()
         if self.admin is not None:
             self.admin.stop()
-        if self.configuration.inherited is None:
+        if self.configuration.inherited_fd is None:
             await asyncio.sleep(times.stop_accepting_s)
             if self.clients.listener is not None:
                 await self.clients.listener.drain()
@@ -234,7 +234,7 @@
         from rainhitch.node.resp3_cache_connection import Resp3Connection
 
         directory.cache_connection_class, pools.keys_invalidated = Resp3Connection, driver.keys_invalidated
-    clients.authenticator = read_gate(limits.user, limits.password_file)
+    clients.authenticator = read_authenticator(limits.user, limits.password_file)
 
 
 def share_descriptors(sockets: int, pools: ConnectionPools, clients: ClientConnections) -> None:
@@ -266,6 +266,6 @@
     from rainhitch.membership.etcd_source import EtcdSource
 
     roster = EndpointListBuilder(directory.apply, lambda: directory.version)
-    rows = told.known.get("targets") if isinstance(told.known, dict) else None
+    rows = told.known_list.get("targets") if isinstance(told.known_list, dict) else None
     known = [str(one.get("uid")) for one in rows or () if isinstance(one, dict)]
     return EtcdSource(options, roster.publish, told.seed, known)
--- a/rainhitch/rehearsal/virtual/stage.py
+++ b/rainhitch/rehearsal/virtual/stage.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from rainhitch.node.configuration import configured, operator_from
+from rainhitch.node.configuration import load_operator_config, parse_configuration
 from rainhitch.node.router import Router as RouterProcess
 from rainhitch.rehearsal.plan import Plan, streams
 from rainhitch.rehearsal.routers import Json, Router, StageError
@@ -104,8 +104,8 @@
         if self.operator:
             path = self.folder / f"router-{self.number}.toml"
             path.write_text(self.operator)
-            operator = operator_from(str(path))
-        service = self.service = RouterProcess(configured(self.config, self.path), operator)
+            operator = load_operator_config(str(path))
+        service = self.service = RouterProcess(parse_configuration(self.config, self.path), operator)
         await service.start()
         await stopping.wait()
         await service.stop()
--- a/tests/fleet/test_wired.py
+++ b/tests/fleet/test_wired.py
@@ -10,7 +10,7 @@
 
 from rainhitch import interface as api
 from rainhitch.fleet.gossip_codec import decode, encode, hashes
-from rainhitch.node.configuration import ConfigurationError, configured
+from rainhitch.node.configuration import ConfigurationError, parse_configuration
 from rainhitch.node.router import Router
 from rainhitch.policy.server_registry import Server
 
@@ -45,7 +45,7 @@
 async def test_a_router_takes_up_a_word_on_what_its_list_names_now_and_tells_its_own(
     friend: socket.socket,
 ) -> None:
-    service = Router(configured(told(friend), "test"))
+    service = Router(parse_configuration(told(friend), "test"))
     await service.start()
     try:
         assert service.gossip is not None and service.gossip.transport is not None
@@ -80,11 +80,11 @@
 def test_where_there_is_nobody_to_tell_or_it_may_not_be_there_are_no_peers(
     friend: socket.socket, changes: Any
 ) -> None:
-    assert configured(told(friend), "test").peers is not None
-    assert configured(told(friend, **changes), "test").peers is None
+    assert parse_configuration(told(friend), "test").peers is not None
+    assert parse_configuration(told(friend, **changes), "test").peers is None
 
 
 @pytest.mark.parametrize("peers", [None, "127.0.0.1:2", ["nowhere", "127.0.0.1:2"]])
 def test_peers_that_make_no_sense_end_the_start_with_a_plain_line(friend: socket.socket, peers: Any) -> None:
     with pytest.raises(ConfigurationError, match="test: "):
-        configured(told(friend, peers=peers), "test")
+        parse_configuration(told(friend, peers=peers), "test")
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -24,7 +24,7 @@
 from rainhitch.node import connection_pool
 from rainhitch.node.client_connection import MOST_PIPELINED
 from rainhitch.node.close_reason import CloseReason
-from rainhitch.node.configuration import configured
+from rainhitch.node.configuration import parse_configuration
 from rainhitch.node.discovery_watch import DiscoveryWatch
 from rainhitch.node.endpoint_list import read_address
 from rainhitch.node.router import Router
@@ -548,7 +548,7 @@
     told = info()
     for one in told["classes"]:
         one["aim"], one["deadline"] = 200_000_000, 400_000_000
-    service = Router(configured({**CONFIG, "settings": told}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": told}, "x"))
     await service.start()
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
@@ -562,7 +562,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Timers run before sockets are read: who came while the loop was late would be reset in the backlog."""
-    service = Router(configured({**CONFIG, "settings": info()}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     assert service.clients.listener is not None
     address = service.clients.listener.door.address
@@ -589,7 +589,7 @@
 
 
 async def test_a_newcomer_that_comes_in_a_pause_is_heard_when_the_router_stops_listening() -> None:
-    service = Router(configured({**CONFIG, "settings": info()}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     listener = service.clients.listener
     assert listener is not None
