--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -24,10 +24,11 @@
 from rainhitch.node import connection_pool
 from rainhitch.node.client_connection import MOST_PIPELINED
 from rainhitch.node.close_reason import CloseReason
-from rainhitch.node.configuration import configured
-from rainhitch.node.discovery import DiscoveryWatch, read_endpoint
+from rainhitch.node.configuration import parse_configuration
+from rainhitch.node.discovery_watch import DiscoveryWatch
+from rainhitch.node.endpoint_list import read_address
 from rainhitch.node.router import Router
-from rainhitch.node.shutdown import schedule
+from rainhitch.node.shutdown import shutdown_schedule
 from rainhitch.protocol.resp import command
 
 CONFIG = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1"}
@@ -463,8 +464,8 @@
     await new.start()
     async with router() as bench:
         gate = Gate(monkeypatch, old)
-        first, second = (read_endpoint(web.address) for web in (old, new))
-        watch = DiscoveryWatch(first, bench.directory, 1, must_ask=False)
+        first, second = (read_address(web.address) for web in (old, new))
+        watch = DiscoveryWatch(first, bench.directory, 1, polled=False)
         watch.start()
         await soon(lambda: gate.waiting)
         gate.open.set()
@@ -547,13 +548,13 @@
     told = info()
     for one in told["classes"]:
         one["aim"], one["deadline"] = 200_000_000, 400_000_000
-    service = Router(configured({**CONFIG, "settings": told}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": told}, "x"))
     await service.start()
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
     times = service.clients.schedule
-    assert times == schedule(0.4) and times.gone < times.kill == pytest.approx(1.1)
-    assert 0 < service.driver.answer_by_ns - service.driver.now() <= times.answered * 1e9
+    assert times == shutdown_schedule(0.4) and times.exit_s < times.kill_s == pytest.approx(1.1)
+    assert 0 < service.driver.answer_by_ns - service.driver.now() <= times.all_answered_s * 1e9
     await ending
 
 
@@ -561,7 +562,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Timers run before sockets are read: who came while the loop was late would be reset in the backlog."""
-    service = Router(configured({**CONFIG, "settings": info()}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     assert service.clients.listener is not None
     address = service.clients.listener.door.address
@@ -570,7 +571,7 @@
     def late(one: Any, data: bytes) -> None:
         came.append(socket.create_connection(address))
         came[0].sendall(command(b"PING"))
-        time.sleep(service.clients.schedule.accepting)  # what it read keeps the loop this long
+        time.sleep(service.clients.schedule.stop_accepting_s)  # what it read keeps the loop this long
 
     monkeypatch.setattr(client_module.ClientConnection, "data_received", late)
     first = socket.create_connection(address)
@@ -588,7 +589,7 @@
 
 
 async def test_a_newcomer_that_comes_in_a_pause_is_heard_when_the_router_stops_listening() -> None:
-    service = Router(configured({**CONFIG, "settings": info()}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     listener = service.clients.listener
     assert listener is not None
