--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -22,25 +22,33 @@
 MUTANTS: dict[str, tuple[str, str, str]] = {
     "leaving cuts off what is on its way": (
         "node/client_connection.py",
-        "return not self.greeted_only and not self.frames.buffer and not self.unread()",
+        "return not self.commands.only_greeted and not self.frames.buffer and not self.has_unread_bytes()",
         "return True",
     ),
-    "a close behind a greeting": ("node/client_connection.py", "return not self.greeted_only and", "return"),
-    "a given-up attempt counts as unsent": ("node/connection_pool.py", "return not unsent", "return False"),
+    "a close behind a greeting": (
+        "node/client_connection.py",
+        "return not self.commands.only_greeted and",
+        "return",
+    ),
+    "a given-up attempt counts as unsent": (
+        "node/upstream_connection.py",
+        "return may_have_run",
+        "return False",
+    ),
     "a broken connection was never up": (
-        "node/connection_pool.py",
-        "status = never_up if self.unsent else AttemptStatus.RESET",
+        "node/upstream_connection.py",
+        "status = AttemptStatus.RESET if was_written else never_up",
         "status = never_up",
     ),
     "the last answer is late": ("node/deadlines.py", "WAY_BACK = 8 * MILLI", "WAY_BACK = -120 * MILLI"),
     "a time-out leaves its connection": (
-        "node/request_driver.py",
+        "node/attempt_runner.py",
         "may_have_run = attempt.connection.abandon()",
         "may_have_run = True",
     ),
     "a restart keeps old connections' attempts": (
         "node/connection_pool.py",
-        "for connection in [one for one in self.all if one.since < time]:",
+        "for connection in [one for one in self.all if one.opened_at_s < time_s]:",
         "for connection in []:",
     ),
     "an order's window does not end": (
@@ -75,17 +83,17 @@
     ),
     "an id is held for ever": (
         "node/request_driver.py",
-        "if self.requests.pop(held.id, None) is not None:",
+        "if self.requests.pop(request.id, None) is not None:",
         "if False:",
     ),
     "a slot leaks where a dial fails": (
-        "node/connection_pool.py",
-        "        self.pool.drop(self)\n        exchange, self.exchange = self.exchange, None\n",
-        "        exchange, self.exchange = self.exchange, None\n",
+        "node/upstream_connection.py",
+        "        self.pool.drop(self)\n        exchange = self.exchange\n",
+        "        exchange = self.exchange\n",
     ),
     "a client that leaves is not told of": (
         "node/client_connection.py",
-        "self.server.driver.withdraw(slot.held)",
+        "self.host.driver.withdraw(slot.request)",
         "pass",
     ),
 }
--- /dev/null
+++ b/rainhitch/node/client_commands.py
@@ -0,0 +1,79 @@
+"""What becomes of one command of a client: a request for the router, or an answer at once."""
+
+import logging
+from typing import Protocol
+
+from rainhitch.node.client_request import ClientRequestError, parse_client_request
+from rainhitch.node.request_driver import RequestDriver
+from rainhitch.node.response_queue import ResponseQueue
+from rainhitch.node.response_slot import ResponseSlot
+from rainhitch.node.session import GREETINGS, Session
+from rainhitch.protocol import resp
+from rainhitch.settings import Names
+
+REQUEST_COMMANDS = (b"C.GET", b"C.SET")
+log = logging.getLogger("rainhitch")
+
+
+class CommandHost(Protocol):
+    """What commands need of the router."""
+
+    driver: RequestDriver
+    names: Names
+
+    def count_bad_command(self) -> None:
+        """Counts a command that is not valid."""
+
+
+class ClientCommands:
+    """The commands of one connection; each appends its answer's slot to the queue."""
+
+    def __init__(self, host: CommandHost, session: Session, responses: ResponseQueue) -> None:
+        self.host = host
+        self.session = session
+        self.responses = responses
+        self.only_greeted = True  # no command but what a connection says of itself
+
+    def handle(self, parts: list[bytes], unread_ms: int) -> bool:
+        """Handles a command that may have been unread for so long; gives whether it is the client's last."""
+        name = parts[0].upper() if parts else b""
+        self.only_greeted = self.only_greeted and name in GREETINGS
+        if name in REQUEST_COMMANDS and self.session.authenticated:
+            self._request(parts, unread_ms)
+            return False
+        if name == b"QUIT":
+            self.put(b"+OK\r\n")
+            return True
+        answer = self.session.command(parts)
+        if answer is not None:
+            self.put(answer)
+        else:
+            self.host.count_bad_command()
+            self.put(resp.error("unknown command"))
+        return False
+
+    def put(self, answer: bytes) -> None:
+        """Appends an answer that is ready."""
+        self.responses.put(answer, self.session.version)
+
+    def _request(self, parts: list[bytes], unread_ms: int) -> None:
+        try:
+            client_request = parse_client_request(parts, self.host.names)
+        except ClientRequestError as problem:
+            self.host.count_bad_command()
+            self.put(resp.error(str(problem)))
+            return
+        client_request.wait_ms = max(1, client_request.wait_ms - unread_ms)
+        client_request.unread_ms = unread_ms
+        client_request.connection_id = self.session.id
+        slot = ResponseSlot(self.responses, self.session.version)
+        self.responses.slots.append(slot)
+        try:
+            request = self.host.driver.accept(client_request, slot)
+        except Exception:
+            # Protects the connection's other commands: this one alone fails.
+            log.exception("request could not be accepted id=%s", client_request.id.decode())
+            slot.fill(resp.FAILED)
+            return
+        is_answered = slot.answer is not None or slot.relay is not None
+        slot.request = None if is_answered else request
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -1,418 +1,369 @@
-"""One connection of a client: commands in, answers out in their order."""
+"""One connection of a client: commands in, answers out in their order.
+
+Life cycle:
+
+    OPEN --QUIT, an error, or the router ends--> LAST_COMMAND_READ --all is answered--> HALF_CLOSED --> CLOSED
+     |                                                                                   ^
+     |--idle, evicted, or drained behind an answer--------------------------------------'
+     '--not admitted--> REJECTED --> CLOSED
+
+Any state ends in CLOSED when the client leaves or the connection is aborted. The reason of the end is noted
+once (node/close_reason.py). Apart from that state, reading may be paused, and the write buffer may be full.
+"""
 
 import asyncio
 import contextlib
-import logging
-from collections import deque
-from typing import TYPE_CHECKING, cast
+from collections.abc import Callable
+from enum import Enum
+from typing import Protocol, cast
 
-from rainhitch.node.client_request import ClientRequestError, parse_client_request
+from rainhitch.node.client_commands import ClientCommands, CommandHost
 from rainhitch.node.close_reason import CloseReason
-from rainhitch.node.connection_pool import PIECE
-from rainhitch.node.relay import Relay
-from rainhitch.node.response_slot import ResponseSlot
-from rainhitch.node.session import GREETINGS, Session
+from rainhitch.node.rejected_connection import LINGER_S, MAX_LINGER_BYTES, RejectedConnection, RejectingHost
+from rainhitch.node.response_queue import SMALL_ANSWER_BYTES, BufferLimits, ResponseQueue
+from rainhitch.node.session import Authenticator, Session
+from rainhitch.node.unread_age import UnreadAge
 from rainhitch.protocol import resp
 
-if TYPE_CHECKING:
-    from rainhitch.node.client_connections import ClientConnections
+MAX_PIPELINED_COMMANDS = 32  # of one connection in work; those behind wait unread
+MAX_COMMANDS_PER_TURN = 16  # of one connection before others have their turn
+NS_PER_MS = 1_000_000
+
+
+class ConnectionState(Enum):
+    """Where a connection stands; see the module's docstring."""
+
+    OPEN = "open"
+    LAST_COMMAND_READ = "last command read"  # nothing more is read; closed once all is answered
+    HALF_CLOSED = "half closed"  # all is answered; what still comes is read and thrown away for a while
+    REJECTED = "rejected"
+    CLOSED = "closed"
+
+
+ANSWERED_STATES = (ConnectionState.HALF_CLOSED, ConnectionState.REJECTED)
+
+
+class ActivityObserver(Protocol):
+    """Who notes what each connection waits for."""
+
+    def command_received(self, client: "ClientConnection") -> None:
+        """A whole command has come."""
+
+    def classify(self, client: "ClientConnection") -> None:
+        """What the connection waits for may have changed."""
 
-MOST_PIPELINED = 32  # commands of one connection in work; those behind wait unread
-MOST_IN_A_TURN = 16  # commands of one connection taken up before others have their turn
-LINGER = 1.0  # s for which a client that has its last answer may go on sending,
-LINGER_BYTES = 256 << 10  # and how much of that is read
-MILLI = 1_000_000
-AT_ONCE = 20_000_000  # ns after an accept within which what had come with it is read
-SMALL = 1024  # bytes of an answer that is kept whatever else is
-log = logging.getLogger("rainhitch")
+
+class ClientHost(RejectingHost, CommandHost, BufferLimits, Protocol):
+    """What a connection needs of the router."""
+
+    authenticator: Authenticator
+    can_serve: Callable[[], bool]
+    draining: bool
+    unread_s: float  # for which a client may leave answers unread
+
+    @property
+    def activity(self) -> ActivityObserver:
+        """Who notes what each connection waits for."""
+
+    def next_connection_id(self) -> int:
+        """A number of its own for a new connection."""
+
+    def accept_age(self, now: int) -> int:
+        """For how long a connection that is accepted now may have waited for that, ns."""
+
+    def admit(self, client: "ClientConnection") -> bool:
+        """Takes in a new connection; False where there is no room."""
+
+    def count_protocol_end(self) -> None:
+        """Counts a connection that is ended on an error."""
+
+    def connection_lost(self, client: "ClientConnection") -> None:
+        """The connection is closed, or is being aborted."""
 
 
 class ClientConnection(asyncio.Protocol):
     """One connection of a client."""
 
-    def __init__(self, server: "ClientConnections") -> None:
-        self.server = server
-        self.frames = resp.Frames()
-        self.session = Session(server.number(), server.authenticator, server.can_serve)
-        self.slots: deque[ResponseSlot] = deque()
+    def __init__(self, host: ClientHost) -> None:
+        self.host = host
+        self.activity = host.activity
+        self.state = ConnectionState.OPEN
+        self.close_reason: CloseReason | None = None
         self.transport: asyncio.Transport | None = None
-        self.last = False  # nothing more is read; closed once all is answered
-        self.advancing = self.blocked = self.lingering = self.yielding = False
-        self.asked = 0  # whole commands
-        self.greeted_only = True  # none of them but what a connection says of itself
-        self.turned = False  # away: there was no room
-        self.mute = True
-        self.buffered = 0  # bytes as the server counts them
-        self.waiting = 0  # of them, in answers whose turn has not come
-        self.spilt = 0  # bytes read while lingering
-        self.unread_ms = 0  # ms for which what has come last may have lain unread
-        self.paused = False  # reading is
-        self.resumed_at = 0  # when it last went on, ns
-        self.accepted_at = self.accepted_age = 0  # ns: when, and for how long it may have waited for that
-        self.stuck: asyncio.TimerHandle | None = None
-        self.reason: CloseReason | None = None  # why it ends
-
-    def closes_for(self, reason: CloseReason) -> None:
+        self.frames = resp.Frames()
+        self.session = Session(host.next_connection_id(), host.authenticator, host.can_serve)
+        self.responses = ResponseQueue(self, host)
+        self.commands = ClientCommands(host, self.session, self.responses)
+        self.command_count = 0  # whole commands
+        self.unread_age = UnreadAge(host.system, host.driver.loop_lag)
+        self.unread_ms = 0  # for which what has come last may have been unread
+        self.nothing_received = True
+        self.reading_paused = False
+        self.is_advancing = False
+        self.turn_over = False  # others have their turn before more of its commands are handled
+        self.buffered_bytes = 0  # as they are counted in the host's sum
+        self.lingered_bytes = 0  # read since it was half closed
+        self.close_timer: asyncio.TimerHandle | None = None
+        self.rejected: RejectedConnection | None = None
+
+    def note_close_reason(self, reason: CloseReason) -> None:
         """Notes why the connection ends; the first reason stands."""
-        if self.reason is None:
-            self.reason = reason
+        if self.close_reason is None:
+            self.close_reason = reason
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection was accepted."""
         self.transport = cast(asyncio.Transport, transport)
-        self.server.driver.loop_lag.begins()
-        self.accepted_at = self.server.system.now()
-        self.accepted_age = self.server.accept_age(self.accepted_at)
-        if not self.server.admit(self):
-            self._reject_connection()
-
-    def _reject_connection(self) -> None:
-        """Says that there is no room and hears the client out. Guards that one answer: a close with the
-        client's first command unread is a reset, which overtakes what was written before it."""
-        assert self.transport is not None
-        self.closes_for(CloseReason.NO_ROOM)
-        self.last = self.lingering = self.turned = True
-        self.transport.write(self.server.rejection())
-        self.transport.write_eof()
-        self.stuck = self.server.loop.call_later(LINGER, self.abort, CloseReason.NO_ROOM)
-        self.server.track_rejected(self)
-
-    def _drain_rejected(self, data: bytes) -> None:
-        """With its one command read, nothing is left that would make of the close a reset."""
-        self.frames.feed(data)
-        try:
-            parts = self.frames.next()
-        except resp.FramingError:
-            parts = None
-        if isinstance(parts, list) and not self.transport_closes():
-            self.server.count_rejected_command(parts)
-        if parts is not resp.WAITING and self.transport is not None:
-            self.transport.close()
-
-    def transport_closes(self) -> bool:
-        return self.transport is None or self.transport.is_closing()
-
-    def drain_now(self) -> None:
-        """Others wait to be heard out: what has come is read past the loop, then all is closed. An abort
-        would throw away what was not sent yet, and be a reset."""
-        self.server.turned.pop(self, None)
-        if self.transport is not None and not self.transport.is_closing():
-            self._drain_rejected(self.server.system.take_unread(self.transport, LINGER_BYTES))
-            self.transport.close()
+        self.responses.transport = self.transport
+        self.host.driver.loop_lag.begins()
+        now = self.host.system.now()
+        self.unread_age.accepted(now, self.host.accept_age(now))
+        if not self.host.admit(self):
+            self.note_close_reason(CloseReason.NO_ROOM)
+            self.state = ConnectionState.REJECTED
+            self.rejected = RejectedConnection(self.host, self.transport)
 
     def data_received(self, data: bytes) -> None:
-        lag = self.server.driver.loop_lag
+        """Something has come from the client."""
+        assert self.transport is not None
+        lag = self.host.driver.loop_lag
         lag.begins()
-        self.server.driver.just_resumed()
-        self.unread_ms = self._age() // MILLI
-        self.mute = False
-        if self.turned:
-            self._drain_rejected(data)
-        elif self.lingering:
-            # Guards memory and CPU against a client that goes on at full speed: the rest stays unread.
-            self.spilt += len(data)
-            if self.spilt > LINGER_BYTES and self.transport is not None:
-                self.transport.pause_reading()
-        elif not self.last:
+        self.host.driver.just_resumed()
+        self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
+        self.nothing_received = False
+        if self.state is ConnectionState.OPEN:
             self.frames.feed(data)
             self.advance()
+        elif self.rejected is not None:
+            self.rejected.data_received(data)
+        elif self.state is ConnectionState.HALF_CLOSED:
+            # Guards memory and CPU against a client that goes on at full speed: the rest stays unread.
+            self.lingered_bytes += len(data)
+            if self.lingered_bytes > MAX_LINGER_BYTES and self.transport is not None:
+                self.transport.pause_reading()
         lag.ends()
 
-    def _age(self) -> int:
-        """For how long what has come may have been lying in the system, ns. Guards rule 1 against the time in
-        which the process was held up or a newcomer waited in the backlog, which is its client's time too. The
-        system does not tell it everywhere; the loop's own delays count there."""
-        assert self.transport is not None
-        system = self.server.system
-        now = system.now()
-        # What lay while reading was paused waited for those before it, which does not count.
-        told = min(system.unread_ms(self.transport) * MILLI, now - self.resumed_at)
-        age = max(told, self.server.driver.loop_lag.age())
-        since = now - self.accepted_at
-        if self.mute and since < AT_ONCE:
-            age = max(age, since + self.accepted_age)  # it came with its connection
-        return age
-
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: what is in flight for it is withdrawn."""
         self.transport = None
-        self.closes_for(CloseReason.BY_CLIENT)
-        self.server.connection_lost(self)
-        if self.stuck is not None:
-            self.stuck.cancel()
-        slots, self.slots = self.slots, deque()
+        self.responses.transport = None
+        self.state = ConnectionState.CLOSED
+        self.note_close_reason(CloseReason.BY_CLIENT)
+        self.host.connection_lost(self)
+        if self.rejected is not None:
+            self.rejected.connection_lost()
+        if self.close_timer is not None:
+            self.close_timer.cancel()
+        slots = list(self.responses.slots)
+        self.responses.slots.clear()
         for slot in slots:
             if slot.relay is not None:
                 slot.relay.leave()
-            if slot.held is not None:
-                self.server.driver.withdraw(slot.held)
+            if slot.request is not None:
+                self.host.driver.withdraw(slot.request)
 
     def pause_writing(self) -> None:
-        self.blocked = True
-        self.stuck = self.server.loop.call_later(self.server.unread_s, self.abort, CloseReason.UNREAD_ANSWERS)
-        self._steer()
+        """The client reads too slowly: nothing more is written or read for now."""
+        self.responses.write_buffer_full = True
+        self.close_timer = self.host.loop.call_later(
+            self.host.unread_s, self.abort, CloseReason.UNREAD_ANSWERS
+        )
+        self._steer_reading()
 
     def resume_writing(self) -> None:
-        self.blocked = False
-        if self.stuck is not None:
-            self.stuck.cancel()
+        """The client has read what was written."""
+        self.responses.write_buffer_full = False
+        if self.close_timer is not None:
+            self.close_timer.cancel()
         self.advance()
 
     def abort(self, reason: CloseReason = CloseReason.LINGERED) -> None:
-        self.closes_for(reason)
+        """Closes at once; what was not sent yet is lost."""
+        self.note_close_reason(reason)
         if self.transport is not None:
             self.transport.abort()
 
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.close()
-
     def gone(self) -> bool:
-        """Whether its end has come, also behind what was not read: while reading is paused the loop does not
-        tell. Then the connection is closed here too."""
+        """Whether the client's end has come, also behind what was not read.
+
+        While reading is paused the event loop does not report it. Then the connection is closed here too.
+        """
         if self.transport is None or self.transport.is_closing():
             return True
-        if self.server.system.hung_up(self.transport):
+        if self.host.system.hung_up(self.transport):
             self.transport.close()
             return True
         return False
 
+    def has_unread_bytes(self) -> bool:
+        """Whether something has come that was not read yet."""
+        return self.transport is not None and self.host.system.readable(self.transport)
+
     def advance(self) -> None:
-        """Takes up commands and writes answers, in turn, as far as both go. Guards against recursion: an
-        answer that is ready at once, or comes while this runs, is written by this loop."""
-        if self.advancing or self.lingering or self.transport is None:
+        """Handles commands and writes answers, in turn, as far as both go.
+
+        Guards against recursion: an answer that is ready at once, or comes while this runs, is written by
+        this loop.
+        """
+        if self.is_advancing or self.transport is None or self.state in ANSWERED_STATES:
             return
-        self.advancing = True
-        turn = 0 if self.yielding else MOST_IN_A_TURN
+        self.is_advancing = True
+        commands_left = 0 if self.turn_over else MAX_COMMANDS_PER_TURN
         try:
-            turn -= self._take_up(turn)
-            while self._write() and turn > 0 and self.frames.buffer:
-                turn -= self._take_up(turn)
+            commands_left -= self._handle_commands(commands_left)
+            while self.responses.write_ready() and commands_left > 0 and self.frames.buffer:
+                commands_left -= self._handle_commands(commands_left)
         finally:
-            self.advancing = False
-        if not self.slots and self.last:
+            self.is_advancing = False
+        all_answered = not self.responses.slots
+        if all_answered and self.state is not ConnectionState.OPEN:
             self.half_close(CloseReason.LAST_COMMAND)
-        elif not self.slots and self.server.draining and self._at_rest():
+        elif all_answered and self.host.draining and self._may_be_drained():
             self.half_close(CloseReason.SHUTDOWN)
         else:
-            if turn == 0 and self.frames.buffer and not self.yielding:
+            if commands_left == 0 and self.frames.buffer and not self.turn_over:
                 # Guards the others against a client that sends hundreds of commands at once.
-                self.yielding = True
-                self.server.loop.call_soon(self._again)
-            self._steer()
+                self.turn_over = True
+                self.host.loop.call_soon(self._next_turn)
+            self._steer_reading()
+
+    def _next_turn(self) -> None:
+        self.turn_over = False
+        self.advance()
+
+    def _handle_commands(self, max_commands: int) -> int:
+        """Handles the commands that have come, as many as may be in work at once; gives their number."""
+        handled = 0
+        slots = self.responses.slots
+        try:
+            while handled < max_commands and self._may_handle_more(len(slots)):
+                parts = self.frames.next()
+                if parts is resp.WAITING:
+                    break
+                handled += 1
+                self.command_count += 1
+                self.activity.command_received(self)
+                if self.commands.handle(cast(list[bytes], parts), self.unread_ms):
+                    self._read_no_more()
+        except resp.FramingError as problem:
+            # Where the next command begins is lost: what came before is answered, then this one, last.
+            self.end(f"Protocol error: {problem}", CloseReason.PROTOCOL_ERROR)
+        return handled
+
+    def _may_handle_more(self, in_work: int) -> bool:
+        is_open = self.state is ConnectionState.OPEN
+        return is_open and not self.responses.write_buffer_full and in_work < MAX_PIPELINED_COMMANDS
+
+    def _read_no_more(self) -> None:
+        if self.state is ConnectionState.OPEN:
+            self.state = ConnectionState.LAST_COMMAND_READ
 
-    def _again(self) -> None:
-        self.yielding = False
+    def end(self, problem: str, reason: CloseReason) -> None:
+        """Reads no more: what has been read is answered, then the problem told, then all is closed."""
+        self.note_close_reason(reason)
+        self.host.count_protocol_end()
+        self._read_no_more()
+        self.commands.put(resp.error(problem))
+
+    def finish(self) -> None:
+        """Reads no more: what has been read is answered, then all is closed."""
+        self.note_close_reason(CloseReason.SHUTDOWN)
+        self._read_no_more()
+        self.advance()
+
+    def overdue(self) -> None:
+        """Its command has been incomplete for too long."""
+        self.end("no whole command in time", CloseReason.UNFINISHED)
         self.advance()
 
+    def _may_be_drained(self) -> bool:
+        """Whether a close behind the last answer would cross no command.
+
+        Guards a client's first request, which comes right behind its HELLO: a client that has only greeted is
+        not closed behind that answer, but when it has idled.
+        """
+        return not self.commands.only_greeted and not self.frames.buffer and not self.has_unread_bytes()
+
     def half_close(self, reason: CloseReason) -> None:
-        """Ends the sending and reads on for a while. Guards the last answer: a close with bytes unread is a
-        reset, which can reach a client that is still sending before the answer does. What comes from now on
-        crosses this end, and is never taken up: the client sends it again elsewhere."""
+        """Ends the sending and reads on for a while.
+
+        Guards the last answer: a close with bytes unread is a reset, which can reach a client that is still
+        sending before the answer does. What comes from now on crosses this end, and is never handled: the
+        client sends it again elsewhere.
+        """
         assert self.transport is not None
-        if self.lingering or self.transport.is_closing():
+        if self.state is ConnectionState.HALF_CLOSED or self.transport.is_closing():
             return
-        self.closes_for(reason)
-        self.last = self.lingering = True
-        self._refuse_rest()
-        self.server.classify(self)
-        if self.mute:
+        self.note_close_reason(reason)
+        self.state = ConnectionState.HALF_CLOSED
+        self._reject_rest()
+        self.activity.classify(self)
+        if self.nothing_received:
             self.transport.close()
             return
-        self._steer()
+        self._steer_reading()
         if self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
-        if self.stuck is not None:
-            self.stuck.cancel()
-        # Ends with the connection: nothing stays.
-        self.stuck = self.server.loop.call_later(LINGER, self._lingered, self.server.loop.time())
+        if self.close_timer is not None:
+            self.close_timer.cancel()
+        # The timer ends with the connection.
+        self.close_timer = self.host.loop.call_later(LINGER_S, self._linger_over, self.host.loop.time())
 
-    def _lingered(self, since: float) -> None:
-        """Guards who reads slowly: what is not with the system yet gets the time that a reader has."""
+    def _linger_over(self, since_s: float) -> None:
+        """Guards a client that reads slowly: what is left to send has the time that answers have."""
         if self.transport is None:
             return
-        left = since + self.server.unread_s - self.server.loop.time()
-        if self.transport.get_write_buffer_size() and left > 0:
-            self.stuck = self.server.loop.call_later(min(LINGER, left), self._lingered, since)
+        left_s = since_s + self.host.unread_s - self.host.loop.time()
+        if self.transport.get_write_buffer_size() and left_s > 0:
+            self.close_timer = self.host.loop.call_later(min(LINGER_S, left_s), self._linger_over, since_s)
         else:
             self.abort()
 
-    def _refuse_rest(self) -> None:
-        """Guards commands that were read and never taken up, behind those in work: they don't cross the end,
-        and nothing of them was begun."""
+    def _reject_rest(self) -> None:
+        """Rejects commands that were read and not handled, behind those in work.
+
+        They do not cross the end of the connection, and nothing of them has begun.
+        """
         assert self.transport is not None
         answers = []
         with contextlib.suppress(resp.FramingError):
             while isinstance(parts := self.frames.next(), list):
-                self.server.count_rejected_command(parts)
+                self.host.count_rejected_command(parts)
                 answers.append(resp.refused(0))
         self.frames.buffer.clear()
         if answers:
             self.transport.write(b"".join(answers))
 
-    def _take_up(self, most: int) -> int:
-        """Takes up the commands that have come, as many as may be in work at once; how many these were."""
-        taken = 0
-        try:
-            while taken < most and not self.last and not self.blocked and len(self.slots) < MOST_PIPELINED:
-                parts = self.frames.next()
-                if parts is resp.WAITING:
-                    break
-                taken += 1
-                self.asked += 1
-                self.server.command_received(self)
-                self._command(cast(list[bytes], parts))
-        except resp.FramingError as problem:
-            # Where the next command begins is lost: what came before is answered, then this one, last.
-            self.end(f"Protocol error: {problem}", CloseReason.PROTOCOL_ERROR)
-        return taken
-
-    def end(self, problem: str, reason: CloseReason) -> None:
-        """Reads no more: what has been taken is answered, then the problem told, then all is closed."""
-        self.closes_for(reason)
-        self.server.count("ended on an error")
-        self.last = True
-        self._put(resp.error(problem))
-
-    def _at_rest(self) -> bool:
-        """Guards a client's first request, which comes right behind its HELLO: who has only greeted is not
-        sent away with that answer, but when it has idled."""
-        return not self.greeted_only and not self.frames.buffer and not self.unread()
-
-    def finish(self) -> None:
-        """Reads no more; what has been taken is answered, then all is closed."""
-        self.closes_for(CloseReason.SHUTDOWN)
-        self.last = True
-        self.advance()
-
-    def overdue(self) -> None:
-        """Its command has been on its way for too long."""
-        self.end("no whole command in time", CloseReason.UNFINISHED)
-        self.advance()
-
-    def keep(self, slot: ResponseSlot, answer: bytes) -> bytes:
-        """An answer to hold until its turn comes. Guards memory: where there is no room it fails."""
-        if len(answer) > SMALL and not self.has_room(slot, len(answer)):
-            return resp.FAILED
-        return answer
-
-    def has_room(self, slot: ResponseSlot, size: int) -> bool:
-        """Whether so many bytes may be kept until the slot's turn comes; counts them if they may."""
-        if self.transport is None or not (self.blocked or self.slots[0] is not slot):
-            return True
-        if self.server.buffered_bytes + size > self.server.max_buffered_bytes:
-            return False
-        self.waiting += size
-        self._account()
-        return True
-
-    def _write(self) -> bool:
-        """Writes the answers whose turn has come; whether any was written whole."""
-        wrote = False
-        ready: list[bytes] = []
-        while self.slots and not self.blocked and self.transport is not None:
-            slot = self.slots[0]
-            if slot.relay is not None and slot.relay.broken and not slot.relay.begun:
-                slot.answer, slot.relay = resp.FAILED, None
-            if slot.relay is not None:
-                whole = self._pass_on(slot.relay, b"".join(ready))
-                ready = []
-                if not whole:
-                    break
-            elif slot.answer is None:
-                break
-            else:
-                ready.append(slot.answer)
-            self.slots.popleft()
-            wrote = True
-        if wrote and self.transport is not None:
-            if self.waiting:
-                self.waiting = sum(PIECE if one.relay else len(one.answer or b"") for one in self.slots)
-            if ready:
-                self.transport.write(b"".join(ready))
-        return wrote
-
-    def _pass_on(self, relay: Relay, before: bytes) -> bool:
-        """Writes what there is of a long value, behind what stands before it; whether that was the rest."""
-        assert self.transport is not None
-        if relay.broken:
-            # Guards the client against half a value taken for the whole: it ends in the middle of it.
-            self.transport.write(before)
-            self.abort(CloseReason.VALUE_CUT_OFF)
-            return False
-        head = b"" if relay.begun else b"$%d\r\n" % relay.size
-        relay.begun = True
-        piece = relay.take()
-        self.transport.write(b"".join((before, head, piece, b"\r\n" if relay.done else b"")))
-        if relay.done:
-            relay.passed()
-        return relay.done
-
-    def _command(self, parts: list[bytes]) -> None:
-        name = parts[0].upper() if parts else b""
-        self.greeted_only = self.greeted_only and name in GREETINGS
-        if name in (b"C.GET", b"C.SET") and self.session.authenticated:
-            self._call(parts)
-        elif name == b"QUIT":
-            self._put(b"+OK\r\n")
-            self.last = True
-        elif (answer := self.session.command(parts)) is not None:
-            self._put(answer)
-        else:
-            self.server.count("bad commands")
-            self._put(resp.error("unknown command"))
-
-    def _call(self, parts: list[bytes]) -> None:
-        try:
-            call = parse_client_request(parts, self.server.names)
-        except ClientRequestError as problem:
-            self.server.count("bad commands")
-            self._put(resp.error(str(problem)))
-            return
-        call.wait = max(1, call.wait - self.unread_ms)
-        call.unread, call.connection = self.unread_ms, self.session.id
-        slot = ResponseSlot(self)
-        self.slots.append(slot)
-        try:
-            held = self.server.driver.accept(call, slot)
-            slot.held = held if slot.answer is None and slot.relay is None else None
-        except Exception:
-            log.exception("a call could not be taken")
-            slot.fill(resp.FAILED)
-
-    def _put(self, answer: bytes) -> None:
-        slot = ResponseSlot(self)
-        slot.answer = answer
-        self.slots.append(slot)
-
-    def _steer(self) -> None:
-        """Reads on or stops reading. Guards memory against clients that send much or read nothing."""
+    def _steer_reading(self) -> None:
+        """Pauses or resumes reading. Guards memory against clients that send much or read nothing."""
         if self.transport is None or self.transport.is_closing():
             return
-        full = self.last or self.yielding or len(self.slots) >= MOST_PIPELINED
-        self._pause(self.blocked or (full and not self.lingering))
-        self.server.classify(self)
-        self._account()
-        over = self.server.buffered_bytes > self.server.max_buffered_bytes
-        if over and len(self.frames.buffer) > SMALL and not self.last:
+        is_full = self.turn_over or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
+        reads_no_more = is_full or self.state is ConnectionState.LAST_COMMAND_READ
+        is_lingering = self.state is ConnectionState.HALF_CLOSED
+        self._pause_reading(self.responses.write_buffer_full or (reads_no_more and not is_lingering))
+        self.activity.classify(self)
+        self.account()
+        is_memory_short = self.host.buffered_bytes > self.host.max_buffered_bytes
+        is_large = len(self.frames.buffer) > SMALL_ANSWER_BYTES
+        if is_memory_short and is_large and self.state is ConnectionState.OPEN:
             self.frames.buffer.clear()
             self.end("out of memory", CloseReason.OUT_OF_MEMORY)
             self.advance()
 
-    def _pause(self, paused: bool) -> None:
+    def _pause_reading(self, paused: bool) -> None:
         assert self.transport is not None
         if paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
-            if self.paused:
-                self.resumed_at = self.server.system.now()
-        self.paused = paused
-
-    def _account(self) -> None:
-        unsent = 0 if self.transport is None else self.transport.get_write_buffer_size()
-        held = len(self.frames.buffer) + unsent + self.waiting
-        self.server.buffered_bytes += held - self.buffered
-        self.buffered = held
-
-    def unread(self) -> bool:
-        """Whether something has come that was not read yet."""
-        return self.transport is not None and self.server.system.readable(self.transport)
+            if self.reading_paused:
+                self.unread_age.reading_resumed()
+        self.reading_paused = paused
+
+    def account(self) -> None:
+        """Counts the bytes that the connection holds anew."""
+        unsent_bytes = 0 if self.transport is None else self.transport.get_write_buffer_size()
+        held_bytes = len(self.frames.buffer) + unsent_bytes + self.responses.waiting_bytes
+        self.host.buffered_bytes += held_bytes - self.buffered_bytes
+        self.buffered_bytes = held_bytes
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -1,17 +1,24 @@
-"""The clients' side: the listener, its connections, and who goes when there is no room."""
+"""The clients' side: the listener, its connections, and which of them are closed to make room.
+
+Drain: each connection is half closed behind its next answer, idle ones after DRAIN_IDLE_S, all the others by
+the shutdown's schedule. Newcomers are admitted all the same until the router closes its listener.
+"""
 
 import asyncio
 import contextlib
 import logging
 from collections import Counter
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 from rainhitch import system
-from rainhitch.node.client_connection import MOST_PIPELINED, ClientConnection
+from rainhitch.node.client_activity import ClientActivity
+from rainhitch.node.client_connection import ClientConnection, ConnectionState
 from rainhitch.node.client_request import ClientRequestError, parse_client_request
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.listener import Listener
+from rainhitch.node.rejected_connection import RejectedConnection
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.session import OPEN
 from rainhitch.node.shutdown import LONGEST, schedule
@@ -21,17 +28,29 @@
 if TYPE_CHECKING:
     from rainhitch.overload.controller import OverloadController
 
-STUCK = 10.0  # s for which a client may leave answers unread
-UNFINISHED = 2.6  # s for which a command may be on its way, the first from when the client connected
-SPARED = 2.0  # s for which the sweep leaves a connection with no request open alone
-AT_NEED = 0.025  # s for which it is left alone when a newcomer finds little room
-MOST_TURNED = 8  # connections that were turned away and are still heard out
-SWEEP = 0.2
-REST = 0.05  # s without a request by which one counts as idle, and is closed in between
-TOLD_EVERY = 10.0  # s between lines on what clients did wrong
+UNREAD_ANSWERS_LIMIT_S = 10.0  # for which a client may leave answers unread
+UNFINISHED_COMMAND_LIMIT_S = 2.6  # for which a command may be incomplete, the first from the connect on
+IDLE_GRACE_S = 2.0  # for which the sweep leaves an idle connection alone
+IDLE_GRACE_NEAR_CAP_S = 0.025  # for which it is left alone when a newcomer finds little room
+DRAIN_IDLE_S = 0.05  # without a request, after which a connection counts as idle in a drain
+MAX_REJECTED_CONNECTIONS = 8  # that are kept until they have read their answer
+SWEEP_INTERVAL_S = 0.2
+DRAIN_INTERVAL_S = SWEEP_INTERVAL_S / 2
+LOG_INTERVAL_S = 10.0  # between lines on what happened to clients
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
 log = logging.getLogger("rainhitch")
 
 
+class ClientEvent(StrEnum):
+    """What is counted of clients and logged now and then."""
+
+    BAD_COMMAND = "bad_commands"
+    CLOSED_IDLE = "closed_idle"
+    ENDED_ON_ERROR = "ended_on_error"
+    REJECTED = "rejected"
+
+
 class ClientConnections:
     """The listener and its connections."""
 
@@ -39,218 +58,223 @@
         self,
         driver: RequestDriver,
         names: Names,
-        most: int,
-        most_buffered: int,
-        damper: "OverloadController | None" = None,
+        max_open: int,
+        max_buffered_bytes: int,
+        overload: "OverloadController | None" = None,
     ) -> None:
-        self.driver, self.names, self.max_open, self.max_buffered_bytes = driver, names, most, most_buffered
-        self.overload = damper
-        self.loop = asyncio.get_running_loop()
+        self.driver = driver
+        self.names = names
+        self.max_open = max_open
+        self.max_buffered_bytes = max_buffered_bytes
+        self.overload = overload
+        self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.system = system.of(self.loop)
         self.open: dict[ClientConnection, None] = {}  # in the order in which they came
-        # Since when each has a command on its way or has been idle, and who lingers; longest first.
-        self.awaited: dict[ClientConnection, float] = {}
-        self.idle: dict[ClientConnection, float] = {}
-        self.lingering: dict[ClientConnection, float] = {}
-        self.turned: dict[ClientConnection, None] = {}
-        self.idle_s, self.unfinished_s, self.unread_s = SPARED, UNFINISHED, STUCK  # the operator's to change
-        self.at_need_s = AT_NEED
-        self.authenticator, self.numbers = OPEN, 0  # who may come in, and the last connection's number
-        self.buffered_bytes = 0  # bytes that clients have not finished sending or reading
+        self.activity = ClientActivity(self.loop)
+        self.rejected: dict[RejectedConnection, None] = {}  # the first to come first
+        self.idle_s = IDLE_GRACE_S
+        self.at_need_s = IDLE_GRACE_NEAR_CAP_S
+        self.unfinished_s = UNFINISHED_COMMAND_LIMIT_S
+        self.unread_s = UNREAD_ANSWERS_LIMIT_S
+        self.authenticator = OPEN  # who may come in
+        self.last_connection_id = 0
+        self.buffered_bytes = 0  # that clients have not finished sending or reading
         self.can_serve: Callable[[], bool] = lambda: False
-        self.extra_capacity: Callable[[], int] = lambda: (
-            most
-        )  # the cap while the servers' side leaves its part unused
-        self.release_upstream: Callable[[], bool] = lambda: (
-            False
-        )  # has the servers' side close one that it does not use
-        self.closing = self.sweeping = self.draining = False
+        # The cap while the servers' side leaves its part of the descriptors unused.
+        self.extra_capacity: Callable[[], int] = lambda: max_open
+        # Has the servers' side close a connection that it does not use; False where there is none.
+        self.release_upstream: Callable[[], bool] = lambda: False
+        self.closing = False
+        self.draining = False
+        self.sweep_planned = False
         self.schedule = schedule(LONGEST)  # of a drain; where the router ends, the settings' own
-        self.left_at = 0.0
-        self.told: Counter[str] = Counter()
-        self._empty = asyncio.Event()
+        self.drain_started_at_s = 0.0
+        self.events: Counter[ClientEvent] = Counter()
+        self._all_closed = asyncio.Event()
         self.listener: Listener | None = None
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> tuple[str, int]:
+        """Begins to accept on an address, or on an inherited socket; gives the address. Raises OSError."""
         self.listener = Listener(self.loop, lambda: ClientConnection(self), host, port, inherited)
         return await self.listener.open()
 
     def admit(self, client: ClientConnection) -> bool:
-        """Takes in a new connection; at the cap only where another can go."""
-        if self.overload is not None and self.listener is not None:
-            wait = self.overload.connection_accepted(self.system.now(), len(self.open))
-            if wait:
-                self.listener.pause(wait / 1e9)
-                self.driver.counts.add("accepts", "pauses")
-                self.driver.counts.add("accepts", "ms", wait // 1_000_000)
+        """Takes in a new connection; at the cap only where another can be closed."""
+        self._pace_accepts()
         if len(self.open) >= max(self.max_open, self.extra_capacity()):
             if not self._make_room():
                 return False
         elif len(self.open) > self.max_open // 2:
             # Guards clients that keep what they opened against a lack of connections of their own, long
-            # before the cap: the protocol lets a router close between requests, and one goes for each new
-            # one.
-            gone = self._retire_one(self.idle, min(self.idle_s, self.at_need_s))
-            if gone is not None and gone.asked == 1:
-                # Guards against those that ask once and stay: with one for one they would never grow fewer.
-                self._retire_one(self.idle, min(self.idle_s, self.at_need_s))
+            # before the cap: the protocol lets a router close between requests, and one is closed for each
+            # new one.
+            closed = self._close_idle(min(self.idle_s, self.at_need_s))
+            if closed is not None and closed.command_count == 1:
+                # Guards against clients that ask once and stay: with one for one they would never be fewer.
+                self._close_idle(min(self.idle_s, self.at_need_s))
         self.open[client] = None
-        self.awaited[client] = self.loop.time()
-        if not self.sweeping:
-            self.sweeping = True
-            self.loop.call_later(SWEEP, self._sweep)
+        self.activity.connected(client)
+        if not self.sweep_planned:
+            self.sweep_planned = True
+            self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         return True
 
-    def number(self) -> int:
-        """A new connection's own number."""
-        self.numbers += 1
-        return self.numbers
+    def _pace_accepts(self) -> None:
+        """Pauses accepting for as long as the overload control says."""
+        if self.overload is None or self.listener is None:
+            return
+        pause_ns = self.overload.connection_accepted(self.system.now(), len(self.open))
+        if pause_ns:
+            self.listener.pause(pause_ns / NS_PER_S)
+            self.driver.counts.add("accepts", "pauses")
+            self.driver.counts.add("accepts", "ms", pause_ns // NS_PER_MS)
+
+    def next_connection_id(self) -> int:
+        """A number of its own for a new connection."""
+        self.last_connection_id += 1
+        return self.last_connection_id
 
     def rejection(self) -> bytes:
-        """What a newcomer is told for whom there is no room. Nothing of it was taken, so that to come again
-        is harmless."""
-        wait = 0 if self.overload is None else self.overload.connection_rejected(self.system.now())
-        return resp.refused(-(-wait // 1_000_000))
+        """The answer to a newcomer without room: nothing of it was begun, so that a retry is harmless."""
+        retry_after_ns = 0
+        if self.overload is not None:
+            retry_after_ns = self.overload.connection_rejected(self.system.now())
+        return resp.refused(-(-retry_after_ns // NS_PER_MS))  # rounded up
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts the command of one that had no room."""
+        """Counts the command of a client that had no room."""
         with contextlib.suppress(ClientRequestError, IndexError):
-            self.driver.metrics.rejected[parse_client_request(parts, self.names).cls] += 1
+            class_index = parse_client_request(parts, self.names).class_index
+            self.driver.metrics.rejected[class_index] += 1
 
     def accept_age(self, now: int) -> int:
         """For how long a connection that is accepted now may have waited for that, ns."""
-        waited = 0 if self.listener is None else self.listener.age(now)
-        return max(waited, self.driver.loop_lag.age())
+        waited_ns = 0 if self.listener is None else self.listener.age(now)
+        return max(waited_ns, self.driver.loop_lag.age())
 
-    def track_rejected(self, client: ClientConnection) -> None:
-        """Counts one that had no room; a few are heard out at a time, out of the spare descriptors."""
-        self.count("turned away")
-        self.turned[client] = None
-        if len(self.turned) > MOST_TURNED:
-            next(iter(self.turned)).drain_now()
+    def track_rejected(self, connection: RejectedConnection) -> None:
+        """Counts a connection that had no room; only a few are kept, out of the spare descriptors."""
+        self._count(ClientEvent.REJECTED)
+        self.rejected[connection] = None
+        if len(self.rejected) > MAX_REJECTED_CONNECTIONS:
+            next(iter(self.rejected)).drain_now()
+
+    def untrack_rejected(self, connection: RejectedConnection) -> None:
+        """A connection that had no room is closed."""
+        self.rejected.pop(connection, None)
 
     def _make_room(self) -> bool:
-        """Closes who lingers longest, has been mute or idle longest. Guards newcomers against connections
-        that asked once and stay, and requests against a close: none goes with one open or bytes unread."""
-        for client in self.lingering:
+        """Closes who lingers longest, or has been silent or idle longest; False where nobody can be closed.
+
+        Guards newcomers against connections that asked once and stay, and requests against a close: no
+        connection is closed with a request in work or bytes unread.
+        """
+        for client in self.activity.lingering:
             client.abort()
             self.connection_lost(client)
             return True
-        gone = self._retire_one(self.awaited, self.idle_s)
-        return (
-            gone or self._retire_one(self.idle, min(self.idle_s, self.at_need_s))
-        ) is not None or self.release_upstream()
+        if self._close_unused(self.activity.awaited, self.idle_s) is not None:
+            return True
+        if self._close_idle(min(self.idle_s, self.at_need_s)) is not None:
+            return True
+        return self.release_upstream()
 
-    def _retire_one(self, group: dict[ClientConnection, float], spared: float) -> ClientConnection | None:
-        client = next(self._spent(group, spared), None)
+    def _close_idle(self, for_s: float) -> ClientConnection | None:
+        return self._close_unused(self.activity.idle, for_s)
+
+    def _close_unused(self, group: dict[ClientConnection, float], for_s: float) -> ClientConnection | None:
+        client = next(self.activity.unused(group, for_s), None)
         if client is not None:
             self._retire(client)
         return client
 
-    def _spent(self, group: dict[ClientConnection, float], spared: float) -> Iterator[ClientConnection]:
-        """Who was spared for so many seconds and has nothing open, on its way or unread; longest first."""
-        before = self.loop.time() - spared
-        for client, since in group.items():
-            if since > before:
-                break
-            if not client.slots and not client.frames.buffer and not client.unread():
-                yield client
-
     def _retire(self, client: ClientConnection) -> None:
-        self.count("closed idle")
+        self._count(ClientEvent.CLOSED_IDLE)
         client.half_close(CloseReason.IDLE)
 
-    def command_received(self, client: ClientConnection) -> None:
-        """A whole command has come: what it waits for next counts from then."""
-        self.awaited.pop(client, None)
-        self.idle.pop(client, None)
-
-    def classify(self, client: ClientConnection) -> None:
-        """Notes what a connection waits for."""
-        waits = not (client.last or client.blocked or client.yielding)
-        if waits and len(client.slots) < MOST_PIPELINED and (client.frames.buffer or not client.asked):
-            self.idle.pop(client, None)
-            self.awaited.setdefault(client, self.loop.time())
-        elif waits and not client.slots:
-            self.awaited.pop(client, None)
-            self.idle.setdefault(client, self.loop.time())
-        else:
-            self.awaited.pop(client, None)
-            self.idle.pop(client, None)
-            if client.lingering:
-                self.lingering[client] = self.loop.time()
-
     def _sweep(self) -> None:
-        """Guards against clients that connect and say nothing, stop half-way or dribble."""
-        now = self.loop.time()
-        for client in [one for one, since in self.awaited.items() if since < now - self.unfinished_s]:
+        """Guards against clients that connect and say nothing, stop half-way or send a byte now and then."""
+        for client in self.activity.incomplete(self.unfinished_s):
             client.overdue()
         if len(self.open) > self.max_open // 2:
             # Guards clients against a lack of connections of their own, long before the cap is reached.
-            for client in list(self._spent(self.idle, self.idle_s)):
+            for client in list(self.activity.unused(self.activity.idle, self.idle_s)):
                 self._retire(client)
-        self.sweeping = bool(self.open)
-        if self.sweeping:
-            self.loop.call_later(SWEEP, self._sweep)
+        self.sweep_planned = bool(self.open)
+        if self.sweep_planned:
+            self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def count_bad_command(self) -> None:
+        """Counts a command that is not valid."""
+        self._count(ClientEvent.BAD_COMMAND)
 
-    def count(self, what: str) -> None:
-        """Counts what clients did wrong: one line now and then, however many they are."""
-        if not self.told:
-            self.loop.call_later(TOLD_EVERY, self._tell)
-        self.told[what] += 1
+    def count_protocol_end(self) -> None:
+        """Counts a connection that is ended on an error."""
+        self._count(ClientEvent.ENDED_ON_ERROR)
 
-    def _tell(self) -> None:
-        log.info("clients: %s", ", ".join(f"{number} {what}" for what, number in sorted(self.told.items())))
-        self.told.clear()
+    def _count(self, event: ClientEvent) -> None:
+        """Counts an event: one line now and then, however many they are."""
+        if not self.events:
+            self.loop.call_later(LOG_INTERVAL_S, self._log_events)
+        self.events[event] += 1
+
+    def _log_events(self) -> None:
+        fields = [f"{event}={count}" for event, count in sorted(self.events.items())]
+        log.info("client events %s", " ".join(fields))
+        self.events.clear()
 
     def connection_lost(self, client: ClientConnection) -> None:
-        if client in self.open and client.reason is not None:
-            self.driver.counts.add("closed", client.reason.value)
+        """A connection is closed, or is being aborted."""
+        if client in self.open and client.close_reason is not None:
+            self.driver.counts.add("closed", client.close_reason.value)
         self.open.pop(client, None)
-        self.turned.pop(client, None)
-        for group in (self.awaited, self.idle, self.lingering):
-            group.pop(client, None)
-        self.buffered_bytes -= client.buffered
-        client.buffered = 0
+        self.activity.forget(client)
+        self.buffered_bytes -= client.buffered_bytes
+        client.buffered_bytes = 0
         if self.closing and not self.open:
-            self._empty.set()
+            self._all_closed.set()
 
     def drain(self) -> None:
-        """Each connection ends after its next answer, those that ask nothing in a while; newcomers are heard
-        all the same. Guards clients against a close that crosses their request: it comes right behind an
-        answer, when a client has nothing under way, for as long as there is time for that."""
+        """Has each connection end after its next answer, and idle ones in a while; newcomers are admitted.
+
+        Guards clients against a close that crosses their request: it comes right behind an answer, when a
+        client has nothing in flight, for as long as there is time for that.
+        """
         if not self.draining:
-            self.draining, self.left_at = True, self.loop.time()
-            self.loop.call_later(SWEEP / 2, self._usher, self.left_at)
+            self.draining = True
+            self.drain_started_at_s = self.loop.time()
+            self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, self.drain_started_at_s)
 
     def cancel_drain(self) -> None:
+        """Goes on serving: connections stay open again."""
         self.draining = False
 
-    def _usher(self, begun: float) -> None:
-        if not self.draining or self.left_at != begun:
+    def _drain_step(self, started_at_s: float) -> None:
+        if not self.draining or self.drain_started_at_s != started_at_s:
             return
-        gone = self.loop.time() - begun
-        if gone >= self.schedule.idle_from:
-            for group in (self.awaited, self.idle):
-                for client in list(self._spent(group, REST)):
+        elapsed_s = self.loop.time() - started_at_s
+        if elapsed_s >= self.schedule.idle_from:
+            for group in (self.activity.awaited, self.activity.idle):
+                for client in list(self.activity.unused(group, DRAIN_IDLE_S)):
                     self._retire(client)
-        if gone >= self.schedule.no_more:
+        if elapsed_s >= self.schedule.no_more:
             # Who has half a command on its way has a little longer to send the rest.
-            late = gone >= self.schedule.answered
-            for client in [one for one in self.open if not one.last and (one.slots or late)]:
+            is_late = elapsed_s >= self.schedule.answered
+            still_open = [one for one in self.open if one.state is ConnectionState.OPEN]
+            for client in [one for one in still_open if one.responses.slots or is_late]:
                 client.finish()
-        self.loop.call_later(SWEEP / 2, self._usher, begun)
+        self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, started_at_s)
 
     def close(self) -> None:
-        """Stops listening, and sends away who is there."""
+        """Stops listening, and drains the connections."""
         self.closing = True
         self.drain()
         if self.listener is not None:
             self.listener.close()
         if not self.open:
-            self._empty.set()
+            self._all_closed.set()
 
-    async def emptied(self, patience: float) -> None:
-        """Waits until every connection has ended, or for so many seconds."""
+    async def emptied(self, max_wait_s: float) -> None:
+        """Waits until every connection is closed, or for so many seconds."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._empty.wait(), patience)
+            await asyncio.wait_for(self._all_closed.wait(), max_wait_s)
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -1,4 +1,4 @@
-"""A client's command, as it came, and the outcome of one attempt at it."""
+"""A client's command as it arrived, one attempt at it as a connection sees it, and that attempt's result."""
 
 import re
 from collections.abc import Callable
@@ -6,115 +6,140 @@
 from typing import TYPE_CHECKING
 
 from rainhitch.interface import AttemptStatus, Idempotency
+from rainhitch.node.errors import NodeError
 from rainhitch.settings import Names
 
 if TYPE_CHECKING:
     from rainhitch.node.relay import Relay, Source
 
-PLAIN = re.compile(rb"[!-~]+")  # fit for a list of names and values, and for an HTTP header
-MOST_NAME = 256  # bytes of a key, which the decisions remember, or of an id
-MOST_INFO = 1024
-WORDS = frozenset("ctkdr")  # the fields that are no figures, or looked at on their own
+PRINTABLE = re.compile(rb"[!-~]+")  # safe in a list of names and values, and in an HTTP header
+MAX_NAME_BYTES = 256  # of a key, which the decisions remember, or of an id
+MAX_INFO_BYTES = 1024
+MAX_WAIT_DIGITS = 7  # of the wait in ms
+TEXT_FIELDS = frozenset("ctkdr")  # fields of the info list that are no numbers, or are checked on their own
 NUMBER = re.compile(r"\d{1,15}(?:\.\d{1,9})?")
+NS_PER_MS = 1_000_000
 
 
-class ClientRequestError(ValueError):
-    """A command that is whole but makes no sense."""
+class ClientRequestError(NodeError, ValueError):
+    """A command that is framed well but not valid; its text is told to the client."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One command of a client; key, id, info and value go on as they came."""
+    """One command of a client; key, id, info and value are passed on as they arrived."""
 
-    name: bytes
+    command: bytes  # C.GET or C.SET
     key: bytes
     id: bytes
     info: bytes
     value: bytes | None
-    cls: int
+    class_index: int
     tenant: int
-    wait: int  # ms until the client gives up, from when it sent the command
-    repeat: bool
-    order: str = ""  # the order key of a keyed write
-    unread: int = 0  # ms for which it may have lain unread before it was taken
-    connection: int = 0  # the number of its client's connection
-
-    @property
-    def size(self) -> int:
+    wait_ms: int  # until the client gives up, from when it sent the command
+    is_client_retry: bool
+    idempotency_key: str = ""
+    unread_ms: int = 0  # for which it may have been lying unread before it was read
+    connection_id: int = 0  # of its client's connection
+
+    def size_bytes(self) -> int:
+        """What the command holds in memory, in bytes."""
         return len(self.key) + len(self.id) + len(self.info) + len(self.value or b"")
 
-    def info_for(self, wait: int) -> bytes:
-        """The list with so many nanoseconds that the router will wait, in place of the client's wait."""
-        told = b"d=%d" % max(1, wait // 1_000_000)
-        return b",".join(told if one.startswith(b"d=") else one for one in self.info.split(b","))
+    def info_for(self, wait_ns: int) -> bytes:
+        """The info list with the time that the router will wait, in place of the client's own wait."""
+        wait_field = b"d=%d" % max(1, wait_ns // NS_PER_MS)
+        fields = self.info.split(b",")
+        return b",".join(wait_field if one.startswith(b"d=") else one for one in fields)
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended; a value only where it was served."""
+    """How an attempt ended; it has a value only where it was served."""
 
     status: AttemptStatus
-    value: object = b""  # bytes, or a richer value of RESP3
-    note: int = 0
+    value: object = b""  # bytes, or a value of RESP3
+    note: int = 0  # the cache server's note as a number, 0 for none
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One attempt as a connection sees it: what to ask, until when the router waits, whom to tell. `begin` is
-    asked where to pass on a long value of so many bytes; None: nobody wants it. `may_begin` is asked right
-    before the first byte is written."""
+    """One attempt as a connection sees it."""
 
-    call: ClientRequest
-    until: int  # monotonic ns
-    done: Callable[[AttemptResult], None]
-    begin: "Callable[[Source, int], Relay | None]"
-    may_begin: Callable[[], bool] = lambda: True
+    client_request: ClientRequest
+    deadline_ns: int  # monotonic, until when the router waits
+    on_finished: Callable[[AttemptResult], None]
+    # Called with the size in bytes of a long value: where to pass it on, or None where nobody wants it.
+    on_long_value: "Callable[[Source, int], Relay | None]"
+    may_write: Callable[[], bool] = lambda: True  # called right before the first byte is written
 
 
 def parse_client_request(parts: list[bytes], names: Names) -> ClientRequest:
-    """Reads C.GET key id info, or C.SET key id info value. Guards the cache servers: what the protocol does
-    not allow goes no further than this."""
-    name = parts[0].upper()
-    if len(parts) != (5 if name == b"C.SET" else 4):
+    """Reads C.GET key id info, or C.SET key id info value; raises ClientRequestError.
+
+    Guards the cache servers: what the protocol does not allow is rejected here and passed no further.
+    """
+    command = parts[0].upper()
+    if len(parts) != (5 if command == b"C.SET" else 4):
         raise ClientRequestError("wrong number of arguments")
     key, identity, info = parts[1:4]
-    if not 0 < len(key) <= MOST_NAME or len(identity) > MOST_NAME or not PLAIN.fullmatch(identity):
+    is_id_valid = len(identity) <= MAX_NAME_BYTES and PRINTABLE.fullmatch(identity)
+    if not 0 < len(key) <= MAX_NAME_BYTES or not is_id_valid:
         raise ClientRequestError("invalid key or id")
-    fields = _fields(info)
-    cls = names.classes.get(fields.get("c", ""), -1)
-    if cls < 0:
+    fields = _parse_info(info)
+    class_index = names.classes.get(fields.get("c", ""), -1)
+    if class_index < 0:
         raise ClientRequestError("unknown class")
-    effect = names.effects[cls]
-    value = parts[4] if name == b"C.SET" else None
-    # A safe class reads and a keyed one writes; one that may not be repeated can do either.
-    if effect is not Idempotency.NOT_IDEMPOTENT and (value is None) is not (effect is Idempotency.IDEMPOTENT):
-        raise ClientRequestError(f"not a class for {name.decode()}")
-    if effect is Idempotency.IDEMPOTENCY_KEY and not fields.get("k"):
-        raise ClientRequestError("k is missing")
+    idempotency = names.effects[class_index]
+    value = parts[4] if command == b"C.SET" else None
+    _check_idempotency(command, idempotency, fields)
     tenant = names.tenants.get(fields.get("t", ""), -1) if names.tenants else 0
     if tenant < 0:
         raise ClientRequestError("unknown tenant")
     wait = fields.get("d", "")
-    if not wait.isdigit() or len(wait) > 7 or int(wait) < 1:
+    if not wait.isdigit() or len(wait) > MAX_WAIT_DIGITS or int(wait) < 1:
         raise ClientRequestError("invalid d")
     if fields.get("r", "1") not in ("0", "1"):
         raise ClientRequestError("invalid r")
-    order = fields["k"] if effect is Idempotency.IDEMPOTENCY_KEY else ""
+    idempotency_key = fields["k"] if idempotency is Idempotency.IDEMPOTENCY_KEY else ""
+    is_client_retry = fields.get("r") == "1"
     return ClientRequest(
-        name, key, identity, info, value, cls, tenant, int(wait), fields.get("r") == "1", order
+        command,
+        key,
+        identity,
+        info,
+        value,
+        class_index,
+        tenant,
+        int(wait),
+        is_client_retry,
+        idempotency_key,
     )
 
 
-def _fields(info: bytes) -> dict[str, str]:
-    """The list of names and values; the figures among them are numbers."""
-    if len(info) > MOST_INFO or not PLAIN.fullmatch(info):
+def _check_idempotency(command: bytes, idempotency: Idempotency, fields: dict[str, str]) -> None:
+    """Checks that the class fits the command; raises ClientRequestError.
+
+    An idempotent class reads and one with an idempotency key writes; one that is not idempotent does either.
+    """
+    is_read = command != b"C.SET"
+    is_idempotent = idempotency is Idempotency.IDEMPOTENT
+    if idempotency is not Idempotency.NOT_IDEMPOTENT and is_read is not is_idempotent:
+        raise ClientRequestError(f"not a class for {command.decode()}")
+    if idempotency is Idempotency.IDEMPOTENCY_KEY and not fields.get("k"):
+        raise ClientRequestError("k is missing")
+
+
+def _parse_info(info: bytes) -> dict[str, str]:
+    """Reads the list of names and values; all but the text fields have to be numbers."""
+    if len(info) > MAX_INFO_BYTES or not PRINTABLE.fullmatch(info):
         raise ClientRequestError("invalid list of names and values")
     fields: dict[str, str] = {}
     for pair in info.decode().split(","):
         field, equals, value = pair.partition("=")
         if not equals or not field or field in fields:
             raise ClientRequestError("invalid list of names and values")
-        if field not in WORDS and not NUMBER.fullmatch(value):
+        if field not in TEXT_FIELDS and not NUMBER.fullmatch(value):
             raise ClientRequestError(f"invalid {field[:16]}")
         fields[field] = value
     return fields
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -10,24 +10,27 @@
 import asyncio
 
 from rainhitch.interface import AttemptStatus
-from rainhitch.node.cache_connection import NOTES, CacheConnection, error_ending
+from rainhitch.node.cache_connection import NOTES, CacheConnection, result_of_error
 from rainhitch.node.client_request import AttemptResult
-from rainhitch.node.connection_pool import ConnectionPool
+from rainhitch.node.upstream_connection import OwningPool
 from rainhitch.protocol import resp
 from rainhitch.protocol.resp3 import Error, Map, Push, Reader, encode, text_of
 
 HELLO = resp.command(b"HELLO", b"3")
 
 
-def ending_of(answer: object) -> AttemptResult | None:
-    """What a server's answer says: the value, how the read went, and the load report, the last two as
-    strings or in a map. None for one that no command of ours can have, or whose value has no form that a
-    client of RESP2 takes for served."""
+def result_of_answer(answer: object) -> AttemptResult | None:
+    """What a server's answer says: the value, how the read went, and the load report.
+
+    The last two come as strings or in a map. None for an answer that no command of ours can have, or whose
+    value has no form that a client of RESP2 takes for served.
+    """
     if isinstance(answer, Error):
-        return error_ending(answer.text)
+        return result_of_error(answer.text)
     if not isinstance(answer, list) or len(answer) not in (2, 3):
         return None
-    value, note = answer[0], answer[1]
+    value = answer[0]
+    note = answer[1]
     if len(answer) == 2 and not isinstance(note, Map):
         return None
     if isinstance(note, Map):
@@ -52,33 +55,37 @@
 class Resp3Connection(CacheConnection):
     """A connection to a cache server, in whichever protocol it speaks."""
 
-    def __init__(self, pool: ConnectionPool) -> None:
+    def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
         self.version = 2
         self.reader = Reader(long=True)
-        self.greeting: asyncio.TimerHandle | None = None
+        self.greeting_timer: asyncio.TimerHandle | None = None  # while HELLO is not answered
 
     def connected(self) -> None:
-        if self.pool.speaks == 2:
+        """The connection is up: it begins with HELLO 3, unless the server is known to speak RESP2."""
+        if self.pool.known_protocol == 2:
             super().connected()
             return
         assert self.transport is not None
         loop = asyncio.get_running_loop()
-        self.greeting = loop.call_later(
-            self.pool.pools.dial_timeout, self._turned_down, AttemptStatus.CONNECT_FAILED
+        self.greeting_timer = loop.call_later(
+            self.host.connect_timeout_s, self._fail_greeting, AttemptStatus.CONNECT_FAILED
         )
         self.transport.write(HELLO)
 
     def pause_writing(self) -> None:
-        if self.greeting is None:
+        """Some of what was written is not with the system yet; HELLO is no part of an attempt."""
+        if self.greeting_timer is None:
             super().pause_writing()
 
     def resume_writing(self) -> None:
-        if self.greeting is None:
+        """All of what was written is with the system."""
+        if self.greeting_timer is None:
             super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
-        if self.greeting is not None:
+        """Something has come: the answer to HELLO, a push, or an answer."""
+        if self.greeting_timer is not None:
             self._greeted(data)
         elif self.version == 3 and self.exchange is None:
             self.reader.feed(data)
@@ -93,60 +100,69 @@
             while isinstance(answer := self.reader.next(), Push):
                 pass
         except resp.FramingError:
-            self._turned_down(AttemptStatus.CONNECT_FAILED)
+            self._fail_greeting(AttemptStatus.CONNECT_FAILED)
             return
         if answer is resp.WAITING:
             return
-        full = isinstance(answer, Error) and error_ending(answer.text)
+        error = result_of_error(answer.text) if isinstance(answer, Error) else None
         if isinstance(answer, Map) and answer.get(b"proto") == 3:
-            self.version, self.frames = 3, self.reader
-        elif full and full.status is AttemptStatus.FULL:
-            self._turned_down(AttemptStatus.FULL)
+            self.version = 3
+            self.frames = self.reader
+        elif error is not None and error.status is AttemptStatus.FULL:
+            self._fail_greeting(AttemptStatus.FULL)
             return
         elif isinstance(answer, Error) and self.reader.idle():
-            self.pool.speaks = 2
+            self.pool.known_protocol = 2
         else:
-            self._turned_down(AttemptStatus.CONNECT_FAILED)
+            self._fail_greeting(AttemptStatus.CONNECT_FAILED)
             return
-        if self.greeting is not None:
-            self.greeting.cancel()
-        self.greeting = None
+        if self.greeting_timer is not None:
+            self.greeting_timer.cancel()
+        self.greeting_timer = None
         if self.version == 3 and not self._only_pushes():
-            self._turned_down(AttemptStatus.CONNECT_FAILED)
+            self._fail_greeting(AttemptStatus.CONNECT_FAILED)
         else:
             super().connected()
 
-    def _turned_down(self, status: AttemptStatus) -> None:
-        """The connection never came to a request."""
-        exchange, self.exchange = self.exchange, None
+    def _fail_greeting(self, status: AttemptStatus) -> None:
+        """The connection never came to a request: its attempt ends with this status."""
+        exchange = self.exchange
+        self.exchange = None
         self.close()
         if exchange is not None:
-            exchange.done(AttemptResult(status))
+            exchange.on_finished(AttemptResult(status))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.greeting is not None:
-            self.greeting.cancel()
+        """The connection is gone."""
+        if self.greeting_timer is not None:
+            self.greeting_timer.cancel()
         super().connection_lost(exc)
 
     def close(self) -> None:
-        if self.greeting is not None:
-            self.greeting.cancel()
+        """Closes at once, in both directions."""
+        if self.greeting_timer is not None:
+            self.greeting_timer.cancel()
         super().close()
 
     def next_answer(self) -> object:
+        """The active attempt's answer, once it is whole; pushes before it are taken in."""
         while isinstance(answer := super().next_answer(), Push):
             self._pushed(answer)
         return answer
 
-    def ending_of(self, answer: object) -> AttemptResult | None:
-        return ending_of(answer) if self.version == 3 else super().ending_of(answer)
+    def result_of(self, answer: object) -> AttemptResult | None:
+        """What an answer says; None for one that no command of ours can have."""
+        return result_of_answer(answer) if self.version == 3 else super().result_of(answer)
 
     def is_sound(self) -> bool:
+        """Whether nothing but pushes stands behind the answer."""
         return self._only_pushes() if self.version == 3 else super().is_sound()
 
     def _only_pushes(self) -> bool:
-        """Whether what has come beside answers is pushes, and perhaps the beginning of another. Guards
-        against a second copy of an answer, or noise, that would pass for the next answer."""
+        """Whether what has come beside answers is pushes, and perhaps the beginning of another.
+
+        Guards against a second copy of an answer, or noise, that would pass for the next answer.
+        """
         if not self.reader.buffer:
             return self.reader.idle()
         try:
@@ -159,16 +175,17 @@
     def _pushed(self, push: Push) -> None:
         keys = push.items[1] if len(push.items) == 2 else 0
         if text_of(push.items[0]) != b"invalidate" or not (keys is None or isinstance(keys, list)):
-            self.pool.pools.unknown_pushes += 1
+            self.host.unknown_pushes += 1
             return
         names = None if keys is None else [text for one in keys if (text := text_of(one)) is not None]
-        self.pool.pools.keys_invalidated(self.pool, names)
+        self.host.keys_invalidated(self.pool.name, names)
 
     def is_reusable(self) -> bool | None:
+        """Whether an idle connection can carry an attempt; None: not now, and it is to stay."""
         if self.version == 2:
             return super().is_reusable()
         if self.transport is None or self.transport.is_closing():
             return False
         # What waits to be read may be a push: the loop reads it soon, and closes on all else.
-        waits = self.pool.pools.system.readable(self.transport) or not self.reader.idle()
+        waits = self.host.system.readable(self.transport) or not self.reader.idle()
         return None if waits else True
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -226,7 +226,7 @@
     limits = operator.clients
     clients.idle_s, clients.at_need_s = limits.idle_s, limits.at_need_s
     clients.unfinished_s, clients.unread_s = limits.unfinished_s, limits.unread_s
-    pools.hold_idle(operator.servers.idle_s)
+    pools.set_max_idle(operator.servers.idle_s)
     driver.balancer.settings.migration_fraction = operator.growth.move_share()
     if operator.servers.resp3:
         from rainhitch.node.resp3_cache_connection import Resp3Connection
@@ -241,9 +241,9 @@
     # but for what it may soon want, and both stay under what the process may hold.
     shared = sockets - SPARE
     pools.max_open, clients.max_open = sockets * 3 // 8, sockets // 2
-    pools.left = lambda: shared - len(clients.open)
+    pools.descriptors_left = lambda: shared - len(clients.open)
     clients.extra_capacity = lambda: shared - SOON - pools.open()
-    clients.release_upstream = pools.spare
+    clients.release_upstream = pools.close_surplus
 
 
 def cut(sockets: int, pools: ConnectionPools, clients: ClientConnections, processes: int) -> None:
--- /dev/null
+++ b/rainhitch/node/upstream_connection.py
@@ -0,0 +1,298 @@
+"""One connection to a server: it carries one attempt at a time. What it speaks is the subclass's.
+
+Life cycle of a connection:
+
+    CONNECTING --up--> IDLE <--attempt ended-- ACTIVE --a long value begins--> RELAYING
+        |               |  '---next attempt------> |                               |
+        '---------------'-- lost, closed, or answered badly -----------------------'
+                                        |
+                                        v
+                                      CLOSED
+
+CONNECTING has no transport yet, ACTIVE has an exchange, RELAYING has a relay too. An attempt may wait for the
+connection to come up. How much of an attempt the system has taken is `WriteProgress`: a server begins a
+request with its last byte, so that an attempt which is not WRITTEN has never run.
+"""
+
+import asyncio
+import logging
+from abc import abstractmethod
+from collections.abc import Callable
+from enum import Enum
+from typing import Protocol, cast
+
+from rainhitch.interface import Address, AttemptStatus
+from rainhitch.node.client_request import AttemptResult, ClientRequest, Exchange
+from rainhitch.node.relay import Relay
+from rainhitch.system import System
+from rainhitch.telemetry.counts import Counts
+
+# What the system may hold for us on a connection that is not read; it takes twice that for its own use.
+READ_PIECE_BYTES = 64 << 10
+log = logging.getLogger("rainhitch")
+
+
+class WriteProgress(Enum):
+    """How much of an attempt's request is with the system."""
+
+    NOT_WRITTEN = "not written"
+    PARTLY_WRITTEN = "partly written"
+    WRITTEN = "written"
+
+
+class UpstreamHost(Protocol):
+    """What all connections of a router share."""
+
+    system: System
+    counts: Counts
+    connect_timeout_s: float
+    attempts_written: int  # attempts written whole, since the start
+    unknown_pushes: int  # RESP3 pushes of another kind than `invalidate`
+    callback_begins: Callable[[], None]  # called around each read, for the event loop's lag
+    callback_ends: Callable[[], None]
+    keys_invalidated: Callable[[str, list[bytes] | None], None]  # server, keys; None: all of its keys
+
+
+class OwningPool(Protocol):
+    """The pool that a connection belongs to."""
+
+    name: str
+    address: Address
+    known_protocol: int  # RESP version that the server's process was found to speak; 0: not known
+    retired: bool  # no further attempt may begin there
+
+    @property
+    def host(self) -> UpstreamHost:
+        """What all connections of the router share."""
+
+    def release(self, connection: "UpstreamConnection") -> None:
+        """Takes back a connection that can carry another attempt."""
+
+    def drop(self, connection: "UpstreamConnection") -> None:
+        """Forgets a connection that is closed."""
+
+
+class UpstreamConnection(asyncio.Protocol):
+    """A connection that carries one attempt at a time and reports how it ended."""
+
+    def __init__(self, pool: OwningPool) -> None:
+        self.pool = pool
+        self.host = pool.host
+        self.exchange: Exchange | None = None
+        self.transport: asyncio.Transport | None = None
+        self.connecting: asyncio.Task[None] | None = None
+        self.write_progress = WriteProgress.NOT_WRITTEN
+        self.is_closed = False  # closed or given up, also where it comes up later
+        self.opened_at_s = 0.0  # loop time
+        self.reused = False  # it has carried more attempts than the one it was opened for
+        self.idle_since_s = 0.0  # loop time
+        self.relay: Relay | None = None  # where a long value is passed on
+
+    @abstractmethod
+    def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
+        """The bytes to write for an attempt, with the info list that goes on."""
+
+    @abstractmethod
+    def read(self, data: bytes) -> None:
+        """Takes in what came while an attempt is active; ends it by `finish` or `fail_protocol`."""
+
+    def info(self, exchange: Exchange) -> bytes:
+        """The info list that goes beside key and id.
+
+        Guards against time that has passed, in connecting or in an earlier attempt, told as time to work in:
+        what is left counts from here.
+        """
+        return exchange.client_request.info_for(exchange.deadline_ns - self.host.system.now())
+
+    def start_exchange(self, exchange: Exchange) -> None:
+        """Begins an attempt, or has it wait for the connection to come up."""
+        self.exchange = exchange
+        self.write_progress = WriteProgress.NOT_WRITTEN
+        if self.transport is not None:
+            self._write()
+
+    def _write(self) -> None:
+        assert self.exchange is not None and self.transport is not None
+        info = self.info(self.exchange)
+        # Guards against what changed while the connection came up or the process was delayed: the server may
+        # drain by now, the client may have left, and the time in which a retry is harmless may be over.
+        # Asked behind the last reading of the clock, right before the write.
+        if self.pool.retired or not self.exchange.may_write():
+            self.finish(AttemptResult(AttemptStatus.ABANDONED))
+            return
+        try:
+            request = self.encode(self.exchange.client_request, info)
+        except Exception:
+            # Protects the connection's other users: the request alone ends, and never began.
+            log.exception("attempt could not be encoded server=%s", self.pool.name)
+            self.finish(AttemptResult(AttemptStatus.ABANDONED), reusable=False)
+            return
+        # Set before the write: the transport calls pause_writing within it where bytes stay behind.
+        self.write_progress = WriteProgress.WRITTEN
+        self.transport.write(request)
+        if self.transport.is_closing():
+            # A write that failed at once handed nothing over: what it asked for never ran.
+            self.write_progress = WriteProgress.PARTLY_WRITTEN
+        if self.write_progress is WriteProgress.WRITTEN:
+            self.host.attempts_written += 1
+
+    def abandon(self) -> bool:
+        """Ends the attempt and closes the connection; gives whether the attempt may have run.
+
+        Guards against second copies: the system is told to close before this returns, and so before anybody
+        may start another attempt.
+        """
+        may_have_run = self.write_progress is WriteProgress.WRITTEN
+        self.exchange = None
+        self.close()
+        return may_have_run
+
+    def has_unread_answer(self) -> bool:
+        """Whether something has come for the active attempt that was not read yet."""
+        transport = self.transport
+        if self.exchange is None or transport is None or transport.is_closing():
+            return False
+        return self.host.system.readable(transport)
+
+    def withdraw(self) -> bool:
+        """Takes the attempt back if it is not written whole, so that it never began at the server.
+
+        Where nothing of it was written, the connection is kept for the next attempt.
+        """
+        if self.exchange is None or self.write_progress is WriteProgress.WRITTEN:
+            return False
+        self.exchange = None
+        if self.write_progress is WriteProgress.PARTLY_WRITTEN:
+            self.close()
+        return True
+
+    def retire(self) -> None:
+        """The server drains: an attempt that waits for the connection ends, to be sent elsewhere."""
+        exchange = self.exchange
+        if self.withdraw() and exchange is not None:
+            self.close()
+            exchange.on_finished(AttemptResult(AttemptStatus.ABANDONED))
+
+    def start_relay(self, size_bytes: int) -> None:
+        """A long value begins to arrive; where nobody wants it, the connection is closed."""
+        assert self.exchange is not None
+        self.relay = self.exchange.on_long_value(self, size_bytes)
+        if self.relay is None:
+            self.finish(AttemptResult(AttemptStatus.OK), reusable=False)
+
+    def hold(self) -> None:
+        """Pauses reading: the relay's client is slower than the server."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.pause_reading()
+
+    def go_on(self) -> None:
+        """Resumes reading."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.resume_reading()
+
+    def close(self) -> None:
+        """Closes at once, in both directions; the active attempt is not told."""
+        self._break_relay()
+        self.pool.drop(self)
+        self.is_closed = True
+        if self.transport is None:
+            if self.connecting is not None:
+                self.connecting.cancel()
+            return
+        self.host.system.shut(self.transport)
+        self.transport.abort()
+
+    def _break_relay(self) -> None:
+        relay = self.relay
+        self.relay = None
+        if relay is not None:
+            relay.break_off()
+
+    def finish(self, result: AttemptResult, reusable: bool = True) -> None:
+        """Ends the attempt; the connection is free before anybody is told."""
+        if self.relay is not None and result.status is AttemptStatus.OK:
+            relay = self.relay
+            self.relay = None
+            relay.finish()
+        exchange = self.exchange
+        self.exchange = None
+        # Guards the next request against the rest of one that was answered before its last byte was written.
+        if reusable and self.write_progress is not WriteProgress.PARTLY_WRITTEN:
+            self.pool.release(self)
+        else:
+            self.close()
+        if exchange is not None:
+            exchange.on_finished(result)
+
+    def fail_protocol(self) -> None:
+        """What came can't be read: the attempt is reset, and the connection closed."""
+        self.finish(AttemptResult(AttemptStatus.RESET), reusable=False)
+
+    def lost(self, never_up: AttemptStatus = AttemptStatus.CONNECT_FAILED) -> None:
+        """The connection is gone or never came up; `never_up` is the status of an attempt that never ran."""
+        self._break_relay()
+        self.is_closed = True
+        was_written = self.write_progress is WriteProgress.WRITTEN
+        status = AttemptStatus.RESET if was_written else never_up
+        if self.transport is None:
+            is_refused = status is AttemptStatus.CONNECT_FAILED
+            self.host.counts.add("links", "refused" if is_refused else "no room")
+        self.pool.drop(self)
+        exchange = self.exchange
+        self.exchange = None
+        if exchange is not None:
+            exchange.on_finished(AttemptResult(status))
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
+        self.transport = cast(asyncio.Transport, transport)
+        if self.is_closed:
+            # Guards against a connect that was given up in the very turn in which it came up.
+            self.transport.abort()
+            return
+        self.transport.set_write_buffer_limits(0)  # so that pause_writing is called for every byte left over
+        # Guards memory: what is read at once is held for each client that reads slowly.
+        self.host.system.bound_reads(self.transport, READ_PIECE_BYTES)
+        self.connected()
+
+    def connected(self) -> None:
+        """The connection can carry an attempt; where none waits for it any more, it is idle."""
+        if self.exchange is None:
+            self.pool.release(self)
+        else:
+            self._write()
+
+    def is_reusable(self) -> bool | None:
+        """Whether an idle connection can carry an attempt; None: not now, and it is to stay."""
+        transport = self.transport
+        if transport is None or transport.is_closing():
+            return False
+        return not self.host.system.readable(transport)
+
+    def pause_writing(self) -> None:
+        """Some of what was written is not with the system yet."""
+        self.write_progress = WriteProgress.PARTLY_WRITTEN
+
+    def resume_writing(self) -> None:
+        """All of what was written is with the system."""
+        if self.write_progress is not WriteProgress.WRITTEN:
+            self.host.attempts_written += 1
+        self.write_progress = WriteProgress.WRITTEN
+
+    def data_received(self, data: bytes) -> None:
+        """Something has come."""
+        self.host.callback_begins()
+        if self.exchange is None:
+            self.close()  # nothing was asked
+            return
+        try:
+            self.read(data)
+        except Exception:
+            # The outermost frame of a read: protects the router against an answer that no codec foresaw.
+            log.exception("answer could not be handled server=%s", self.pool.name)
+            self.fail_protocol()
+        self.host.callback_ends()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone."""
+        self.lost()
--- a/rainhitch/system.py
+++ b/rainhitch/system.py
@@ -13,6 +13,7 @@
 import sys
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 LAST_DATA = slice(52, 56)  # of struct tcp_info: ms since data came last
@@ -68,6 +69,14 @@
         """Bounds what the machine holds for a connection that is not read."""
 
 
+@dataclass(slots=True)
+class Clock:
+    """The clocks of a machine, as they are passed in to what needs the time."""
+
+    now: Callable[[], int]  # monotonic ns: the loop's time
+    unix: Callable[[], int]  # Unix ns, which may jump
+
+
 def polled(which: socket.socket, event: int) -> bool:
     poller = select.poll()
     poller.register(which.fileno(), event)
@@ -151,6 +160,12 @@
     return made  # type: ignore[no-any-return]
 
 
+def clock_of(loop: asyncio.AbstractEventLoop) -> Clock:
+    """The clocks of the machine that a loop runs on."""
+    machine = of(loop)
+    return Clock(machine.now, machine.unix)
+
+
 def running() -> System:
     """The machine of the loop that runs now; the real one where none does."""
     try:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -272,7 +272,7 @@
     program without its sense of absence does send for them."""
     late, sent = sent_for_nobody(ledgers["stopped"], 0)
     assert late == 0 and sent > 0
-    assert any("away for" in line for line in ledgers["stopped"]["logs"][0].splitlines())
+    assert any("router resumed after a pause" in line for line in ledgers["stopped"]["logs"][0].splitlines())
 
 
 def test_processes_send_nothing_for_clients_that_have_left(ledgers: dict[str, Json]) -> None:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -21,13 +21,14 @@
 
 from rainhitch import interface as api
 from rainhitch.node import client_connection as client_module
-from rainhitch.node import connection_pool
-from rainhitch.node.client_connection import MOST_PIPELINED
+from rainhitch.node import connection_pool, upstream_connection
+from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.configuration import configured
 from rainhitch.node.discovery import DiscoveryWatch, read_endpoint
 from rainhitch.node.router import Router
 from rainhitch.node.shutdown import schedule
+from rainhitch.node.upstream_connection import WriteProgress
 from rainhitch.protocol.resp import command
 
 CONFIG = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1"}
@@ -122,7 +123,7 @@
 async def test_a_client_that_leaves_while_a_connection_comes_up_is_not_sent_for_and_the_next_one_uses_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with two_servers(monkeypatch) as (bench, _, gate):
         first, second = await bench.caller(), await bench.caller()
         first.get(name=b"left")
@@ -143,8 +144,8 @@
     """Seed 109 of the short days: one was decided 0.68 s after the first attempt and written at 0.92 s, in a
     window of 1 s; another came too late."""
     async with two_servers(monkeypatch) as (bench, _, gate):
-        now, told = [bench.driver.now()], []
-        monkeypatch.setattr(bench.driver, "now", lambda: now[0])
+        now, told = [bench.driver.clock.now()], []
+        monkeypatch.setattr(bench.driver.clock, "now", lambda: now[0])
 
         def decide(at: int, event: api.Event) -> list[api.Action]:
             told.append(event)
@@ -181,13 +182,13 @@
 ) -> None:
     """A time-out that is delivered to a connect that has just succeeded closes its socket without a word."""
     async with two_servers(monkeypatch) as (bench, _, gate):
-        made = connection_pool.UpstreamConnection.connection_made
+        made = upstream_connection.UpstreamConnection.connection_made
 
-        def made_as_time_is_over(one: connection_pool.UpstreamConnection, transport: Any) -> None:
+        def made_as_time_is_over(one: upstream_connection.UpstreamConnection, transport: Any) -> None:
             made(one, transport)
-            one.pool._never_up(one)
+            bench.pools.pools[one.pool.name]._connect_timed_out(one)
 
-        monkeypatch.setattr(connection_pool.UpstreamConnection, "connection_made", made_as_time_is_over)
+        monkeypatch.setattr(upstream_connection.UpstreamConnection, "connection_made", made_as_time_is_over)
         caller = await bench.caller()
         caller.get()
         await soon(lambda: gate.waiting)
@@ -205,8 +206,8 @@
     bench.cache.answer = lambda asked, line: None
     raw = socket.create_connection(("127.0.0.1", bench.port))
     raw.settimeout(PATIENCE)
-    raw.sendall(b"".join(get(b"n%d" % n) for n in range(MOST_PIPELINED + 8)))
-    await soon(lambda: len(bench.cache.got) == MOST_PIPELINED)
+    raw.sendall(b"".join(get(b"n%d" % n) for n in range(MAX_PIPELINED_COMMANDS + 8)))
+    await soon(lambda: len(bench.cache.got) == MAX_PIPELINED_COMMANDS)
     return raw
 
 
@@ -221,7 +222,7 @@
         bench.cache.lines[0].write(hit())  # makes room for the next of its commands
         bench.cache.lines[1].transport.abort()  # asks for a further attempt
         await soon(lambda: not bench.clients.open and not bench.driver.requests)
-        assert len(bench.cache.got) == MOST_PIPELINED
+        assert len(bench.cache.got) == MAX_PIPELINED_COMMANDS
 
 
 async def test_what_is_taken_up_from_one_that_has_left_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -260,9 +261,13 @@
         monkeypatch.setattr(bench.pools.system, "bound_reads", little)
         bench.directory.apply(listing(6, entry("c0", self.address)))
 
-    def writing(self) -> list[connection_pool.UpstreamConnection]:
+    def writing(self) -> list[upstream_connection.UpstreamConnection]:
         """The connections on which a request is written in part."""
-        return [one for one in self.bench.pools.pools["c0"].all if one.begun and one.unsent]
+        return [
+            one
+            for one in self.bench.pools.pools["c0"].all
+            if one.write_progress is WriteProgress.PARTLY_WRITTEN
+        ]
 
     async def half_written(self) -> Caller:
         """A client whose request is written in part."""
@@ -307,7 +312,9 @@
             return [api.Fail(event.id)] if isinstance(event, api.AttemptFinished) else []
 
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
-        monkeypatch.setattr(bench.driver, "_timeout", lambda attempt: None)  # the window alone ends it
+        monkeypatch.setattr(
+            bench.driver.attempts, "time_out", lambda attempt: None
+        )  # the window alone ends it
         deaf = Deaf(bench, monkeypatch)
         caller = await deaf.half_written()
         assert str(await caller.answer()) == "ERR failed"
@@ -342,7 +349,7 @@
         raw.settimeout(PATIENCE)
         raw.sendall(get(b"first"))
         assert (await asyncio.to_thread(raw.recv, 64)).startswith(b"$1")
-        await soon(lambda: bench.clients.idle)
+        await soon(lambda: bench.clients.activity.idle)
         [client] = bench.clients.open
         raw.sendall(get(b"crosses"))  # lies unread as the close comes, in one turn
         bench.clients._retire(client)
@@ -361,7 +368,7 @@
             caller.get(name=name)
             assert await caller.answer() == b"v"
             await soon(lambda: bench.pools.pools["c0"].idle)
-            bench.pools.hold_idle(0.01)
+            bench.pools.set_max_idle(0.01)
             await asyncio.sleep(0.02)
         assert len(bench.cache.lines) == 2
 
@@ -379,13 +386,13 @@
         answers = b""
         while piece := await asyncio.to_thread(raw.recv, 65536):
             answers += piece
-        assert answers == b"$1\r\nv\r\n" * MOST_PIPELINED + b"-BUSY\r\n" * 8
+        assert answers == b"$1\r\nv\r\n" * MAX_PIPELINED_COMMANDS + b"-BUSY\r\n" * 8
         assert bench.driver.metrics.rejected[0] == 8
         raw.close()
 
 
 async def test_who_reads_slowly_gets_the_rest_of_the_last_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "LINGER", 0.05)
+    monkeypatch.setattr(client_module, "LINGER_S", 0.05)
     value = b"x" * 60_000
     async with router(lambda asked, line: hit(value)) as bench:
         raw = socket.socket()
@@ -416,9 +423,9 @@
     """Three processes, one stopped for 4 s: its origin had answered at once, and was taken for one that takes
     4 s, so that reads of the next second were refused."""
     async with router(lambda asked, line: None) as bench:
-        now = [bench.driver.now()]
+        now = [bench.driver.clock.now()]
         told: list[api.AttemptFinished] = []
-        monkeypatch.setattr(bench.driver, "now", lambda: now[0])
+        monkeypatch.setattr(bench.driver.clock, "now", lambda: now[0])
 
         def decide(at: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.AttemptFinished):
@@ -440,8 +447,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with router(lambda asked, line: None) as bench:
-        now = [bench.driver.now()]
-        monkeypatch.setattr(bench.driver, "now", lambda: now[0])
+        now = [bench.driver.clock.now()]
+        monkeypatch.setattr(bench.driver.clock, "now", lambda: now[0])
         caller = await bench.caller()
         caller.get(name=b"early")
         await soon(lambda: bench.cache.got)
@@ -449,7 +456,7 @@
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 3500)
         now[0] += 4_000_000_000
         client.data_received(get(b"late"))
-        assert bench.driver.requests["late"].call.wait == 9000 - 3500
+        assert bench.driver.requests["late"].client_request.wait_ms == 9000 - 3500
 
 
 # The watch moves
@@ -553,7 +560,7 @@
     await asyncio.sleep(0)
     times = service.clients.schedule
     assert times == schedule(0.4) and times.gone < times.kill == pytest.approx(1.1)
-    assert 0 < service.driver.answer_by_ns - service.driver.now() <= times.answered * 1e9
+    assert 0 < service.driver.answer_by_ns - service.driver.clock.now() <= times.answered * 1e9
     await ending
 
 
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from peers import Bench, hit, router, soon
 
-from rainhitch.node.client_connection import MOST_PIPELINED, ClientConnection
+from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
 from rainhitch.node.deadlines import (
     HELD_UP,
     MILLI,
@@ -81,8 +81,8 @@
         self.count = 0
         self.at = 0  # 0: never
         self.act: Callable[[], None] = lambda: None
-        self.now = bench.driver.now
-        monkeypatch.setattr(bench.driver, "now", self.read)
+        self.now = bench.driver.clock.now
+        monkeypatch.setattr(bench.driver.clock, "now", self.read)
         monkeypatch.setattr(bench.pools.system, "now", self.read)
 
     def read(self) -> int:
@@ -147,20 +147,20 @@
             await soon(lambda: bench.driver.requests)
             [held] = bench.driver.requests.values()
             assert (
-                held.call.unread >= 190 and held.call.wait <= 900 - 190
+                held.client_request.unread_ms >= 190 and held.client_request.wait_ms <= 900 - 190
             )  # a timer may be early by its rounding
-            assert held.deadline <= bench.driver.now() + 710 * MILLI - WAY_BACK
+            assert held.deadline_ns <= bench.driver.clock.now() + 710 * MILLI - WAY_BACK
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             await asyncio.sleep(0.05)  # nobody waits any more: what it says later is new
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
             held = await soon(lambda: bench.driver.requests.get("comes"))
-            assert held.call.wait > 900 - 100
+            assert held.client_request.wait_ms > 900 - 100
 
 
 async def test_a_connection_is_not_used_that_its_server_may_close_during_a_hold_up() -> None:
     async with router(keepalive=300 * MILLI) as bench:
-        bench.pools.hold_idle(10.0)
-        assert bench.pools.idle_most == pytest.approx(0.3 - HELD_UP / 1e9)
+        bench.pools.set_max_idle(10.0)
+        assert bench.pools.max_idle_s == pytest.approx(0.3 - HELD_UP / 1e9)
 
 
 async def test_what_lay_unread_because_reading_was_paused_is_not_charged_with_it(
@@ -171,14 +171,18 @@
         raw, client = await newcomer(bench)
         raw.sendall(command(b"C.GET", b"k", b"first", INFO % 900))
         await soon(lambda: bench.driver.requests)
-        raw.sendall(b"".join(command(b"PING") for _ in range(MOST_PIPELINED)))
-        await soon(lambda: client.paused)
+        raw.sendall(b"".join(command(b"PING") for _ in range(MAX_PIPELINED_COMMANDS)))
+        await soon(lambda: client.reading_paused)
         raw.sendall(command(b"C.GET", b"k", b"behind", INFO % 900))
         await asyncio.sleep(0.1)  # it lies unread
         [line] = bench.cache.lines
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 700)
         line.write(hit())
         held = await soon(lambda: bench.driver.requests.get("behind") or bench.cache.got[-1][2] == b"behind")
-        told = bench.cache.got[-1][3] if held is True else held.call.info_for(held.call.wait * MILLI)
+        told = (
+            bench.cache.got[-1][3]
+            if held is True
+            else held.client_request.info_for(held.client_request.wait_ms * MILLI)
+        )
         assert int(told.rpartition(b"d=")[2]) > 900 - 100
         raw.close()
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -72,7 +72,7 @@
 
 
 async def test_a_changed_endpoint_or_start_drops_the_old_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
         caller = await bench.caller()
         caller.get()
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -18,9 +18,10 @@
 from rainhitch.node import connection_pool
 from rainhitch.node.client_connection import ClientConnection
 from rainhitch.node.client_request import ClientRequest, Exchange
-from rainhitch.node.connection_pool import ConnectionPool, UpstreamConnection
-from rainhitch.node.request_driver import Attempt, InFlightRequest
+from rainhitch.node.connection_pool import ConnectionPool
+from rainhitch.node.in_flight_request import Attempt, InFlightRequest
 from rainhitch.node.response_slot import ResponseSlot
+from rainhitch.node.upstream_connection import UpstreamConnection
 from rainhitch.policy.pending_request import PendingRequest
 from rainhitch.policy.server_registry import Server
 from rainhitch.protocol.resp import command
@@ -68,7 +69,7 @@
 
 
 async def test_nothing_grows_in_a_long_churn(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     replies = [hit(), MISS, b"-BUSY\r\n", b"-ERR failed\r\n", b"noise", None]
 
     def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
@@ -81,7 +82,7 @@
         await churn(bench, range(10))
         before = alive()
         await churn(bench, range(10, 70))
-        await soon(lambda: all(not one.all for one in bench.pools.leaving))
+        await soon(lambda: all(not one.all for one in bench.pools.retired_pools))
         balancer, clients = bench.driver.balancer, bench.clients
         assert len(balancer.servers.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
         assert (
@@ -90,9 +91,12 @@
             and not balancer.coalesced_reads
         )
         assert len(balancer.placement.ranges.chains) <= 2
-        assert len(bench.pools.leaving) <= 1 and bench.driver.request_bytes == 0
+        assert len(bench.pools.retired_pools) <= 1 and bench.driver.request_bytes == 0
         assert (
-            not clients.awaited and not clients.idle and not clients.lingering and clients.buffered_bytes == 0
+            not clients.activity.awaited
+            and not clients.activity.idle
+            and not clients.activity.lingering
+            and clients.buffered_bytes == 0
         )
         grown = {name: (before[name], many) for name, many in alive().items() if many > before[name] + 8}
         # Jobs wait in the agenda for their aim to end, and no longer; they are bounded by time, not here.
--- a/tests/node/test_hostile.py
+++ b/tests/node/test_hostile.py
@@ -24,7 +24,7 @@
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
     """Connections that say nothing, or dribble, were kept for good."""
-    monkeypatch.setattr(client_connections, "UNFINISHED", 0.3)
+    monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(sent)
@@ -38,7 +38,7 @@
 
 
 async def test_dribbling_gains_a_client_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "UNFINISHED", 0.3)
+    monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
         caller = await bench.caller()
         caller.get()
@@ -56,7 +56,7 @@
 
 async def test_at_the_cap_the_longest_idle_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """A newcomer was turned away while others had asked once and stayed. Whose request is open stays."""
-    monkeypatch.setattr(client_connections, "SPARED", 0.0)
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=3) as bench:
         busy = await bench.caller()
         busy.get(name=b"open")
@@ -77,7 +77,7 @@
 
 async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that may hold a third of the descriptors had none left, while theirs stood idle here."""
-    monkeypatch.setattr(client_connections, "SPARED", 0.2)
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.2)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=6) as bench:
         busy = await bench.caller()
         busy.get(name=b"open")
@@ -96,7 +96,7 @@
     async with router(sockets=2) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # who is idle makes room for nobody
         bench.clients.extra_capacity = lambda: 4 - bench.pools.open()
-        bench.pools.left = lambda: 4 - len(bench.clients.open)
+        bench.pools.descriptors_left = lambda: 4 - len(bench.clients.open)
         many = [await bench.caller() for _ in range(4)]
         for one in many:
             one.send(b"PING")
@@ -115,9 +115,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Newcomers were turned away while half the connections to servers were idle."""
-    monkeypatch.setattr(connection_pool, "SETTLE", 60.0)  # so that each request opens another
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 60.0)  # so that each request opens another
     async with router(sockets=3) as bench:
-        bench.clients.release_upstream = bench.pools.spare
+        bench.clients.release_upstream = bench.pools.close_surplus
         for n in range(3):
             caller = await bench.caller()
             caller.get(name=b"i%d" % n)
@@ -130,24 +130,24 @@
 
 async def test_what_a_client_has_sent_unread_keeps_its_place(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closing it would have lost a request that lay in the socket."""
-    monkeypatch.setattr(client_connections, "SPARED", 0.0)
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
     async with router(sockets=1) as bench:
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
         (one,) = bench.clients.open
-        taken = bench.clients.idle.copy()
-        assert list(taken) == [one] and not one.unread()
+        taken = bench.clients.activity.idle.copy()
+        assert list(taken) == [one] and not one.has_unread_bytes()
         caller.get(name=b"i2")
         raw = caller.writer.get_extra_info("socket")
-        assert raw is not None and one.unread()
+        assert raw is not None and one.has_unread_bytes()
         assert not bench.clients.admit(ClientConnection(bench.clients))
         assert await caller.answer() == b"v"
 
 
 async def test_what_is_sent_after_the_last_answer_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client turned away that went on at full speed was read at full speed for a second."""
-    monkeypatch.setattr(client_module, "LINGER_BYTES", 1 << 16)
+    monkeypatch.setattr(client_module, "MAX_LINGER_BYTES", 1 << 16)
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$5\r\nc=put\r\n$62914560\r\n")
@@ -155,8 +155,8 @@
         caller.writer.write(bytes(16 << 20))
         assert str(await caller.answer()) == "ERR Protocol error: invalid or oversized length"
         await soon(lambda: client not in bench.clients.open)
-        assert client.spilt <= (1 << 16) + (256 << 10)
-        assert not bench.clients.lingering and bench.clients.buffered_bytes == 0
+        assert client.lingered_bytes <= (1 << 16) + (256 << 10)
+        assert not bench.clients.activity.lingering and bench.clients.buffered_bytes == 0
 
 
 async def test_hundreds_of_commands_at_once_do_not_starve_the_others() -> None:
@@ -165,20 +165,20 @@
         usual.send(b"PING")
         assert await usual.answer() == b"PONG"
         turns: list[int] = []
-        take_up = ClientConnection._take_up
+        handle_commands = ClientConnection._handle_commands
 
-        def counted(self: ClientConnection, most: int) -> int:
-            turns.append(take_up(self, most))
+        def counted(self: ClientConnection, max_commands: int) -> int:
+            turns.append(handle_commands(self, max_commands))
             return turns[-1]
 
-        ClientConnection._take_up = counted  # type: ignore[method-assign]
+        ClientConnection._handle_commands = counted  # type: ignore[method-assign]
         try:
             greedy.writer.write(resp.command(b"PING") * 1000)
             for _ in range(1000):
                 assert await greedy.answer() == b"PONG"
         finally:
-            ClientConnection._take_up = take_up  # type: ignore[method-assign]
-        assert max(turns) <= client_module.MOST_IN_A_TURN and sum(turns) == 1000
+            ClientConnection._handle_commands = handle_commands  # type: ignore[method-assign]
+        assert max(turns) <= client_module.MAX_COMMANDS_PER_TURN and sum(turns) == 1000
 
 
 async def test_answers_whose_turn_has_not_come_are_counted_and_bounded() -> None:
@@ -339,7 +339,7 @@
 async def test_a_second_copy_behind_an_answer_is_not_the_next_answer(
     monkeypatch: pytest.MonkeyPatch, behind: bytes
 ) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         assert await reused(bench, behind) == b"i2"
         assert len(bench.cache.lines) == 2
@@ -347,7 +347,7 @@
 
 async def test_a_connection_rests_after_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """What comes right behind an answer may come a little after it."""
-    monkeypatch.setattr(connection_pool, "SETTLE", 1000.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 1000.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         caller = await bench.caller()
         for n in range(2):
@@ -374,7 +374,7 @@
 async def test_a_new_server_at_an_old_address_owes_nothing_of_the_old_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
@@ -390,7 +390,7 @@
         await soon(lambda: not bench.driver.requests)
         assert set(servers) == {"c9", "o"} and set(pools.pools) == {"c9", "o"}
         assert servers["c9"].consecutive_failures == 0 and servers["c9"].in_flight == 0
-        assert not any(one.all for one in pools.leaving)
+        assert not any(one.all for one in pools.retired_pools)
 
 
 async def test_the_sockets_hold_nothing_once_all_is_answered() -> None:
@@ -474,7 +474,7 @@
             assert str(await late.answer()) == "BUSY"
             assert await late.answer() is None
         await soon(lambda: bench.driver.metrics.rejected[0] == 20)  # each was refused, if at the door
-        await soon(lambda: len(bench.clients.turned) <= client_connections.MOST_TURNED)
+        await soon(lambda: len(bench.clients.rejected) <= client_connections.MAX_REJECTED_CONNECTIONS)
         assert len(bench.clients.open) == 1 and not bench.cache.got
 
 
@@ -482,6 +482,6 @@
     async with router(sockets=1) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # the first one makes room for nobody
         await (await bench.caller()).answer_to_ping()
-        many = [await bench.caller() for _ in range(3 * client_connections.MOST_TURNED)]
-        await soon(lambda: bench.clients.told["turned away"] == len(many))
-        await soon(lambda: len(bench.clients.turned) <= client_connections.MOST_TURNED)
+        many = [await bench.caller() for _ in range(3 * client_connections.MAX_REJECTED_CONNECTIONS)]
+        await soon(lambda: bench.clients.events[client_connections.ClientEvent.REJECTED] == len(many))
+        await soon(lambda: len(bench.clients.rejected) <= client_connections.MAX_REJECTED_CONNECTIONS)
--- a/tests/node/test_long.py
+++ b/tests/node/test_long.py
@@ -50,7 +50,7 @@
 
 
 async def test_a_long_value_goes_on_while_it_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     asked, script = holding()
     async with router(script) as bench:
         caller = await bench.caller()
@@ -71,7 +71,7 @@
 
 
 async def test_a_long_value_of_the_origin_goes_on_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: MISS, lambda asked, line: http(200, VALUE)) as bench:
         caller = await bench.caller()
         for name in (b"i1", b"i2"):
@@ -169,7 +169,7 @@
         callers = [(await slow_caller(bench))[0] for _ in range(4)]
         for n, caller in enumerate(callers):
             caller.get(name=b"i%d" % n)
-        await soon(lambda: sum(one.blocked for one in bench.clients.open) == 4)
+        await soon(lambda: sum(one.responses.write_buffer_full for one in bench.clients.open) == 4)
         await asyncio.sleep(0.2)  # so that all would come that is going to come
         relays = [held.relay for held in bench.driver.requests.values() if held.relay is not None]
         assert len(relays) == 4 and all(one.held for one in relays)
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -13,7 +13,7 @@
 from rainhitch.node import connection_pool
 from rainhitch.node.client_request import ClientRequest, Exchange
 from rainhitch.node.deadlines import WAY_BACK
-from rainhitch.node.request_driver import InFlightRequest
+from rainhitch.node.in_flight_request import InFlightRequest
 from rainhitch.protocol import resp
 
 INFO = b"c=read,t=acme,d=9000"
@@ -96,7 +96,7 @@
 
 
 async def test_one_connection_serves_one_attempt_after_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router() as bench:
         caller = await bench.caller()
         for n in range(20):
@@ -199,13 +199,13 @@
 async def test_a_client_that_leaves_is_withdrawn_and_its_attempt_runs_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
         caller.writer.close()
-        await soon(lambda: not bench.driver.requests["i1"].open)
+        await soon(lambda: not bench.driver.requests["i1"].is_open())
         bench.cache.lines[0].write(hit())
         await soon(lambda: not bench.driver.requests)
         other = await bench.caller()
@@ -286,7 +286,7 @@
 async def test_a_reader_that_takes_nothing_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
     from rainhitch.node import client_connections
 
-    monkeypatch.setattr(client_connections, "STUCK", 0.2)
+    monkeypatch.setattr(client_connections, "UNREAD_ANSWERS_LIMIT_S", 0.2)
     async with router(lambda asked, line: hit(bytes(resp.MOST_VALUE))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -324,10 +324,10 @@
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await soon(lambda: list(bench.driver.requests.values()))
-        # The guard comes after the decisions' deadline and before the client's.
-        assert held.guard.when() * 1e9 - held.deadline < WAY_BACK
+        # The timer comes after the decisions' deadline and before the client's.
+        assert held.overdue_timer.when() * 1e9 - held.deadline_ns < WAY_BACK
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
-        bench.driver._overdue(held)
+        bench.driver.overdue(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
         assert not bench.driver.requests
 
@@ -348,13 +348,13 @@
 ) -> None:
     from rainhitch.node import connection_pool
 
-    monkeypatch.setattr(connection_pool, "SWEEP", 0.05)
+    monkeypatch.setattr(connection_pool, "SWEEP_INTERVAL_S", 0.05)
     async with router(keepalive=200_000_000) as bench:
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
         await soon(lambda: bench.cache.ended == 1)
-        assert bench.pools.idle_most < 0.2
+        assert bench.pools.max_idle_s < 0.2
 
 
 async def test_the_longest_idle_connection_makes_room_for_another() -> None:
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -55,11 +55,11 @@
             late.sendall(resp.command(b"C.GET", b"k", b"i1", b"c=read,t=acme,d=1500"))
             sent = time.monotonic()
             held = await soon(lambda: bench.driver.requests.get("i1"))
-            assert held.call.wait <= 1500 - 400
-            assert held.deadline / 1e9 < sent + 1.5
+            assert held.client_request.wait_ms <= 1500 - 400
+            assert held.deadline_ns / 1e9 < sent + 1.5
             late.sendall(resp.command(b"C.GET", b"k", b"i2", b"c=read,t=acme,d=1500"))
             again = await soon(lambda: bench.driver.requests.get("i2"))
-            assert again.call.wait == 1500  # what lay in the backlog was the first command alone
+            assert again.client_request.wait_ms == 1500  # what lay in the backlog was the first command alone
 
 
 async def test_connections_wait_in_the_backlog_through_a_pause_and_are_all_answered() -> None:
@@ -81,7 +81,7 @@
 ) -> None:
     """Clients that keep what they open ran out of connections of their own, long before the cap here; those
     that ask once and stay never grew fewer, with one going for one that came."""
-    monkeypatch.setattr(client_connections, "AT_NEED", 0.05)
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_NEAR_CAP_S", 0.05)
     async with router(sockets=8) as bench:
         old = [await bench.caller() for _ in range(5)]
         for n, one in enumerate(old):
--- a/tests/resp3/test_nodes.py
+++ b/tests/resp3/test_nodes.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
 
 async def test_a_server_that_refuses_hello_speaks_resp2_and_is_greeted_once() -> None:
@@ -39,7 +39,7 @@
             for one in list(bench.pools.pools["c0"].idle):
                 one.close()
         assert bench.cache.greeted == 1  # type: ignore[attr-defined]
-        assert bench.pools.pools["c0"].speaks == 2
+        assert bench.pools.pools["c0"].known_protocol == 2
         # Its process starts anew, and may speak RESP3 by now.
         bench.cache.greeting = Cache3.greeting  # type: ignore[attr-defined]
         change = entry("c0", bench.cache.address, boot_ms=2_000_000_000_000)
@@ -48,7 +48,7 @@
         caller = await bench.caller()
         caller.get(name=b"again")
         assert await caller.answer() == b"v"
-        assert bench.cache.greeted == 2 and bench.pools.pools["c0"].speaks == 0  # type: ignore[attr-defined]
+        assert bench.cache.greeted == 2 and bench.pools.pools["c0"].known_protocol == 0  # type: ignore[attr-defined]
 
 
 @pytest.mark.parametrize(
--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -73,7 +73,7 @@
 
     def forgets(self: RequestDriver, held: Any, text: bytes, counts: list[int], how: str) -> None:
         if counts is not self.metrics.served:
-            self._close(held)  # and says nothing
+            self._mark_finished(held)  # and says nothing
         else:
             answer(self, held, text, counts, how)
 
