--- a/rainhitch/cli/plan.py
+++ b/rainhitch/cli/plan.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from rainhitch.growth.forecast import Forecast, Server, Wants
+    from rainhitch.growth.forecast import Forecast, ReadWorkload, Server
 
 Json = dict[str, Any]
 SHOWN = 12  # lines of a table
@@ -69,15 +69,15 @@
     return 0
 
 
-def _wants(told: argparse.Namespace) -> "Wants":
-    from rainhitch.growth.forecast import Wants
+def _wants(told: argparse.Namespace) -> "ReadWorkload":
+    from rainhitch.growth.forecast import ReadWorkload
 
     for name, least in (("keys", 1), ("held", 0), ("zipf", 0), ("offset", 0), ("rate", 0), ("steady", 0)):
         if not least <= getattr(told, name) < 1e9:
             raise InputError(f"--{name} {getattr(told, name)}: allowed is a number from {least}")
     if told.share is not None and not 0 <= told.share <= 100:
         raise InputError(f"--share {told.share}: allowed is a number from 0 to 100")
-    return Wants(told.keys, told.zipf, told.offset, told.held)
+    return ReadWorkload(told.keys, told.zipf, told.offset, told.held)
 
 
 def _lists(told: argparse.Namespace) -> "tuple[list[Server], list[Server], float]":
--- a/rainhitch/growth/__init__.py
+++ b/rainhitch/growth/__init__.py
@@ -1,1 +1,1 @@
-"""What a change of the list would move, told ahead and without traffic."""
+"""What a change of the endpoint list would move, worked out ahead and without traffic."""
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -13,7 +13,15 @@
 from support import ORIGIN_KIND, Router
 
 from rainhitch import interface as api
-from rainhitch.growth.forecast import Server, Wants, forecast, lost_reads, moves, popularity, until
+from rainhitch.growth.forecast import (
+    ReadWorkload,
+    Server,
+    forecast,
+    lost_reads,
+    moved_fractions,
+    read_fractions,
+    seconds_until_moved,
+)
 
 WEIGHTS = st.sampled_from([0.4, 1.0, 1.6])
 LISTS = st.dictionaries(st.text("abcdef", min_size=1, max_size=3), WEIGHTS, min_size=2, max_size=9)
@@ -38,7 +46,9 @@
 def test_parts_are_what_the_placement_moves(before: dict[str, float], after: dict[str, float]) -> None:
     keys = [f"key{n}" for n in range(300)]
     one, two = owners(before, keys), owners(after, keys)
-    told = moves(*([Server(uid, "", weight) for uid, weight in listed.items()] for listed in (before, after)))
+    told = moved_fractions(
+        *([Server(uid, "", weight) for uid, weight in listed.items()] for listed in (before, after))
+    )
     seen = sum(a != b for a, b in zip(one, two, strict=True)) / len(keys)
     assert abs(seen - sum(told.values())) < 0.12  # 300 keys are a sample
     assert {(a, b) for a, b in zip(one, two, strict=True) if a != b} <= set(told)
@@ -46,13 +56,13 @@
 
 def test_nothing_moves_where_nothing_changes() -> None:
     servers = [Server("a", "x", 0.5), Server("b", "y", 1.5)]
-    made = forecast(servers, servers, Wants(), 10.0)
+    made = forecast(servers, servers, ReadWorkload(), 10.0)
     assert made.moved == 0 and made.reads == 0 and set(made.seconds.values()) == {0.0}
 
 
 def test_the_time_is_that_of_a_drawn_course_of_moves() -> None:
     """Tokens that go to the next request for a key that has not moved, drawn one by one."""
-    weights = popularity(Wants(600, 1.0, 5.0, 300))
+    weights = read_fractions(ReadWorkload(600, 1.0, 5.0, 300))
     random, left = Random(3), dict(enumerate(weights))
     whole, done = sum(weights), 0.0
     at: dict[float, float] = {}
@@ -62,21 +72,21 @@
         for goal in (0.5, 0.9):
             if done >= goal * whole:
                 at.setdefault(goal, token / 10.0)
-    told = until(weights, 1.0, 10.0, (0.5, 0.9))
+    told = seconds_until_moved(weights, 1.0, 10.0, (0.5, 0.9))
     assert all(abs(told[goal] - at[goal]) < 0.2 * at[goal] for goal in (0.5, 0.9))
 
 
 def test_a_pace_of_nothing_never_ends() -> None:
-    assert until([0.5, 0.5], 1.0, 0.0, (0.5,)) == {0.5: float("inf")}
+    assert seconds_until_moved([0.5, 0.5], 1.0, 0.0, (0.5,)) == {0.5: float("inf")}
 
 
 def test_what_is_lost_is_told_apart_and_what_retires_is_not_lost() -> None:
     servers = [Server(uid) for uid in "abcdefghi"]
-    gone = forecast(servers, servers[:4] + servers[5:], Wants(), 10.0)
+    gone = forecast(servers, servers[:4] + servers[5:], ReadWorkload(), 10.0)
     assert abs(gone.lost - 1 / 9) < 1e-9 and gone.moved > gone.lost
-    reads = lost_reads(gone, Wants(), 150.0)
+    reads = lost_reads(gone, ReadWorkload(), 150.0)
     assert reads == sorted(reads, reverse=True) and 0 < sum(reads) < gone.lost * 2700
-    retired = forecast(servers, servers[:4] + servers[5:], Wants(), 10.0, retiring=["e"])
+    retired = forecast(servers, servers[:4] + servers[5:], ReadWorkload(), 10.0, retiring=["e"])
     assert retired.lost == 0 and retired.moved == gone.moved
 
 
