--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -76,20 +76,11 @@
         return not self.zones.is_unreachable(zone)
 
     def _readmit_zone(self, zone: int, down_since_ns: int) -> None:
-        """A zone answers again: each of its servers is tried at once, as one that was down since then.
-
-        Guards a zone whose servers were started anew: it takes an answer of each to see that it has
-        recovered, and the first after a long time begins its slow start.
-        """
+        """A zone answers again: each of its servers is tried at once, as one that was down since then."""
         now_ns = self.context.now_ns
         for server in self.listed.servers.values():
-            if server.endpoint.zone != zone or server is self.listed.origin:
-                continue
-            health = server.connection
-            health.retry_at_ns = now_ns
-            health.down_since_ns = down_since_ns
-            if down_since_ns < now_ns and not health.consecutive_failures:
-                health.consecutive_failures = 1
+            if server.endpoint.zone == zone and server is not self.listed.origin:
+                server.connection.end_backoff(now_ns, down_since_ns)
 
     def _record_connection(self, server: Server, event: api.AttemptFinished, is_table_full: bool) -> None:
         """Learns from an attempt's end whether connections to its server work."""
@@ -145,18 +136,18 @@
             if server is not self.listed.origin:
                 self.fleet_latency_ns += (event.elapsed_ns - self.fleet_latency_ns) * SMOOTHING
             server.record_proof(now_ns, now_ns - event.elapsed_ns)
-        is_jammed = is_queue_full or (is_reachable and self._is_overload_timeout(server, event))
+        is_overloaded = is_queue_full or (is_reachable and self._is_overload_timeout(server, event))
         objective_ns = self.context.shortest_objective_ns
         # A rejection for a full queue comes quickly, and proves no quick server.
         elapsed_ns = objective_ns if is_queue_full else event.elapsed_ns
         # Guards against an overloaded server whose keys went elsewhere: a probe that misses tells as well.
         is_probe_miss = status is api.AttemptStatus.MISS and server.is_probing
-        if is_jammed or is_hit or is_probe_miss:
+        if is_overloaded or is_hit or is_probe_miss:
             in_flight = server.in_flight + 1
             routers = self.gossip.silent_routers()
             server.record_answer(now_ns, self.span_ns, elapsed_ns, in_flight, routers)
             self.gossip.observe(server, elapsed_ns)
-        if is_jammed or is_answered:
+        if is_overloaded or is_answered:
             is_slow = elapsed_ns > objective_ns // SLOW_ANSWER_OBJECTIVE_PART
             server.adjust_range_share(now_ns, event.elapsed_ns, is_slow)
 
--- a/rainhitch/policy/connection_health.py
+++ b/rainhitch/policy/connection_health.py
@@ -1,7 +1,7 @@
 """Whether connections to one server work: ejection after a failure, backoff, and the attempt that probes it.
 
 States, by `consecutive_failures`: 0, the server is used; above, it is ejected, and after the backoff it gets
-one attempt at a time until it answers. `eject` and `readmit` are the transitions.
+one attempt at a time until it answers. `eject`, `end_backoff` and `readmit` are the transitions.
 """
 
 from dataclasses import dataclass
@@ -59,6 +59,17 @@
         self.retry_at_ns = now_ns + backoff_ns
         return backoff_ns
 
+    def end_backoff(self, now_ns: int, down_since_ns: int) -> None:
+        """The server's zone answers again: it is tried at once, as one that was down since then.
+
+        Guards a zone whose servers were started anew: a server of which no attempt failed is ejected too,
+        unless it is down since just now, so that its first answer is taken for that of a restarted server.
+        """
+        self.retry_at_ns = now_ns
+        self.down_since_ns = down_since_ns
+        if down_since_ns < now_ns and not self.consecutive_failures:
+            self.consecutive_failures = 1
+
     def readmit(self) -> None:
         """The server has answered, or was started anew: it is used without limit."""
         self.consecutive_failures = 0
--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -1,24 +1,34 @@
-"""What this router tells the others of servers' answer times, and what it learns from theirs.
+"""What this router publishes of servers' answer times, and what it learns from other routers.
 
 Guards against a fleet in which each router sees a server seldom, so that all of them learn late of its load.
-Attempts that are in flight for long are looked at here too, since what others have seen tells what to make of
-them.
+Attempts that are in flight for long are looked at here too: what the other routers have observed tells a lost
+answer from an overloaded server.
 """
 
+from dataclasses import dataclass
+
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.latency_estimator import LOST_ANSWER_FACTOR
 from rainhitch.policy.server import Server, ServerList
 
-OVERDUE_FACTOR = (
-    2  # times the expected answer time after which an attempt in flight tells of its server's load
-)
+# Times the expected answer time after which an attempt in flight tells of its server's load.
+OVERDUE_FACTOR = 2
 MIN_OVERDUE_OBJECTIVE_PART = 8  # of the shortest latency objective: a younger attempt is never looked at
 SILENT_AFTER_INTERVALS = 8  # gossip intervals without gossip after which the other routers count as silent
 SLOW_ANSWER_OBJECTIVE_PART = 2  # of the shortest latency objective: an answer that took longer is slow
 NEVER_RECEIVED_NS = -(1 << 62)  # a time long before any clock value
 
 
+@dataclass(slots=True)
+class InFlightAttempt:
+    """One attempt of this router that has not ended."""
+
+    server: Server
+    sent_at_ns: int
+    is_idempotent: bool  # it may be repeated without harm
+
+
 class GossipObservations:
     """Answer times for the other routers and from them, and this router's attempts in flight."""
 
@@ -29,9 +39,8 @@
         self.span_ns = span_ns
         self.received_at_ns = NEVER_RECEIVED_NS  # when gossip last came
         self.observations: list[api.LatencyObservation] = []  # since they were last published
-        # By request id and attempt number: the server, when it was sent (ns), and whether it is safe to
-        # repeat.
-        self.in_flight: dict[tuple[str, int], tuple[Server, int, bool]] = {}
+        # By request id and attempt number, in the order in which they were sent.
+        self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}
 
     def silent_routers(self) -> int:
         """How many routers send without being heard of, with this one.
@@ -75,7 +84,9 @@
         """Learns from attempts whose answers are overdue, and ends those whose answers are lost."""
         now_ns = self.context.now_ns
         min_age_ns = self.context.shortest_objective_ns // MIN_OVERDUE_OBJECTIVE_PART
-        for attempt, (server, sent_at_ns, is_idempotent) in self.in_flight.items():
+        for (request_id, number), attempt in self.in_flight.items():
+            server = attempt.server
+            sent_at_ns = attempt.sent_at_ns
             age_ns = now_ns - sent_at_ns
             if age_ns < min_age_ns:
                 break  # the others were sent later
@@ -83,8 +94,8 @@
             if is_overdue(server, sent_at_ns, age_ns, expected_ns):
                 server.latency.record_latency(now_ns, self.span_ns, age_ns, 1)
                 self.observe(server, age_ns, is_in_flight=True)
-            elif is_idempotent and is_answer_lost(server, sent_at_ns, expected_ns):
-                self.context.actions.append(api.CancelAttempt(*attempt))
+            elif attempt.is_idempotent and is_answer_lost(server, sent_at_ns, expected_ns):
+                self.context.actions.append(api.CancelAttempt(request_id, number))
 
 
 def is_overdue(server: Server, sent_at_ns: int, age_ns: int, expected_ns: float) -> bool:
--- a/rainhitch/policy/server_registry.py
+++ b/rainhitch/policy/server_registry.py
@@ -8,7 +8,7 @@
 from rainhitch import interface as api
 from rainhitch.policy.attempt_observations import AttemptObservations
 from rainhitch.policy.decision_context import DecisionContext
-from rainhitch.policy.gossip_observations import GossipObservations
+from rainhitch.policy.gossip_observations import GossipObservations, InFlightAttempt
 from rainhitch.policy.latency_estimator import LatencyEstimator
 from rainhitch.policy.pending_request import PendingRequest
 from rainhitch.policy.rates import SECOND, DecayingRate
@@ -179,7 +179,7 @@
         server.in_flight += 1
         server.last_sent_at_ns = now_ns
         if server is not self.listed.origin:
-            self.gossip.in_flight[attempt] = server, now_ns, is_idempotent
+            self.gossip.in_flight[attempt] = InFlightAttempt(server, now_ns, is_idempotent)
             self.zones.attempt_started(server.endpoint.zone, now_ns)
 
     def attempt_finished(self, event: api.AttemptFinished) -> None:
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start (rule 4): a server that started lately has a part of its capacity, which grows to the whole.
 
-It is sent what that part bears, by all routers together, though none of them is told what the others send:
-each router takes what warm servers of the same kind serve it for its part of such a server's capacity.
+It is sent what that part bears by all routers together. None of them knows what the others send: each takes
+what warm servers of the same kind serve it for its part of such a server's capacity.
 """
 
 from collections.abc import Iterable
@@ -51,14 +51,20 @@
     return draw * arrivals_per_s * max(1.0, heat / capacity_fraction) < MAX_SURE_RATE_FACTOR * warm_rate_per_s
 
 
+@dataclass(frozen=True, slots=True)
+class WarmRate:
+    """What a warm server of one kind serves this router."""
+
+    rate_per_s: float  # requests
+    valid_until_ns: int
+
+
 class SlowStartAdmission:
     """Decides what this router sends to servers in slow start."""
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        # By kind of server: until when it holds (ns), and what a warm one serves this router (requests a
-        # second).
-        self.warm_rates: dict[int, tuple[int, float]] = {}
+        self.warm_rates: dict[int, WarmRate] = {}  # by kind of server
 
     def admits_in_slow_start(
         self,
@@ -87,9 +93,9 @@
         """What a warm server of this kind serves this router, in requests a second, on average."""
         now_ns = self.context.now_ns
         settings = self.context.settings
-        valid_until_ns, warm_rate_per_s = self.warm_rates.get(kind, (0, 0.0))
-        if now_ns < valid_until_ns:
-            return warm_rate_per_s
+        known = self.warm_rates.get(kind)
+        if known is not None and now_ns < known.valid_until_ns:
+            return known.rate_per_s
         rates = [
             one.served.per_second(now_ns)
             for one in same_kind
@@ -99,5 +105,5 @@
         # of all routers together, shows what a server bears.
         warm_rate_per_s = max(sum(rates) / max(1, len(rates)), 1 / settings.router_count)
         valid_until_ns = now_ns + settings.slow_start_window_ns // WARM_RATE_LIFETIME_PART
-        self.warm_rates[kind] = valid_until_ns, warm_rate_per_s
+        self.warm_rates[kind] = WarmRate(warm_rate_per_s, valid_until_ns)
         return warm_rate_per_s
