--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from rainhitch import interface as api
-from rainhitch.fleet.gossip_codec import decode, encode, hashes
+from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
 from rainhitch.policy.balancer import Balancer
 
 SECOND = 1_000_000_000
@@ -29,7 +29,7 @@
         self.balancer.handle(
             self.now, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, [api.Endpoint(n) for n in self.names])
         )
-        self.known = hashes(self.names)
+        self.known = names_by_hash(self.names)
         self.seen = [api.LatencyObservation(name, SECOND // 20) for name in self.names[:SEEN]]
         self.word = encode(self.seen)
 
--- a/rainhitch/fleet/__init__.py
+++ b/rainhitch/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What routers tell one another: advice, never needed by a router alone."""
+"""What routers tell one another and share: advice that no router depends on.
+
+`GossipExchange` decides, without sockets and clocks; `GossipTransport` carries its datagrams.
+"""
--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -1,254 +1,337 @@
-"""Which routers are there, as told from one to another. No sockets, no clock.
+"""Which of the other routers are alive: SWIM, with the local health of Lifeguard. No sockets, no clock.
 
-SWIM (Das, Gupta, Motivala 2002): each router asks one other a period, in an order drawn anew each round, so
-that all are asked within a round; who does not answer is asked through HELPERS others; who stays silent is
-suspected, and, if it does not refute that in time, dead. News rides on these words, MOST_NEWS a datagram, the
-least told first, each RETOLD times the logarithm of the fleet. A router refutes what is said against it by a
-higher incarnation. With Lifeguard (Dadgar, Phillips, Currey 2018): a router that is late itself, or is not
-answered at all, doubts itself before others: its health, 0 to MOST_DOUBT, stretches what it waits for.
+SWIM (Das, Gupta, Motivala 2002): each router pings one other a period, in an order drawn anew each round, so
+that all are pinged within a round. A router that does not acknowledge is pinged through `INDIRECT_PINGS`
+others (ping-req). One that stays silent is suspected and, if it does not refute that in time, dead.
+Membership updates ride on these messages, `MAX_UPDATES` each, the least sent first; each is sent
+`RETRANSMIT_FACTOR` times the logarithm of the fleet's size. A router refutes what is said against it by a
+higher incarnation.
 
-What a router sends is one question a period, its helpers' at most, and an answer to each question that it
-got; it is asked once a period by one other in the mean. So words a second do not grow with the fleet.
+Lifeguard (Dadgar, Phillips, Currey 2018): a router that is late itself, or gets no answers at all, distrusts
+itself before others: its local health score, 0 (healthy) to `MAX_HEALTH_SCORE`, prolongs its time-outs.
 
-A router that was stopped and wakes up has missed the answers of others, not they theirs: what it waited for
-while it was away is given up without a verdict. One that restarts comes with a higher life, by which whoever
-holds its earlier one as dead knows it for new; should its wall clock have gone back meanwhile, it hears of
-its earlier life, and takes a higher one.
+A router sends one ping a period, its ping-reqs at most, and an answer to each ping that it gets; it is pinged
+once a period in the mean. So the messages a second do not grow with the fleet.
 
-    kind (1) | sequence (2) | whom it is about (2) | news: router (2), life (4), state and incarnation (1),
+A router that was paused has missed the others' answers, not they its: the pings that it had in flight are
+given up without a verdict. One that restarts has a higher generation, by which those that hold the earlier
+one as dead know it for new. Should its wall clock have gone back meanwhile, it hears of its earlier
+generation, and takes a higher one.
+
+    kind (1) | sequence (2) | subject (2) | updates: router (2), generation (4), state and incarnation (1),
     ...
 """
 
 import math
 import struct
-from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import IntEnum
 from random import Random
 
-SECOND = 1_000_000_000
-PERIOD = SECOND
-ANSWERS = SECOND // 5  # ns for a direct answer; a datagram's way is under a tenth of a second
-HELPERS = 2
-SUSPECTED = 3  # periods, times the logarithm of the fleet, for which a suspect may refute
-RETOLD = 3
-MOST_INCARNATION = 63
-MOST_NEWS = 6  # in a datagram
-MOST_DOUBT = 8
-AWAY = SECOND // 2  # ns by which a step is late when its router itself was away
-HEAD, NEWS = struct.Struct(">BHH"), struct.Struct(">HIB")
-UNKNOWN = 0  # the life of a router that nobody has heard
-MOST_LIFE = 0xFFFFFFFF
-Datagrams = list[tuple[int, bytes]]
+from rainhitch.fleet.datagram import Datagram, FleetError
+
+NS_PER_S = 1_000_000_000
+PERIOD_NS = NS_PER_S  # between two pings
+PING_TIMEOUT_NS = NS_PER_S // 5  # of a direct ping; a datagram takes less than a tenth of a second
+INDIRECT_TIMEOUT_FACTOR = 2  # of the same, where others were asked to ping
+INDIRECT_PINGS = 2
+SUSPICION_PERIODS = 3  # times the logarithm of the fleet's size, in which a suspect may refute
+RETRANSMIT_FACTOR = 3  # times the logarithm of the fleet's size, that an update is sent
+MAX_UPDATES = 6  # in a message
+MAX_HEALTH_SCORE = 8
+PAUSE_NS = NS_PER_S // 2  # a step later than this and a ping's time-out shows that this router was paused
+
+HEADER = struct.Struct(">BHH")  # kind, sequence, subject
+UPDATE = struct.Struct(">HIB")  # router, generation, state (2 bits) and incarnation (6 bits)
+INCARNATION_BITS = 6
+MAX_INCARNATION = 63
+MAX_SEQUENCE = 0xFFFF
+MAX_GENERATION = 0xFFFFFFFF
+UNKNOWN_GENERATION = 0  # of a router that has not been heard
 
 
 class MessageKind(IntEnum):
-    """What a word is."""
+    """First byte of a message."""
 
-    ASK = 0x61
-    ANSWER = 0x62
-    HELP = 0x63  # ask that one for me
+    PING = 0x61
+    ACK = 0x62
+    PING_REQ = 0x63  # asks the receiver to ping the subject
 
 
 class RouterState(IntEnum):
-    """What is held of a router; of two words of one life and incarnation the larger wins."""
+    """State of a router; of two updates of one generation and incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
 
 
-class FailureDetectorError(ValueError):
-    """A word that can't be read."""
+class FailureDetectorError(FleetError):
+    """A message that can't be read."""
 
 
 @dataclass(slots=True)
 class RouterRecord:
-    """What is held of one router."""
+    """What is known of one router."""
 
-    life: int = UNKNOWN
-    incarnation: int = 0  # 0 to MOST_INCARNATION, within its life
+    generation: int = UNKNOWN_GENERATION
+    incarnation: int = 0  # 0 to MAX_INCARNATION, within its generation
     state: RouterState = RouterState.ALIVE
-    since: int = 0
+    since_ns: int = 0
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two words on a router the one of the higher rank holds. That order is total, so that all who
-        have heard the same words hold the same, however often and in whatever order they came."""
-        return self.life, self.incarnation, self.state
+        """Rank of an update: the highest holds.
+
+        The order is total, so that all that have heard the same updates hold the same, however often and in
+        whatever order they came.
+        """
+        return self.generation, self.incarnation, self.state
 
 
 @dataclass(slots=True)
-class Ping:
-    """One that is out; `helped`: others were asked to help. `by`: for whom it was asked, and its number."""
+class PingRequester:
+    """The router for which an indirect ping is sent, and the sequence number of its ping-req."""
 
-    whom: int
-    until: int
-    helped: bool = False
-    by: tuple[int, int] | None = None
+    router: int
+    sequence: int
 
 
-class FailureDetector:
-    """One router's view. `routers`: the fixed list of names, `me` its number in it; `life`: 1 to MOST_LIFE,
-    more with each start. Times are ns."""
+@dataclass(slots=True)
+class PendingPing:
+    """A ping that has not been acknowledged."""
 
-    def __init__(self, me: int, routers: int, life: int, now: int, seed: int) -> None:
-        self.me, self.routers = me, routers
-        self.random = Random(f"{seed}/alive")
-        self.known = [RouterRecord(since=now) for _ in range(routers)]
-        self.known[me] = RouterRecord(life, since=now)
-        self.news: dict[int, int] = {me: 0}  # about whom, how often told
-        self.round: list[int] = []
-        self.questions: dict[int, Ping] = {}
-        self.number = 0
-        self.local_suspicion = 0
-        self.period_at = now
-        self.stepped = now
-        self.changes = 0
+    target: int
+    deadline_ns: int
+    indirect_requested: bool = False  # others were asked to ping the target
+    requester: PingRequester | None = None  # None: this router's own ping
 
-    def is_alive(self, router: int) -> bool:
-        """Whether it is taken to be there; a suspect still is."""
-        return self.known[router].state is not RouterState.DEAD
 
-    def live_routers(self) -> list[int]:
-        """All that are taken to be there, this one among them."""
-        return [number for number in range(self.routers) if self.is_alive(number)]
+class UpdateQueue:
+    """Routers whose record is to be sent to others; each is sent `max_transmissions` times."""
+
+    def __init__(self, max_transmissions: int) -> None:
+        self.max_transmissions = max_transmissions
+        self.transmissions: dict[int, int] = {}  # by router, how often its record was sent
+
+    def enqueue(self, router: int) -> None:
+        """Has a router's record sent anew, since it has changed."""
+        self.transmissions[router] = 0
+
+    def take(self, first: int | None) -> list[int]:
+        """Returns whose records go with one message, and counts them as sent.
+
+        They are the least sent ones, `MAX_UPDATES` at most; `first` goes before them, queued or not.
+        """
+        chosen = sorted(self.transmissions, key=lambda router: (self.transmissions[router], router))
+        if first is not None:
+            chosen = [first, *(router for router in chosen if router != first)]
+        chosen = chosen[:MAX_UPDATES]
+        for router in chosen:
+            if router in self.transmissions:
+                self.transmissions[router] += 1
+                if self.transmissions[router] >= self.max_transmissions:
+                    del self.transmissions[router]
+        return chosen
+
+
+class FailureDetector:
+    """One router's view of the others.
+
+    `me` is this router's number of `routers`; `generation` is 1 to `MAX_GENERATION`, more with each start.
+    Times are ns.
+    """
+
+    def __init__(self, me: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
+        self.me = me
+        self.routers = routers
+        self.random = Random(f"{seed}/alive")
+        self.records = [RouterRecord(since_ns=now_ns) for _ in range(routers)]
+        self.records[me] = RouterRecord(generation, since_ns=now_ns)
+        self.round: list[int] = []  # routers that are still to be pinged in this round, the last one first
+        self.pings: dict[int, PendingPing] = {}  # by sequence number
+        self.sequence = 0
+        self.local_health_score = 0
+        self.next_ping_at_ns = now_ns
+        self.stepped_at_ns = now_ns
+        self.changes = 0  # verdicts that changed between dead and not dead, since the start
+        # SWIM's logarithm of the fleet's size, by which updates and suspicions last longer in a larger fleet.
+        self.size_factor = max(1, math.ceil(math.log2(routers + 1)))
+        self.update_queue = UpdateQueue(RETRANSMIT_FACTOR * self.size_factor)
+        self.update_queue.enqueue(me)
 
     @property
     def generation(self) -> int:
-        """This router's own."""
-        return self.known[self.me].life
+        """This router's own generation."""
+        return self.records[self.me].generation
 
-    @property
-    def _spread(self) -> int:
-        """How often news is told, and for how many periods a suspect may refute, per constant."""
-        return max(1, math.ceil(math.log2(self.routers + 1)))
-
-    def step(self, now: int) -> Datagrams:
-        """To be called some times a second: what is to be sent now."""
-        late, self.stepped = now - self.stepped, now
-        if late > AWAY + ANSWERS:
-            # Guards the others against the verdicts of one that was away: it has heard nobody.
-            self.questions.clear()
-            self.period_at = now + PERIOD
-            self._doubts(1)
-            for held in self.known:
-                held.since += late
-        words: Datagrams = []
-        for number, one in list(self.questions.items()):
-            if now >= one.until:
-                words += self._unanswered(now, number, one)
-        for router, held in enumerate(self.known):
-            if held.state is RouterState.SUSPECT and now - held.since >= self._patience():
-                self._hold(now, router, held.life, held.incarnation, RouterState.DEAD)
-        if now >= self.period_at:
-            self.period_at = now + PERIOD
-            words += self._ask_next(now)
-        return words
-
-    def _patience(self) -> int:
-        return SUSPECTED * self._spread * PERIOD * (1 + self.local_suspicion) // 2
-
-    def _doubts(self, by: int) -> None:
-        self.local_suspicion = min(MOST_DOUBT, max(0, self.local_suspicion + by))
-
-    def _ask_next(self, now: int) -> Datagrams:
+    def is_alive(self, router: int) -> bool:
+        """Returns whether a router counts as alive; a suspect does."""
+        return self.records[router].state is not RouterState.DEAD
+
+    def live_routers(self) -> list[int]:
+        """Returns all routers that count as alive, this one among them."""
+        return [router for router in range(self.routers) if self.is_alive(router)]
+
+    def step(self, now_ns: int) -> list[Datagram]:
+        """Returns what is to be sent now; to be called some times a second."""
+        gap_ns = now_ns - self.stepped_at_ns
+        self.stepped_at_ns = now_ns
+        if gap_ns > PAUSE_NS + PING_TIMEOUT_NS:
+            self._resume_after_pause(now_ns, gap_ns)
+        sent: list[Datagram] = []
+        for sequence, ping in list(self.pings.items()):
+            if now_ns >= ping.deadline_ns:
+                sent += self._ping_timed_out(now_ns, sequence, ping)
+        self._expire_suspicions(now_ns)
+        if now_ns >= self.next_ping_at_ns:
+            self.next_ping_at_ns = now_ns + PERIOD_NS
+            sent += self._ping_next(now_ns)
+        return sent
+
+    def _resume_after_pause(self, now_ns: int, gap_ns: int) -> None:
+        """Guards the others against the verdicts of a router that was paused: it has heard nobody."""
+        self.pings.clear()
+        self.next_ping_at_ns = now_ns + PERIOD_NS
+        self._change_health_score(1)
+        for record in self.records:
+            record.since_ns += gap_ns
+
+    def _expire_suspicions(self, now_ns: int) -> None:
+        health_factor = 1 + self.local_health_score
+        suspicion_ns = SUSPICION_PERIODS * self.size_factor * PERIOD_NS * health_factor // 2
+        for router, record in enumerate(self.records):
+            if record.state is RouterState.SUSPECT and now_ns - record.since_ns >= suspicion_ns:
+                self._set_record(now_ns, router, record.generation, record.incarnation, RouterState.DEAD)
+
+    def _change_health_score(self, by: int) -> None:
+        self.local_health_score = min(MAX_HEALTH_SCORE, max(0, self.local_health_score + by))
+
+    def _ping_timeout_ns(self) -> int:
+        return PING_TIMEOUT_NS * (1 + self.local_health_score)
+
+    def _ping_next(self, now_ns: int) -> list[Datagram]:
         if not self.round:
-            # Who is held as dead is asked as well, once a round: after a cut nobody else would tell.
-            self.round = [one for one in range(self.routers) if one != self.me]
+            # Dead routers are pinged too, once a round: after a network cut nobody else would tell of them.
+            self.round = [router for router in range(self.routers) if router != self.me]
             self.random.shuffle(self.round)
         if not self.round:
             return []
-        return [self._ask(now, self.round.pop())]
-
-    def _ask(self, now: int, whom: int, by: tuple[int, int] | None = None) -> tuple[int, bytes]:
-        self.number = (self.number + 1) & 0xFFFF
-        self.questions[self.number] = Ping(whom, now + ANSWERS * (1 + self.local_suspicion), by=by)
-        return whom, self._word(MessageKind.ASK, self.number, whom, first=whom)
-
-    def _unanswered(self, now: int, number: int, one: Ping) -> Datagrams:
-        if one.helped or one.by is not None:
-            del self.questions[number]
-            held = self.known[one.whom]
-            if one.by is None and held.state is RouterState.ALIVE:
-                self._doubts(1)
-                self._hold(now, one.whom, held.life, held.incarnation, RouterState.SUSPECT)
-            return []
-        one.helped, one.until = True, now + 2 * ANSWERS * (1 + self.local_suspicion)
-        others = [other for other in self.live_routers() if other not in (self.me, one.whom)]
-        helpers = self.random.sample(others, min(HELPERS, len(others)))
-        return [(helper, self._word(MessageKind.HELP, number, one.whom)) for helper in helpers]
-
-    def receive(self, now: int, sender: int, data: bytes) -> Datagrams:
-        """Another router's word; gives what it calls for. Raises AliveError."""
-        if len(data) < HEAD.size or (len(data) - HEAD.size) % NEWS.size or not 0 <= sender < self.routers:
-            raise FailureDetectorError("its length or sender does not fit")
-        kind, number, whom = HEAD.unpack_from(data)
-        if (
-            kind not in (MessageKind.ASK, MessageKind.ANSWER, MessageKind.HELP)
-            or sender == self.me
-            or whom >= self.routers
-        ):
-            raise FailureDetectorError("of no known kind")
-        for router, life, told in NEWS.iter_unpack(data[HEAD.size :]):
-            if router >= self.routers or told >> 6 > RouterState.DEAD:
-                raise FailureDetectorError("news of no router")
-            self._told(now, router, life, told & MOST_INCARNATION, RouterState(told >> 6))
-        if kind == MessageKind.ASK:
-            return [(sender, self._word(MessageKind.ANSWER, number, self.me, first=sender))]
-        if kind == MessageKind.HELP:
-            return [self._ask(now, whom, (sender, number))] if whom not in (self.me, sender) else []
-        return self._answered(number, sender, whom)
-
-    def _answered(self, number: int, sender: int, whom: int) -> Datagrams:
-        one = self.questions.get(number)
-        # Guards against an answer to nobody's question, or one that is late: a helper tells whom it heard.
-        if one is None or whom != one.whom or (sender != whom and not one.helped):
+        return [self._ping(now_ns, self.round.pop())]
+
+    def _ping(self, now_ns: int, target: int, requester: PingRequester | None = None) -> Datagram:
+        self.sequence = (self.sequence + 1) & MAX_SEQUENCE
+        deadline_ns = now_ns + self._ping_timeout_ns()
+        self.pings[self.sequence] = PendingPing(target, deadline_ns, requester=requester)
+        return Datagram(target, self._encode(MessageKind.PING, self.sequence, target, receiver=target))
+
+    def _ping_timed_out(self, now_ns: int, sequence: int, ping: PendingPing) -> list[Datagram]:
+        """Asks others to ping the target; where that was done, or the ping was for another, gives it up."""
+        if ping.indirect_requested or ping.requester is not None:
+            del self.pings[sequence]
+            record = self.records[ping.target]
+            if ping.requester is None and record.state is RouterState.ALIVE:
+                self._change_health_score(1)
+                self._set_record(
+                    now_ns, ping.target, record.generation, record.incarnation, RouterState.SUSPECT
+                )
             return []
-        del self.questions[number]
-        if one.by is not None:
-            to, theirs = one.by
-            return [(to, self._word(MessageKind.ANSWER, theirs, whom))]
-        self._doubts(-1)
+        ping.indirect_requested = True
+        ping.deadline_ns = now_ns + INDIRECT_TIMEOUT_FACTOR * self._ping_timeout_ns()
+        others = [router for router in self.live_routers() if router not in (self.me, ping.target)]
+        helpers = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
+        return [
+            Datagram(helper, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for helper in helpers
+        ]
+
+    def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
+        """Reads another router's message; returns what is to be sent for it.
+
+        Raises FailureDetectorError where it can't be read; updates before the faulty one are taken.
+        """
+        if len(data) < HEADER.size or (len(data) - HEADER.size) % UPDATE.size:
+            raise FailureDetectorError(f"no whole number of updates in {len(data)} bytes")
+        if not 0 <= sender < self.routers or sender == self.me:
+            raise FailureDetectorError(f"a message of no other router: {sender}")
+        kind, sequence, subject = HEADER.unpack_from(data)
+        if kind not in (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ) or subject >= self.routers:
+            raise FailureDetectorError(f"kind {kind:#x} on router {subject} is not known")
+        for router, generation, state_and_incarnation in UPDATE.iter_unpack(data[HEADER.size :]):
+            state = state_and_incarnation >> INCARNATION_BITS
+            if router >= self.routers or state > RouterState.DEAD:
+                raise FailureDetectorError(f"update to state {state} of router {router} is not known")
+            incarnation = state_and_incarnation & MAX_INCARNATION
+            self._apply_update(now_ns, router, generation, incarnation, RouterState(state))
+        if kind == MessageKind.PING:
+            return [Datagram(sender, self._encode(MessageKind.ACK, sequence, self.me, receiver=sender))]
+        if kind == MessageKind.PING_REQ:
+            if subject in (self.me, sender):
+                return []
+            return [self._ping(now_ns, subject, PingRequester(sender, sequence))]
+        return self._acknowledged(sequence, sender, subject)
+
+    def _acknowledged(self, sequence: int, sender: int, subject: int) -> list[Datagram]:
+        ping = self.pings.get(sequence)
+        if ping is None or subject != ping.target:
+            return []  # late, doubled, or for no ping of this router
+        if sender != subject and not ping.indirect_requested:
+            return []  # others answer for the target only once they were asked to ping it
+        del self.pings[sequence]
+        if ping.requester is not None:
+            ack = self._encode(MessageKind.ACK, ping.requester.sequence, subject)
+            return [Datagram(ping.requester.router, ack)]
+        self._change_health_score(-1)
         return []
 
-    def _told(self, now: int, router: int, life: int, incarnation: int, state: RouterState) -> None:
-        if router == self.me:
-            mine = self.known[self.me]
-            # Guards a router that runs against the word that it is dead, and against its earlier life's.
-            if (life, incarnation, state) <= mine.rank:
-                # Who holds something older missed what was told then: it is told anew.
-                if (life, incarnation, state) < mine.rank:
-                    self.news[self.me] = 0
-                return
-            spent = incarnation == MOST_INCARNATION or life > mine.life
-            mine.life = min(MOST_LIFE, life + spent)
-            mine.incarnation = 0 if spent else incarnation + 1
-            self.news[self.me] = 0
-            self._doubts(1)
-        elif (life, incarnation, state) > self.known[router].rank:
-            self._hold(now, router, life, incarnation, state)
-
-    def _hold(self, now: int, router: int, life: int, incarnation: int, state: RouterState) -> None:
-        before = self.known[router]
-        self.changes += (before.state is RouterState.DEAD) != (state is RouterState.DEAD)
-        self.known[router] = RouterRecord(life, incarnation, state, now)
-        self.news[router] = 0
-
-    def _word(self, kind: MessageKind, number: int, whom: int, first: int | None = None) -> bytes:
-        """A word with the least told news behind it; `first`: who hears what is held of itself before all."""
-        rows = [
-            NEWS.pack(one, held.life, held.state << 6 | held.incarnation) for one, held in self._tell(first)
-        ]
-        return HEAD.pack(kind, number, whom) + b"".join(rows)
-
-    def _tell(self, first: int | None) -> Iterator[tuple[int, RouterRecord]]:
-        chosen = sorted(self.news, key=lambda one: (self.news[one], one))[:MOST_NEWS]
-        if first is not None and self.known[first].state is not RouterState.ALIVE:
-            chosen = [first, *[one for one in chosen if one != first]][:MOST_NEWS]
-        for one in chosen:
-            if one in self.news:
-                self.news[one] += 1
-                if self.news[one] >= RETOLD * self._spread:
-                    del self.news[one]
-            yield one, self.known[one]
+    def _apply_update(
+        self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState
+    ) -> None:
+        rank = (generation, incarnation, state)
+        if router != self.me:
+            if rank > self.records[router].rank:
+                self._set_record(now_ns, router, generation, incarnation, state)
+            return
+        if rank > self.records[self.me].rank:
+            self._refute(generation, incarnation)
+            return
+        if rank < self.records[self.me].rank:
+            self.update_queue.enqueue(self.me)  # the sender missed the last update on this router
+
+    def _refute(self, generation: int, incarnation: int) -> None:
+        """Takes a higher incarnation than an update on this router has, or else a higher generation.
+
+        Guards a running router against the update that it is dead, and against those of its earlier
+        generation.
+        """
+        record = self.records[self.me]
+        incarnations_spent = incarnation == MAX_INCARNATION
+        if incarnations_spent or generation > record.generation:
+            record.generation = min(MAX_GENERATION, generation + 1)
+            record.incarnation = 0
+        else:
+            record.generation = generation
+            record.incarnation = incarnation + 1
+        self.update_queue.enqueue(self.me)
+        self._change_health_score(1)
+
+    def _set_record(
+        self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState
+    ) -> None:
+        was_dead = self.records[router].state is RouterState.DEAD
+        is_dead = state is RouterState.DEAD
+        if was_dead != is_dead:
+            self.changes += 1
+        self.records[router] = RouterRecord(generation, incarnation, state, now_ns)
+        self.update_queue.enqueue(router)
+
+    def _encode(self, kind: MessageKind, sequence: int, subject: int, receiver: int | None = None) -> bytes:
+        """Returns a message with updates; a receiver that is not alive gets its own first, to refute it."""
+        first = None
+        if receiver is not None and self.records[receiver].state is not RouterState.ALIVE:
+            first = receiver
+        message = HEADER.pack(kind, sequence, subject)
+        for router in self.update_queue.take(first):
+            record = self.records[router]
+            state_and_incarnation = record.state << INCARNATION_BITS | record.incarnation
+            message += UPDATE.pack(router, record.generation, state_and_incarnation)
+        return message
--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -1,169 +1,225 @@
-"""All that routers tell one another, by the kind of datagram: the one place where its parts meet. No
-sockets, no clock.
+"""Everything that routers tell one another, by the kind of datagram. No sockets, no clock.
 
-    first byte   what                                 to whom                   part
-    0xA2         answer times of cache servers        all, five times a second  advice, words, belief
-    0xC1         requests taken, by customer          all, every Counts.every   counts
-    0x51, 0x41   loans of a rate                      one                       holdings
-    0x61 - 0x63  who is there                         one                       alive
+    first byte   what                               to                      module
+    0xA2         answer times of cache servers      all, once an interval   gossip_codec, novelty_filter,
+                                                                            peer_judgements
+    0xC1         requests taken, by tenant          all, once an interval   tenant_usage
+    0x51, 0x41   leases of a shared quota           one                     quota_escrow
+    0x61 - 0x63  pings and membership updates       one                     failure_detector
 
 A router of another version drops kinds that it does not know, and goes on without them.
 """
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
-from rainhitch.fleet.failure_detector import FailureDetector, FailureDetectorError, MessageKind
-from rainhitch.fleet.gossip_codec import VERSION as ANSWERS
-from rainhitch.fleet.gossip_codec import GossipCodecError, decode, encode, hashes
+from rainhitch.fleet.datagram import EVERYONE, Datagram, FleetError
+from rainhitch.fleet.failure_detector import FailureDetector, MessageKind
+from rainhitch.fleet.gossip_codec import LATENCY_KIND, decode, encode, names_by_hash
 from rainhitch.fleet.novelty_filter import NoveltyFilter
 from rainhitch.fleet.options import FleetOptions
 from rainhitch.fleet.peer_judgements import PeerJudgements
-from rainhitch.fleet.quota_escrow import ANSWER, QUESTION, QuotaEscrow, QuotaEscrowError
-from rainhitch.fleet.tenant_usage import TenantUsage, TenantUsageError
+from rainhitch.fleet.quota_escrow import Lease, QuotaEscrow, QuotaMessageKind
+from rainhitch.fleet.tenant_usage import TenantUsage
 from rainhitch.interface import LatencyObservation, TrafficFractions
 
-COUNT = 0xC1
-EVERYONE = -1
-STEP = 100_000_000  # ns between two steps
-PARTS = 5  # steps between two looks at the parts
-MOST_A_SECOND = 100  # datagrams that are read of one router a second; a flood costs no more
-Datagrams = list[tuple[int, bytes]]
+USAGE_KIND = 0xC1
+NS_PER_S = 1_000_000_000
+STEP_NS = 100_000_000  # between two steps
+STEPS_PER_FRACTIONS = 5  # steps between two results of `traffic_fractions`
+USAGE_JITTER = (0.75, 1.25)  # factors of the interval between usage reports, least and most
+MAX_READ_PER_S = 100  # datagrams that are read of one router in a second; a flood costs no more
 Json = dict[str, Any]
 
 
-class DatagramError(ValueError):
-    """A datagram that can't be read."""
+class DatagramError(FleetError):
+    """A datagram that is not read: too many, of this router itself, or of no known kind."""
 
 
 @dataclass(slots=True)
 class ReceivedDatagram:
-    """What a datagram brought: what is believed of servers, and what is to be sent."""
+    """What a datagram brought: what is believed of servers, and what is to be sent for it."""
 
     observations: list[LatencyObservation] = field(default_factory=list)
-    replies: Datagrams = field(default_factory=list)
+    replies: list[Datagram] = field(default_factory=list)
+
+
+Handler = Callable[[int, int, bytes], ReceivedDatagram]  # time, sender, datagram
 
 
 class GossipExchange:
-    """One router's end. `me`: its number among so many `routers`; below 0 where it does not know: then it
-    tells and hears of answer times only. `life`: 1 to 2**32 - 1, more with each start."""
+    """One router's side of everything that routers tell one another.
+
+    `me` is its number of `routers`; below 0 where it does not know it: then it exchanges answer times only.
+    `generation` is 1 to 2**32 - 1, more with each start. Times are ns.
+    """
 
     def __init__(
-        self, me: int, routers: int, customers: int, life: int, now: int, seed: int, options: FleetOptions
+        self,
+        me: int,
+        routers: int,
+        tenants: int,
+        generation: int,
+        now_ns: int,
+        *,
+        seed: int,
+        options: FleetOptions,
     ) -> None:
-        self.me, self.routers = me, routers
+        self.me = me
+        self.routers = routers
         self.random = Random(f"{seed}/exchange")
-        self.servers_by_hash: dict[int, str] = {}  # the listed servers, by the hash that stands for them
-        self.novelty_filter, self.peer_judgements = (
-            NoveltyFilter(),
-            PeerJudgements(me) if options.bounded else None,
-        )
-        named = 0 <= me < routers
-        self.tenant_usage = (
-            TenantUsage(me, routers, customers, life, now) if named and options.counts else None
-        )
-        self.failure_detector = (
-            FailureDetector(me, routers, life, now, seed) if named and options.members else None
-        )
-        total = options.database_rps if named else 0.0
-        self.quota_escrow = QuotaEscrow(me, routers, total, now, seed) if total else None
-        self.count_at = now + (
-            0 if self.tenant_usage is None else self.random.randrange(self.tenant_usage.interval_ns)
-        )
+        self.servers_by_hash: dict[int, str] = {}
+        self.novelty_filter = NoveltyFilter()
+        self.peer_judgements: PeerJudgements | None = None
+        self.tenant_usage: TenantUsage | None = None
+        self.failure_detector: FailureDetector | None = None
+        self.quota_escrow: QuotaEscrow | None = None
+        self.next_report_at_ns = now_ns
+        self.handlers: dict[int, Handler] = {LATENCY_KIND: self._receive_latencies}
+        if options.bounded:
+            self.peer_judgements = PeerJudgements(me)
+        if 0 <= me < routers:
+            self._join_numbered(tenants, generation, now_ns, seed, options)
         self.steps = 0
-        self.read: dict[int, int] = {}  # datagrams of each router in the second that runs
+        self.read_by_sender: dict[int, int] = {}  # datagrams in the current second
         self.second = 0
 
+    def _join_numbered(
+        self, tenants: int, generation: int, now_ns: int, seed: int, options: FleetOptions
+    ) -> None:
+        """Takes part in what needs a number of one's own, as far as the operator has turned it on."""
+        if options.counts:
+            self.tenant_usage = TenantUsage(self.me, self.routers, tenants, generation, now_ns)
+            self.next_report_at_ns += self.random.randrange(self.tenant_usage.interval_ns)
+            self.handlers[USAGE_KIND] = self._receive_usage
+        if options.members:
+            self.failure_detector = FailureDetector(self.me, self.routers, generation, now_ns, seed)
+            self.handlers |= dict.fromkeys(MessageKind, self._receive_failure_detection)
+        if options.database_rps:
+            self.quota_escrow = QuotaEscrow(self.me, self.routers, options.database_rps, now_ns, seed)
+            self.handlers |= dict.fromkeys(QuotaMessageKind, self._receive_quota)
+
     def set_servers(self, names: list[str]) -> None:
-        """The list of servers has changed."""
-        self.servers_by_hash = hashes(names)
+        """Takes a changed list of servers."""
+        self.servers_by_hash = names_by_hash(names)
         if self.peer_judgements is not None:
             self.peer_judgements.set_servers(names)
 
-    def encode_observations(self, now: int, seen: list[LatencyObservation]) -> bytes:
-        """What is worth telling of what was seen in a period; begins the next one."""
+    def encode_observations(self, now_ns: int, observations: list[LatencyObservation]) -> bytes:
+        """Returns the datagram on what was observed in an interval, empty for nothing new."""
         if self.peer_judgements is not None:
-            self.peer_judgements.record_own(now, seen)
-        news = self.novelty_filter.select_new(seen)
-        return encode(news) if news else b""
+            self.peer_judgements.record_own(now_ns, observations)
+        new = self.novelty_filter.select_new(observations)
+        return encode(new) if new else b""
 
-    def step(self, now: int) -> Datagrams:
-        """To be called every STEP: what is to be sent now."""
-        sent: Datagrams = []
+    def step(self, now_ns: int) -> list[Datagram]:
+        """Returns what is to be sent now; to be called every `STEP_NS`."""
+        sent: list[Datagram] = []
         if self.tenant_usage is not None:
-            self.tenant_usage.mark(now)
-            if now >= self.count_at:
-                self.count_at = now + int(self.tenant_usage.interval_ns * self.random.uniform(0.75, 1.25))
-                sent.append((EVERYONE, bytes([COUNT]) + self.tenant_usage.encode()))
+            self.tenant_usage.mark(now_ns)
+            if now_ns >= self.next_report_at_ns:
+                jitter = self.random.uniform(*USAGE_JITTER)
+                self.next_report_at_ns = now_ns + int(self.tenant_usage.interval_ns * jitter)
+                sent.append(Datagram(EVERYONE, bytes([USAGE_KIND]) + self.tenant_usage.encode()))
         if self.failure_detector is not None:
-            sent += self.failure_detector.step(now)
+            sent += self.failure_detector.step(now_ns)
         if self.quota_escrow is not None:
-            sent += self.quota_escrow.step(now)
+            sent += self.quota_escrow.step(now_ns)
         return sent
 
-    def traffic_fractions(self, now: int) -> TrafficFractions | None:
-        """This router's part of each customer's requests, where the counts tell it."""
+    def traffic_fractions(self, now_ns: int) -> TrafficFractions | None:
+        """Returns this router's fraction of each tenant's requests, once in `STEPS_PER_FRACTIONS` calls.
+
+        None in between, and where the usage reports do not tell it. To be called once a step.
+        """
         self.steps += 1
-        if self.tenant_usage is None or self.steps % PARTS:
+        if self.tenant_usage is None or self.steps % STEPS_PER_FRACTIONS:
+            return None
+        fractions = self.tenant_usage.fractions(now_ns)
+        if not fractions:
             return None
-        parts = self.tenant_usage.fractions(now)
-        return TrafficFractions(parts, 2 * PARTS * STEP) if parts else None
-
-    def receive(self, now: int, sender: int, data: bytes) -> ReceivedDatagram:
-        """A datagram of another router. Raises WordError."""
-        if now // 1_000_000_000 != self.second:
-            self.second, self.read = now // 1_000_000_000, {}
-        self.read[sender] = self.read.get(sender, 0) + 1
-        if self.read[sender] > MOST_A_SECOND or not data or sender == self.me:
-            raise DatagramError("too many, empty, or this router's own")
-        kind = data[0]
-        try:
-            if kind == ANSWERS:
-                seen = decode(data, self.servers_by_hash)
-                self.novelty_filter.record_published(seen)
-                return ReceivedDatagram(
-                    seen if self.peer_judgements is None else self.peer_judgements.bound(now, sender, seen)
-                )
-            if kind == COUNT and self.tenant_usage is not None:
-                self.tenant_usage.receive(now, sender, data[1:])
-                return ReceivedDatagram()
-            if kind in (QUESTION, ANSWER) and self.quota_escrow is not None:
-                return ReceivedDatagram(replies=self.quota_escrow.receive(now, sender, data))
-            if (
-                kind in (MessageKind.ASK, MessageKind.ANSWER, MessageKind.HELP)
-                and self.failure_detector is not None
-            ):
-                return ReceivedDatagram(replies=self.failure_detector.receive(now, sender, data))
-        except (GossipCodecError, TenantUsageError, QuotaEscrowError, FailureDetectorError) as problem:
-            raise DatagramError(str(problem)) from None
-        raise DatagramError("of a kind that is not known here, or off")
-
-    def describe(self, now: int) -> Json:
-        """What this router believes, for `rainhitch fleet status`: one JSON object."""
-        told: Json = {"me": self.me, "routers": self.routers}
+        return TrafficFractions(fractions, 2 * STEPS_PER_FRACTIONS * STEP_NS)
+
+    def receive(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+        """Reads a datagram of another router.
+
+        Raises a FleetError where it can't be read, or is one too many of its sender.
+        """
+        self._count_read(now_ns, sender)
+        if sender == self.me or not data:
+            raise DatagramError(f"an empty datagram, or one of this router itself: {sender}")
+        handler = self.handlers.get(data[0])
+        if handler is None:
+            raise DatagramError(f"kind {data[0]:#x} is not known here, or turned off")
+        return handler(now_ns, sender, data)
+
+    def _count_read(self, now_ns: int, sender: int) -> None:
+        """Guards the router's CPU against a flood of datagrams from one other."""
+        second = now_ns // NS_PER_S
+        if second != self.second:
+            self.second = second
+            self.read_by_sender = {}
+        count = self.read_by_sender.get(sender, 0) + 1
+        self.read_by_sender[sender] = count
+        if count > MAX_READ_PER_S:
+            raise DatagramError(f"more than {MAX_READ_PER_S} datagrams a second from router {sender}")
+
+    def _receive_latencies(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+        observations = decode(data, self.servers_by_hash)
+        self.novelty_filter.record_published(observations)
         if self.peer_judgements is not None:
-            told["bounded"] = self.peer_judgements.bounded
+            observations = self.peer_judgements.bound(now_ns, sender, observations)
+        return ReceivedDatagram(observations)
+
+    def _receive_usage(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+        assert self.tenant_usage is not None
+        self.tenant_usage.receive(now_ns, sender, data[1:])
+        return ReceivedDatagram()
+
+    def _receive_quota(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+        assert self.quota_escrow is not None
+        return ReceivedDatagram(replies=self.quota_escrow.receive(now_ns, sender, data))
+
+    def _receive_failure_detection(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+        assert self.failure_detector is not None
+        return ReceivedDatagram(replies=self.failure_detector.receive(now_ns, sender, data))
+
+    def describe(self, now_ns: int) -> Json:
+        """Returns what this router believes, as the JSON object of `rainhitch fleet status`.
+
+        Its keys are the operators' and stay: tools of theirs read them.
+        """
+        described: Json = {"me": self.me, "routers": self.routers}
+        if self.peer_judgements is not None:
+            described["bounded"] = self.peer_judgements.bounded
         if self.tenant_usage is not None:
-            told["heard"] = len(self.tenant_usage.fresh_reports(now))
-            told["parts"] = [round(one, 4) for one in self.tenant_usage.fractions(now)]
-            told["taken"] = self.tenant_usage.taken()
+            described["heard"] = len(self.tenant_usage.fresh_reports(now_ns))
+            described["parts"] = [round(one, 4) for one in self.tenant_usage.fractions(now_ns)]
+            described["taken"] = self.tenant_usage.taken()
         if self.failure_detector is not None:
-            told |= {
-                "life": self.failure_detector.generation,
-                "doubt": self.failure_detector.local_suspicion,
-                "changes": self.failure_detector.changes,
-            }
-            told["gone"] = [n for n in range(self.routers) if not self.failure_detector.is_alive(n)]
+            detector = self.failure_detector
+            described["life"] = detector.generation
+            described["doubt"] = detector.local_health_score
+            described["changes"] = detector.changes
+            described["gone"] = [router for router in range(self.routers) if not detector.is_alive(router)]
         if self.quota_escrow is not None:
-            hold = self.quota_escrow
-            told["holds"] = {
-                "of": round(hold.own_per_s * self.routers, 3),
-                "own": round(hold.own_per_s, 3),
-                "now": round(hold.available_per_s(now), 3),
-                "needs": round(hold.demand_per_s, 3),
-                "lent": round(sum(one.rate for one in hold.lent if one.until > now), 3),
-                "borrowed": round(sum(one.rate for one in hold.borrowed if one.until > now), 3),
-                "refused": hold.refused,
-            }
-        return told
+            described["holds"] = _describe_quota(self.quota_escrow, now_ns)
+        return described
+
+
+def _describe_quota(escrow: QuotaEscrow, now_ns: int) -> Json:
+    return {
+        "of": round(escrow.own_per_s * escrow.routers, 3),
+        "own": round(escrow.own_per_s, 3),
+        "now": round(escrow.available_per_s(now_ns), 3),
+        "needs": round(escrow.demand_per_s, 3),
+        "lent": round(_leased_per_s(escrow.lent, now_ns), 3),
+        "borrowed": round(_leased_per_s(escrow.borrowed, now_ns), 3),
+        "refused": escrow.refused,
+    }
+
+
+def _leased_per_s(leases: list[Lease], now_ns: int) -> float:
+    return sum(one.rate_per_s for one in leases if one.expires_at_ns > now_ns)
--- a/rainhitch/fleet/novelty_filter.py
+++ b/rainhitch/fleet/novelty_filter.py
@@ -1,8 +1,8 @@
-"""Which of what a router has seen is worth a datagram. No sockets, no clock.
+"""Which of a router's observations are worth publishing. No sockets, no clock.
 
-Theory. A word is paid for at every router that hears it, and in one period several routers see the same
-server. Of whom another has told since this router last told, all know: to tell the same again brings nothing.
-So what all hear of a server hardly grows with the number of routers.
+A datagram costs CPU at every router that receives it, and in one interval several routers observe the same
+server. Once another router has published that server, all know of it, and to publish it again brings nothing.
+So what all receive of one server hardly grows with the number of routers.
 """
 
 from collections.abc import Iterable
@@ -11,17 +11,17 @@
 
 
 class NoveltyFilter:
-    """What the others have told since this router last did; bounded by the list of servers."""
+    """Servers that other routers have published since this one last did; bounded by the endpoint list."""
 
     def __init__(self) -> None:
-        self.known: set[str] = set()
+        self.published: set[str] = set()
 
-    def record_published(self, seen: Iterable[LatencyObservation]) -> None:
-        """Another router has told this."""
-        self.known.update(one.server for one in seen)
+    def record_published(self, observations: Iterable[LatencyObservation]) -> None:
+        """Records what another router has published."""
+        self.published.update(one.server for one in observations)
 
-    def select_new(self, seen: Iterable[LatencyObservation]) -> list[LatencyObservation]:
-        """What of a period's sights is to be told; begins the next period."""
-        news = [one for one in seen if one.server not in self.known]
-        self.known.clear()
-        return news
+    def select_new(self, observations: Iterable[LatencyObservation]) -> list[LatencyObservation]:
+        """Returns which of an interval's observations are to be published, and begins the next interval."""
+        new = [one for one in observations if one.server not in self.published]
+        self.published.clear()
+        return new
--- a/rainhitch/fleet/options.py
+++ b/rainhitch/fleet/options.py
@@ -5,9 +5,9 @@
 
 @dataclass
 class FleetOptions:
-    """[routers] of the operator's file."""
+    """[routers] of the operator's file; the names are those of its keys."""
 
-    counts: bool = False  # customers' use is told and added up
-    bounded: bool = False  # one router's word on a server is bounded by a second one's
-    members: bool = False  # who is there is found out
+    counts: bool = False  # tenants' usage is published and added up
+    bounded: bool = False  # a latency counts no more than a second router confirms
+    members: bool = False  # failed routers are detected
     database_rps: float = 0.0  # reads a second that all routers together may send the database; 0: no limit
--- a/rainhitch/fleet/pause_detector.py
+++ b/rainhitch/fleet/pause_detector.py
@@ -1,46 +1,56 @@
-"""Whether this router itself was away: stopped, swapped out, or on a core that others held. No clock of its
-own.
-
-Theory. A process that is stopped does not see it. What it held has aged by the whole stop, its timers
-come all at once, before what waits in its sockets, and what waits there looks as if it had come just now.
-So time is beaten every BEAT at the latest, and an event that comes later than that by more than LATE says
-that the router was away since the last beat. Then nothing is acted on before the sockets have been read
-once (SETTLE): who has left meanwhile is known to have left. And what is found in the first BEAT may be as
-old as the stop. The clock has to be one that goes on while the process stands still (CLOCK_MONOTONIC).
+"""Detects that this router itself was paused: stopped, swapped out, or without a core. No clock of its own.
+
+A process that is stopped does not notice it. Afterwards all it holds is older by the pause, its timers fire
+all at once and before its sockets are read, and what waits in the sockets looks as if it had just come. So
+there is a heartbeat every `HEARTBEAT_NS` at the latest, and one that is later than that by more than
+`MAX_DELAY_NS` shows a pause since the one before. Then nothing is acted on before the sockets have been read
+once, within `SETTLE_NS`: what clients have left meanwhile is known by then. And what is read in the first
+`HEARTBEAT_NS` may be as old as the pause. The clock has to be one that goes on while the process is stopped
+(CLOCK_MONOTONIC).
 """
 
-SECOND = 1_000_000_000
-BEAT = SECOND // 10  # ns
-LATE = SECOND // 2  # ns by which a beat is later than a busy core explains
-SETTLE = SECOND // 200  # ns in which the sockets are read
+NS_PER_S = 1_000_000_000
+HEARTBEAT_NS = NS_PER_S // 10  # between two heartbeats
+MAX_DELAY_NS = NS_PER_S // 2  # of a heartbeat; a busy core explains no longer one
+SETTLE_NS = NS_PER_S // 200  # in which the sockets are read after a pause
 
 
 class PauseDetector:
-    """One router's own absence. Times are ns."""
-
-    def __init__(self, now: int) -> None:
-        self.last = now  # when it was last known to run
-        self.gap, self.until = (
-            0,
-            now - 1,
-        )  # for how long it was away last, and until when what it finds is old
-        self.times = 0
-
-    def heartbeat(self, now: int) -> int:
-        """To be called with each beat, and before anything is acted on: for how long the router was away, if
-        that is found only now, else 0."""
-        gap, self.last = now - self.last, now
-        if gap <= BEAT + LATE:
+    """Pauses of one router. Times are ns."""
+
+    def __init__(self, now_ns: int) -> None:
+        self.last_heartbeat_ns = now_ns
+        self.pause_ns = 0  # length of the last pause
+        self.resuming_until_ns = now_ns - 1  # until then what is read may be as old as the pause
+        self.pauses = 0
+
+    def heartbeat(self, now_ns: int) -> int:
+        """Records that the router runs; called at each heartbeat, and before anything is acted on.
+
+        Returns for how long it was paused where that is detected by this call, else 0.
+        """
+        gap_ns = now_ns - self.last_heartbeat_ns
+        self.last_heartbeat_ns = now_ns
+        if gap_ns <= HEARTBEAT_NS + MAX_DELAY_NS:
             return 0
-        self.gap, self.until = gap, now + BEAT
-        self.times += 1
-        return gap
-
-    def just_resumed(self, now: int) -> bool:
-        """Whether it has just come back, so that what it finds may be as old as its absence."""
-        return now <= self.until
-
-    def running_time_ns(self, now: int, sent: int) -> int:
-        """What of the time since `sent` was not this router's own absence, ns; 1 at least."""
-        absent = self.gap if self.just_resumed(now) and sent <= self.until - BEAT - self.gap + LATE else 0
-        return max(1, now - sent - absent)
+        self.pause_ns = gap_ns
+        self.resuming_until_ns = now_ns + HEARTBEAT_NS
+        self.pauses += 1
+        return gap_ns
+
+    def just_resumed(self, now_ns: int) -> bool:
+        """Returns whether a pause has just ended, so that what is read now may be as old as the pause."""
+        return now_ns <= self.resuming_until_ns
+
+    def running_time_ns(self, now_ns: int, since_ns: int) -> int:
+        """Returns how much of the time since `since_ns` this router was running; 1 at least.
+
+        A pause is left out only where it has just ended, and where `since_ns` lies before it or within
+        `MAX_DELAY_NS` of its start.
+        """
+        paused_ns = 0
+        if self.just_resumed(now_ns):
+            pause_began_ns = self.resuming_until_ns - HEARTBEAT_NS - self.pause_ns
+            if since_ns <= pause_began_ns + MAX_DELAY_NS:
+                paused_ns = self.pause_ns
+        return max(1, now_ns - since_ns - paused_ns)
--- a/rainhitch/fleet/peer_judgements.py
+++ b/rainhitch/fleet/peer_judgements.py
@@ -1,64 +1,89 @@
-"""What is believed of what routers say of the cache servers: a judgement has an author and an end, and a
-bound on what it may change. No sockets, no clock.
-
-Theory. A router with a bad link, a slow core or a bad word sees all servers slow, and what it tells is taken
-by all. So no router's word alone may shut a server for the others: a time that one author tells counts for
-at most BOUND times what a second, independent author has lately told or seen of that server; where there is
-none, of what is usual in the fleet. Two who agree are believed in full (a quorum of evidence of two: one
-wrong router costs at most a doubled estimate, which the next word of another ends). What this router itself
-has lately seen is one of the authors. Every word ends after END, whoever told it, so that nobody's silence
-keeps a judgement alive; what is kept is bounded by the list, with AUTHORS a server.
+"""How far other routers' latencies of the cache servers are believed. No sockets, no clock.
+
+A router with a bad link, a slow core or a fault sees all servers slow, and what it publishes is used by all.
+So no router alone may shut a server for the others: a latency from one author counts for at most `MAX_FACTOR`
+times what a second, independent author has lately published or observed of that server; where there is none,
+of what is usual in the fleet. Two authors that agree are believed in full, a quorum of two: one faulty router
+costs at most a doubled estimate, which the next latency from another ends. What this router has observed
+itself counts as one of the authors. Each judgement expires after `EXPIRY_NS`, so that nobody's silence keeps
+one alive. What is kept is bounded by the endpoint list, with `MAX_AUTHORS` a server.
 """
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from rainhitch.interface import LatencyObservation
 
-BOUND = 2
-END = 4_000_000_000  # ns for which a word is evidence: at 200 routers one server is told of about twice in it
-AUTHORS = 4  # the latest that are kept of a server
-SMOOTHING = 1 / 64  # of what is usual
+MAX_FACTOR = 2  # of a second author's latency, for which a latency counts at most
+EXPIRY_NS = 4_000_000_000  # at 200 routers one server is published about twice in it
+MAX_AUTHORS = 4  # kept of a server, the latest
+USUAL_WEIGHT = 1 / 64  # of a latency in the moving average of all
+
+
+@dataclass(slots=True)
+class Judgement:
+    """The latest latency that one author gave of one server."""
+
+    at_ns: int
+    elapsed_ns: int
 
 
 class PeerJudgements:
-    """The latest words on each server, by author. `me` stands for what this router saw itself."""
+    """The latest latencies of each server, by author; `me` is the number of this router."""
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self.said: dict[str, dict[int, tuple[int, int]]] = {}  # by server and author: when, and the time told
-        self.usual = 0.0  # moving average of all answer times told or seen, ns
-        self.bounded = 0  # words that were cut since the start
+        self.judgements: dict[str, dict[int, Judgement]] = {}  # by server and author, the latest author last
+        self.usual_ns = 0.0  # moving average of all latencies, published or observed
+        self.bounded = 0  # latencies that were not believed in full, since the start
 
     def set_servers(self, names: Iterable[str]) -> None:
-        """The list has changed: what is not on it is forgotten."""
+        """Forgets the servers that are not on the endpoint list any more."""
         kept = set(names)
-        self.said = {name: words for name, words in self.said.items() if name in kept}
-
-    def record_own(self, now: int, seen: Iterable[LatencyObservation]) -> None:
-        """What this router has seen itself."""
-        for one in seen:
-            self._note(now, self.me, one.server, one.elapsed_ns)
-
-    def bound(self, now: int, author: int, seen: Iterable[LatencyObservation]) -> list[LatencyObservation]:
-        """Another router's words as far as they are believed."""
-        made = []
-        for one in seen:
-            words = self.said.get(one.server, {})
-            others = [time for by, (at, time) in words.items() if by != author and now - at <= END]
-            most = BOUND * max(others, default=self.usual)
-            believed = one.elapsed_ns if not most else min(one.elapsed_ns, int(most))
-            self.bounded += believed < one.elapsed_ns
-            made.append(LatencyObservation(one.server, believed, one.is_in_flight))
-            # What was said is kept, not what was believed: a second author confirms the word itself. What is
-            # usual follows what was believed.
-            self._note(now, author, one.server, one.elapsed_ns, believed)
-        return made
-
-    def _note(self, now: int, author: int, server: str, time: int, believed: int = -1) -> None:
-        words = self.said.setdefault(server, {})
-        words.pop(author, None)
-        words[author] = now, time  # the latest last
-        if len(words) > AUTHORS:
-            del words[next(iter(words))]
-        time = time if believed < 0 else believed
-        self.usual += (time - self.usual) * (SMOOTHING if self.usual else 1)
+        self.judgements = {name: authors for name, authors in self.judgements.items() if name in kept}
+
+    def record_own(self, now_ns: int, observations: Iterable[LatencyObservation]) -> None:
+        """Records what this router has observed itself."""
+        for one in observations:
+            self._record(now_ns, self.me, one.server, one.elapsed_ns)
+            self._update_usual(one.elapsed_ns)
+
+    def bound(
+        self, now_ns: int, author: int, observations: Iterable[LatencyObservation]
+    ) -> list[LatencyObservation]:
+        """Returns another router's observations with the latencies that are believed, and records them."""
+        believed = []
+        for one in observations:
+            elapsed_ns = self._believed_ns(now_ns, author, one)
+            if elapsed_ns < one.elapsed_ns:
+                self.bounded += 1
+            believed.append(LatencyObservation(one.server, elapsed_ns, one.is_in_flight))
+            # What was published is recorded, not what was believed: a second author confirms the published
+            # latency. What is usual follows what was believed.
+            self._record(now_ns, author, one.server, one.elapsed_ns)
+            self._update_usual(elapsed_ns)
+        return believed
+
+    def _believed_ns(self, now_ns: int, author: int, observation: LatencyObservation) -> int:
+        """Returns for how much an author's latency counts: no more than another author's allows."""
+        authors = self.judgements.get(observation.server, {})
+        others_ns = [
+            judgement.elapsed_ns
+            for other, judgement in authors.items()
+            if other != author and now_ns - judgement.at_ns <= EXPIRY_NS
+        ]
+        max_ns = MAX_FACTOR * max(others_ns, default=self.usual_ns)
+        if not max_ns:
+            return observation.elapsed_ns  # nothing is known yet
+        return min(observation.elapsed_ns, int(max_ns))
+
+    def _record(self, now_ns: int, author: int, server: str, elapsed_ns: int) -> None:
+        authors = self.judgements.setdefault(server, {})
+        authors.pop(author, None)
+        authors[author] = Judgement(now_ns, elapsed_ns)
+        if len(authors) > MAX_AUTHORS:
+            del authors[next(iter(authors))]
+
+    def _update_usual(self, elapsed_ns: int) -> None:
+        weight = USUAL_WEIGHT if self.usual_ns else 1
+        self.usual_ns += (elapsed_ns - self.usual_ns) * weight
--- a/rainhitch/fleet/tenant_usage.py
+++ b/rainhitch/fleet/tenant_usage.py
@@ -1,108 +1,136 @@
-"""How much each router takes in of each customer, told to all, and this router's part of it. No sockets, no
-clock.
-
-Theory. Each author tells, of its latest window, how many requests it took of each customer, under its life
-and a number that grows with each word (a counter by author and incarnation, Shapiro and others 2011, in
-windows, so that what is long over goes). Of two words of an author the one of the higher life, then number,
-holds, however often and in whatever order they came: a router that restarted, was doubled on the way or
-comes back from a pause counts once, and a word from its earlier life not at all.
-
-    life (4) | number (4) | of each customer (2 each)      beyond MOST customers: the sum alone
-
-Error. A word is `every` old at most while it comes, and what is not heard for END of these is left out: a
-part is off by what traffic moved between routers meanwhile. Routers that are not heard are taken for as busy
-as the mean of those that are, so what is told needs no more than a sample; from fewer than ENOUGH of them,
-and fewer than SAMPLE, nothing is told. Words a router hears a second are bounded by HEARD_A_SECOND.
+"""How many requests each router takes of each tenant, and this router's fraction. No sockets, no clock.
+
+Each router publishes, for its latest window, how many requests it took of each tenant, with its generation
+and a sequence number that grows with each report: a counter by author and incarnation (Shapiro and others,
+"Conflict-free replicated data types", 2011), in windows, so that what is over is forgotten. Of two reports of
+a router the one of the higher generation, then sequence, holds, however often and in whatever order they
+came. So a router that restarted, whose datagrams were doubled, or that comes back from a pause counts once,
+and its earlier generation not at all.
+
+    generation (4) | sequence (4) | requests of each tenant (2 each), or their sum beyond MAX_TENANTS
+
+Error: a report is one interval old at most while reports arrive, and a router that is not heard for
+`EXPIRY_INTERVALS` of them is left out: a fraction is off by what traffic moved between routers meanwhile.
+Routers that are not heard count as busy as the mean of those that are, so that a sample is enough; from too
+small a sample no fraction is known. The reports that a router receives are bounded by
+`MAX_REPORTS_HEARD_PER_S`.
 """
 
 import struct
 from collections import deque
 from dataclasses import dataclass
 
-HEAD = struct.Struct(">II")
-SECOND = 1_000_000_000
-WINDOW = 4 * SECOND
-EVERY = SECOND  # ns between two words of a router, where the fleet is small
-HEARD_A_SECOND = 20
-END = 4  # words missed, after which a router is one of those that are not heard
-ENOUGH, SAMPLE = 1 / 4, 16  # part of the others, or number of them, that has to be heard
-MOST = 16  # customers that are told one by one
-MOST_TOLD = 0xFFFF
+from rainhitch.fleet.datagram import FleetError
 
+HEADER = struct.Struct(">II")  # generation, sequence
+NS_PER_S = 1_000_000_000
+WINDOW_NS = 4 * NS_PER_S
+MIN_INTERVAL_NS = NS_PER_S  # between two reports of a router, where the fleet is small
+MAX_REPORTS_HEARD_PER_S = 20  # of all other routers together
+EXPIRY_INTERVALS = 4  # without a report, after which a router counts as not heard
+MIN_HEARD_FRACTION = 1 / 4  # of the other routers, that must be heard; with fewer no fraction is known
+ENOUGH_HEARD = 16  # routers heard that are enough in a fleet of any size
+MAX_TENANTS = 16  # counted one by one
+MAX_COUNT = 0xFFFF  # of one tenant in a report
 
-class TenantUsageError(ValueError):
-    """A word that can't be read."""
+
+class TenantUsageError(FleetError):
+    """A usage report that can't be read."""
 
 
 @dataclass(slots=True)
 class UsageReport:
-    """The latest word of one router."""
+    """The latest report of one router."""
 
-    life: int
-    number: int
-    taken: tuple[int, ...]  # in its window, by customer
-    heard_at: int
+    generation: int
+    sequence: int
+    requests: tuple[int, ...]  # in its window, by tenant
+    heard_at_ns: int
+
+
+@dataclass(slots=True)
+class UsageMark:
+    """This router's totals at one time."""
+
+    at_ns: int
+    totals: tuple[int, ...]
 
 
 class TenantUsage:
-    """All routers' counts at one of them. `routers`: how many there are; `life`: 32 bits, more with each
-    start of this one; `customers`: how many there are. Times are ns."""
-
-    def __init__(self, me: int, routers: int, customers: int, life: int, now: int) -> None:
-        self.me, self.routers, self.life = me, routers, life
-        self.told = customers if customers <= MOST else 1  # counts in a word
-        self.number = 0
-        self.totals = [0] * self.told
-        self.marks: deque[tuple[int, tuple[int, ...]]] = deque([(now, tuple(self.totals))])
-        self.others: dict[int, UsageReport] = {}
-        self.interval_ns = max(EVERY, routers * SECOND // HEARD_A_SECOND)
-
-    def add(self, customer: int) -> None:
-        """This router has taken a request."""
-        self.totals[customer if customer < self.told else 0] += 1
-
-    def mark(self, now: int) -> None:
-        """To be called a few times a second: where the window begins."""
-        self.marks.append((now, tuple(self.totals)))
-        while len(self.marks) > 1 and now - self.marks[1][0] >= WINDOW:
+    """All routers' usage as one of them knows it.
+
+    `me` is this router's number of `routers`, `tenants` how many there are, `generation` 32 bits, more with
+    each start of this router. Times are ns.
+    """
+
+    def __init__(self, me: int, routers: int, tenants: int, generation: int, now_ns: int) -> None:
+        self.me = me
+        self.routers = routers
+        self.generation = generation
+        self.counted = tenants if tenants <= MAX_TENANTS else 1  # counts in a report
+        self.sequence = 0
+        self.totals = [0] * self.counted  # since the start
+        self.marks = deque([UsageMark(now_ns, tuple(self.totals))])  # the first is where the window begins
+        self.reports: dict[int, UsageReport] = {}  # by router
+        self.interval_ns = max(MIN_INTERVAL_NS, routers * NS_PER_S // MAX_REPORTS_HEARD_PER_S)
+
+    def add(self, tenant: int) -> None:
+        """Counts a request that this router has taken."""
+        self.totals[tenant if tenant < self.counted else 0] += 1
+
+    def mark(self, now_ns: int) -> None:
+        """Moves the window on; to be called a few times a second."""
+        self.marks.append(UsageMark(now_ns, tuple(self.totals)))
+        while len(self.marks) > 1 and now_ns - self.marks[1].at_ns >= WINDOW_NS:
             self.marks.popleft()
 
     def taken(self) -> list[int]:
-        """What this router took in its window, by customer."""
-        return [after - before for after, before in zip(self.totals, self.marks[0][1], strict=True)]
+        """Returns the requests that this router took in its window, by tenant."""
+        return [total - before for total, before in zip(self.totals, self.marks[0].totals, strict=True)]
 
     def encode(self) -> bytes:
-        """What to tell now."""
-        self.number += 1
-        taken = [min(MOST_TOLD, one) for one in self.taken()]
-        return HEAD.pack(self.life, self.number) + struct.pack(f">{self.told}H", *taken)
-
-    def receive(self, now: int, author: int, data: bytes) -> bool:
-        """Another router's word; whether it told anything new. Raises CountError."""
-        wrong = len(data) != HEAD.size + 2 * self.told
-        if wrong or not 0 <= author < self.routers or author == self.me:
-            raise TenantUsageError("no count of a router")
-        life, number = HEAD.unpack_from(data)
-        before = self.others.get(author)
-        if before is not None and (life, number) <= (before.life, before.number):
+        """Returns the report that is to be published now."""
+        self.sequence += 1
+        requests = [min(MAX_COUNT, one) for one in self.taken()]
+        return HEADER.pack(self.generation, self.sequence) + struct.pack(f">{self.counted}H", *requests)
+
+    def receive(self, now_ns: int, sender: int, data: bytes) -> bool:
+        """Reads another router's report; returns whether it is newer than what is known.
+
+        Raises TenantUsageError where its length is wrong, or its sender is no other router.
+        """
+        expected_bytes = HEADER.size + 2 * self.counted
+        if len(data) != expected_bytes:
+            raise TenantUsageError(f"expected a report of {expected_bytes} bytes, got {len(data)}")
+        if not 0 <= sender < self.routers or sender == self.me:
+            raise TenantUsageError(f"a report of no other router: {sender}")
+        generation, sequence = HEADER.unpack_from(data)
+        known = self.reports.get(sender)
+        if known is not None and (generation, sequence) <= (known.generation, known.sequence):
             return False
-        self.others[author] = UsageReport(
-            life, number, struct.unpack(f">{self.told}H", data[HEAD.size :]), now
-        )
+        requests = struct.unpack(f">{self.counted}H", data[HEADER.size :])
+        self.reports[sender] = UsageReport(generation, sequence, requests, now_ns)
         return True
 
-    def fresh_reports(self, now: int) -> list[UsageReport]:
-        """The others whose word still holds."""
-        return [one for one in self.others.values() if now - one.heard_at <= END * self.interval_ns]
+    def fresh_reports(self, now_ns: int) -> list[UsageReport]:
+        """Returns the other routers' reports that have not expired."""
+        expiry_ns = EXPIRY_INTERVALS * self.interval_ns
+        return [one for one in self.reports.values() if now_ns - one.heard_at_ns <= expiry_ns]
+
+    def fractions(self, now_ns: int) -> list[float]:
+        """Returns this router's fraction of all routers' requests of each tenant, 0 to 1.
 
-    def fractions(self, now: int) -> list[float]:
-        """This router's part of all routers' requests of each customer, 0 to 1, in the customers' order (one
-        for all beyond MOST); empty where too few routers are heard to say."""
-        heard = self.fresh_reports(now)
-        if not heard or len(heard) < min(SAMPLE, (self.routers - 1) * ENOUGH):
+        The result is in the tenants' order, one for all beyond `MAX_TENANTS`; empty where too few routers are
+        heard.
+        """
+        reports = self.fresh_reports(now_ns)
+        if not reports or len(reports) < min(ENOUGH_HEARD, (self.routers - 1) * MIN_HEARD_FRACTION):
             return []
-        more = (self.routers - 1) / len(heard)  # who is not heard is as busy as the mean
-        sums = [sum(one) * more for one in zip(*(one.taken for one in heard), strict=True)]
+        # A router that is not heard counts as busy as the mean of those that are. Guards the sum against two
+        # halves of a cut fleet that would each take the whole.
+        factor = (self.routers - 1) / len(reports)
+        by_tenant = zip(*(one.requests for one in reports), strict=True)
+        others = [sum(requests) * factor for requests in by_tenant]
         return [
-            mine / (mine + others) if mine else 0.0 for mine, others in zip(self.taken(), sums, strict=True)
+            mine / (mine + theirs) if mine else 0.0 for mine, theirs in zip(self.taken(), others, strict=True)
         ]
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -9,7 +9,7 @@
 
 from rainhitch import interface as api
 from rainhitch import system
-from rainhitch.fleet.pause_detector import SETTLE, PauseDetector
+from rainhitch.fleet.pause_detector import SETTLE_NS, PauseDetector
 from rainhitch.node.client_request import AttemptResult, ClientRequest, Exchange
 from rainhitch.node.connection_pool import ConnectionPool, ConnectionPools, UpstreamConnection
 from rainhitch.node.deadlines import WAY_BACK, Reserve
@@ -266,7 +266,7 @@
             self.counts.add("away", "ms", gap // MILLI)
             if not self._playing and not self._settling:
                 self._settling = True
-                self.loop.call_later(SETTLE / SECOND, self._settle)
+                self.loop.call_later(SETTLE_NS / SECOND, self._settle)
 
     def _settle(self) -> None:
         self._settling = False
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -135,8 +135,8 @@
             customers,
             life,
             system.now(),
-            self.configuration.seed,
-            self.routers or FleetOptions(),
+            seed=self.configuration.seed,
+            options=self.routers or FleetOptions(),
         )
         peers = GossipTransport(exchange, told.peers, told.everyone, self.driver.gossip_received)
         if await join(told.listen, peers):
--- a/tests/fleet/test_alive.py
+++ b/tests/fleet/test_failure_detector.py
@@ -1,5 +1,4 @@
-"""Who is there: found out in time, agreed on after the last fault, and not talked away by who was away
-itself."""
+"""Failure detection: in time, agreed on after the last fault, and not misled by a router that was paused."""
 
 import contextlib
 from itertools import permutations
@@ -10,10 +9,10 @@
 from lossy import SECOND, World
 
 from rainhitch.fleet.failure_detector import (
-    HEAD,
-    MOST_LIFE,
-    MOST_NEWS,
-    NEWS,
+    HEADER,
+    MAX_GENERATION,
+    MAX_UPDATES,
+    UPDATE,
     FailureDetector,
     FailureDetectorError,
     MessageKind,
@@ -23,7 +22,9 @@
 
 def fleet(routers: int, seed: int) -> World:
     return World(
-        routers, lambda me, life, now: FailureDetector(me, routers, life, now, seed * 100 + me), seed
+        routers,
+        lambda me, generation, now: FailureDetector(me, routers, generation, now, seed * 100 + me),
+        seed,
     )
 
 
@@ -38,7 +39,7 @@
 
 
 @pytest.mark.parametrize("routers", [3, 12, 60])
-def test_a_death_is_known_to_all_and_a_start_soon_after_it(routers: int) -> None:
+def test_a_failure_is_known_to_all_and_a_restart_soon_after_it(routers: int) -> None:
     world = fleet(routers, 1)
     world.go(10 * SECOND)
     assert agreed(world)
@@ -56,11 +57,11 @@
         world = fleet(routers, 2)
         world.go(20 * SECOND)
         rates.append(world.sent / routers / 20)
-        assert world.bytes <= HEAD.size + MOST_NEWS * NEWS.size <= 256
+        assert world.bytes <= HEADER.size + MAX_UPDATES * UPDATE.size <= 256
     assert max(rates) < 4 and agreed(world)
 
 
-def test_a_third_of_words_lost_kills_nobody_for_long() -> None:
+def test_with_a_third_of_messages_lost_few_routers_are_declared_dead() -> None:
     world = fleet(12, 3)
     world.loss = 0.3
     world.go(60 * SECOND)
@@ -82,8 +83,8 @@
     assert agreed(world)
 
 
-def test_who_was_stopped_doubts_itself_before_the_others() -> None:
-    """Guards against a late waker that has heard nobody and tells all that all are dead."""
+def test_a_paused_router_distrusts_itself_before_the_others() -> None:
+    """A router that was stopped had heard nobody, and told all others that all were dead."""
     world = fleet(6, 5)
     world.go(5 * SECOND)
     world.stopped[0] = True
@@ -92,20 +93,20 @@
     world.stopped[0] = False
     before = [part.changes for part in world.parts]
     world.go(SECOND)
-    assert world.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and world.parts[0].local_suspicion > 0
+    assert world.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and world.parts[0].local_health_score > 0
     world.go(20 * SECOND)
     assert agreed(world)
     assert sum(part.changes for part in world.parts) - sum(before) <= 12, "it alone was gone, and is back"
 
 
-def test_a_router_that_restarts_with_a_clock_gone_back_takes_a_higher_life() -> None:
+def test_a_router_that_restarts_with_a_clock_gone_back_takes_a_higher_generation() -> None:
     world = fleet(4, 6)
-    world.lives[2] = 1000
+    world.generations[2] = 1000
     world.start(2)
     world.go(10 * SECOND)
     world.kill(2)
     world.go(30 * SECOND)
-    world.lives[2] = 3
+    world.generations[2] = 3
     world.start(2)
     world.go(30 * SECOND)
     assert agreed(world) and world.parts[2].generation > 1001
@@ -122,7 +123,9 @@
         world.heal()
         world.go(60 * SECOND)
         assert agreed(world), f"seed {seed}"
-        assert all(len(part.questions) < 64 and len(part.news) <= routers for part in world.parts)
+        assert all(
+            len(part.pings) < 64 and len(part.update_queue.transmissions) <= routers for part in world.parts
+        )
 
 
 rows = st.lists(
@@ -132,26 +135,26 @@
 
 
 @given(rows)
-def test_news_merges_to_the_same_in_every_order_and_however_often(
+def test_updates_merge_to_the_same_in_every_order_and_however_often(
     told: list[tuple[int, int, int, RouterState]],
 ) -> None:
     held = set()
     for order in permutations(told):
         one = FailureDetector(0, 3, 1, 0, 1)
-        for router, life, incarnation, state in (*order, *order):
-            one._told(0, router, life, incarnation, state)
-        held.add(one.known[1].rank)
+        for router, generation, incarnation, state in (*order, *order):
+            one._apply_update(0, router, generation, incarnation, state)
+        held.add(one.records[1].rank)
     assert len(held) == 1
 
 
 @given(st.binary(max_size=64), st.integers(-1, 4))
-def test_noise_is_turned_down_or_makes_nobody_unknown(data: bytes, sender: int) -> None:
+def test_malformed_messages_are_refused_or_change_no_router_to_unknown(data: bytes, sender: int) -> None:
     one = FailureDetector(0, 4, 1, 0, 1)
     with contextlib.suppress(FailureDetectorError):
         one.receive(SECOND, sender, data)
-    assert one.is_alive(0) and len(one.known) == 4 and one.generation <= MOST_LIFE
+    assert one.is_alive(0) and len(one.records) == 4 and one.generation <= MAX_GENERATION
 
 
-def test_an_answer_to_nobodys_question_tells_nothing() -> None:
+def test_an_ack_of_no_ping_changes_nothing() -> None:
     one = FailureDetector(0, 3, 1, 0, 1)
-    assert one.receive(0, 1, HEAD.pack(MessageKind.ANSWER, 7, 2)) == [] and not one.questions
+    assert one.receive(0, 1, HEADER.pack(MessageKind.ACK, 7, 2)) == [] and not one.pings
--- /dev/null
+++ b/tests/fleet/test_novelty_filter.py
@@ -0,0 +1,26 @@
+"""What other routers have published is not published again."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+from support import MILLI
+
+from rainhitch import interface as api
+from rainhitch.fleet.novelty_filter import NoveltyFilter
+
+NAMES = [f"s-{n}" for n in range(4)]
+
+
+@given(st.lists(st.tuples(st.sampled_from(["heard", "select"]), st.sampled_from(NAMES))))
+def test_what_another_has_published_since_this_one_did_is_not_published_again(
+    steps: list[tuple[str, str]],
+) -> None:
+    """Two hundred routers published the same, and each datagram is paid for at all of them."""
+    novelty_filter, known = NoveltyFilter(), set()
+    for step, name in steps:
+        seen = [api.LatencyObservation(name, 80 * MILLI)]
+        if step == "heard":
+            novelty_filter.record_published(seen)
+            known.add(name)
+        else:
+            assert novelty_filter.select_new(seen) == ([] if name in known else seen)
+            known.clear()
--- /dev/null
+++ b/tests/fleet/test_peer_judgements.py
@@ -0,0 +1,97 @@
+"""How far other routers' latencies are believed: one faulty one is bounded, two that agree are believed."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+from support import MILLI, SECOND, Router, settings
+
+from rainhitch import interface as api
+from rainhitch.fleet.peer_judgements import EXPIRY_NS, MAX_AUTHORS, MAX_FACTOR, PeerJudgements
+
+ME = 0
+
+
+def believed_ns(
+    judgements: PeerJudgements, author: int, elapsed: int, now: int = 0, server: str = "c0"
+) -> int:
+    (one,) = judgements.bound(now, author, [api.LatencyObservation(server, elapsed)])
+    return one.elapsed_ns
+
+
+def test_one_author_alone_is_bounded_by_another_author_or_by_own_observations() -> None:
+    judgements = PeerJudgements(ME)
+    judgements.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
+    for _ in range(20):  # however often it says so
+        assert believed_ns(judgements, 1, 9 * SECOND) == MAX_FACTOR * 100 * MILLI
+    assert judgements.bounded == 20
+
+
+def test_two_independent_authors_are_believed_and_one_that_repeats_itself_is_not() -> None:
+    judgements = PeerJudgements(ME)
+    judgements.record_own(
+        0, [api.LatencyObservation("c0", 100 * MILLI), api.LatencyObservation("c1", 100 * MILLI)]
+    )
+    assert believed_ns(judgements, 1, 3 * SECOND) < SECOND and believed_ns(judgements, 1, 3 * SECOND) < SECOND
+    assert believed_ns(judgements, 2, 3 * SECOND) == 3 * SECOND
+
+
+def test_without_another_author_the_usual_latency_bounds() -> None:
+    judgements = PeerJudgements(ME)
+    for n in range(50):
+        judgements.record_own(0, [api.LatencyObservation(f"s{n}", 100 * MILLI)])
+    assert believed_ns(judgements, 1, 9 * SECOND, server="new") <= 2 * MAX_FACTOR * 100 * MILLI
+
+
+def test_a_judgement_expires_whoever_gave_it() -> None:
+    judgements = PeerJudgements(ME)
+    judgements.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
+    believed_ns(judgements, 1, 3 * SECOND)
+    assert believed_ns(judgements, 2, 3 * SECOND, now=EXPIRY_NS) == 3 * SECOND
+    late = PeerJudgements(ME)
+    late.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
+    believed_ns(late, 1, 3 * SECOND)
+    assert believed_ns(late, 2, 3 * SECOND, now=EXPIRY_NS + 1) < SECOND, "the first judgement has expired"
+
+
+def test_memory_is_bounded_by_the_endpoint_list_and_the_authors() -> None:
+    judgements = PeerJudgements(ME)
+    for author in range(1, 100):
+        judgements.bound(author, author, [api.LatencyObservation(f"s{n}", SECOND) for n in range(20)])
+    assert all(len(authors) <= MAX_AUTHORS for authors in judgements.judgements.values())
+    judgements.set_servers(["s1"])
+    assert list(judgements.judgements) == ["s1"]
+
+
+def latency(believed: bool) -> float:
+    """What a router expects of a server that answers it in 100 ms, while one other says 20 s in each
+    period."""
+    router = Router(settings(router_count=40, gossip_interval_ns=200 * MILLI))
+    judgements = PeerJudgements(ME)
+    server = router.balancer.servers.servers["c0"]
+    for step in range(200):
+        router.wait(200 * MILLI)
+        if step % 5 == 0:
+            seen = [api.LatencyObservation("c0", 100 * MILLI)]
+            judgements.record_own(router.now, seen)
+            server.record_latency(router.now, 2 * SECOND, 100 * MILLI, 1)
+        words = [api.LatencyObservation("c0", 20 * SECOND)]
+        router.tell(api.GossipReceived(judgements.bound(router.now, 1, words) if believed else words))
+    return server.latency_ns
+
+
+def test_one_faulty_router_shuts_no_server_for_the_others() -> None:
+    """One router with a bad link or a slow core shut a server for all: its latencies counted in full."""
+    assert latency(believed=False) > 5 * SECOND
+    assert latency(believed=True) <= MAX_FACTOR * 110 * MILLI
+
+
+@given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 10**11)), max_size=30))
+def test_no_latency_counts_for_more_than_it_is_nor_than_twice_the_second_slowest(
+    words: list[tuple[int, int]],
+) -> None:
+    judgements = PeerJudgements(ME)
+    judgements.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
+    latest = {ME: 100 * MILLI}
+    for author, elapsed in words:
+        others = max(time for by, time in latest.items() if by != author)
+        assert believed_ns(judgements, author, elapsed) == min(elapsed, MAX_FACTOR * others)
+        latest[author] = elapsed
--- a/tests/fleet/test_holdings.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -1,4 +1,4 @@
-"""A total that all routers share: never over it, whatever is lost, late, doubled, stopped or started anew."""
+"""A quota that all routers share: never over it, whatever is lost, late, doubled, paused or restarted."""
 
 import contextlib
 import copy
@@ -9,18 +9,17 @@
 from hypothesis import strategies as st
 from lossy import SECOND, World
 
-from rainhitch.fleet import quota_escrow
+from rainhitch.fleet.datagram import Datagram
 from rainhitch.fleet.quota_escrow import (
-    ANSWER,
-    DRIFT,
-    EVERY,
-    MOST_LOANS,
-    QUESTION,
-    TERM,
-    WORD,
+    CLOCK_DRIFT_FRACTION,
+    LEASE_NS,
+    MAX_LEASES,
+    MESSAGE,
+    ROUND_INTERVAL_NS,
     Lease,
     QuotaEscrow,
     QuotaEscrowError,
+    QuotaMessageKind,
 )
 
 TOTAL = 120.0
@@ -47,14 +46,14 @@
         return True
 
     def bound(self) -> float:
-        """What their banks held: a second of the total, a unit of each router, and the rest of a unit."""
+        """What their buckets held: a second of the total, a unit of each router, and the rest of a unit."""
         return self.total + 2 * len(self.world.parts)
 
 
-def fleet(routers: int, seed: int, drift: float = 0.0, every: int = EVERY // 4) -> World:
+def fleet(routers: int, seed: int, drift: float = 0.0, every: int = ROUND_INTERVAL_NS // 4) -> World:
     return World(
         routers,
-        lambda me, life, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + life),
+        lambda me, generation, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + generation),
         seed,
         drift,
         every,
@@ -63,8 +62,8 @@
 
 def chaos(seed: int, steps: int, routers: int) -> tuple[Meter, World]:
     """Faults at random, with demand that is now here and now there."""
-    world = fleet(routers, seed, DRIFT)
-    meter = Meter(world, TOTAL, DRIFT)
+    world = fleet(routers, seed, CLOCK_DRIFT_FRACTION)
+    meter = Meter(world, TOTAL, CLOCK_DRIFT_FRACTION)
     wants = [0.0] * routers
 
     def demand() -> None:
@@ -82,7 +81,7 @@
             wants = [world.random.choice([0.0, 5.0, TOTAL, 3 * TOTAL]) for _ in range(routers)]
         world.go(world.random.randrange(1, 3 * SECOND), demand)
         assert all(
-            max(len(one.lent), len(one.questions), len(one.borrowed)) <= MOST_LOANS for one in world.parts
+            max(len(one.lent), len(one.requests), len(one.borrowed)) <= MAX_LEASES for one in world.parts
         )
     return meter, world
 
@@ -90,7 +89,7 @@
 @pytest.mark.parametrize(
     ("routers", "seeds", "least"), [(2, 10, 100_000), (3, 10, 150_000), (12, 3, 150_000)]
 )
-def test_the_sum_stays_within_its_bound_through_any_faults(routers: int, seeds: int, least: int) -> None:
+def test_the_sum_stays_within_the_quota_through_any_faults(routers: int, seeds: int, least: int) -> None:
     """Half a million units asked for, over schedules of loss, delay, doubling, cuts, stops, deaths and
     starts."""
     asked = 0
@@ -106,35 +105,36 @@
 def test_each_part_of_the_rule_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The same schedules with one guard taken out go over the bound, so the test above can fail."""
     if mutant == "lends what it spends":
-        held = QuotaEscrow._between
+        held = QuotaEscrow._least_available_per_s
         monkeypatch.setattr(
             QuotaEscrow,
-            "_between",
-            lambda one, begin, end: held(one, begin, end) + sum(x.rate for x in one.lent),
+            "_least_available_per_s",
+            lambda one, begin, end: held(one, begin, end) + sum(x.rate_per_s for x in one.lent),
         )
     elif mutant == "own clock ends it":
 
-        def heard(self: QuotaEscrow, now: int, sender: int, data: bytes) -> quota_escrow.Datagrams:
-            kind, nonce, amount = WORD.unpack(data)
-            if kind == QUESTION:
-                lent = self._lend(now, amount / 1000)
-                return [(sender, WORD.pack(ANSWER, nonce, lent))] if lent else []
-            if self.questions.pop(nonce, (-1, 0, 0.0))[0] == sender:
-                self.borrowed.append(Lease(amount / 1000, now + 3 * TERM))
+        def receive(self: QuotaEscrow, now: int, sender: int, data: bytes) -> list[Datagram]:
+            kind, nonce, amount = MESSAGE.unpack(data)
+            if kind == QuotaMessageKind.REQUEST:
+                lent = self._lend(now, sender, amount / 1000)
+                return [Datagram(sender, MESSAGE.pack(QuotaMessageKind.GRANT, nonce, lent))] if lent else []
+            request = self.requests.pop(nonce, None)
+            if request is not None and request.lender == sender:
+                self.borrowed.append(Lease(sender, self.me, amount / 1000, now + 3 * LEASE_NS))
             return []
 
-        monkeypatch.setattr(QuotaEscrow, "receive", heard)
+        monkeypatch.setattr(QuotaEscrow, "receive", receive)
     else:
 
-        def twice(self: QuotaEscrow, now: int, sender: int, data: bytes) -> quota_escrow.Datagrams:
-            kind, nonce, amount = WORD.unpack(data)
-            if kind == QUESTION:
-                lent = self._lend(now, amount / 1000)
-                return [(sender, WORD.pack(ANSWER, nonce, lent))] if lent else []
-            self.borrowed.append(Lease(amount / 1000, now + TERM))
+        def receive_doubled(self: QuotaEscrow, now: int, sender: int, data: bytes) -> list[Datagram]:
+            kind, nonce, amount = MESSAGE.unpack(data)
+            if kind == QuotaMessageKind.REQUEST:
+                lent = self._lend(now, sender, amount / 1000)
+                return [Datagram(sender, MESSAGE.pack(QuotaMessageKind.GRANT, nonce, lent))] if lent else []
+            self.borrowed.append(Lease(sender, self.me, amount / 1000, now + LEASE_NS))
             return []
 
-        monkeypatch.setattr(QuotaEscrow, "receive", twice)
+        monkeypatch.setattr(QuotaEscrow, "receive", receive_doubled)
     over = []
     for seed in range(8):
         meter, _ = chaos(seed, 120, 3)
@@ -145,8 +145,8 @@
 
 
 @pytest.mark.parametrize("routers", [3, 12, 60])
-def test_one_router_with_all_the_need_soon_holds_most_of_it_and_it_comes_back(routers: int) -> None:
-    world = fleet(routers, 1, every=EVERY // 16)
+def test_one_router_with_all_the_demand_soon_holds_most_of_the_quota_and_it_comes_back(routers: int) -> None:
+    world = fleet(routers, 1, every=ROUND_INTERVAL_NS // 16)
     meter = Meter(world, TOTAL, 0.0)
     world.go(6 * SECOND)
 
@@ -159,50 +159,54 @@
     world.go(8 * SECOND, all_at_first)
     reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # a few are asked in a round, and each lends for a time
     assert (meter.spent - before) / 8 > reached * TOTAL
-    world.go(2 * TERM + 4 * SECOND)  # the last questions are asked while the need fades
+    world.go(2 * LEASE_NS + 4 * SECOND)  # the last questions are asked while the need fades
     assert all(not one.borrowed and not one.lent for one in world.parts if one._fill(world.now) is None)
     assert sum(one.available_per_s(world.now) for one in world.parts) == pytest.approx(TOTAL)
 
 
-def test_who_hears_nothing_falls_back_to_its_own_part_when_its_loans_end() -> None:
+def test_a_router_that_hears_nothing_falls_back_to_its_own_part_when_its_leases_end() -> None:
     world = fleet(3, 2)
     world.go(6 * SECOND)
     rich = world.parts[0]
     for _ in range(8):
         for _ in range(100):
             rich.take(world.clock(0))
-        world.go(EVERY)
+        world.go(ROUND_INTERVAL_NS)
     assert rich.available_per_s(world.clock(0)) > 1.5 * rich.own_per_s
     world.loss = 1.0
-    world.go(TERM)
+    world.go(LEASE_NS)
     assert rich.available_per_s(world.clock(0)) == rich.own_per_s
 
 
-def test_a_router_that_slept_past_its_loans_wakes_up_with_its_own_part_and_one_bank() -> None:
+def test_a_router_paused_past_its_leases_resumes_with_its_own_part_and_one_bucket() -> None:
     """A late waker does no harm: what it held is looked at with each unit, not when it was lent."""
     one = QuotaEscrow(0, 3, TOTAL, 0, 7)
-    one.borrowed.append(Lease(80.0, 4 * SECOND))
+    one.borrowed.append(Lease(1, 0, 80.0, 4 * SECOND))
     one._fill(3 * SECOND)
     later = 100 * SECOND
     assert sum(one.take(later) for _ in range(1000)) <= one.bucket_capacity(later)
     assert one.available_per_s(later) == one.own_per_s and not one.borrowed
 
 
-def test_what_an_earlier_life_lent_is_left_alone_until_it_has_ended() -> None:
+def test_what_an_earlier_process_lent_is_left_alone_until_it_has_ended() -> None:
     old = QuotaEscrow(0, 3, TOTAL, 0, 1)
     now = 10 * SECOND
-    ((to, word),) = old.receive(now, 1, WORD.pack(QUESTION, 5, 1_000_000))
-    kind, nonce, lent = WORD.unpack(word)
-    assert to == 1 and kind == ANSWER and nonce == 5 and lent == 30_000  # three quarters of 40
+    ((to, word),) = old.receive(now, 1, MESSAGE.pack(QuotaMessageKind.REQUEST, 5, 1_000_000))
+    kind, nonce, lent = MESSAGE.unpack(word)
+    assert (
+        to == 1 and kind == QuotaMessageKind.GRANT and nonce == 5 and lent == 30_000
+    )  # three quarters of 40
     new = QuotaEscrow(0, 3, TOTAL, now, 2)
     assert new.available_per_s(now) + lent / 1000 <= old.own_per_s
-    assert new.receive(now, 2, WORD.pack(QUESTION, 6, 1_000_000)) == [], "nor does it lend meanwhile"
-    assert new.available_per_s(now + int(TERM * (1 + DRIFT))) == new.own_per_s
+    assert new.receive(now, 2, MESSAGE.pack(QuotaMessageKind.REQUEST, 6, 1_000_000)) == [], (
+        "nor does it lend meanwhile"
+    )
+    assert new.available_per_s(now + int(LEASE_NS * (1 + CLOCK_DRIFT_FRACTION))) == new.own_per_s
 
 
 @given(st.binary(max_size=20), st.integers(-2, 4))
 @budget(max_examples=500)
-def test_noise_changes_nothing_that_is_held(data: bytes, sender: int) -> None:
+def test_malformed_messages_change_nothing_that_is_available(data: bytes, sender: int) -> None:
     one = QuotaEscrow(0, 3, TOTAL, 0, 1)
     now = 10 * SECOND
     with contextlib.suppress(QuotaEscrowError):
@@ -210,7 +214,7 @@
     assert not one.borrowed and one.available_per_s(now) <= one.own_per_s
 
 
-def test_every_order_of_words_deaths_and_time_keeps_the_sum() -> None:
+def test_every_order_of_messages_failures_and_time_keeps_the_sum() -> None:
     """All interleavings to a depth: three routers, each may ask for all, answers come, are lost, or come
     again after any of it, routers die and start anew, and half a term passes."""
     depth, start = 5, 10 * SECOND
@@ -221,10 +225,10 @@
     def key(parts: tuple[QuotaEscrow, ...], words: tuple[tuple[int, int, bytes], ...], now: int) -> object:
         rows = [
             (
-                sorted((round(x.rate, 6), x.until) for x in one.lent),
-                sorted((round(x.rate, 6), x.until) for x in one.borrowed),
-                sorted(one.questions.values()),
-                one.quiet_until,
+                sorted((round(x.rate_per_s, 6), x.expires_at_ns) for x in one.lent),
+                sorted((round(x.rate_per_s, 6), x.expires_at_ns) for x in one.borrowed),
+                sorted((x.lender, x.sent_at_ns, x.wanted_per_s) for x in one.requests.values()),
+                one.no_lending_until_ns,
             )
             for one in parts
         ]
@@ -233,7 +237,7 @@
     def twin(parts: tuple[QuotaEscrow, ...]) -> tuple[QuotaEscrow, ...]:
         made = tuple(copy.copy(one) for one in parts)
         for one in made:
-            one.lent, one.borrowed, one.questions = list(one.lent), list(one.borrowed), dict(one.questions)
+            one.lent, one.borrowed, one.requests = list(one.lent), list(one.borrowed), dict(one.requests)
         return made
 
     def explore(
@@ -250,7 +254,7 @@
             return
         for n in range(2):  # the third only lends
             mine = twin(parts)
-            asked = mine[n]._question(now, (n + 1) % 3, 12.0)
+            asked = mine[n]._request(now, (n + 1) % 3, 12.0)
             explore(mine, (*words, (n, (n + 1) % 3, asked)), now, left - 1)
         for word in words[-3:]:
             source, to, data = word
@@ -264,7 +268,7 @@
             mine = twin(parts)
             fresh = QuotaEscrow(n, 3, 12.0, now, n + 100)
             explore((*mine[:n], fresh, *mine[n + 1 :]), words, now, left - 1)
-        explore(twin(parts), words, now + TERM // 2, left - 1)
+        explore(twin(parts), words, now + LEASE_NS // 2, left - 1)
 
     explore(first, (), start, depth)
     assert states > 1000
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -11,9 +11,10 @@
 
 import pytest
 
+from rainhitch.fleet.datagram import EVERYONE
 from rainhitch.fleet.failure_detector import FailureDetector
-from rainhitch.fleet.gossip_codec import decode, encode, hashes
-from rainhitch.fleet.gossip_exchange import EVERYONE, GossipExchange
+from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
+from rainhitch.fleet.gossip_exchange import GossipExchange
 from rainhitch.fleet.options import FleetOptions
 from rainhitch.fleet.quota_escrow import QuotaEscrow
 from rainhitch.fleet.tenant_usage import TenantUsage
@@ -43,7 +44,7 @@
 
 def latency_observations() -> Run:
     """Answer times (0xA2): what is encoded and what is read of it, with one server that is not listed."""
-    names = hashes([f"cache-{number}" for number in range(8)])
+    names = names_by_hash([f"cache-{number}" for number in range(8)])
     run: Run = []
     for number in range(12):
         data = encode(observations(number * number))
@@ -135,7 +136,7 @@
             parts[0].step(now + 3 * SECOND)  # it was stopped, and finds time gone on
 
     def state(part: FailureDetector, now: int) -> Any:
-        return [part.live_routers(), part.generation, part.local_suspicion, part.changes]
+        return [part.live_routers(), part.generation, part.local_health_score, part.changes]
 
     parts = [FailureDetector(me, ROUTERS, me + 1, START, me) for me in range(ROUTERS)]
     return exchanged(parts, 400, before_step, state)
@@ -144,7 +145,9 @@
 def gossip_exchange() -> Run:
     """All kinds by the one entry point, with what is believed of them, and the object of `fleet status`."""
     options = FleetOptions(counts=True, bounded=True, members=True, database_rps=40.0)
-    exchanges = [GossipExchange(me, ROUTERS, 2, 5 + me, START, me, options) for me in range(ROUTERS)]
+    exchanges = [
+        GossipExchange(me, ROUTERS, 2, 5 + me, START, seed=me, options=options) for me in range(ROUTERS)
+    ]
     for exchange in exchanges:
         exchange.set_servers([f"cache-{number}" for number in range(8)])
     run: Run = []
--- a/tests/fleet/test_wired.py
+++ b/tests/fleet/test_wired.py
@@ -9,13 +9,13 @@
 from program import listing
 
 from rainhitch import interface as api
-from rainhitch.fleet.gossip_codec import decode, encode, hashes
+from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
 from rainhitch.node.configuration import ConfigurationError, configured
 from rainhitch.node.router import Router
 from rainhitch.policy.server_registry import Server
 
 
-def told(friend: socket.socket, **changes: Any) -> dict[str, Any]:
+def configuration(friend: socket.socket, **changes: Any) -> dict[str, Any]:
     host, port = friend.getsockname()
     address = f"{host}:{port}"
     return {
@@ -42,17 +42,17 @@
     return server.latency_ns > before
 
 
-async def test_a_router_takes_up_a_word_on_what_its_list_names_now_and_tells_its_own(
+async def test_a_router_uses_gossip_on_listed_servers_and_publishes_its_own(
     friend: socket.socket,
 ) -> None:
-    service = Router(configured(told(friend), "test"))
+    service = Router(configured(configuration(friend), "test"))
     await service.start()
     try:
         assert service.gossip is not None and service.gossip.transport is not None
         here = service.gossip.transport.get_extra_info("sockname")
         service.directory.apply(listing(2, entry("c1", "127.0.0.1:1"), whole=False))
         service.driver.publish_gossip([api.LatencyObservation("c0", 900_000_000)])
-        (word,) = decode(friend.recv(512), hashes(["c0"]))
+        (word,) = decode(friend.recv(512), names_by_hash(["c0"]))
         assert word.server == "c0" and word.elapsed_ns == pytest.approx(900_000_000, rel=0.06)
         for name in ("c0", "c1"):
             server = service.balancer.servers.servers[name]
@@ -77,14 +77,12 @@
         {"peers": ["127.0.0.1:2"]},
     ],
 )
-def test_where_there_is_nobody_to_tell_or_it_may_not_be_there_are_no_peers(
-    friend: socket.socket, changes: Any
-) -> None:
-    assert configured(told(friend), "test").peers is not None
-    assert configured(told(friend, **changes), "test").peers is None
+def test_without_other_routers_or_permission_there_are_no_peers(friend: socket.socket, changes: Any) -> None:
+    assert configured(configuration(friend), "test").peers is not None
+    assert configured(configuration(friend, **changes), "test").peers is None
 
 
 @pytest.mark.parametrize("peers", [None, "127.0.0.1:2", ["nowhere", "127.0.0.1:2"]])
-def test_peers_that_make_no_sense_end_the_start_with_a_plain_line(friend: socket.socket, peers: Any) -> None:
+def test_malformed_peers_end_the_start_with_a_plain_line(friend: socket.socket, peers: Any) -> None:
     with pytest.raises(ConfigurationError, match="test: "):
-        configured(told(friend, peers=peers), "test")
+        configured(configuration(friend, peers=peers), "test")
--- a/tests/lossy.py
+++ b/tests/lossy.py
@@ -1,28 +1,23 @@
-"""Any number of one part of the fleet's decisions, with what goes between them lost, late, doubled and out
-of order, and their routers stopped, killed and started anew. No sockets; a clock for each, off by up to
-DRIFT.
+"""A simulated fleet of any number of routers' parts: their datagrams are lost, late, doubled and out of
+order, and the routers are paused, killed and restarted. No sockets; each router has a clock with a drift of
+its own.
 """
 
 import heapq
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from random import Random
-from typing import Any, Protocol
+from typing import Any
 
-SECOND = 1_000_000_000
-Sent = list[tuple[int, bytes]]
-
-
-class Part(Protocol):
-    """What is tested."""
+from rainhitch.fleet.datagram import Datagram
 
-    def heard(self, now: int, sender: int, data: bytes) -> Any: ...
-
-    def step(self, now: int) -> Sent: ...
+SECOND = 1_000_000_000
 
 
 class World:
-    """`make(me, life, now)` gives a router's part. `loss`, `doubled`: parts of the words; `late`: ns at
-    most."""
+    """The fleet. `make(me, generation, now)` returns a router's part, which has `receive` and `step`.
+
+    `loss` and `doubled` are fractions of the datagrams, `late` is the longest delay, ns.
+    """
 
     def __init__(
         self,
@@ -33,14 +28,17 @@
         every: int = SECOND // 10,
     ) -> None:
         self.random = Random(seed)
-        self.make, self.every = make, every
+        self.make = make
+        self.every = every
         self.now = 1000 * SECOND
         self.rates = [1 + self.random.uniform(-drift, drift) / 2 for _ in range(routers)]
-        self.lives = [1] * routers
+        self.generations = [1] * routers
         self.parts: list[Any] = [make(n, 1, self.clock(n)) for n in range(routers)]
         self.up = [True] * routers
         self.stopped = [False] * routers
-        self.loss, self.doubled, self.late = 0.0, 0.0, SECOND // 100
+        self.loss = 0.0
+        self.doubled = 0.0
+        self.late = SECOND // 100
         self.cut: Callable[[int, int], bool] = lambda source, to: False
         self.queue: list[tuple[int, int, int, int, bytes]] = []
         self.order = self.sent = 0
@@ -49,7 +47,7 @@
     def clock(self, router: int) -> int:
         return round(self.now * self.rates[router])
 
-    def carry(self, source: int, sent: Sent) -> None:
+    def carry(self, source: int, sent: Iterable[Datagram]) -> None:
         for to, data in sent:
             self.sent += 1
             self.bytes = max(self.bytes, len(data))
@@ -82,9 +80,10 @@
         self.up[router] = False
 
     def start(self, router: int) -> None:
-        self.lives[router] += 1
-        self.up[router], self.stopped[router] = True, False
-        self.parts[router] = self.make(router, self.lives[router], self.clock(router))
+        self.generations[router] += 1
+        self.up[router] = True
+        self.stopped[router] = False
+        self.parts[router] = self.make(router, self.generations[router], self.clock(router))
 
     def any_fault(self) -> None:
         """One fault of some kind, or the end of one."""
@@ -114,7 +113,8 @@
     def heal(self) -> None:
         """The last fault is over; what was on its way may still come."""
         self.loss = self.doubled = 0.0
-        self.late, self.cut = SECOND // 100, lambda source, to: False
+        self.late = SECOND // 100
+        self.cut = lambda source, to: False
         for router, up in enumerate(self.up):
             self.stopped[router] = False
             if not up:
