--- a/rainhitch/fleet/peer_judgements.py
+++ b/rainhitch/fleet/peer_judgements.py
@@ -54,8 +54,10 @@
         """Returns another router's observations with the latencies that are believed, and records them."""
         believed = []
         for one in observations:
-            elapsed_ns = self._believed_ns(now_ns, author, one)
-            if elapsed_ns < one.elapsed_ns:
+            elapsed_ns = one.elapsed_ns
+            max_ns = self._max_believed_ns(now_ns, author, one.server)
+            if max_ns and elapsed_ns > int(max_ns):
+                elapsed_ns = int(max_ns)
                 self.bounded += 1
             believed.append(LatencyObservation(one.server, elapsed_ns, one.is_in_flight))
             # What was published is recorded, not what was believed: a second author confirms the published
@@ -64,23 +66,26 @@
             self._update_usual(elapsed_ns)
         return believed
 
-    def _believed_ns(self, now_ns: int, author: int, observation: LatencyObservation) -> int:
-        """Returns for how much an author's latency counts: no more than another author's allows."""
-        authors = self.judgements.get(observation.server, {})
-        others_ns = [
-            judgement.elapsed_ns
-            for other, judgement in authors.items()
-            if other != author and now_ns - judgement.at_ns <= EXPIRY_NS
-        ]
-        max_ns = MAX_FACTOR * max(others_ns, default=self.usual_ns)
-        if not max_ns:
-            return observation.elapsed_ns  # nothing is known yet
-        return min(observation.elapsed_ns, int(max_ns))
+    def _max_believed_ns(self, now_ns: int, author: int, server: str) -> float:
+        """Returns for how much an author's latency counts at most; 0: nothing is known that bounds it."""
+        slowest_ns = -1  # below 0: no second author
+        for other, judgement in self.judgements.get(server, {}).items():
+            is_fresh = now_ns - judgement.at_ns <= EXPIRY_NS
+            if is_fresh and other != author and judgement.elapsed_ns > slowest_ns:
+                slowest_ns = judgement.elapsed_ns
+        if slowest_ns < 0:
+            return MAX_FACTOR * self.usual_ns
+        return MAX_FACTOR * slowest_ns
 
     def _record(self, now_ns: int, author: int, server: str, elapsed_ns: int) -> None:
         authors = self.judgements.setdefault(server, {})
-        authors.pop(author, None)
-        authors[author] = Judgement(now_ns, elapsed_ns)
+        judgement = authors.pop(author, None)
+        if judgement is None:
+            judgement = Judgement(now_ns, elapsed_ns)
+        else:
+            judgement.at_ns = now_ns
+            judgement.elapsed_ns = elapsed_ns
+        authors[author] = judgement
         if len(authors) > MAX_AUTHORS:
             del authors[next(iter(authors))]
 
--- a/rainhitch/overload/retry_budget.py
+++ b/rainhitch/overload/retry_budget.py
@@ -34,12 +34,14 @@
         self.tokens = min_retries_per_s * INITIAL_FILL_S  # retries that may be sent now
         self.filled_at_ns = -1  # below 0: never filled
         self.first_attempts: deque[FirstAttempts] = deque()  # the earliest second first
+        self.recent_first_attempts = 0  # their sum
         self.denied = 0  # retries that were not allowed, since the start
 
     def record_first_attempt(self, now_ns: int) -> None:
         """Counts a first attempt, which pays for `retry_fraction` of a retry."""
         self._fill(now_ns)
         second = now_ns // NS_PER_S
+        self.recent_first_attempts += 1
         if self.first_attempts and self.first_attempts[-1].second == second:
             self.first_attempts[-1].count += 1
         else:
@@ -63,12 +65,12 @@
 
     def _capacity(self) -> float:
         """Returns how many tokens the bucket holds at most."""
+        self._expire_first_attempts()
         from_time = self.min_retries_per_s * DEPOSIT_LIFETIME_NS / NS_PER_S
-        return from_time + self._recent_first_attempts() * self.retry_fraction
+        return from_time + self.recent_first_attempts * self.retry_fraction
 
-    def _recent_first_attempts(self) -> float:
-        """Returns the first attempts within `DEPOSIT_LIFETIME_NS`, counted by the second."""
+    def _expire_first_attempts(self) -> None:
+        """Forgets the first attempts older than `DEPOSIT_LIFETIME_NS`, counted by the second."""
         last_expired = self.filled_at_ns // NS_PER_S - DEPOSIT_LIFETIME_NS // NS_PER_S
         while self.first_attempts and self.first_attempts[0].second <= last_expired:
-            self.first_attempts.popleft()
-        return float(sum(one.count for one in self.first_attempts))
+            self.recent_first_attempts -= self.first_attempts.popleft().count
