--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -145,6 +145,7 @@
     def __init__(self, me: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
         self.me = me
         self.routers = routers
+        # The seed's text is not renamed: it fixes the sequence that recorded runs are replayed with.
         self.random = Random(f"{seed}/alive")
         self.records = [RouterRecord(since_ns=now_ns) for _ in range(routers)]
         self.records[me] = RouterRecord(generation, since_ns=now_ns)
@@ -300,8 +301,7 @@
     def _refute(self, generation: int, incarnation: int) -> None:
         """Takes a higher incarnation than an update on this router has, or else a higher generation.
 
-        Guards a running router against the update that it is dead, and against those of its earlier
-        generation.
+        Guards a running router against the update that it is dead, or on its earlier generation.
         """
         record = self.records[self.me]
         incarnations_spent = incarnation == MAX_INCARNATION
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -91,6 +91,7 @@
         self.routers = routers
         self.own_per_s = quota_per_s / routers
         self.burst_s = burst_s
+        # The seed's text is not renamed: it fixes the sequence that recorded runs are replayed with.
         self.random = Random(f"{seed}/holdings")
         self.filled_at_ns = now_ns
         self.stepped_at_ns = now_ns
--- a/rainhitch/overload/retry_after.py
+++ b/rainhitch/overload/retry_after.py
@@ -52,6 +52,7 @@
     def __init__(self, max_retry_after_ns: int, seed: int, max_fingerprints: int = MAX_FINGERPRINTS) -> None:
         self.max_retry_after_ns = max_retry_after_ns
         self.max_fingerprints = max_fingerprints
+        # The seed's text is not renamed: it fixes the sequence that recorded runs are replayed with.
         self.random = Random(f"{seed}/appointments")
         self.next_free_ns = 0
         self.slots: dict[Fingerprint, deque[int]] = {}  # times given, ns; the latest given goes last
