--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from rainhitch import interface as api
-from rainhitch.fleet.pause_detector import SETTLE as PAUSE_SETTLE_NS
+from rainhitch.fleet.pause_detector import SETTLE_NS as PAUSE_SETTLE_NS
 from rainhitch.fleet.pause_detector import PauseDetector
 from rainhitch.policy.balancer import Balancer
 from rainhitch.system import Clock
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -137,8 +137,8 @@
             customers,
             life,
             system.now(),
-            self.configuration.seed,
-            self.routers or FleetOptions(),
+            seed=self.configuration.seed,
+            options=self.routers or FleetOptions(),
         )
         peers = GossipTransport(exchange, told.peers, told.broadcast, self.driver.gossip_received)
         if await join(told.listen, peers):
