--- a/benchmarks/callbacks.py
+++ b/benchmarks/callbacks.py
@@ -38,7 +38,7 @@
     """Runs the router with its callbacks timed; writes what they took at its end."""
     import uvloop
 
-    from rainhitch.node import program
+    from rainhitch import program
 
     took: dict[str, list[int]] = defaultdict(list)
     run = asyncio.Handle._run
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,9 +25,9 @@
 from rainhitch.rehearsal.faults import Fault
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
 from rainhitch.rehearsal.virtual.play import play
-from rainhitch.telemetry.sums import Sum, sum_folder
+from rainhitch.telemetry.sums import RecordSum, sum_folder
 
-Row = tuple[float, int, Sum]  # service, breaches of rules, what the routers wrote down
+Row = tuple[float, int, RecordSum]  # service, breaches of rules, what the routers wrote down
 
 
 def day(routers: int, kind: str, lost: float = 0.0, length_s: float = 8.0) -> Scenario:
@@ -105,7 +105,7 @@
         return made["service"], sum(made["rules"].values()), sum_folder(Path(folder)).whole
 
 
-def in_share(whole: Sum) -> int:
+def in_share(whole: RecordSum) -> int:
     """Tries refused though they were within their customer's share."""
     ended = whole.counts["ended"].items()
     return sum(many for how, many in ended if how.startswith("refused:") and how[-1] != "+")
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -40,7 +40,11 @@
         "status = AttemptStatus.RESET if was_written else never_up",
         "status = never_up",
     ),
-    "the last answer is late": ("node/deadlines.py", "WAY_BACK = 8 * MILLI", "WAY_BACK = -120 * MILLI"),
+    "the last answer is late": (
+        "node/deadlines.py",
+        "ANSWER_DELIVERY_NS = 8 * NS_PER_MS",
+        "ANSWER_DELIVERY_NS = -120 * NS_PER_MS",
+    ),
     "a time-out leaves its connection": (
         "node/attempt_runner.py",
         "may_have_run = attempt.connection.abandon()",
--- a/rainhitch/__main__.py
+++ b/rainhitch/__main__.py
@@ -4,11 +4,12 @@
 
 
 def main() -> int:
+    """Runs the router, or a subcommand; gives the exit code."""
     if len(sys.argv) > 1:
         from rainhitch.cli import run
 
         return run(sys.argv[1:])
-    from rainhitch.node.program import main as serve
+    from rainhitch.program import main as serve
 
     return serve()
 
--- a/rainhitch/cli/logs.py
+++ b/rainhitch/cli/logs.py
@@ -36,9 +36,9 @@
         print(f"rainhitch: {told.folder}: no record of any router", file=sys.stderr)
         return 1
     if told.json:
-        made = fleet.whole.told() | {"torn": fleet.torn}
-        made["worst"] = [{"at": at} | one.told() for at, one in fleet.worst()]
-        made["routers"] = {name: one.told() for name, one in fleet.routers.items() if one.seconds}
+        made = fleet.whole.as_json() | {"torn": fleet.torn}
+        made["worst"] = [{"at": at} | one.as_json() for at, one in fleet.worst()]
+        made["routers"] = {name: one.as_json() for name, one in fleet.routers.items() if one.seconds}
         made["servers"] = fleet.servers()
         print(orjson.dumps(made, option=orjson.OPT_INDENT_2).decode())
     else:
@@ -46,7 +46,7 @@
     return 0
 
 
-def show(fleet: sums.Fleet, by: str | None) -> None:
+def show(fleet: sums.FleetSums, by: str | None) -> None:
     whole = fleet.whole
     routers = sum(one.seconds > 0 for one in fleet.routers.values())
     print(f"{routers} routers, {len(fleet.seconds)} s, {whole.taken} requests taken, {fleet.torn} torn lines")
--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -171,7 +171,7 @@
                 timer.cancel()
         relay = self.owner.relay_started(request, source, size_bytes)
         self._report(attempt, AttemptResult(api.AttemptStatus.OK))
-        return None if relay.over else relay
+        return None if relay.is_over() else relay
 
     def _report(self, attempt: Attempt, result: AttemptResult) -> None:
         """Counts an ended attempt and tells the decisions."""
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -115,7 +115,7 @@
         """The connection was accepted."""
         self.transport = cast(asyncio.Transport, transport)
         self.responses.transport = self.transport
-        self.host.driver.loop_lag.begins()
+        self.host.driver.loop_lag.callback_begins()
         now = self.host.system.now()
         self.unread_age.accepted(now, self.host.accept_age(now))
         if not self.host.admit(self):
@@ -127,7 +127,7 @@
         """Something has come from the client."""
         assert self.transport is not None
         lag = self.host.driver.loop_lag
-        lag.begins()
+        lag.callback_begins()
         self.host.driver.just_resumed()
         self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
         self.nothing_received = False
@@ -141,7 +141,7 @@
             self.lingered_bytes += len(data)
             if self.lingered_bytes > MAX_LINGER_BYTES and self.transport is not None:
                 self.transport.pause_reading()
-        lag.ends()
+        lag.callback_ends()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is gone: what is in flight for it is withdrawn."""
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -150,7 +150,7 @@
     def accept_age(self, now: int) -> int:
         """For how long a connection that is accepted now may have waited for that, ns."""
         waited_ns = 0 if self.listener is None else self.listener.age(now)
-        return max(waited_ns, self.driver.loop_lag.age())
+        return max(waited_ns, self.driver.loop_lag.age_ns())
 
     def track_rejected(self, connection: RejectedConnection) -> None:
         """Counts a connection that had no room; only a few are kept, out of the spare descriptors."""
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -7,7 +7,7 @@
 from rainhitch import system
 from rainhitch.interface import Address, AttemptStatus
 from rainhitch.node.client_request import AttemptResult, Exchange
-from rainhitch.node.deadlines import HELD_UP
+from rainhitch.node.deadlines import HOST_DELAY_NS
 from rainhitch.node.upstream_connection import UpstreamConnection, WriteProgress
 from rainhitch.telemetry.counts import Counts
 
@@ -170,7 +170,9 @@
     def set_max_idle(self, seconds: float) -> None:
         """Sets for how long a connection may be idle; a server's keepalive bounds it."""
         # Closed before the server does, also where the process is delayed between the look and the write.
-        bound_s = min(self.keepalive_s * MAX_IDLE_KEEPALIVE_FRACTION, self.keepalive_s - HELD_UP / NS_PER_S)
+        bound_s = min(
+            self.keepalive_s * MAX_IDLE_KEEPALIVE_FRACTION, self.keepalive_s - HOST_DELAY_NS / NS_PER_S
+        )
         self.max_idle_s = min(seconds, max(0.0, bound_s))
 
     def add(
--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -1,47 +1,58 @@
 """How much of a client's wait a router may use. No clock.
 
 Theory of operation. A client's wait runs from when it sent its request until its answer is there. The router
-reads its clock somewhere in between, and may be held up between any reading and the write that follows it:
+reads its clock somewhere in between, and may be delayed between any reading and the write that follows it:
 
     sent ---- read ------------------------------ deadline -------- client's end
          age       what the router works with             reserve
 
-The age of what is read is known but for what a heartbeat can't tell (node/loop_lag.py), which the
-protocol's slack on each time limit bears. The reserve is for a hold-up between the deadline and the final
-answer. Each request that reaches its deadline pays for it with time in which it might have been served, so
-that it is kept only while hold-ups are found: for REMEMBERED after the last one, as long as the longest of
-them and HELD_UP at the least. A short wait keeps a part of itself only: a reserve that uses all of it would
+The age of what is read is known but for what a heartbeat can't tell (node/loop_lag.py), which the protocol's
+slack on each time limit bears. The reserve is for a delay between the deadline and the final answer. Each
+request that reaches its deadline pays for it with time in which it might have been served, so that it is kept
+only while delays are found: for DELAY_MEMORY_NS after the last one, as long as the longest of them and
+HOST_DELAY_NS at the least. A short wait keeps a part of itself only: a reserve that uses all of it would
 serve nobody.
 """
 
-MILLI = 1_000_000
-HELD_UP = 150 * MILLI  # the longest that a healthy host holds the process up
-SLACK = 50 * MILLI  # by which each of the protocol's time limits is longer
-WAY_BACK = 8 * MILLI  # that the final answer takes to its client
-RESERVE = HELD_UP - SLACK + WAY_BACK
-MOST_RESERVE = 300 * MILLI
-RESERVE_PART = 4  # of what is left of a wait, at most one in so many
-NOTICED = 25 * MILLI  # delays of the event loop from which the reserve is kept
-REMEMBERED = 30_000 * MILLI
+NS_PER_MS = 1_000_000
+HOST_DELAY_NS = 150 * NS_PER_MS  # the longest for which a healthy host delays the process
+PROTOCOL_SLACK_NS = 50 * NS_PER_MS  # by which each of the protocol's time limits is longer
+ANSWER_DELIVERY_NS = 8 * NS_PER_MS  # that the final answer takes to its client
+MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS  # while delays are found
+MAX_RESERVE_NS = 300 * NS_PER_MS
+MAX_RESERVE_DIVISOR = 4  # of what is left of a wait, one part in so many is kept at the most
+MIN_NOTICED_DELAY_NS = 25 * NS_PER_MS  # of the event loop, from which the reserve is kept
+DELAY_MEMORY_NS = 30_000 * NS_PER_MS
 
 
-class Reserve:
-    """What one router keeps of its clients' waits; times are ns."""
+def client_wait_ns(wait_ms: int, unread_ms: int, class_deadline_ns: int) -> int:
+    """For how long a client goes on waiting from now, ns: no longer than its class may.
+
+    `wait_ms` is what it asked for, without the time for which its command may have been unread.
+    """
+    left_of_class_ns = max(NS_PER_MS, class_deadline_ns - unread_ms * NS_PER_MS)
+    return min(wait_ms * NS_PER_MS, left_of_class_ns)
+
+
+class DelayReserve:
+    """What one router keeps of its clients' waits for delays of its own; times are ns."""
 
     def __init__(self) -> None:
-        self.longest = 0  # delay found lately
-        self.until = 0  # when it is forgotten
+        self.longest_delay_ns = 0  # of those that are remembered
+        self.remembered_until_ns = 0
 
-    def found(self, now: int, delay: int) -> None:
-        """The event loop came so much late."""
-        if delay < NOTICED:
+    def delay_found(self, now: int, delay_ns: int) -> None:
+        """The event loop was late by so much."""
+        if delay_ns < MIN_NOTICED_DELAY_NS:
             return
-        self.longest = max(delay, self.longest if now < self.until else 0)
-        self.until = now + REMEMBERED
-
-    def of(self, now: int, left: int) -> int:
-        """What is kept of `left` ns of a client's wait."""
-        if now >= self.until:
-            return WAY_BACK
-        wanted = max(RESERVE, min(MOST_RESERVE, self.longest - SLACK + WAY_BACK))
-        return max(WAY_BACK, min(wanted, left // RESERVE_PART))
+        remembered_ns = self.longest_delay_ns if now < self.remembered_until_ns else 0
+        self.longest_delay_ns = max(delay_ns, remembered_ns)
+        self.remembered_until_ns = now + DELAY_MEMORY_NS
+
+    def reserve_ns(self, now: int, left_ns: int) -> int:
+        """What is kept of `left_ns` of a client's wait, ns."""
+        if now >= self.remembered_until_ns:
+            return ANSWER_DELIVERY_NS
+        for_longest_ns = self.longest_delay_ns - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS
+        wanted_ns = max(MIN_RESERVE_NS, min(MAX_RESERVE_NS, for_longest_ns))
+        return max(ANSWER_DELIVERY_NS, min(wanted_ns, left_ns // MAX_RESERVE_DIVISOR))
--- /dev/null
+++ b/rainhitch/node/key_invalidations.py
@@ -0,0 +1,35 @@
+"""Gathers what servers say of keys that they hold no more, so that the decisions are told once a turn."""
+
+import asyncio
+from collections.abc import Callable
+
+from rainhitch.interface import KeysInvalidated
+
+
+class KeyInvalidations:
+    """The notices of one turn of the event loop; `report` is called once for each server in them.
+
+    Guards answers against a flood of such notices.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, report: Callable[[KeysInvalidated], None]) -> None:
+        self.loop = loop
+        self.report = report
+        self._keys: dict[str, list[str] | None] = {}  # by server; None: all of its keys
+
+    def add(self, server: str, keys: list[bytes] | None) -> None:
+        """A server holds these keys no more; None: it holds none at all."""
+        if not self._keys:
+            self.loop.call_soon(self._report_all)
+        if keys is None:
+            self._keys[server] = None
+            return
+        known = self._keys.setdefault(server, [])
+        if known is not None:
+            known += [key.decode("latin-1") for key in keys]
+
+    def _report_all(self) -> None:
+        gathered = self._keys
+        self._keys = {}
+        for server, keys in gathered.items():
+            self.report(KeysInvalidated(server, keys))
--- /dev/null
+++ b/rainhitch/node/request_accounting.py
@@ -0,0 +1,86 @@
+"""Counts each request and how it ended: in the metrics, in the `second` record, and in a `bad` record."""
+
+from collections import defaultdict
+
+from rainhitch.node.client_request import ClientRequest
+from rainhitch.node.in_flight_request import InFlightRequest
+from rainhitch.system import Clock
+from rainhitch.telemetry.counts import Counts
+from rainhitch.telemetry.records import Bad
+from rainhitch.telemetry.router_metrics import RouterMetrics
+
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+# A client that leaves with less of its wait left than this seems to have given up waiting.
+GAVE_UP_WAITING_NS = 150 * NS_PER_MS
+
+
+class RequestAccounting:
+    """The counts of one router; outcomes are texts as the records have them."""
+
+    def __init__(self, clock: Clock, class_names: list[str]) -> None:
+        self.clock = clock
+        self.metrics = RouterMetrics(class_names)
+        self.counts = Counts()
+        self.tenant_names: dict[int, str] = defaultdict(str)  # by the tenant's number
+
+    def accepted(self, client_request: ClientRequest) -> None:
+        """A request was taken in."""
+        self.metrics.in_flight += 1
+        self.counts.taken += 1
+        self.counts.add_unread(client_request.unread_ms)
+
+    def id_in_use(self, client_request: ClientRequest) -> None:
+        """A request failed at once, since another with its id is in flight."""
+        self.metrics.failed[client_request.class_index] += 1
+
+    def no_room(self, client_request: ClientRequest) -> None:
+        """A request was rejected at once, since the router holds as many as it may."""
+        self.metrics.rejected[client_request.class_index] += 1
+        self.counts.taken += 1
+        self.counts.add("ended", "refused:room")
+
+    def answered(
+        self, request: InFlightRequest, metric: list[int], outcome: str, is_over_quota: bool
+    ) -> None:
+        """A request has its final answer; it counts in a metric by class."""
+        metric[request.client_request.class_index] += 1
+        self.counts.add("ended", outcome)
+        tenant = self.tenant_names[request.client_request.tenant]
+        mark = "+" if is_over_quota else ""
+        self.counts.add("customers", f"{tenant}{mark} {outcome.partition(':')[0]}")
+        if request.finished_attempts and outcome != "served":
+            self._note_bad(request, outcome)
+
+    def relay_ended(self, request: InFlightRequest, whole: bool) -> None:
+        """A long value was passed on, or cut off."""
+        self.metrics.in_flight -= 1
+        metric = self.metrics.served if whole else self.metrics.failed
+        metric[request.client_request.class_index] += 1
+        self.counts.add("ended", "served" if whole else "failed:cut off")
+
+    def client_left(self, request: InFlightRequest) -> None:
+        """A client left before its answer."""
+        gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
+        outcome = "gone:unanswered" if gave_up else "gone"
+        self.counts.add("ended", outcome)
+        if gave_up:
+            self._note_bad(request, outcome)
+
+    def _note_bad(self, request: InFlightRequest, outcome: str) -> None:
+        now = self.clock.now()
+        client_request = request.client_request
+        tries = [str(one) for one in request.finished_attempts]
+        attempt = request.attempt
+        if attempt is not None:
+            tries.append(f"{attempt.server} out for {(now - attempt.started_at_ns) // NS_PER_MS} ms")
+        record = Bad(
+            self.clock.unix() / NS_PER_S,
+            request.id,
+            outcome,
+            tries,
+            client_request.connection_id,
+            client_request.unread_ms,
+            (request.client_deadline_ns - now) // NS_PER_MS,
+        )
+        self.counts.add_bad(record)
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -6,7 +6,6 @@
 
 import asyncio
 import logging
-from collections import defaultdict
 from collections.abc import Callable
 
 from rainhitch import interface as api
@@ -14,29 +13,34 @@
 from rainhitch.node.attempt_runner import AttemptRunner
 from rainhitch.node.client_request import ClientRequest
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.deadlines import WAY_BACK, Reserve
+from rainhitch.node.deadlines import ANSWER_DELIVERY_NS, DelayReserve, client_wait_ns
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.in_flight_request import InFlightRequest, RequestState, ResponseSink
-from rainhitch.node.loop_lag import HEARTBEAT, LoopLag
+from rainhitch.node.key_invalidations import KeyInvalidations
+from rainhitch.node.loop_lag import HEARTBEAT_NS, LoopLag
 from rainhitch.node.relay import Relay, Source
+from rainhitch.node.request_accounting import RequestAccounting
 from rainhitch.policy.balancer import Balancer
 from rainhitch.protocol import resp
-from rainhitch.telemetry.counts import Counts
-from rainhitch.telemetry.records import Bad
-from rainhitch.telemetry.router_metrics import RouterMetrics
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-# A client that leaves with less of its wait left than this seems to have given up waiting.
-GAVE_UP_WAITING_NS = 150 * NS_PER_MS
 log = logging.getLogger("rainhitch")
 
 
 class RequestDriver:
-    """The requests in flight of one router, at most `max_requests` of `max_request_bytes` in all."""
+    """The requests in flight of one router, at most `max_requests` of `max_request_bytes` in all.
+
+    `class_names` name the classes in the metrics, in the settings' order.
+    """
 
     def __init__(
-        self, balancer: Balancer, pools: ConnectionPools, max_requests: int, max_request_bytes: int
+        self,
+        balancer: Balancer,
+        pools: ConnectionPools,
+        max_requests: int,
+        max_request_bytes: int,
+        class_names: list[str] | None = None,
     ) -> None:
         self.balancer = balancer
         self.pools = pools
@@ -44,67 +48,58 @@
         self.max_request_bytes = max_request_bytes
         self.loop = asyncio.get_running_loop()
         self.clock = system.clock_of(self.loop)
+        if class_names is None:
+            class_names = [str(number) for number in range(len(balancer.settings.classes))]
+        self.accounting = RequestAccounting(self.clock, class_names)
+        self.metrics = self.accounting.metrics
+        self.counts = self.accounting.counts
         self.requests: dict[str, InFlightRequest] = {}
         self.request_bytes = 0
-        self.metrics = RouterMetrics([str(n) for n in range(len(balancer.settings.classes))])
-        self.counts = Counts()
         self.loop_lag = LoopLag(self.loop, self.clock.now, self._loop_delayed)
-        self.reserve = Reserve()
-        pools.callback_begins = self.loop_lag.begins
-        pools.callback_ends = self.loop_lag.ends
+        self.reserve = DelayReserve()
+        pools.callback_begins = self.loop_lag.callback_begins
+        pools.callback_ends = self.loop_lag.callback_ends
         self.decisions = DecisionLoop(balancer, self.clock, self.counts, self._carry_out, self._give_up_by_id)
         self.attempts = AttemptRunner(self, self.decisions, pools, self.counts)
-        self.tenant_names: dict[int, str] = defaultdict(str)  # by the tenant's number
+        self.key_invalidations = KeyInvalidations(self.loop, self.decisions.handle)
         self.watch_endpoints: Callable[[], None] = lambda: None
         self.publish_gossip: Callable[[list[api.LatencyObservation]], None] = lambda observations: None
         self.on_request_taken: Callable[[int], None] = lambda tenant: None
-        self.loop.call_later(HEARTBEAT / NS_PER_S, self._heartbeat)
+        self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
         self.answer_by_ns = 0  # when all must be answered, once the router is told to stop; 0: not told
-        self._invalidated: dict[str, list[str] | None] = {}  # keys by server; None: all of its keys
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> InFlightRequest | None:
         """Takes in a client's command; None where it is answered already."""
         request_id = client_request.id.decode()
-        class_index = client_request.class_index
         if request_id in self.requests:
-            self.metrics.failed[class_index] += 1
+            self.accounting.id_in_use(client_request)
             sink.fill(resp.error("this id is in use"))
             return None
         size_bytes = client_request.size_bytes()
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
-            self.metrics.rejected[class_index] += 1
-            self.counts.taken += 1
-            self.counts.add("ended", "refused:room")
+            self.accounting.no_room(client_request)
             sink.fill(resp.refused(0))  # it has not begun, so that a retry is harmless
             return None
         now = self.clock.now()
-        wait_ns = self._client_wait_ns(client_request)
-        request = InFlightRequest(
-            request_id, client_request, sink, self._deadline_ns(now, wait_ns), now + wait_ns
-        )
+        class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
+        wait_ns = client_wait_ns(client_request.wait_ms, client_request.unread_ms, class_deadline_ns)
+        deadline_ns = self._deadline_ns(now, wait_ns)
+        request = InFlightRequest(request_id, client_request, sink, deadline_ns, now + wait_ns)
         self.requests[request_id] = request
         self.request_bytes += size_bytes
-        self.metrics.in_flight += 1
-        self.counts.taken += 1
-        self.counts.add_unread(client_request.unread_ms)
+        self.accounting.accepted(client_request)
         self.on_request_taken(client_request.tenant)
-        overdue_in_ns = max(0, request.deadline_ns + WAY_BACK // 2 - now)
+        overdue_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
         request.overdue_timer = self.loop.call_later(overdue_in_ns / NS_PER_S, self.overdue, request)
         self.decisions.handle(_request_event(request))
         return request
 
-    def _client_wait_ns(self, client_request: ClientRequest) -> int:
-        """For how long the client goes on waiting: no longer than its class may."""
-        class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
-        left_of_class_ns = max(NS_PER_MS, class_deadline_ns - client_request.unread_ms * NS_PER_MS)
-        return min(client_request.wait_ms * NS_PER_MS, left_of_class_ns)
-
     def _deadline_ns(self, now: int, wait_ns: int) -> int:
         """By when the router answers: with a reserve before the client's end, and before the router's own."""
-        deadline_ns = now + wait_ns - self.reserve.of(now, wait_ns)
+        deadline_ns = now + wait_ns - self.reserve.reserve_ns(now, wait_ns)
         if self.answer_by_ns:
-            return min(deadline_ns, self.answer_by_ns - WAY_BACK)
+            return min(deadline_ns, self.answer_by_ns - ANSWER_DELIVERY_NS)
         return deadline_ns
 
     def withdraw(self, request: InFlightRequest) -> None:
@@ -112,36 +107,12 @@
         if not request.is_open():
             return
         self._mark_finished(request)
-        gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
-        outcome = "gone:unanswered" if gave_up else "gone"
-        self.counts.add("ended", outcome)
-        if gave_up:
-            self._note_bad(request, outcome)
+        self.accounting.client_left(request)
         self.decisions.handle(api.ClientGone(request.id))
         if request.attempt is not None:
             self.attempts.take_back(request.attempt)
         self.forget_if_over(request)
 
-    def keys_invalidated(self, server: str, keys: list[bytes] | None) -> None:
-        """A server holds these keys no more; None: it holds none at all.
-
-        Guards answers against a flood of such notices: the decisions are told once a turn of the loop.
-        """
-        if not self._invalidated:
-            self.loop.call_soon(self._report_invalidated)
-        if keys is None:
-            self._invalidated[server] = None
-            return
-        known = self._invalidated.setdefault(server, [])
-        if known is not None:
-            known += [key.decode("latin-1") for key in keys]
-
-    def _report_invalidated(self) -> None:
-        invalidated = self._invalidated
-        self._invalidated = {}
-        for server, keys in invalidated.items():
-            self.decisions.handle(api.KeysInvalidated(server, keys))
-
     def endpoints_updated(self, event: api.EndpointUpdate) -> None:
         """The endpoint list has changed."""
         self.decisions.handle(event)
@@ -149,7 +120,7 @@
     def gossip_received(
         self, event: api.GossipReceived | api.TrafficFractions | api.GossipIntervalElapsed
     ) -> None:
-        """Other routers have told something, or it is time to tell them."""
+        """Other routers have sent something, or it is time to send to them."""
         self.decisions.handle(event)
 
     def just_resumed(self) -> bool:
@@ -159,7 +130,7 @@
     def stop(self, within_s: float) -> None:
         """Answers all that is held, and all that comes, within so many seconds from now."""
         self.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
-        self.loop.call_later(within_s - WAY_BACK / NS_PER_S, self._end_all)
+        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._end_all)
 
     def _end_all(self) -> None:
         for request in list(self.requests.values()):
@@ -185,12 +156,12 @@
 
     def _loop_delayed(self, delay_ns: int) -> None:
         self.counts.add_lag(delay_ns)
-        self.reserve.found(self.clock.now(), delay_ns)
+        self.reserve.delay_found(self.clock.now(), delay_ns)
 
     def _heartbeat(self) -> None:
         self.loop_lag.heartbeat()
         self.decisions.detect_pause()
-        self.loop.call_later(HEARTBEAT / NS_PER_S, self._heartbeat)
+        self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
@@ -245,44 +216,17 @@
     def _relay_ended(self, request: InFlightRequest, whole: bool) -> None:
         request.state = RequestState.FINISHED
         request.relay = None
-        self.metrics.in_flight -= 1
-        metric = self.metrics.served if whole else self.metrics.failed
-        metric[request.client_request.class_index] += 1
-        self.counts.add("ended", "served" if whole else "failed:cut off")
+        self.accounting.relay_ended(request, whole)
         self.forget_if_over(request)
 
     def _answer(self, request: InFlightRequest, answer: bytes, metric: list[int], outcome: str) -> None:
         """Gives the final answer, and counts it in a metric by class and by its outcome."""
         self._mark_finished(request)
-        metric[request.client_request.class_index] += 1
-        self.counts.add("ended", outcome)
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
-        tenant = self.tenant_names[request.client_request.tenant]
-        mark = "+" if is_over_quota else ""
-        self.counts.add("customers", f"{tenant}{mark} {outcome.partition(':')[0]}")
-        if request.finished_attempts and outcome != "served":
-            self._note_bad(request, outcome)
+        self.accounting.answered(request, metric, outcome, is_over_quota)
         request.sink.fill(answer)
 
-    def _note_bad(self, request: InFlightRequest, outcome: str) -> None:
-        now = self.clock.now()
-        client_request = request.client_request
-        tries = [str(one) for one in request.finished_attempts]
-        attempt = request.attempt
-        if attempt is not None:
-            tries.append(f"{attempt.server} out for {(now - attempt.started_at_ns) // NS_PER_MS} ms")
-        record = Bad(
-            self.clock.unix() / NS_PER_S,
-            request.id,
-            outcome,
-            tries,
-            client_request.connection_id,
-            client_request.unread_ms,
-            (request.client_deadline_ns - now) // NS_PER_MS,
-        )
-        self.counts.add_bad(record)
-
     def _mark_finished(self, request: InFlightRequest) -> None:
         request.state = RequestState.FINISHED
         self.metrics.in_flight -= 1
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -74,7 +74,7 @@
         ready: list[bytes] = []
         while self.slots and not self.write_buffer_full and self.transport is not None:
             slot = self.slots[0]
-            if slot.relay is not None and slot.relay.broken and not slot.relay.begun:
+            if slot.relay is not None and slot.relay.is_broken() and not slot.relay.head_written:
                 slot.answer = resp.FAILED
                 slot.relay = None
             if slot.relay is not None:
@@ -98,19 +98,20 @@
     def _pass_on(self, relay: Relay, before: bytes) -> bool:
         """Writes what there is of a long value, behind what stands before it; whether that was the rest."""
         assert self.transport is not None
-        if relay.broken:
+        if relay.is_broken():
             # Guards the client against half a value taken for the whole: the connection ends in its middle.
             self.transport.write(before)
             self.owner.abort(CloseReason.VALUE_CUT_OFF)
             return False
-        head = b"" if relay.begun else b"$%d\r\n" % relay.size
-        relay.begun = True
+        head = b"" if relay.head_written else b"$%d\r\n" % relay.size_bytes
+        relay.head_written = True
         piece = relay.take()
-        tail = b"\r\n" if relay.done else b""
+        is_whole = relay.is_taken_whole()
+        tail = b"\r\n" if is_whole else b""
         self.transport.write(b"".join((before, head, piece, tail)))
-        if relay.done:
+        if is_whole:
             relay.passed()
-        return relay.done
+        return is_whole
 
 
 def _held_bytes(slot: ResponseSlot) -> int:
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -2,9 +2,9 @@
 
 import asyncio
 import logging
-from functools import partial
+from collections.abc import Callable
 from random import Random
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 import orjson
 
@@ -24,178 +24,214 @@
 from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
 from rainhitch.telemetry.records import WORDS, Bad, Second
-from rainhitch.telemetry.router_metrics import RouterMetrics
 
 if TYPE_CHECKING:
-    from rainhitch.admin.endpoint import AdminEndpoint
     from rainhitch.fleet.gossip_transport import GossipTransport
     from rainhitch.membership.etcd_source import EtcdSource
     from rainhitch.operator_config import Membership, OperatorConfig
 
-PROGRAM = 24 << 20  # bytes that the router takes with next to nothing to do
-TELL_EVERY = 200_000_000  # ns between words with the other routers; each answer is told once
-SPARE = 24  # descriptors for all that is neither a client's nor a server's
-SOON = 16  # connections to servers that may be wanted before clients have made room
-LIVES, LIFE = 1_577_836_800 * 10**9, 250_000_000  # ns: a router's life is the quarters of a second since 2020
-RECORD_EVERY = 1.0  # s
-NAMES = {kind: word for word, kind in WORDS.items()}
+NS_PER_S = 1_000_000_000
+IDLE_PROGRAM_BYTES = 24 << 20  # that the router takes with next to nothing to do
+MIN_BUFFER_BYTES = 1 << 20
+GOSSIP_INTERVAL_NS = 200_000_000
+GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
+SPARE_DESCRIPTORS = 24  # for all that is neither a client's nor a server's
+RESERVED_UPSTREAM_DESCRIPTORS = 16  # that servers' connections may want before clients have made room
+# A router's life is told by its start: quarters of a second since 2020, in 32 bits.
+LIFE_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
+LIFE_UNIT_NS = 250_000_000
+LIFE_MASK = 0xFFFFFFFF
+RECORD_INTERVAL_S = 1.0
+RECORD_WORDS = {kind: word for word, kind in WORDS.items()}
 log = logging.getLogger("rainhitch")
 
 
+class AdminEndpointHandle(Protocol):
+    """The operators' endpoint, as the router starts and ends it."""
+
+    async def open(self, host: str, port: int) -> tuple[str, int]:
+        """Begins to listen; gives the address. Raises OSError."""
+
+    def stop(self) -> None:
+        """The router was told to stop."""
+
+    def close(self) -> None:
+        """Ends it."""
+
+
 class Router:
-    """One router, on the loop that runs."""
+    """One router, on the loop that runs.
 
-    def __init__(self, told: Configuration, operator: "OperatorConfig | None" = None) -> None:
-        self.configuration, self.stopping = told, False
+    `make_admin_endpoint` is called where an admin address is configured; the program gives it, so that this
+    package does not know the endpoint.
+    """
+
+    def __init__(
+        self,
+        configuration: Configuration,
+        operator: "OperatorConfig | None" = None,
+        make_admin_endpoint: "Callable[[Router], AdminEndpointHandle] | None" = None,
+    ) -> None:
+        self.configuration = configuration
+        self.make_admin_endpoint = make_admin_endpoint
+        self.stopping = False
+        settings = configuration.settings
+        names = configuration.names
+        ceilings = configuration.ceilings
+        upstream_sockets, client_sockets = socket_caps(configuration.sockets)
         self.pools = ConnectionPools(
-            told.sockets * 3 // 8, told.ceilings.dial_timeout / 1e9, told.ceilings.keepalive / 1e9
+            upstream_sockets, ceilings.dial_timeout / NS_PER_S, ceilings.keepalive / NS_PER_S
         )
         # What is left beside the program itself: a quarter for what clients sent, one for what they have not
         # yet sent or read, and half for what servers are sending and what the memory's bookkeeping wastes.
-        quarter = max(1 << 20, (told.memory - PROGRAM) // 4)
+        buffer_bytes = max(MIN_BUFFER_BYTES, (configuration.memory - IDLE_PROGRAM_BYTES) // 4)
         self.overload = OverloadController(
-            told.settings, told.seed, None if operator is None else operator.storms.options()
+            settings, configuration.seed, None if operator is None else operator.storms.options()
+        )
+        self.balancer = Balancer(settings, configuration.seed, self.overload)
+        self.driver = RequestDriver(
+            self.balancer, self.pools, ceilings.most_held, buffer_bytes, list(names.classes)
         )
-        self.balancer = Balancer(told.settings, told.seed, self.overload)
-        self.driver = RequestDriver(self.balancer, self.pools, told.ceilings.most_held, quarter)
-        self.driver.metrics = RouterMetrics(list(told.names.classes))
-        self.driver.tenant_names.update((number, name) for name, number in told.names.tenants.items())
-        self.clients = ClientConnections(self.driver, told.names, told.sockets // 2, quarter, self.overload)
-        share_descriptors(told.sockets, self.pools, self.clients)
-        origin_kind = told.settings.origin_kind if told.settings.cache_aside else -1
-        self.directory = EndpointDirectory(told.names, origin_kind, self.pools, self.driver.endpoints_updated)
+        self.driver.accounting.tenant_names.update((number, name) for name, number in names.tenants.items())
+        self.clients = ClientConnections(self.driver, names, client_sockets, buffer_bytes, self.overload)
+        self.clients.can_serve = self.can_serve
+        split_descriptors(configuration.sockets, self.pools, self.clients)
+        origin_kind = settings.origin_kind if settings.cache_aside else -1
+        self.directory = EndpointDirectory(names, origin_kind, self.pools, self.driver.endpoints_updated)
         if operator is not None:
-            heed(operator, self.clients, self.directory)
-        self.watch = DiscoveryWatch(told.discovery, self.directory, told.seed, told.settings.endpoints_polled)
+            apply_operator_config(operator, self.clients, self.directory)
+        self.watch = DiscoveryWatch(
+            configuration.discovery, self.directory, configuration.seed, settings.endpoints_polled
+        )
         self.etcd: EtcdSource | None = None
         self.driver.watch_endpoints = self.watch.start
         if operator is not None and operator.membership.source == "etcd":
-            self.etcd = etcd_source(operator.membership, self.directory, told)
+            self.etcd = make_etcd_source(operator.membership, self.directory, configuration)
             self.driver.watch_endpoints = self.etcd.start
-        self.admin: AdminEndpoint | None = None
+        self.admin: AdminEndpointHandle | None = None
         self.gossip: GossipTransport | None = None
-        self.routers = None if operator is None else operator.routers.options()
-        self.random = Random(told.seed)
-        self.clients.can_serve = self.can_serve
-        self.counts = self.pools.counts = self.watch.counts = self.driver.counts
+        self.fleet_options = None if operator is None else operator.routers.options()
+        self.random = Random(configuration.seed)
+        self.counts = self.driver.counts
+        self.pools.counts = self.counts
+        self.watch.counts = self.counts
 
     def can_serve(self) -> bool:
         """Whether PING says yes; while the router ends, its other process may have taken over."""
         return self.directory.can_serve and (self.stopping or not self.clients.draining)
 
     async def start(self) -> None:
-        """Takes up the known list and listens; raises ConfigurationError where it can't."""
-        told = self.configuration
-        asyncio.get_running_loop().call_later(RECORD_EVERY, self._record)
-        if told.peers is not None:
-            await self._join(told.peers)
+        """Takes in the known list and listens; raises ConfigurationError where it can't."""
+        configuration = self.configuration
+        asyncio.get_running_loop().call_later(RECORD_INTERVAL_S, self._record)
+        if configuration.peers is not None:
+            await self._join_fleet(configuration.peers)
         try:
-            self.directory.apply(told.known, cached=True)
+            self.directory.apply(configuration.known, cached=True)
         except ListError as problem:
-            log.warning("the known list is of no use: %s", problem)
+            log.warning("known endpoint list rejected problem=%s", problem)
         try:
-            host, port = await self.clients.listen(*told.listen, told.inherited)
+            host, port = await self.clients.listen(*configuration.listen, configuration.inherited)
         except OSError as problem:
-            raise ConfigurationError(
-                f"can't listen on {told.listen[0]}:{told.listen[1]}: {problem}"
-            ) from None
+            listen_host, listen_port = configuration.listen
+            raise ConfigurationError(f"can't listen on {listen_host}:{listen_port}: {problem}") from None
         log.info("listening on %s:%d", host, port)
-        if told.admin is not None:
-            from rainhitch.admin.endpoint import AdminEndpoint
-
-            identity = f"{told.listen[0]}:{told.listen[1]}"
-            share = partial(cut, told.sockets, self.pools, self.clients)
-            self.admin = AdminEndpoint(
-                self.driver, self.clients, self.directory, identity, share, self.overload.upgrade_peer_seen
-            )
-            if self.gossip is not None:
-                self.admin.control.describe_peers = self.gossip.describe
-            log.info("second address %s:%d", *await self.admin.open(*told.admin))
+        if configuration.admin is not None and self.make_admin_endpoint is not None:
+            self.admin = self.make_admin_endpoint(self)
+            admin_host, admin_port = await self.admin.open(*configuration.admin)
+            log.info("admin endpoint opened address=%s:%d", admin_host, admin_port)
         if self.etcd is not None:
             self.etcd.start()
-        elif not told.settings.endpoints_polled:
+        elif not configuration.settings.endpoints_polled:
             self.watch.start()
 
-    async def _join(self, told: Peering) -> None:
-        """Exchanges advice with the other routers from now on; imported only where there are some."""
+    async def _join_fleet(self, peering: Peering) -> None:
+        """Gossips with the other routers from now on; imported only where there are some."""
         from rainhitch.fleet.gossip_exchange import GossipExchange
         from rainhitch.fleet.gossip_transport import GossipTransport, join
         from rainhitch.fleet.options import FleetOptions
 
-        def changed(event: EndpointUpdate) -> None:
-            peers.set_servers(list(self.directory.targets))
-            self.driver.endpoints_updated(event)
-
-        settings, system = self.configuration.settings, self.pools.system
-        life = max(1, (system.unix() - LIVES) // LIFE & 0xFFFFFFFF)
-        customers = max(1, len(settings.tenants))
+        settings = self.configuration.settings
+        machine = self.pools.system
+        life = max(1, (machine.unix() - LIFE_EPOCH_UNIX_NS) // LIFE_UNIT_NS & LIFE_MASK)
         exchange = GossipExchange(
-            told.me,
-            len(told.peers),
-            customers,
+            peering.me,
+            len(peering.peers),
+            max(1, len(settings.tenants)),
             life,
-            system.now(),
+            machine.now(),
             self.configuration.seed,
-            self.routers or FleetOptions(),
+            self.fleet_options or FleetOptions(),
         )
-        peers = GossipTransport(exchange, told.peers, told.everyone, self.driver.gossip_received)
-        if await join(told.listen, peers):
-            self.gossip, self.driver.publish_gossip = peers, peers.publish
-            peers.counts = self.counts
-            settings.gossip_interval_ns, self.directory.on_update = TELL_EVERY, changed
+        gossip = GossipTransport(exchange, peering.peers, peering.everyone, self.driver.gossip_received)
+
+        def endpoints_updated(event: EndpointUpdate) -> None:
+            gossip.set_servers(list(self.directory.targets))
+            self.driver.endpoints_updated(event)
+
+        if await join(peering.listen, gossip):
+            self.gossip = gossip
+            self.driver.publish_gossip = gossip.publish
+            gossip.counts = self.counts
+            settings.gossip_interval_ns = GOSSIP_INTERVAL_NS
+            self.directory.on_update = endpoints_updated
             if exchange.tenant_usage is not None:
                 self.driver.on_request_taken = exchange.tenant_usage.add
             if exchange.quota_escrow is not None:
                 self.balancer.fleet_read_allowance = exchange.quota_escrow.take
-            self._round()
+            self._end_gossip_interval()
 
-    def _round(self) -> None:
-        """Ends a period between routers; each at a time of its own."""
+    def _end_gossip_interval(self) -> None:
+        """Ends an interval of gossip; each router's are jittered."""
         if self.gossip is not None and not self.gossip.closed:
             self.driver.gossip_received(GossipIntervalElapsed())
-            every = TELL_EVERY * self.random.uniform(0.75, 1.25) / 1e9
-            asyncio.get_running_loop().call_later(every, self._round)
+            interval_s = GOSSIP_INTERVAL_NS * self.random.uniform(*GOSSIP_JITTER) / NS_PER_S
+            asyncio.get_running_loop().call_later(interval_s, self._end_gossip_interval)
 
     def _record(self) -> None:
         """Writes down what the last second brought."""
         loop = asyncio.get_running_loop()
-        system, throttle = self.pools.system, self.balancer.origin_admission.monitor.throttle
-        record = self.counts.cut(system.unix() / 1e9, system.cpu())
+        machine = self.pools.system
+        throttle = self.balancer.origin_admission.monitor.throttle
+        record = self.counts.cut(machine.unix() / NS_PER_S, machine.cpu())
         if record is not None:
             record.open = self.pools.open()
             record.rate = 0.0 if throttle is None else round(throttle.rate, 1)
             if self.watch.answered_at:
                 record.list_age = round(loop.time() - self.watch.answered_at, 2)
-            write(record)
+            write_record(record)
         for bad in self.counts.cut_bad():
-            write(bad)
-        loop.call_later(RECORD_EVERY, self._record)
+            write_record(bad)
+        loop.call_later(RECORD_INTERVAL_S, self._record)
 
-    def reread(self, path: str | None) -> None:
-        """Takes up a new configuration: the watch moves to its discovery, all else runs on as it is. Guards
-        against a file that is bad or half written: the router keeps to what it has."""
+    def reload_configuration(self, path: str | None) -> None:
+        """Takes in a new configuration: the watch moves to its discovery, all else runs on as it is.
+
+        Guards against a file that is bad or half written: the router keeps to what it has.
+        """
         metrics = self.driver.metrics
         try:
-            endpoint = read_configuration(path).discovery
+            discovery = read_configuration(path).discovery
         except ConfigurationError as problem:
             metrics.configurations_rejected += 1
-            log.warning("the new configuration is of no use: %s", problem)
+            log.warning("configuration rejected problem=%s", problem)
             return
         metrics.configurations_applied += 1
         if self.etcd is not None:
-            log.info("configuration read anew; etcd leads, so that its discovery is not asked")
+            log.info("configuration reloaded source=etcd discovery=unused")
             return
-        log.info("configuration read anew, discovery at %s:%d", *endpoint)
-        self.watch.move(endpoint)
+        host, port = discovery
+        log.info("configuration reloaded source=discovery discovery=%s:%d", host, port)
+        self.watch.move(discovery)
 
     async def stop(self) -> None:
-        """Ends: answers all that is held, sends the clients away, and holds nothing more."""
+        """Ends: answers all that is held, closes the clients' connections, and holds nothing more."""
         loop = asyncio.get_running_loop()
-        log.info("told to stop")
-        self.stopping, begun = True, loop.time()
-        times = self.clients.schedule = schedule(
-            max(one.deadline_ns for one in self.configuration.settings.classes) / 1e9
-        )
+        log.info("router stopping")
+        self.stopping = True
+        begun_at_s = loop.time()
+        times = schedule(max(one.deadline_ns for one in self.configuration.settings.classes) / NS_PER_S)
+        self.clients.schedule = times
         self.driver.stop(times.answered)
         self.clients.drain()
         if self.admin is not None:
@@ -205,7 +241,7 @@
             if self.clients.listener is not None:
                 await self.clients.listener.drain()
         self.clients.close()
-        await self.clients.emptied(begun + times.gone - loop.time())
+        await self.clients.emptied(begun_at_s + times.gone - loop.time())
         if self.admin is not None:
             self.admin.close()
         self.watch.stop()
@@ -215,55 +251,72 @@
             self.etcd.stop()
 
 
-def write(record: Second | Bad) -> None:
-    """A line of the log that `rainhitch logs` reads."""
-    log.info("%s %s", NAMES[type(record)], orjson.dumps(record).decode())
+def write_record(record: Second | Bad) -> None:
+    """Writes a line of the log that `rainhitch logs` reads."""
+    log.info("%s %s", RECORD_WORDS[type(record)], orjson.dumps(record).decode())
 
 
-def heed(operator: "OperatorConfig", clients: ClientConnections, directory: EndpointDirectory) -> None:
+def apply_operator_config(
+    operator: "OperatorConfig", clients: ClientConnections, directory: EndpointDirectory
+) -> None:
     """Sets what the operator's file says."""
-    driver, pools = clients.driver, directory.pools
+    driver = clients.driver
+    pools = directory.pools
     limits = operator.clients
-    clients.idle_s, clients.at_need_s = limits.idle_s, limits.at_need_s
-    clients.unfinished_s, clients.unread_s = limits.unfinished_s, limits.unread_s
+    clients.idle_s = limits.idle_s
+    clients.at_need_s = limits.at_need_s
+    clients.unfinished_s = limits.unfinished_s
+    clients.unread_s = limits.unread_s
     pools.set_max_idle(operator.servers.idle_s)
     driver.balancer.settings.migration_fraction = operator.growth.move_share()
     if operator.servers.resp3:
         from rainhitch.node.resp3_cache_connection import Resp3Connection
 
-        directory.cache_connection_class, pools.keys_invalidated = Resp3Connection, driver.keys_invalidated
+        directory.cache_connection_class = Resp3Connection
+        pools.keys_invalidated = driver.key_invalidations.add
     clients.authenticator = read_gate(limits.user, limits.password_file)
 
 
-def share_descriptors(sockets: int, pools: ConnectionPools, clients: ClientConnections) -> None:
-    """Cuts the descriptors of this process between clients and servers."""
+def socket_caps(sockets: int) -> tuple[int, int]:
+    """The most connections to servers, and the most of clients, of so many descriptors."""
+    return sockets * 3 // 8, sockets // 2
+
+
+def split_descriptors(sockets: int, pools: ConnectionPools, clients: ClientConnections) -> None:
+    """Splits the descriptors of this process between clients and servers."""
     # Guards newcomers against a crowd that says little: what the servers' side does not use is the clients',
     # but for what it may soon want, and both stay under what the process may hold.
-    shared = sockets - SPARE
-    pools.max_open, clients.max_open = sockets * 3 // 8, sockets // 2
+    shared = sockets - SPARE_DESCRIPTORS
+    pools.max_open, clients.max_open = socket_caps(sockets)
     pools.descriptors_left = lambda: shared - len(clients.open)
-    clients.extra_capacity = lambda: shared - SOON - pools.open()
+    clients.extra_capacity = lambda: shared - RESERVED_UPSTREAM_DESCRIPTORS - pools.open()
     clients.release_upstream = pools.close_surplus
 
 
-def cut(sockets: int, pools: ConnectionPools, clients: ClientConnections, processes: int) -> None:
+def split_between_processes(
+    sockets: int, pools: ConnectionPools, clients: ClientConnections, process_count: int
+) -> None:
     """The limits hold for all processes of this router together, as during an upgrade."""
-    log.info("%d processes of this router: %d descriptors each", processes, sockets // processes)
-    share_descriptors(sockets // processes, pools, clients)
+    each = sockets // process_count
+    log.info("descriptors split between processes processes=%d descriptors_each=%d", process_count, each)
+    split_descriptors(each, pools, clients)
 
 
-def etcd_source(table: "Membership", directory: EndpointDirectory, told: Configuration) -> "EtcdSource":
-    """The source that leads in place of discovery; imported only here, where it is on."""
+def make_etcd_source(
+    membership: "Membership", directory: EndpointDirectory, configuration: Configuration
+) -> "EtcdSource":
+    """The source of endpoints in place of discovery; imported only here, where it is on."""
     from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
     from rainhitch.membership.etcd_settings import MembershipError, etcd_options
 
     try:
-        options = etcd_options(table)
+        options = etcd_options(membership)
     except MembershipError as problem:
         raise ConfigurationError(str(problem)) from None
     from rainhitch.membership.etcd_source import EtcdSource
 
-    roster = EndpointListBuilder(directory.apply, lambda: directory.version)
-    rows = told.known.get("targets") if isinstance(told.known, dict) else None
-    known = [str(one.get("uid")) for one in rows or () if isinstance(one, dict)]
-    return EtcdSource(options, roster.publish, told.seed, known)
+    builder = EndpointListBuilder(directory.apply, lambda: directory.version)
+    known = configuration.known
+    rows = known.get("targets") if isinstance(known, dict) else None
+    known_servers = [str(one.get("uid")) for one in rows or () if isinstance(one, dict)]
+    return EtcdSource(options, builder.publish, configuration.seed, known_servers)
--- a/rainhitch/node/session.py
+++ b/rainhitch/node/session.py
@@ -1,8 +1,8 @@
-"""What a client's connection says of itself: protocol, name, password. No sockets.
+"""What a client's connection says of itself: protocol version, name, password. No sockets.
 
 `Session.command` answers the commands that client libraries send at connect and between requests; the
-requests themselves are not its matter. An answer is in the protocol in force when its command was taken,
-which for HELLO and RESET is the one that they switch to.
+requests themselves are handled elsewhere. An answer is in the protocol version in force when its command was
+read, which for HELLO and RESET is the one that they switch to.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 from rainhitch import __version__
 
-MOST_NAME = 128  # bytes of a client's name, and of what its library says of itself
+MAX_NAME_BYTES = 128  # of a client's name, and of what its library says of itself
 NO_AUTH = b"-NOAUTH Authentication required.\r\n"
 WRONG_PASS = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"
 GREETINGS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))  # before any request
@@ -20,24 +20,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Authenticator:
-    """The user and password that clients have to name; no password: anybody may come."""
+    """The user and password that clients have to give; an empty password admits everybody."""
 
     user: bytes = b"default"
     password: bytes = b""
 
     def admits(self, user: bytes, password: bytes) -> bool:
+        """Whether these are the user and the password."""
         import hmac  # only where there is a password
 
-        # Guards the password against being guessed byte by byte from the time that a refusal takes.
-        named = hmac.compare_digest(user, self.user)
-        return hmac.compare_digest(password, self.password) and named
+        # Guards the password against being guessed byte by byte from the time that a rejection takes.
+        is_user = hmac.compare_digest(user, self.user)
+        return hmac.compare_digest(password, self.password) and is_user
 
 
 OPEN = Authenticator()
 
 
 def _plain(text: bytes) -> bool:
-    return len(text) <= MOST_NAME and all(33 <= one <= 126 for one in text)
+    return len(text) <= MAX_NAME_BYTES and all(33 <= byte <= 126 for byte in text)
 
 
 def _bulk(text: bytes) -> bytes:
@@ -45,14 +46,17 @@
 
 
 class Session:
-    """One connection's."""
+    """What one connection has said of itself; `can_serve` says how PING is answered."""
 
-    __slots__ = ("authenticated", "gate", "id", "name", "ready", "version")
+    __slots__ = ("authenticated", "authenticator", "can_serve", "id", "name", "version")
 
-    def __init__(self, id: int, gate: Authenticator, ready: Callable[[], bool]) -> None:
-        self.id, self.gate, self.ready = id, gate, ready
-        self.version, self.name = 2, b""
-        self.authenticated = not gate.password
+    def __init__(self, id: int, authenticator: Authenticator, can_serve: Callable[[], bool]) -> None:
+        self.id = id
+        self.authenticator = authenticator
+        self.can_serve = can_serve
+        self.version = 2  # of RESP
+        self.name = b""
+        self.authenticated = not authenticator.password
 
     def command(self, parts: list[bytes]) -> bytes | None:
         """The answer to a command; None where it is none of these."""
@@ -62,56 +66,64 @@
         handler = HANDLERS.get(name)
         return None if handler is None else handler(self, parts[1:])
 
-    def _ping(self, told: list[bytes]) -> bytes:
-        if len(told) > 1:
+    def _ping(self, arguments: list[bytes]) -> bytes:
+        if len(arguments) > 1:
             return _arguments(b"ping")
-        if not self.ready():
+        if not self.can_serve():
             return b"-LOADING no server list yet\r\n"
-        return _bulk(told[0]) if told else b"+PONG\r\n"
+        return _bulk(arguments[0]) if arguments else b"+PONG\r\n"
 
-    def _echo(self, told: list[bytes]) -> bytes:
-        return _bulk(told[0]) if len(told) == 1 else _arguments(b"echo")
+    def _echo(self, arguments: list[bytes]) -> bytes:
+        return _bulk(arguments[0]) if len(arguments) == 1 else _arguments(b"echo")
 
-    def _select(self, told: list[bytes]) -> bytes:
-        return OK if told == [b"0"] else b"-ERR DB index is out of range\r\n"
+    def _select(self, arguments: list[bytes]) -> bytes:
+        return OK if arguments == [b"0"] else b"-ERR DB index is out of range\r\n"
 
-    def _auth(self, told: list[bytes]) -> bytes:
-        if not 1 <= len(told) <= 2:
+    def _auth(self, arguments: list[bytes]) -> bytes:
+        if not 1 <= len(arguments) <= 2:
             return _arguments(b"auth")
-        if not self.gate.password:
+        if not self.authenticator.password:
             return b"-ERR AUTH called without any password configured\r\n"
-        user, password = told if len(told) == 2 else (self.gate.user, told[0])
-        if not self.gate.admits(user, password):
+        user = arguments[0] if len(arguments) == 2 else self.authenticator.user
+        password = arguments[-1]
+        if not self.authenticator.admits(user, password):
             return WRONG_PASS
         self.authenticated = True
         return OK
 
-    def _hello(self, told: list[bytes]) -> bytes:
+    def _hello(self, arguments: list[bytes]) -> bytes:
         version = self.version
-        if told:
-            if not told[0].isdigit() or len(told[0]) > 9:
+        if arguments:
+            if not arguments[0].isdigit() or len(arguments[0]) > 9:
                 return b"-ERR Protocol version is not an integer or out of range\r\n"
-            version, told = int(told[0]), told[1:]
+            version = int(arguments[0])
+            arguments = arguments[1:]
             if version not in (2, 3):
                 return b"-NOPROTO unsupported protocol version\r\n"
-        name, user, password = self.name, b"", None
-        while told:
-            word = told[0].upper()
-            if word == b"AUTH" and len(told) >= 3:
-                user, password, told = told[1], told[2], told[3:]
-            elif word == b"SETNAME" and len(told) >= 2:
-                name, told = told[1], told[2:]
+        name = self.name
+        user = b""
+        password: bytes | None = None
+        while arguments:
+            word = arguments[0].upper()
+            if word == b"AUTH" and len(arguments) >= 3:
+                user = arguments[1]
+                password = arguments[2]
+                arguments = arguments[3:]
+            elif word == b"SETNAME" and len(arguments) >= 2:
+                name = arguments[1]
+                arguments = arguments[2:]
                 if not _plain(name):
                     return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
             else:
                 return b"-ERR Syntax error in HELLO\r\n"
-        if password is not None and self.gate.password:
-            if not self.gate.admits(user, password):
+        if password is not None and self.authenticator.password:
+            if not self.authenticator.admits(user, password):
                 return WRONG_PASS
             self.authenticated = True
         if not self.authenticated:
             return b"-NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time\r\n"  # noqa: E501
-        self.version, self.name = version, name
+        self.version = version
+        self.name = name
         return self._greeting()
 
     def _greeting(self) -> bytes:
@@ -128,18 +140,23 @@
         head = b"%%%d\r\n" % len(pairs) if self.version == 3 else b"*%d\r\n" % (2 * len(pairs))
         return head + b"".join(_bulk(key) + value for key, value in pairs)
 
-    def _reset(self, told: list[bytes]) -> bytes:
-        if told:
+    def _reset(self, arguments: list[bytes]) -> bytes:
+        if arguments:
             return _arguments(b"reset")
-        self.version, self.name, self.authenticated = 2, b"", not self.gate.password
+        self.version = 2
+        self.name = b""
+        self.authenticated = not self.authenticator.password
         return b"+RESET\r\n"
 
-    def _client(self, told: list[bytes]) -> bytes:
-        word, rest = (told[0].upper(), told[1:]) if told else (b"", [])
+    def _client(self, arguments: list[bytes]) -> bytes:
+        word = arguments[0].upper() if arguments else b""
+        rest = arguments[1:]
         if word == b"ID" and not rest:
             return b":%d\r\n" % self.id
         if word == b"GETNAME" and not rest:
-            return _bulk(self.name) if self.name else (b"_\r\n" if self.version == 3 else b"$-1\r\n")
+            if self.name:
+                return _bulk(self.name)
+            return b"_\r\n" if self.version == 3 else b"$-1\r\n"
         if word == b"SETNAME" and len(rest) == 1:
             if not _plain(rest[0]):
                 return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
@@ -153,8 +170,8 @@
             return OK
         return b"-ERR unknown subcommand or wrong number of arguments for 'client'\r\n"
 
-    def _commands(self, told: list[bytes]) -> bytes:
-        word = told[0].upper() if told else b""
+    def _commands(self, arguments: list[bytes]) -> bytes:
+        word = arguments[0].upper() if arguments else b""
         if word == b"COUNT":
             return b":0\r\n"
         if word == b"DOCS":
--- a/rainhitch/node/unread_age.py
+++ b/rainhitch/node/unread_age.py
@@ -41,7 +41,7 @@
         now = self.system.now()
         reported_ns = self.system.unread_ms(transport) * NS_PER_MS
         since_resumed_ns = now - self.reading_resumed_at_ns
-        age_ns = max(min(reported_ns, since_resumed_ns), self.loop_lag.age())
+        age_ns = max(min(reported_ns, since_resumed_ns), self.loop_lag.age_ns())
         since_accept_ns = now - self.accepted_at_ns
         if is_first and since_accept_ns < CAME_WITH_CONNECTION_NS:
             return max(age_ns, since_accept_ns + self.waited_for_accept_ns)
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -180,12 +180,12 @@
         if self.relay is None:
             self.finish(AttemptResult(AttemptStatus.OK), reusable=False)
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Pauses reading: the relay's client is slower than the server."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Resumes reading."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
--- /dev/null
+++ b/rainhitch/program.py
@@ -0,0 +1,81 @@
+"""The router as a program on its machine: configuration, signals, exit code; node and admin put together."""
+
+import asyncio
+import gc
+import logging
+import os
+import signal
+import sys
+from typing import TYPE_CHECKING
+
+import uvloop
+
+from rainhitch.node.configuration import (
+    Configuration,
+    ConfigurationError,
+    operator_settings,
+    read_configuration,
+)
+from rainhitch.node.router import Router, split_between_processes
+
+if TYPE_CHECKING:
+    from rainhitch.admin.endpoint import AdminEndpoint
+    from rainhitch.operator_config import OperatorConfig
+
+EXIT_BAD_CONFIGURATION = 2
+
+
+def make_admin_endpoint(router: Router) -> "AdminEndpoint":
+    """The operators' endpoint of a router; imported only where one is configured."""
+    from rainhitch.admin.endpoint import AdminEndpoint
+
+    configuration = router.configuration
+    host, port = configuration.listen
+
+    def divide_limits(process_count: int) -> None:
+        split_between_processes(configuration.sockets, router.pools, router.clients, process_count)
+
+    endpoint = AdminEndpoint(
+        router.driver,
+        router.clients,
+        router.directory,
+        f"{host}:{port}",
+        divide_limits,
+        router.overload.upgrade_peer_seen,
+    )
+    if router.gossip is not None:
+        endpoint.control.describe_peers = router.gossip.describe
+    return endpoint
+
+
+async def serve(configuration: Configuration, path: str | None, operator: "OperatorConfig | None") -> None:
+    """Runs the router until it is told to stop and holds nothing more."""
+    stopping = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    loop.add_signal_handler(signal.SIGTERM, stopping.set)
+    router = Router(configuration, operator, make_admin_endpoint)
+    loop.add_signal_handler(signal.SIGHUP, router.reload_configuration, path)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+    await router.start()
+    await stopping.wait()
+    await router.stop()
+    # Guards the exit code against a second SIGTERM, which finds no handler once the loop is closed.
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
+
+
+def main() -> int:
+    """Runs the router; gives the exit code."""
+    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    # Guards against a SIGHUP that comes before its handler: it waits, and its file is read after all.
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
+    path = os.environ.get("BALANCER_CONFIG")
+    try:
+        configuration = read_configuration(path)
+        operator = operator_settings()
+        gc.freeze()
+        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+            runner.run(serve(configuration, path, operator))
+    except ConfigurationError as problem:
+        print(f"rainhitch: {problem}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
+    return 0
--- a/rainhitch/rehearsal/virtual/machine.py
+++ b/rainhitch/rehearsal/virtual/machine.py
@@ -25,7 +25,7 @@
         owner = OWNER.get()
         return 0.0 if owner is None else owner.worked / 1e9
 
-    def door(self, host: str, port: int, inherited: int | None) -> Door:
+    def open_listener(self, host: str, port: int, inherited: int | None) -> Door:
         made: Door = self.loop.network.door(host, port)
         return made
 
--- a/rainhitch/rehearsal/virtual/stage.py
+++ b/rainhitch/rehearsal/virtual/stage.py
@@ -144,7 +144,7 @@
         elif number is signal.SIGTERM and self.stopping is not None:
             self.stopping.set()
         elif number is signal.SIGHUP and self.service is not None:
-            self.service.reread(self.path)
+            self.service.reload_configuration(self.path)
 
     def last_lines(self) -> list[str]:
         return [] if self.owner is None else self.owner.log[-5:]
--- a/rainhitch/telemetry/__init__.py
+++ b/rainhitch/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What routers write down of each second, and the sums of it over a fleet."""
+"""The records that routers write of each second, and their sums over a fleet."""
--- a/rainhitch/telemetry/records.py
+++ b/rainhitch/telemetry/records.py
@@ -1,4 +1,4 @@
-"""The lines that a router writes for machines to read: each field is named here and nowhere else.
+"""The log lines that a router writes for machines to read; each field is named here and nowhere else.
 
 A line is a word and one JSON object, behind whatever the logging puts before it:
 
@@ -18,49 +18,48 @@
     """What one router did in a second; nothing is written for one in which nothing happened."""
 
     at: float
-    taken: int = 0  # requests
-    # What tells of lateness stands first: platforms cut long lines.
+    taken: int = 0  # requests accepted, or rejected at once
+    # What shows lateness stands first: platforms cut long lines.
     lag: Numbers = field(default_factory=dict)  # delays of the event loop: times, ms
     # Requests whose bytes may have lain unread for over 5 ms, by how long: under 20, 50, 100, 150 ms, more.
     unread: Numbers = field(default_factory=dict)
     accepts: Numbers = field(default_factory=dict)  # pauses in accepting clients: pauses, ms
-    closed: Numbers = field(default_factory=dict)  # connections of clients, by why they ended
-    # How requests ended: served, gone (the client left), gone:unanswered (it left when its wait was all but
-    # over, so that this router may have been late), refused:WHY, failed:WHY. WHY is the decision that
-    # gave it up: placement (no server calm), throttle, buffer (waited there too long), fetch (waited for
-    # another's read), origin, total (of the fleet's reads of the database), storm, order, budget (of
-    # retries), attempts (no one more is allowed), full, error, late, room (of the router), overdue (the
-    # decisions lost it); + behind it: beyond the share.
+    closed: Numbers = field(default_factory=dict)  # connections of clients, by the reason of their end
+    # How requests ended: served, gone (the client left), gone:unanswered (it left when its wait was almost
+    # over, so that this router may have been late), refused:REASON, failed:REASON. The reason is the decision
+    # that ended it: placement (no server has capacity), throttle, buffer (waited there too long), fetch
+    # (waited for a coalesced read), origin, total (of the fleet's reads of the database), storm, order,
+    # budget (of retries), attempts (no further one is allowed), full, error, late, room (of the router),
+    # overdue (the decisions lost it); + behind it: beyond the tenant's quota.
     ended: Numbers = field(default_factory=dict)
-    # Attempts, by how they ended; "origin" before it: at the database. And how long these took in all, ms.
+    # Attempts by their status, "origin" before it for those at the database; and their durations' sums, ms.
     tried: Numbers = field(default_factory=dict)
     took: Numbers = field(default_factory=dict)
-    again: Numbers = field(default_factory=dict)  # attempts after an earlier one, by how that had ended
-    customers: Numbers = field(
-        default_factory=dict
-    )  # by customer, + beyond its share: served, refused, failed
+    again: Numbers = field(default_factory=dict)  # retries, by the status of the attempt before
+    # Requests by tenant, + behind its name beyond its quota: served, refused, failed.
+    customers: Numbers = field(default_factory=dict)
     sent: Numbers = field(default_factory=dict)  # attempts, by server
-    poor: Numbers = field(default_factory=dict)  # of these, those with neither ok nor miss
-    links: Numbers = field(default_factory=dict)  # connections to servers: new, refused
+    poor: Numbers = field(default_factory=dict)  # of these, those that ended neither ok nor miss
+    links: Numbers = field(default_factory=dict)  # connections to servers: new, refused, no room
     calls: Numbers = field(default_factory=dict)  # to discovery: ok, or the error's name
-    words: Numbers = field(default_factory=dict)  # between routers: told, bytes, heard, unread
-    away: Numbers = field(default_factory=dict)  # stopped, or without its core: times, ms
-    open: int = 0  # connections to servers at its end
+    words: Numbers = field(default_factory=dict)  # gossip datagrams: told, bytes, heard, unread
+    away: Numbers = field(default_factory=dict)  # pauses of the process: times, ms
+    open: int = 0  # connections to servers at the second's end
     list_age: float = -1.0  # s since discovery last answered; -1: it never has
-    rate: float = 0.0  # of the throttle, likely misses a second; 0: it is off
+    rate: float = 0.0  # of the origin's throttle, expected misses per second; 0: it is off
     cpu: float = 0.0  # s of CPU
 
 
 @dataclass(slots=True)
 class Bad:
-    """A request that ended without an answer after it had been sent on, or whose client gave up waiting."""
+    """A request that was not served though it had been attempted, or whose client gave up waiting."""
 
     at: float
     id: str
-    how: str
-    tries: list[str]  # the servers tried, each with how it ended
+    how: str  # as in Second.ended
+    tries: list[str]  # the servers attempted, each with the attempt's status
     connection: int = 0  # the client connection's number
-    unread: int = 0  # ms for which it may have lain unread before it was taken
+    unread: int = 0  # ms for which it may have been unread before it was accepted
     left: int = 0  # ms that were left of its client's wait when it ended; below 0: it was late
 
 
--- a/tests/admin/test_desk.py
+++ b/tests/admin/test_desk.py
@@ -167,9 +167,9 @@
 async def second_address(running: asyncio.subprocess.Process) -> tuple[str, int]:
     assert running.stderr is not None
     async with asyncio.timeout(PATIENCE):
-        while b"second address " not in (line := await running.stderr.readline()):
+        while b"admin endpoint opened address=" not in (line := await running.stderr.readline()):
             assert line
-    host, _, port = line.decode().strip().rsplit(" ", 1)[1].rpartition(":")
+    host, _, port = line.decode().strip().rsplit("=", 1)[1].rpartition(":")
     return host, int(port)
 
 
--- a/tests/fleet/test_advice.py
+++ b/tests/fleet/test_advice.py
@@ -185,7 +185,7 @@
         peers.set_servers(names)
         friend.sendto(word, here)
         assert len((await asyncio.wait_for(heard.get(), 20)).observations) == 2, "the list has changed"
-        assert peers.counts.since["words"]["unread"] == 2 and heard.empty()
+        assert peers.counts.counters["words"]["unread"] == 2 and heard.empty()
         for elapsed in (8 * SECOND, SECOND):  # the first is left out: another has just told of this server
             peers.publish([api.LatencyObservation("s-1", elapsed)])
         assert near(decode(friend.recv(512), hashes(names)), [api.LatencyObservation("s-1", SECOND)])
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -571,7 +571,7 @@
     service = Router(configured({**CONFIG, "settings": info()}, "x"))
     await service.start()
     assert service.clients.listener is not None
-    address = service.clients.listener.door.address
+    address = service.clients.listener.socket.address
     came: list[socket.socket] = []
 
     def late(one: Any, data: bytes) -> None:
@@ -602,7 +602,7 @@
     listener.pause(3600)
     await asyncio.sleep(0)
     ending = asyncio.ensure_future(service.stop())
-    with socket.create_connection(listener.door.address) as raw:
+    with socket.create_connection(listener.socket.address) as raw:
         raw.settimeout(PATIENCE)
         raw.sendall(command(b"PING"))
         assert await asyncio.to_thread(raw.recv, 64)
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -11,67 +11,80 @@
 
 from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
 from rainhitch.node.deadlines import (
-    HELD_UP,
-    MILLI,
-    MOST_RESERVE,
-    NOTICED,
-    REMEMBERED,
-    RESERVE,
-    RESERVE_PART,
-    SLACK,
-    WAY_BACK,
-    Reserve,
+    ANSWER_DELIVERY_NS,
+    DELAY_MEMORY_NS,
+    HOST_DELAY_NS,
+    MAX_RESERVE_DIVISOR,
+    MAX_RESERVE_NS,
+    MIN_NOTICED_DELAY_NS,
+    MIN_RESERVE_NS,
+    NS_PER_MS,
+    PROTOCOL_SLACK_NS,
+    DelayReserve,
 )
-from rainhitch.node.loop_lag import HEARTBEAT, OVERDUE
+from rainhitch.node.loop_lag import HEARTBEAT_NS, HEARTBEAT_TOLERANCE_NS
 from rainhitch.protocol.resp import command
 
 INFO = b"c=read,t=acme,d=%d"
 
 
 NOW = 10**12
-UNSEEN = HEARTBEAT + OVERDUE  # the longest hold-up that no heartbeat tells
+UNSEEN = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS  # the longest hold-up that no heartbeat tells
 
 
-def held_up(*delays: int) -> Reserve:
-    made = Reserve()
+def held_up(*delays: int) -> DelayReserve:
+    made = DelayReserve()
     for delay in delays:
-        made.found(NOW, delay)
+        made.delay_found(NOW, delay)
     return made
 
 
-@given(wait=st.integers(2 * UNSEEN, 10_000 * MILLI), unseen=st.integers(0, UNSEEN), calm=st.booleans())
+@given(wait=st.integers(2 * UNSEEN, 10_000 * NS_PER_MS), unseen=st.integers(0, UNSEEN), calm=st.booleans())
 def test_an_unseen_hold_up_before_a_request_is_read_is_borne_by_the_slack(
     wait: int, unseen: int, calm: bool
 ) -> None:
-    kept = (Reserve() if calm else held_up(HELD_UP)).of(NOW + 1, wait)
-    assert unseen + wait - kept + WAY_BACK <= wait + SLACK
+    kept = (DelayReserve() if calm else held_up(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
+    assert unseen + wait - kept + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
-@given(wait=st.integers(RESERVE * RESERVE_PART, 10_000 * MILLI), late=st.integers(0, HELD_UP))
+@given(
+    wait=st.integers(MIN_RESERVE_NS * MAX_RESERVE_DIVISOR, 10_000 * NS_PER_MS),
+    late=st.integers(0, HOST_DELAY_NS),
+)
 def test_a_hold_up_behind_the_deadline_is_borne_by_the_reserve_once_one_was_found(
     wait: int, late: int
 ) -> None:
-    assert wait - held_up(NOTICED).of(NOW + 1, wait) + late + WAY_BACK <= wait + SLACK
+    assert (
+        wait - held_up(MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
+        <= wait + PROTOCOL_SLACK_NS
+    )
 
 
-@given(longest=st.integers(HELD_UP, MOST_RESERVE), wait=st.integers(4 * MOST_RESERVE, 10_000 * MILLI))
+@given(
+    longest=st.integers(HOST_DELAY_NS, MAX_RESERVE_NS),
+    wait=st.integers(4 * MAX_RESERVE_NS, 10_000 * NS_PER_MS),
+)
 def test_longer_hold_ups_want_a_longer_reserve(longest: int, wait: int) -> None:
-    kept = held_up(NOTICED, longest, NOTICED).of(NOW + 1, wait)
-    assert wait - kept + longest + WAY_BACK <= wait + SLACK
+    kept = held_up(MIN_NOTICED_DELAY_NS, longest, MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait)
+    assert wait - kept + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
-@given(wait=st.integers(1, 10_000 * MILLI), delay=st.integers(0, 10_000 * MILLI))
+@given(wait=st.integers(1, 10_000 * NS_PER_MS), delay=st.integers(0, 10_000 * NS_PER_MS))
 def test_the_reserve_leaves_a_short_wait_its_greater_part(wait: int, delay: int) -> None:
-    assert held_up(delay).of(NOW + 1, wait) <= max(WAY_BACK, wait // RESERVE_PART)
+    assert held_up(delay).reserve_ns(NOW + 1, wait) <= max(ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR)
 
 
 def test_without_hold_ups_nothing_is_kept_but_the_way_back() -> None:
-    assert Reserve().of(NOW, 500 * MILLI) == held_up(NOTICED - 1).of(NOW, 500 * MILLI) == WAY_BACK
-    made = held_up(HELD_UP)
-    assert made.of(NOW + REMEMBERED - 1, 500 * MILLI) == RESERVE
-    assert made.of(NOW + REMEMBERED, 500 * MILLI) == WAY_BACK
-    made.found(NOW + REMEMBERED, NOTICED)  # the longer one is forgotten
-    assert made.longest == NOTICED
+    assert (
+        DelayReserve().reserve_ns(NOW, 500 * NS_PER_MS)
+        == held_up(MIN_NOTICED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
+        == ANSWER_DELIVERY_NS
+    )
+    made = held_up(HOST_DELAY_NS)
+    assert made.reserve_ns(NOW + DELAY_MEMORY_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
+    assert made.reserve_ns(NOW + DELAY_MEMORY_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
+    made.delay_found(NOW + DELAY_MEMORY_NS, MIN_NOTICED_DELAY_NS)  # the longer one is forgotten
+    assert made.longest_delay_ns == MIN_NOTICED_DELAY_NS
 
 
 class Readings:
@@ -149,7 +162,7 @@
             assert (
                 held.client_request.unread_ms >= 190 and held.client_request.wait_ms <= 900 - 190
             )  # a timer may be early by its rounding
-            assert held.deadline_ns <= bench.driver.clock.now() + 710 * MILLI - WAY_BACK
+            assert held.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             await asyncio.sleep(0.05)  # nobody waits any more: what it says later is new
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
@@ -158,9 +171,9 @@
 
 
 async def test_a_connection_is_not_used_that_its_server_may_close_during_a_hold_up() -> None:
-    async with router(keepalive=300 * MILLI) as bench:
+    async with router(keepalive=300 * NS_PER_MS) as bench:
         bench.pools.set_max_idle(10.0)
-        assert bench.pools.max_idle_s == pytest.approx(0.3 - HELD_UP / 1e9)
+        assert bench.pools.max_idle_s == pytest.approx(0.3 - HOST_DELAY_NS / 1e9)
 
 
 async def test_what_lay_unread_because_reading_was_paused_is_not_charged_with_it(
@@ -182,7 +195,7 @@
         told = (
             bench.cache.got[-1][3]
             if held is True
-            else held.client_request.info_for(held.client_request.wait_ms * MILLI)
+            else held.client_request.info_for(held.client_request.wait_ms * NS_PER_MS)
         )
         assert int(told.rpartition(b"d=")[2]) > 900 - 100
         raw.close()
--- a/tests/node/test_lag.py
+++ b/tests/node/test_lag.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainhitch.node.loop_lag import HEARTBEAT, OVERDUE, SLOW, LoopLag
+from rainhitch.node.loop_lag import HEARTBEAT_NS, HEARTBEAT_TOLERANCE_NS, SLOW_CALLBACK_NS, LoopLag
 
 MILLI = 1_000_000
 
@@ -29,18 +29,18 @@
         ready, self.soon = self.soon, []
         for callback in ready:
             callback()
-        while self.lag.due <= self.now + waited:
-            waited -= max(0, self.lag.due - self.now)
-            self.now = max(self.now, self.lag.due)
+        while self.lag.heartbeat_due_at_ns <= self.now + waited:
+            waited -= max(0, self.lag.heartbeat_due_at_ns - self.now)
+            self.now = max(self.now, self.lag.heartbeat_due_at_ns)
             self.lag.heartbeat()
         self.now += waited + held_up
 
     def read(self, takes: int = 0) -> int:
         """A callback; gives the age of what it reads."""
-        self.lag.begins()
-        age = self.lag.age()
+        self.lag.callback_begins()
+        age = self.lag.age_ns()
         self.now += takes
-        self.lag.ends()
+        self.lag.callback_ends()
         return age
 
 
@@ -48,7 +48,7 @@
     loop = ScriptedLoop()
     for waited in (0, MILLI, 20 * MILLI, 90 * MILLI, 450 * MILLI):
         loop.turn(waited)
-        assert loop.read(takes=SLOW) == 0
+        assert loop.read(takes=SLOW_CALLBACK_NS) == 0
     assert not loop.delays
 
 
@@ -67,8 +67,8 @@
 def test_a_process_that_was_held_up_in_the_poll_is_known_by_its_heartbeat() -> None:
     loop = ScriptedLoop()
     loop.read()
-    held_up = HEARTBEAT + OVERDUE + 1
-    loop.turn(HEARTBEAT // 2, held_up)
+    held_up = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS + 1
+    loop.turn(HEARTBEAT_NS // 2, held_up)
     assert loop.read() >= held_up
     loop.turn()
     assert loop.read() >= held_up
@@ -78,7 +78,9 @@
 
 
 steps = st.tuples(
-    st.integers(0, HEARTBEAT), st.integers(0, 400 * MILLI), st.lists(st.integers(0, 300 * MILLI), max_size=4)
+    st.integers(0, HEARTBEAT_NS),
+    st.integers(0, 400 * MILLI),
+    st.lists(st.integers(0, 300 * MILLI), max_size=4),
 )
 
 
@@ -92,10 +94,10 @@
     for waited, held_up, callbacks in turns:
         loop.turn(waited, held_up)
         age = loop.read()
-        assert age >= (held_up if held_up > HEARTBEAT + OVERDUE else 0)
+        assert age >= (held_up if held_up > HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS else 0)
         for takes in callbacks:
             begun = loop.now
             loop.read(takes)
-            assert loop.read() >= (loop.now - begun if takes > SLOW else 0)
+            assert loop.read() >= (loop.now - begun if takes > SLOW_CALLBACK_NS else 0)
             loop.turn()
-            assert loop.read() >= (loop.now - begun if takes > SLOW else 0)
+            assert loop.read() >= (loop.now - begun if takes > SLOW_CALLBACK_NS else 0)
--- a/tests/node/test_long.py
+++ b/tests/node/test_long.py
@@ -115,7 +115,7 @@
 async def test_a_server_that_stops_in_the_middle_is_waited_for_so_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(relay_module, "STALL", 0.1)
+    monkeypatch.setattr(relay_module, "STALL_LIMIT_S", 0.1)
     asked, script = holding()
     async with router(script) as bench:
         caller = await bench.caller()
@@ -172,7 +172,7 @@
         await soon(lambda: sum(one.responses.write_buffer_full for one in bench.clients.open) == 4)
         await asyncio.sleep(0.2)  # so that all would come that is going to come
         relays = [held.relay for held in bench.driver.requests.values() if held.relay is not None]
-        assert len(relays) == 4 and all(one.held for one in relays)
+        assert len(relays) == 4 and all(one.source_paused for one in relays)
         kept = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
         assert kept < len(long)  # of four such values
         for caller in callers:
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -12,7 +12,7 @@
 from rainhitch import interface as api
 from rainhitch.node import connection_pool
 from rainhitch.node.client_request import ClientRequest, Exchange
-from rainhitch.node.deadlines import WAY_BACK
+from rainhitch.node.deadlines import ANSWER_DELIVERY_NS
 from rainhitch.node.in_flight_request import InFlightRequest
 from rainhitch.protocol import resp
 
@@ -64,7 +64,7 @@
         bench.cache.lines[0].write(MISS)
         assert await caller.answer() == b"from origin"
         told = bench.origin.got[0][2][b"x-call-info"]
-        assert 0 < int(told.rpartition(b"d=")[2]) <= 9000 - 300 - WAY_BACK // 1_000_000
+        assert 0 < int(told.rpartition(b"d=")[2]) <= 9000 - 300 - ANSWER_DELIVERY_NS // 1_000_000
 
 
 async def test_a_write_goes_to_the_origin_alone() -> None:
@@ -325,7 +325,7 @@
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await soon(lambda: list(bench.driver.requests.values()))
         # The timer comes after the decisions' deadline and before the client's.
-        assert held.overdue_timer.when() * 1e9 - held.deadline_ns < WAY_BACK
+        assert held.overdue_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver.overdue(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -263,7 +263,10 @@
     directory = EndpointDirectory(names, 1, pools, driver.endpoints_updated)
     clients.can_serve = lambda: directory.can_serve
     if versions[1] == 3:
-        directory.cache_connection_class, pools.keys_invalidated = Resp3Connection, driver.keys_invalidated
+        directory.cache_connection_class, pools.keys_invalidated = (
+            Resp3Connection,
+            driver.key_invalidations.add,
+        )
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
     if entries is not None:
         listed = entries(*peers)
--- a/tests/resp3/test_four_ways.py
+++ b/tests/resp3/test_four_ways.py
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize("name", CASES)
 async def test_all_four_pairings_are_alike(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
-    monkeypatch.setattr(relay_module, "STALL", 5.0)
+    monkeypatch.setattr(relay_module, "STALL_LIMIT_S", 5.0)
     answers, transcript = await play(name, (2, 2))
     assert transcript or name == "bad commands"
     for versions in PAIRINGS[1:]:
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -8,12 +8,12 @@
 import pytest
 
 from rainhitch.cli import run
-from rainhitch.node.router import write
+from rainhitch.node.router import write_record
 from rainhitch.rehearsal.plan import draw
 from rainhitch.rehearsal.scenario import scenario_of
 from rainhitch.rehearsal.virtual.stage import play_day
 from rainhitch.telemetry import sums
-from rainhitch.telemetry.counts import MOST_BAD, Counts
+from rainhitch.telemetry.counts import MAX_BAD_RECORDS, Counts
 from rainhitch.telemetry.records import Bad, Second
 
 DAY = {
@@ -43,7 +43,7 @@
     counts = Counts()
     for number in range(1000):
         counts.add_bad(Bad(1.0, str(number), "failed:late", ["s timeout"]))
-    assert len(counts.cut_bad()) == MOST_BAD and not counts.cut_bad()
+    assert len(counts.cut_bad()) == MAX_BAD_RECORDS and not counts.cut_bad()
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
 )
 def test_what_is_written_is_read_back(record: Second | Bad, caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO, "rainhitch"):
-        write(record)
+        write_record(record)
     assert sums.read_line(f"2026-12-01 10:00:00,000 INFO {caplog.messages[0]}") == record
 
 
@@ -98,10 +98,10 @@
     assert told["lost"] == 2 and told["servers"] == {"s-1": [3, 1]} and told["routers"]["n0"]["taken"] == 2
 
 
-def played(**changes: object) -> tuple[sums.Fleet, dict[str, Any]]:
+def played(**changes: object) -> tuple[sums.FleetSums, dict[str, Any]]:
     day = scenario_of({**DAY, **changes}, "day")
     ledgers = play_day(day, draw(day, "day", 1))
-    fleet = sums.Fleet()
+    fleet = sums.FleetSums()
     for name, lines in ledgers["logs"].items():
         fleet.add(name, lines)
     return fleet, ledgers
