--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -3,7 +3,8 @@
 import asyncio
 from collections.abc import Iterator
 
-from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, ConnectionState
+from rainhitch.node.client_connection import ClientConnection, ConnectionState
+from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS
 
 
 class ClientActivity:
@@ -27,7 +28,7 @@
     def classify(self, client: ClientConnection) -> None:
         """Notes what a connection waits for."""
         responses = client.responses
-        is_blocked = responses.write_buffer_full or client.turn_over
+        is_blocked = responses.write_buffer_full or client.flow.turn_over
         takes_commands = client.state is ConnectionState.OPEN and not is_blocked
         in_work = len(responses.slots)
         expects_command = bool(client.frames.buffer) or not client.command_count
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -1,8 +1,10 @@
 """What becomes of one command of a client: a request for the router, or an answer at once."""
 
+import contextlib
 import logging
 from typing import Protocol
 
+from rainhitch.node.client_events import ClientEvent, ClientEvents
 from rainhitch.node.client_request import ClientRequestError, parse_client_request
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.response_queue import ResponseQueue
@@ -20,14 +22,17 @@
 
     driver: RequestDriver
     names: Names
+    events: ClientEvents
 
-    def count_bad_command(self) -> None:
-        """Counts a command that is not valid."""
+    def count_rejected_command(self, parts: list[bytes]) -> None:
+        """Counts a command that was rejected unread by the decisions."""
 
 
 class ClientCommands:
     """The commands of one connection; each appends its answer's slot to the queue."""
 
+    __slots__ = ("host", "only_greeted", "responses", "session")
+
     def __init__(self, host: CommandHost, session: Session, responses: ResponseQueue) -> None:
         self.host = host
         self.session = session
@@ -48,7 +53,7 @@
         if answer is not None:
             self.put(answer)
         else:
-            self.host.count_bad_command()
+            self.host.events.count(ClientEvent.BAD_COMMAND)
             self.put(resp.error("unknown command"))
         return False
 
@@ -56,11 +61,24 @@
         """Appends an answer that is ready."""
         self.responses.put(answer, self.session.version)
 
+    def reject_rest(self, frames: resp.Frames) -> bytes:
+        """The answers to commands that were read and not handled: they are rejected.
+
+        They do not cross the end of the connection, and nothing of them has begun.
+        """
+        answers = []
+        with contextlib.suppress(resp.FramingError):
+            while isinstance(parts := frames.next(), list):
+                self.host.count_rejected_command(parts)
+                answers.append(resp.refused(0))
+        frames.buffer.clear()
+        return b"".join(answers)
+
     def _request(self, parts: list[bytes], unread_ms: int) -> None:
         try:
             client_request = parse_client_request(parts, self.host.names)
         except ClientRequestError as problem:
-            self.host.count_bad_command()
+            self.host.events.count(ClientEvent.BAD_COMMAND)
             self.put(resp.error(str(problem)))
             return
         client_request.wait_ms = max(1, client_request.wait_ms - unread_ms)
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -3,8 +3,8 @@
 Life cycle:
 
     OPEN --QUIT, an error, or the router ends--> LAST_COMMAND_READ --all is answered--> HALF_CLOSED --> CLOSED
-     |                                                                                   ^
-     |--idle, evicted, or drained behind an answer--------------------------------------'
+     |                                                                                       ^
+     |--idle, evicted, or drained behind an answer-------------------------------------------'
      '--not admitted--> REJECTED --> CLOSED
 
 Any state ends in CLOSED when the client leaves or the connection is aborted. The reason of the end is noted
@@ -12,20 +12,21 @@
 """
 
 import asyncio
-import contextlib
 from collections.abc import Callable
 from enum import Enum
 from typing import Protocol, cast
 
 from rainhitch.node.client_commands import ClientCommands, CommandHost
+from rainhitch.node.client_events import ClientEvent
 from rainhitch.node.close_reason import CloseReason
-from rainhitch.node.rejected_connection import LINGER_S, MAX_LINGER_BYTES, RejectedConnection, RejectingHost
+from rainhitch.node.close_timer import CloseTimer, CloseTimerHost
+from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS, ReadFlow
+from rainhitch.node.rejected_connection import MAX_LINGER_BYTES, RejectedConnection, RejectingHost
 from rainhitch.node.response_queue import SMALL_ANSWER_BYTES, BufferLimits, ResponseQueue
 from rainhitch.node.session import Authenticator, Session
 from rainhitch.node.unread_age import UnreadAge
 from rainhitch.protocol import resp
 
-MAX_PIPELINED_COMMANDS = 32  # of one connection in work; those behind wait unread
 MAX_COMMANDS_PER_TURN = 16  # of one connection before others have their turn
 NS_PER_MS = 1_000_000
 
@@ -53,13 +54,12 @@
         """What the connection waits for may have changed."""
 
 
-class ClientHost(RejectingHost, CommandHost, BufferLimits, Protocol):
+class ClientHost(RejectingHost, CommandHost, BufferLimits, CloseTimerHost, Protocol):
     """What a connection needs of the router."""
 
     authenticator: Authenticator
     can_serve: Callable[[], bool]
     draining: bool
-    unread_s: float  # for which a client may leave answers unread
 
     @property
     def activity(self) -> ActivityObserver:
@@ -74,9 +74,6 @@
     def admit(self, client: "ClientConnection") -> bool:
         """Takes in a new connection; False where there is no room."""
 
-    def count_protocol_end(self) -> None:
-        """Counts a connection that is ended on an error."""
-
     def connection_lost(self, client: "ClientConnection") -> None:
         """The connection is closed, or is being aborted."""
 
@@ -98,12 +95,10 @@
         self.unread_age = UnreadAge(host.system, host.driver.loop_lag)
         self.unread_ms = 0  # for which what has come last may have been unread
         self.nothing_received = True
-        self.reading_paused = False
+        self.flow = ReadFlow(host, self.frames, self.responses, self.unread_age)
         self.is_advancing = False
-        self.turn_over = False  # others have their turn before more of its commands are handled
-        self.buffered_bytes = 0  # as they are counted in the host's sum
         self.lingered_bytes = 0  # read since it was half closed
-        self.close_timer: asyncio.TimerHandle | None = None
+        self.close_timer = CloseTimer(host, self.abort)
         self.rejected: RejectedConnection | None = None
 
     def note_close_reason(self, reason: CloseReason) -> None:
@@ -128,7 +123,7 @@
         assert self.transport is not None
         lag = self.host.driver.loop_lag
         lag.callback_begins()
-        self.host.driver.just_resumed()
+        self.host.driver.decisions.just_resumed()
         self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
         self.nothing_received = False
         if self.state is ConnectionState.OPEN:
@@ -146,16 +141,14 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is gone: what is in flight for it is withdrawn."""
         self.transport = None
-        self.responses.transport = None
         self.state = ConnectionState.CLOSED
         self.note_close_reason(CloseReason.BY_CLIENT)
         self.host.connection_lost(self)
         if self.rejected is not None:
             self.rejected.connection_lost()
-        if self.close_timer is not None:
-            self.close_timer.cancel()
+        self.close_timer.connection_lost()
         slots = list(self.responses.slots)
-        self.responses.slots.clear()
+        self.responses.connection_lost()
         for slot in slots:
             if slot.relay is not None:
                 slot.relay.leave()
@@ -165,16 +158,13 @@
     def pause_writing(self) -> None:
         """The client reads too slowly: nothing more is written or read for now."""
         self.responses.write_buffer_full = True
-        self.close_timer = self.host.loop.call_later(
-            self.host.unread_s, self.abort, CloseReason.UNREAD_ANSWERS
-        )
+        self.close_timer.start_for_unread_answers()
         self._steer_reading()
 
     def resume_writing(self) -> None:
         """The client has read what was written."""
         self.responses.write_buffer_full = False
-        if self.close_timer is not None:
-            self.close_timer.cancel()
+        self.close_timer.cancel()
         self.advance()
 
     def abort(self, reason: CloseReason = CloseReason.LINGERED) -> None:
@@ -208,7 +198,7 @@
         if self.is_advancing or self.transport is None or self.state in ANSWERED_STATES:
             return
         self.is_advancing = True
-        commands_left = 0 if self.turn_over else MAX_COMMANDS_PER_TURN
+        commands_left = 0 if self.flow.turn_over else MAX_COMMANDS_PER_TURN
         try:
             commands_left -= self._handle_commands(commands_left)
             while self.responses.write_ready() and commands_left > 0 and self.frames.buffer:
@@ -221,22 +211,24 @@
         elif all_answered and self.host.draining and self._may_be_drained():
             self.half_close(CloseReason.SHUTDOWN)
         else:
-            if commands_left == 0 and self.frames.buffer and not self.turn_over:
+            if commands_left == 0 and self.frames.buffer and not self.flow.turn_over:
                 # Guards the others against a client that sends hundreds of commands at once.
-                self.turn_over = True
+                self.flow.turn_over = True
                 self.host.loop.call_soon(self._next_turn)
             self._steer_reading()
 
     def _next_turn(self) -> None:
-        self.turn_over = False
+        self.flow.turn_over = False
         self.advance()
 
     def _handle_commands(self, max_commands: int) -> int:
         """Handles the commands that have come, as many as may be in work at once; gives their number."""
         handled = 0
-        slots = self.responses.slots
+        responses = self.responses
         try:
-            while handled < max_commands and self._may_handle_more(len(slots)):
+            while handled < max_commands and self.state is ConnectionState.OPEN:
+                if responses.write_buffer_full or len(responses.slots) >= MAX_PIPELINED_COMMANDS:
+                    break
                 parts = self.frames.next()
                 if parts is resp.WAITING:
                     break
@@ -250,18 +242,14 @@
             self.end(f"Protocol error: {problem}", CloseReason.PROTOCOL_ERROR)
         return handled
 
-    def _may_handle_more(self, in_work: int) -> bool:
-        is_open = self.state is ConnectionState.OPEN
-        return is_open and not self.responses.write_buffer_full and in_work < MAX_PIPELINED_COMMANDS
-
     def _read_no_more(self) -> None:
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.LAST_COMMAND_READ
 
     def end(self, problem: str, reason: CloseReason) -> None:
-        """Reads no more: what has been read is answered, then the problem told, then all is closed."""
+        """Reads no more: what has been read is answered, then the problem is, then all is closed."""
         self.note_close_reason(reason)
-        self.host.count_protocol_end()
+        self.host.events.count(ClientEvent.ENDED_ON_ERROR)
         self._read_no_more()
         self.commands.put(resp.error(problem))
 
@@ -296,7 +284,9 @@
             return
         self.note_close_reason(reason)
         self.state = ConnectionState.HALF_CLOSED
-        self._reject_rest()
+        answers = self.commands.reject_rest(self.frames)
+        if answers:
+            self.transport.write(answers)
         self.activity.classify(self)
         if self.nothing_received:
             self.transport.close()
@@ -304,66 +294,28 @@
         self._steer_reading()
         if self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
-        if self.close_timer is not None:
-            self.close_timer.cancel()
-        # The timer ends with the connection.
-        self.close_timer = self.host.loop.call_later(LINGER_S, self._linger_over, self.host.loop.time())
-
-    def _linger_over(self, since_s: float) -> None:
-        """Guards a client that reads slowly: what is left to send has the time that answers have."""
-        if self.transport is None:
-            return
-        left_s = since_s + self.host.unread_s - self.host.loop.time()
-        if self.transport.get_write_buffer_size() and left_s > 0:
-            self.close_timer = self.host.loop.call_later(min(LINGER_S, left_s), self._linger_over, since_s)
-        else:
-            self.abort()
-
-    def _reject_rest(self) -> None:
-        """Rejects commands that were read and not handled, behind those in work.
-
-        They do not cross the end of the connection, and nothing of them has begun.
-        """
-        assert self.transport is not None
-        answers = []
-        with contextlib.suppress(resp.FramingError):
-            while isinstance(parts := self.frames.next(), list):
-                self.host.count_rejected_command(parts)
-                answers.append(resp.refused(0))
-        self.frames.buffer.clear()
-        if answers:
-            self.transport.write(b"".join(answers))
+        self.close_timer.start_for_lingering(self.transport)
 
     def _steer_reading(self) -> None:
-        """Pauses or resumes reading. Guards memory against clients that send much or read nothing."""
+        """Pauses or resumes reading; ends the connection where memory is short."""
         if self.transport is None or self.transport.is_closing():
             return
-        is_full = self.turn_over or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
-        reads_no_more = is_full or self.state is ConnectionState.LAST_COMMAND_READ
+        no_more_commands = self.state is ConnectionState.LAST_COMMAND_READ
         is_lingering = self.state is ConnectionState.HALF_CLOSED
-        self._pause_reading(self.responses.write_buffer_full or (reads_no_more and not is_lingering))
+        self.flow.steer(self.transport, no_more_commands, is_lingering)
         self.activity.classify(self)
-        self.account()
-        is_memory_short = self.host.buffered_bytes > self.host.max_buffered_bytes
+        self.flow.account(self.transport)
+        if self.host.buffered_bytes > self.host.max_buffered_bytes:
+            self._drop_input()
+
+    def _drop_input(self) -> None:
+        """Memory is short: ends the connection where what its client has sent is a good part of that."""
         is_large = len(self.frames.buffer) > SMALL_ANSWER_BYTES
-        if is_memory_short and is_large and self.state is ConnectionState.OPEN:
+        if is_large and self.state is ConnectionState.OPEN:
             self.frames.buffer.clear()
             self.end("out of memory", CloseReason.OUT_OF_MEMORY)
             self.advance()
 
-    def _pause_reading(self, paused: bool) -> None:
-        assert self.transport is not None
-        if paused:
-            self.transport.pause_reading()
-        else:
-            self.transport.resume_reading()
-            if self.reading_paused:
-                self.unread_age.reading_resumed()
-        self.reading_paused = paused
-
     def account(self) -> None:
         """Counts the bytes that the connection holds anew."""
-        unsent_bytes = 0 if self.transport is None else self.transport.get_write_buffer_size()
-        held_bytes = len(self.frames.buffer) + unsent_bytes + self.responses.waiting_bytes
-        self.host.buffered_bytes += held_bytes - self.buffered_bytes
-        self.buffered_bytes = held_bytes
+        self.flow.account(self.transport)
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -6,15 +6,13 @@
 
 import asyncio
 import contextlib
-import logging
-from collections import Counter
 from collections.abc import Callable
-from enum import StrEnum
 from typing import TYPE_CHECKING
 
 from rainhitch import system
 from rainhitch.node.client_activity import ClientActivity
 from rainhitch.node.client_connection import ClientConnection, ConnectionState
+from rainhitch.node.client_events import ClientEvent, ClientEvents
 from rainhitch.node.client_request import ClientRequestError, parse_client_request
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.listener import Listener
@@ -36,19 +34,8 @@
 MAX_REJECTED_CONNECTIONS = 8  # that are kept until they have read their answer
 SWEEP_INTERVAL_S = 0.2
 DRAIN_INTERVAL_S = SWEEP_INTERVAL_S / 2
-LOG_INTERVAL_S = 10.0  # between lines on what happened to clients
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-log = logging.getLogger("rainhitch")
-
-
-class ClientEvent(StrEnum):
-    """What is counted of clients and logged now and then."""
-
-    BAD_COMMAND = "bad_commands"
-    CLOSED_IDLE = "closed_idle"
-    ENDED_ON_ERROR = "ended_on_error"
-    REJECTED = "rejected"
 
 
 class ClientConnections:
@@ -89,7 +76,7 @@
         self.sweep_planned = False
         self.schedule = schedule(LONGEST)  # of a drain; where the router ends, the settings' own
         self.drain_started_at_s = 0.0
-        self.events: Counter[ClientEvent] = Counter()
+        self.events = ClientEvents(self.loop)
         self._all_closed = asyncio.Event()
         self.listener: Listener | None = None
 
@@ -154,7 +141,7 @@
 
     def track_rejected(self, connection: RejectedConnection) -> None:
         """Counts a connection that had no room; only a few are kept, out of the spare descriptors."""
-        self._count(ClientEvent.REJECTED)
+        self.events.count(ClientEvent.REJECTED)
         self.rejected[connection] = None
         if len(self.rejected) > MAX_REJECTED_CONNECTIONS:
             next(iter(self.rejected)).drain_now()
@@ -170,7 +157,7 @@
         connection is closed with a request in work or bytes unread.
         """
         for client in self.activity.lingering:
-            client.abort()
+            client.abort(CloseReason.LINGERED)
             self.connection_lost(client)
             return True
         if self._close_unused(self.activity.awaited, self.idle_s) is not None:
@@ -189,7 +176,7 @@
         return client
 
     def _retire(self, client: ClientConnection) -> None:
-        self._count(ClientEvent.CLOSED_IDLE)
+        self.events.count(ClientEvent.CLOSED_IDLE)
         client.half_close(CloseReason.IDLE)
 
     def _sweep(self) -> None:
@@ -204,33 +191,14 @@
         if self.sweep_planned:
             self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def count_bad_command(self) -> None:
-        """Counts a command that is not valid."""
-        self._count(ClientEvent.BAD_COMMAND)
-
-    def count_protocol_end(self) -> None:
-        """Counts a connection that is ended on an error."""
-        self._count(ClientEvent.ENDED_ON_ERROR)
-
-    def _count(self, event: ClientEvent) -> None:
-        """Counts an event: one line now and then, however many they are."""
-        if not self.events:
-            self.loop.call_later(LOG_INTERVAL_S, self._log_events)
-        self.events[event] += 1
-
-    def _log_events(self) -> None:
-        fields = [f"{event}={count}" for event, count in sorted(self.events.items())]
-        log.info("client events %s", " ".join(fields))
-        self.events.clear()
-
     def connection_lost(self, client: ClientConnection) -> None:
         """A connection is closed, or is being aborted."""
         if client in self.open and client.close_reason is not None:
             self.driver.counts.add("closed", client.close_reason.value)
         self.open.pop(client, None)
         self.activity.forget(client)
-        self.buffered_bytes -= client.buffered_bytes
-        client.buffered_bytes = 0
+        self.buffered_bytes -= client.flow.buffered_bytes
+        client.flow.buffered_bytes = 0
         if self.closing and not self.open:
             self._all_closed.set()
 
--- /dev/null
+++ b/rainhitch/node/client_events.py
@@ -0,0 +1,37 @@
+"""What happens to clients that is worth a line for the operators now and then."""
+
+import asyncio
+import logging
+from collections import Counter
+from enum import StrEnum
+
+LOG_INTERVAL_S = 10.0
+log = logging.getLogger("rainhitch")
+
+
+class ClientEvent(StrEnum):
+    """What is counted; the names of the fields in the log line."""
+
+    BAD_COMMAND = "bad_commands"
+    CLOSED_IDLE = "closed_idle"
+    ENDED_ON_ERROR = "ended_on_error"
+    REJECTED = "rejected"
+
+
+class ClientEvents:
+    """Counts of events; LOG_INTERVAL_S after the first there is one line, however many they are."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop = loop
+        self.counts: Counter[ClientEvent] = Counter()
+
+    def count(self, event: ClientEvent) -> None:
+        """Counts an event."""
+        if not self.counts:
+            self.loop.call_later(LOG_INTERVAL_S, self._log)
+        self.counts[event] += 1
+
+    def _log(self) -> None:
+        fields = [f"{event}={count}" for event, count in sorted(self.counts.items())]
+        log.info("client events %s", " ".join(fields))
+        self.counts.clear()
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -22,7 +22,7 @@
 
 
 class ClientRequestError(NodeError, ValueError):
-    """A command that is framed well but not valid; its text is told to the client."""
+    """A command that is framed well but not valid; its text goes to the client."""
 
 
 @dataclass(slots=True, eq=False)
@@ -102,7 +102,6 @@
     if fields.get("r", "1") not in ("0", "1"):
         raise ClientRequestError("invalid r")
     idempotency_key = fields["k"] if idempotency is Idempotency.IDEMPOTENCY_KEY else ""
-    is_client_retry = fields.get("r") == "1"
     return ClientRequest(
         command,
         key,
@@ -112,7 +111,7 @@
         class_index,
         tenant,
         int(wait),
-        is_client_retry,
+        fields.get("r") == "1",
         idempotency_key,
     )
 
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -51,7 +51,7 @@
 
     def handle(self, event: api.Event) -> None:
         """Handles an event, and then those that its actions bring about, in order."""
-        self.detect_pause()
+        self._detect_pause_at(self.clock.now())
         self._events.append(event)
         if self._handling or self._settling:
             return
@@ -68,7 +68,7 @@
         return self.pause_detector.just_resumed(now)
 
     def detect_pause(self) -> None:
-        """Looks whether there was a pause until now; called with each heartbeat and each event."""
+        """Looks whether there was a pause until now; called with each heartbeat and each result."""
         self._detect_pause_at(self.clock.now())
 
     def _detect_pause_at(self, now: int) -> None:
--- a/rainhitch/node/key_invalidations.py
+++ b/rainhitch/node/key_invalidations.py
@@ -1,4 +1,4 @@
-"""Gathers what servers say of keys that they hold no more, so that the decisions are told once a turn."""
+"""Gathers servers' notices of invalidated keys, so that the decisions get them once a turn of the loop."""
 
 import asyncio
 from collections.abc import Callable
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -63,4 +63,4 @@
     def eof_received(self) -> None:
         """The origin has ended its side."""
         if self.exchange is not None:
-            self.fail_protocol()  # an answer tells its length, so that it is not whole
+            self.fail_protocol()  # an answer states its length, so that this one is not whole
--- /dev/null
+++ b/rainhitch/node/read_flow.py
@@ -0,0 +1,49 @@
+"""Whether a client's connection is read, and how many bytes the router holds for it."""
+
+import asyncio
+
+from rainhitch.node.response_queue import BufferLimits, ResponseQueue
+from rainhitch.node.unread_age import UnreadAge
+from rainhitch.protocol import resp
+
+MAX_PIPELINED_COMMANDS = 32  # of one connection in work; those behind wait unread
+
+
+class ReadFlow:
+    """Flow control of one connection. Guards memory against clients that send much or read nothing."""
+
+    __slots__ = ("buffered_bytes", "frames", "limits", "paused", "responses", "turn_over", "unread_age")
+
+    def __init__(
+        self, limits: BufferLimits, frames: resp.Frames, responses: ResponseQueue, unread_age: UnreadAge
+    ) -> None:
+        self.limits = limits
+        self.frames = frames
+        self.responses = responses
+        self.unread_age = unread_age
+        self.paused = False  # reading is
+        self.turn_over = False  # others have their turn before more commands are handled
+        self.buffered_bytes = 0  # as they are counted in the sum of all connections
+
+    def steer(self, transport: asyncio.Transport, no_more_commands: bool, is_lingering: bool) -> None:
+        """Pauses or resumes reading.
+
+        A lingering client is read on, whatever is in work, so that its close is no reset.
+        """
+        is_full = self.turn_over or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
+        takes_no_more = (is_full or no_more_commands) and not is_lingering
+        paused = self.responses.write_buffer_full or takes_no_more
+        if paused:
+            transport.pause_reading()
+        else:
+            transport.resume_reading()
+            if self.paused:
+                self.unread_age.reading_resumed()
+        self.paused = paused
+
+    def account(self, transport: asyncio.Transport | None) -> None:
+        """Counts the bytes that are held for the connection anew."""
+        unsent_bytes = 0 if transport is None else transport.get_write_buffer_size()
+        held_bytes = len(self.frames.buffer) + unsent_bytes + self.responses.waiting_bytes
+        self.limits.buffered_bytes += held_bytes - self.buffered_bytes
+        self.buffered_bytes = held_bytes
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -66,7 +66,7 @@
         self.publish_gossip: Callable[[list[api.LatencyObservation]], None] = lambda observations: None
         self.on_request_taken: Callable[[int], None] = lambda tenant: None
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
-        self.answer_by_ns = 0  # when all must be answered, once the router is told to stop; 0: not told
+        self.answer_by_ns = 0  # when all must be answered, once the router stops; 0: it runs on
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> InFlightRequest | None:
         """Takes in a client's command; None where it is answered already."""
@@ -117,16 +117,6 @@
         """The endpoint list has changed."""
         self.decisions.handle(event)
 
-    def gossip_received(
-        self, event: api.GossipReceived | api.TrafficFractions | api.GossipIntervalElapsed
-    ) -> None:
-        """Other routers have sent something, or it is time to send to them."""
-        self.decisions.handle(event)
-
-    def just_resumed(self) -> bool:
-        """Whether this router has just come back from a pause; called with each read."""
-        return self.decisions.just_resumed()
-
     def stop(self, within_s: float) -> None:
         """Answers all that is held, and all that comes, within so many seconds from now."""
         self.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -159,7 +159,7 @@
         return self._only_pushes() if self.version == 3 else super().is_sound()
 
     def _only_pushes(self) -> bool:
-        """Whether what has come beside answers is pushes, and perhaps the beginning of another.
+        """Whether what has come between answers is pushes, and perhaps the beginning of another.
 
         Guards against a second copy of an answer, or noise, that would pass for the next answer.
         """
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -23,6 +23,26 @@
         """Counts the bytes that the connection holds anew."""
 
 
+class GoneOwner:
+    """In place of a connection that is gone: answers that still come for it go nowhere."""
+
+    def advance(self) -> None:
+        """Does nothing."""
+
+    def gone(self) -> bool:
+        """The client has left."""
+        return True
+
+    def abort(self, reason: CloseReason) -> None:
+        """Does nothing."""
+
+    def account(self) -> None:
+        """Does nothing."""
+
+
+GONE_OWNER = GoneOwner()
+
+
 class BufferLimits(Protocol):
     """The memory that all connections of clients share."""
 
@@ -43,6 +63,12 @@
         self.write_buffer_full = False  # the client reads too slowly: nothing more is written for now
         self.waiting_bytes = 0  # in answers whose turn has not come
 
+    def connection_lost(self) -> None:
+        """The connection is gone; it is let go of, so that the two are no cycle for the garbage collector."""
+        self.transport = None
+        self.owner = GONE_OWNER
+        self.slots.clear()
+
     def put(self, answer: bytes, version: int) -> None:
         """Appends an answer that is ready."""
         slot = ResponseSlot(self, version)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -37,7 +37,7 @@
 GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
 SPARE_DESCRIPTORS = 24  # for all that is neither a client's nor a server's
 RESERVED_UPSTREAM_DESCRIPTORS = 16  # that servers' connections may want before clients have made room
-# A router's life is told by its start: quarters of a second since 2020, in 32 bits.
+# The number of a router's life is its start in quarters of a second since 2020, 32 bits of it.
 LIFE_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
 LIFE_UNIT_NS = 250_000_000
 LIFE_MASK = 0xFFFFFFFF
@@ -53,7 +53,7 @@
         """Begins to listen; gives the address. Raises OSError."""
 
     def stop(self) -> None:
-        """The router was told to stop."""
+        """The router is stopping: it is not ready any more."""
 
     def close(self) -> None:
         """Ends it."""
@@ -77,37 +77,29 @@
         self.stopping = False
         settings = configuration.settings
         names = configuration.names
-        ceilings = configuration.ceilings
-        upstream_sockets, client_sockets = socket_caps(configuration.sockets)
-        self.pools = ConnectionPools(
-            upstream_sockets, ceilings.dial_timeout / NS_PER_S, ceilings.keepalive / NS_PER_S
-        )
-        # What is left beside the program itself: a quarter for what clients sent, one for what they have not
-        # yet sent or read, and half for what servers are sending and what the memory's bookkeeping wastes.
-        buffer_bytes = max(MIN_BUFFER_BYTES, (configuration.memory - IDLE_PROGRAM_BYTES) // 4)
+        self.pools = make_pools(configuration)
+        buffer_bytes = buffer_share(configuration.memory)
         self.overload = OverloadController(
             settings, configuration.seed, None if operator is None else operator.storms.options()
         )
         self.balancer = Balancer(settings, configuration.seed, self.overload)
         self.driver = RequestDriver(
-            self.balancer, self.pools, ceilings.most_held, buffer_bytes, list(names.classes)
+            self.balancer, self.pools, configuration.ceilings.most_held, buffer_bytes, list(names.classes)
         )
         self.driver.accounting.tenant_names.update((number, name) for name, number in names.tenants.items())
-        self.clients = ClientConnections(self.driver, names, client_sockets, buffer_bytes, self.overload)
+        _, max_clients = socket_caps(configuration.sockets)
+        self.clients = ClientConnections(self.driver, names, max_clients, buffer_bytes, self.overload)
         self.clients.can_serve = self.can_serve
         split_descriptors(configuration.sockets, self.pools, self.clients)
         origin_kind = settings.origin_kind if settings.cache_aside else -1
         self.directory = EndpointDirectory(names, origin_kind, self.pools, self.driver.endpoints_updated)
-        if operator is not None:
-            apply_operator_config(operator, self.clients, self.directory)
         self.watch = DiscoveryWatch(
             configuration.discovery, self.directory, configuration.seed, settings.endpoints_polled
         )
         self.etcd: EtcdSource | None = None
         self.driver.watch_endpoints = self.watch.start
-        if operator is not None and operator.membership.source == "etcd":
-            self.etcd = make_etcd_source(operator.membership, self.directory, configuration)
-            self.driver.watch_endpoints = self.etcd.start
+        if operator is not None:
+            self._apply_operator_config(operator)
         self.admin: AdminEndpointHandle | None = None
         self.gossip: GossipTransport | None = None
         self.fleet_options = None if operator is None else operator.routers.options()
@@ -116,6 +108,13 @@
         self.pools.counts = self.counts
         self.watch.counts = self.counts
 
+    def _apply_operator_config(self, operator: "OperatorConfig") -> None:
+        """Sets what the operator's file says, also whether etcd leads in place of discovery."""
+        apply_operator_config(operator, self.clients, self.directory)
+        if operator.membership.source == "etcd":
+            self.etcd = make_etcd_source(operator.membership, self.directory, self.configuration)
+            self.driver.watch_endpoints = self.etcd.start
+
     def can_serve(self) -> bool:
         """Whether PING says yes; while the router ends, its other process may have taken over."""
         return self.directory.can_serve and (self.stopping or not self.clients.draining)
@@ -163,9 +162,10 @@
             self.configuration.seed,
             self.fleet_options or FleetOptions(),
         )
-        gossip = GossipTransport(exchange, peering.peers, peering.everyone, self.driver.gossip_received)
+        gossip = GossipTransport(exchange, peering.peers, peering.everyone, self.driver.decisions.handle)
 
         def endpoints_updated(event: EndpointUpdate) -> None:
+            """Other routers' words are read by the servers of the list."""
             gossip.set_servers(list(self.directory.targets))
             self.driver.endpoints_updated(event)
 
@@ -184,7 +184,7 @@
     def _end_gossip_interval(self) -> None:
         """Ends an interval of gossip; each router's are jittered."""
         if self.gossip is not None and not self.gossip.closed:
-            self.driver.gossip_received(GossipIntervalElapsed())
+            self.driver.decisions.handle(GossipIntervalElapsed())
             interval_s = GOSSIP_INTERVAL_NS * self.random.uniform(*GOSSIP_JITTER) / NS_PER_S
             asyncio.get_running_loop().call_later(interval_s, self._end_gossip_interval)
 
@@ -277,6 +277,22 @@
     clients.authenticator = read_gate(limits.user, limits.password_file)
 
 
+def make_pools(configuration: Configuration) -> ConnectionPools:
+    """The servers' side, with its part of the descriptors."""
+    max_open, _ = socket_caps(configuration.sockets)
+    ceilings = configuration.ceilings
+    return ConnectionPools(max_open, ceilings.dial_timeout / NS_PER_S, ceilings.keepalive / NS_PER_S)
+
+
+def buffer_share(memory_bytes: int) -> int:
+    """How many bytes of clients' requests may be held, and as many of what they have not yet sent or read.
+
+    Of what is left beside the program itself each of these gets a quarter; half is for what servers are
+    sending and what the memory's bookkeeping wastes.
+    """
+    return max(MIN_BUFFER_BYTES, (memory_bytes - IDLE_PROGRAM_BYTES) // 4)
+
+
 def socket_caps(sockets: int) -> tuple[int, int]:
     """The most connections to servers, and the most of clients, of so many descriptors."""
     return sockets * 3 // 8, sockets // 2
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -99,8 +99,8 @@
     def info(self, exchange: Exchange) -> bytes:
         """The info list that goes beside key and id.
 
-        Guards against time that has passed, in connecting or in an earlier attempt, told as time to work in:
-        what is left counts from here.
+        Guards against time that has passed, in connecting or in an earlier attempt, passed on as time to work
+        in: what is left counts from here.
         """
         return exchange.client_request.info_for(exchange.deadline_ns - self.host.system.now())
 
@@ -139,8 +139,8 @@
     def abandon(self) -> bool:
         """Ends the attempt and closes the connection; gives whether the attempt may have run.
 
-        Guards against second copies: the system is told to close before this returns, and so before anybody
-        may start another attempt.
+        Guards against second copies: the system has closed the connection before this returns, and so before
+        anybody may start another attempt.
         """
         may_have_run = self.write_progress is WriteProgress.WRITTEN
         self.exchange = None
@@ -191,7 +191,7 @@
             self.transport.resume_reading()
 
     def close(self) -> None:
-        """Closes at once, in both directions; the active attempt is not told."""
+        """Closes at once, in both directions; no result is reported for the active attempt."""
         self._break_relay()
         self.pool.drop(self)
         self.is_closed = True
@@ -209,7 +209,7 @@
             relay.break_off()
 
     def finish(self, result: AttemptResult, reusable: bool = True) -> None:
-        """Ends the attempt; the connection is free before anybody is told."""
+        """Ends the attempt; the connection is free before its result is reported."""
         if self.relay is not None and result.status is AttemptStatus.OK:
             relay = self.relay
             self.relay = None
--- a/rainhitch/program.py
+++ b/rainhitch/program.py
@@ -33,6 +33,7 @@
     host, port = configuration.listen
 
     def divide_limits(process_count: int) -> None:
+        """Has so many processes of this router share its descriptors."""
         split_between_processes(configuration.sockets, router.pools, router.clients, process_count)
 
     endpoint = AdminEndpoint(
@@ -49,7 +50,7 @@
 
 
 async def serve(configuration: Configuration, path: str | None, operator: "OperatorConfig | None") -> None:
-    """Runs the router until it is told to stop and holds nothing more."""
+    """Runs the router until SIGTERM, and then until it holds nothing more."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -21,11 +21,11 @@
 
 from rainhitch import interface as api
 from rainhitch.node import client_connection as client_module
-from rainhitch.node import connection_pool, upstream_connection
-from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS
+from rainhitch.node import close_timer, connection_pool, upstream_connection
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.configuration import configured
 from rainhitch.node.discovery import DiscoveryWatch, read_endpoint
+from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS
 from rainhitch.node.router import Router
 from rainhitch.node.shutdown import schedule
 from rainhitch.node.upstream_connection import WriteProgress
@@ -392,7 +392,7 @@
 
 
 async def test_who_reads_slowly_gets_the_rest_of_the_last_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "LINGER_S", 0.05)
+    monkeypatch.setattr(close_timer, "LINGER_S", 0.05)
     value = b"x" * 60_000
     async with router(lambda asked, line: hit(value)) as bench:
         raw = socket.socket()
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from peers import Bench, hit, router, soon
 
-from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
+from rainhitch.node.client_connection import ClientConnection
 from rainhitch.node.deadlines import (
     ANSWER_DELIVERY_NS,
     DELAY_MEMORY_NS,
@@ -23,6 +23,7 @@
     DelayReserve,
 )
 from rainhitch.node.loop_lag import HEARTBEAT_NS, HEARTBEAT_TOLERANCE_NS
+from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS
 from rainhitch.protocol.resp import command
 
 INFO = b"c=read,t=acme,d=%d"
@@ -185,7 +186,7 @@
         raw.sendall(command(b"C.GET", b"k", b"first", INFO % 900))
         await soon(lambda: bench.driver.requests)
         raw.sendall(b"".join(command(b"PING") for _ in range(MAX_PIPELINED_COMMANDS)))
-        await soon(lambda: client.reading_paused)
+        await soon(lambda: client.flow.paused)
         raw.sendall(command(b"C.GET", b"k", b"behind", INFO % 900))
         await asyncio.sleep(0.1)  # it lies unread
         [line] = bench.cache.lines
--- a/tests/node/test_hostile.py
+++ b/tests/node/test_hostile.py
@@ -10,6 +10,7 @@
 from rainhitch.node import client_connection as client_module
 from rainhitch.node import client_connections, connection_pool
 from rainhitch.node.client_connection import ClientConnection
+from rainhitch.node.client_events import ClientEvent
 from rainhitch.node.client_request import ClientRequestError, parse_client_request
 from rainhitch.protocol import resp
 from rainhitch.settings import read_names
@@ -483,5 +484,5 @@
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # the first one makes room for nobody
         await (await bench.caller()).answer_to_ping()
         many = [await bench.caller() for _ in range(3 * client_connections.MAX_REJECTED_CONNECTIONS)]
-        await soon(lambda: bench.clients.events[client_connections.ClientEvent.REJECTED] == len(many))
+        await soon(lambda: bench.clients.events.counts[ClientEvent.REJECTED] == len(many))
         await soon(lambda: len(bench.clients.rejected) <= client_connections.MAX_REJECTED_CONNECTIONS)
