--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -23,6 +23,26 @@
         """Counts the bytes that the connection holds anew."""
 
 
+class GoneOwner:
+    """In place of a connection that is gone: answers that still come for it go nowhere."""
+
+    def advance(self) -> None:
+        """Does nothing."""
+
+    def gone(self) -> bool:
+        """The client has left."""
+        return True
+
+    def abort(self, reason: CloseReason) -> None:
+        """Does nothing."""
+
+    def account(self) -> None:
+        """Does nothing."""
+
+
+GONE_OWNER = GoneOwner()
+
+
 class BufferLimits(Protocol):
     """The memory that all connections of clients share."""
 
@@ -43,6 +63,12 @@
         self.write_buffer_full = False  # the client reads too slowly: nothing more is written for now
         self.waiting_bytes = 0  # in answers whose turn has not come
 
+    def connection_lost(self) -> None:
+        """The connection is gone; it is let go of, so that the two are no cycle for the garbage collector."""
+        self.transport = None
+        self.owner = GONE_OWNER
+        self.slots.clear()
+
     def put(self, answer: bytes, version: int) -> None:
         """Appends an answer that is ready."""
         slot = ResponseSlot(self, version)
@@ -74,7 +100,7 @@
         ready: list[bytes] = []
         while self.slots and not self.write_buffer_full and self.transport is not None:
             slot = self.slots[0]
-            if slot.relay is not None and slot.relay.broken and not slot.relay.begun:
+            if slot.relay is not None and slot.relay.is_broken() and not slot.relay.head_written:
                 slot.answer = resp.FAILED
                 slot.relay = None
             if slot.relay is not None:
@@ -98,19 +124,20 @@
     def _pass_on(self, relay: Relay, before: bytes) -> bool:
         """Writes what there is of a long value, behind what stands before it; whether that was the rest."""
         assert self.transport is not None
-        if relay.broken:
+        if relay.is_broken():
             # Guards the client against half a value taken for the whole: the connection ends in its middle.
             self.transport.write(before)
             self.owner.abort(CloseReason.VALUE_CUT_OFF)
             return False
-        head = b"" if relay.begun else b"$%d\r\n" % relay.size
-        relay.begun = True
+        head = b"" if relay.head_written else b"$%d\r\n" % relay.size_bytes
+        relay.head_written = True
         piece = relay.take()
-        tail = b"\r\n" if relay.done else b""
+        is_whole = relay.is_taken_whole()
+        tail = b"\r\n" if is_whole else b""
         self.transport.write(b"".join((before, head, piece, tail)))
-        if relay.done:
+        if is_whole:
             relay.passed()
-        return relay.done
+        return is_whole
 
 
 def _held_bytes(slot: ResponseSlot) -> int:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -21,12 +21,12 @@
 
 from rainhitch import interface as api
 from rainhitch.node import client_connection as client_module
-from rainhitch.node import connection_pool, upstream_connection
-from rainhitch.node.client_connection import MAX_PIPELINED_COMMANDS
+from rainhitch.node import close_timer, connection_pool, upstream_connection
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.configuration import parse_configuration
 from rainhitch.node.discovery_watch import DiscoveryWatch
 from rainhitch.node.endpoint_list import read_address
+from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS
 from rainhitch.node.router import Router
 from rainhitch.node.shutdown import shutdown_schedule
 from rainhitch.node.upstream_connection import WriteProgress
@@ -393,7 +393,7 @@
 
 
 async def test_who_reads_slowly_gets_the_rest_of_the_last_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "LINGER_S", 0.05)
+    monkeypatch.setattr(close_timer, "LINGER_S", 0.05)
     value = b"x" * 60_000
     async with router(lambda asked, line: hit(value)) as bench:
         raw = socket.socket()
@@ -572,7 +572,7 @@
     service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     assert service.clients.listener is not None
-    address = service.clients.listener.door.address
+    address = service.clients.listener.socket.address
     came: list[socket.socket] = []
 
     def late(one: Any, data: bytes) -> None:
@@ -603,7 +603,7 @@
     listener.pause(3600)
     await asyncio.sleep(0)
     ending = asyncio.ensure_future(service.stop())
-    with socket.create_connection(listener.door.address) as raw:
+    with socket.create_connection(listener.socket.address) as raw:
         raw.settimeout(PATIENCE)
         raw.sendall(command(b"PING"))
         assert await asyncio.to_thread(raw.recv, 64)
--- a/tests/telemetry/test_records.py
+++ b/tests/telemetry/test_records.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from rainhitch.node.router import write
+from rainhitch.node.router import write_record
 from rainhitch.telemetry.records import Bad, Second
 from rainhitch.telemetry.sums import read_line
 
@@ -23,7 +23,7 @@
     record = read_line(f"2026-12-01 10:00:00,000 INFO {line}")
     assert isinstance(record, Second | Bad) and type(record) is kind
     with caplog.at_level(logging.INFO, "rainhitch"):
-        write(record)
+        write_record(record)
     assert caplog.messages == [line]
 
 
