--- a/rainhitch/cli/members.py
+++ b/rainhitch/cli/members.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from rainhitch.membership.etcd_source import EtcdClient, EtcdOptions
+    from rainhitch.membership.etcd_client import EtcdClient, EtcdOptions
 
 REFUSED, BAD_INPUT, AWAY = 1, 2, 3
 
@@ -47,15 +47,15 @@
         return _say("\nrainhitch: ".join(problem.lines), BAD_INPUT)
     except MembershipError as problem:
         return _say(f"{path}: {problem}", BAD_INPUT)
-    from rainhitch.membership import editing
-    from rainhitch.membership.etcd_source import FAULTS, reason
+    from rainhitch.membership.errors import ChangeRejectedError
+    from rainhitch.membership.etcd_client import CALL_ERRORS, describe_error
 
     try:
         return asyncio.run(_act(told, options))
-    except editing.RefusedError as problem:
+    except ChangeRejectedError as problem:
         return _say(f"refused: {problem}", REFUSED)
-    except FAULTS as problem:
-        return _say(f"etcd did not answer: {reason(problem)}", AWAY)
+    except CALL_ERRORS as problem:
+        return _say(f"etcd did not answer: {describe_error(problem)}", AWAY)
     except KeyboardInterrupt:
         return 130
 
@@ -73,7 +73,7 @@
     rows = []
     if told.action == "put":
         try:
-            rows = editing.entries_of(told.file.read_bytes())
+            rows = editing.parse_entries(told.file.read_bytes())
         except OSError as problem:
             return _say(f"{told.file}: {problem.strerror}", BAD_INPUT)
     client = await reachable(options)
@@ -97,7 +97,7 @@
 
 async def reachable(options: "EtcdOptions") -> "EtcdClient":
     """A client at the first endpoint that answers."""
-    from rainhitch.membership.etcd_source import FAULTS, EtcdClient
+    from rainhitch.membership.etcd_client import CALL_ERRORS, EtcdClient
     from rainhitch.protocol import etcd
 
     for number, endpoint in enumerate(options.endpoints, 1):
@@ -105,7 +105,7 @@
         try:
             await client.call("KV/Range", etcd.message("RangeRequest", key=b"\0", count_only=True))
             return client
-        except FAULTS:
+        except CALL_ERRORS:
             client.close()
             if number == len(options.endpoints):
                 raise
@@ -116,7 +116,8 @@
     from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
 
     begun = time.monotonic()
-    cluster, revision, entries = await client.read_all(client.options.prefix)
+    snapshot = await client.read_all(client.options.prefix)
+    cluster, revision, entries = snapshot.cluster_id, snapshot.revision, snapshot.entries
     seen = EndpointListBuilder(lambda rows: None, lambda: 0)
     seen.publish({uid: value for uid, (_, value) in entries.items()}, True)
     host, port = client.endpoint
--- a/rainhitch/cli/plan.py
+++ b/rainhitch/cli/plan.py
@@ -125,8 +125,8 @@
 async def _in_etcd(told: argparse.Namespace) -> list[Json]:
     from rainhitch.cli.members import reachable
     from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
+    from rainhitch.membership.etcd_client import CALL_ERRORS, describe_error
     from rainhitch.membership.etcd_settings import MembershipError, etcd_options
-    from rainhitch.membership.etcd_source import FAULTS, reason
     from rainhitch.operator_config import read_operator_config
 
     try:
@@ -135,10 +135,10 @@
         raise InputError(str(problem)) from None
     try:
         client = await reachable(options)
-        _, _, entries = await client.read_all(client.options.prefix)
+        entries = (await client.read_all(client.options.prefix)).entries
         client.close()
-    except FAULTS as problem:
-        raise ConnectionError(reason(problem)) from None
+    except CALL_ERRORS as problem:
+        raise ConnectionError(describe_error(problem)) from None
     seen = EndpointListBuilder(lambda rows: None, lambda: 0)
     seen.publish({uid: value for uid, (_, value) in entries.items()}, True)
     return list(seen.entries.values())
--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -1,94 +1,109 @@
-"""Changes that an operator makes to the list: each a transaction that holds only if nobody changed it
-meanwhile."""
+"""Changes that an operator makes to the list in etcd.
+
+Each is one transaction, which holds only if nobody changed the same entries since they were read.
+"""
 
 from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-from rainhitch.membership.etcd_source import EtcdClient
+from rainhitch.membership.errors import ChangeRejectedError
+from rainhitch.membership.etcd_client import EtcdClient
 from rainhitch.protocol import etcd
 
-MOST = 100  # entries of one transaction; etcd takes 128 operations by default
-STATES = ("Ready", "Retiring", "Terminating")
+MAX_ENTRIES = 100  # of one transaction; etcd takes 128 operations by default
+STATES = ("Ready", "Retiring", "Terminating")  # that an operator may set
+NO_REVISION = 0  # of an entry that is not in the store
 Json = dict[str, Any]
 
 
-class RefusedError(ValueError):
-    """Nothing was changed; why."""
-
-
 @dataclass(slots=True)
-class Held:
-    """An entry as it is in the store; revision 0: it is not there."""
+class StoredEntry:
+    """An entry as it was read; `NO_REVISION`: it was not there."""
 
     key: bytes
     revision: int
     value: bytes
 
 
-async def held(client: EtcdClient, uid: str) -> Held:
+async def read_entry(client: EtcdClient, uid: str) -> StoredEntry:
+    """The entry of a uid as it is in the store now."""
     key = (client.options.prefix + uid).encode()
     answer = await client.call("KV/Range", etcd.message("RangeRequest", key=key))
     if not answer.kvs:
-        return Held(key, 0, b"")
-    return Held(key, answer.kvs[0].mod_revision, answer.kvs[0].value)
+        return StoredEntry(key, NO_REVISION, b"")
+    return StoredEntry(key, answer.kvs[0].mod_revision, answer.kvs[0].value)
+
 
+async def commit(client: EtcdClient, changes: list[tuple[StoredEntry, bytes]]) -> int:
+    """Puts the values if each entry is still as it was read; returns the revision.
 
-async def write(client: EtcdClient, changes: list[tuple[Held, bytes]]) -> int:
-    """Puts the values if each entry is still as it was read; gives the revision."""
+    Raises ChangeRejectedError where one is not, and then none is changed.
+    """
     request = etcd.message("TxnRequest")
-    for one, value in changes:
-        request.compare.add(result=etcd.EQUAL, target=etcd.MOD, key=one.key, mod_revision=one.revision)
-        request.success.add(request_put=etcd.message("PutRequest", key=one.key, value=value))
+    for entry, value in changes:
+        request.compare.add(result=etcd.EQUAL, target=etcd.MOD, key=entry.key, mod_revision=entry.revision)
+        request.success.add(request_put=etcd.message("PutRequest", key=entry.key, value=value))
     answer = await client.call("KV/Txn", request)
     if not answer.succeeded:
-        raise RefusedError("somebody else changed it meanwhile: look again, and try again")
+        raise ChangeRejectedError("somebody else changed it meanwhile: look again, and try again")
     return int(answer.header.revision)
 
 
 async def set_state(client: EtcdClient, uid: str, state: str, only_from: str = "") -> int:
-    """Drains, retires or restores a member; gives the revision. With `only_from` from that state alone."""
-    one = await held(client, uid)
-    if not one.revision:
-        raise RefusedError(f"{uid}: no such member under {client.options.prefix}")
+    """Drains, retires or restores an endpoint; returns the revision.
+
+    `only_from`: the state that it must be in, empty for any. Raises ChangeRejectedError where it is in
+    another, in `state` already, not in the store, or not readable.
+    """
+    stored = await read_entry(client, uid)
+    if stored.revision == NO_REVISION:
+        raise ChangeRejectedError(f"{uid}: no such member under {client.options.prefix}")
     try:
-        entry = orjson.loads(one.value)
+        entry = orjson.loads(stored.value)
     except orjson.JSONDecodeError:
         entry = None
     if not isinstance(entry, dict):
-        raise RefusedError(f"{uid}: its entry can't be read, so that its other fields would be lost")
+        raise ChangeRejectedError(f"{uid}: its entry can't be read, so that its other fields would be lost")
     if entry.get("state") == state:
-        raise RefusedError(f"{uid}: it is {state} already, since revision {one.revision}")
+        raise ChangeRejectedError(f"{uid}: it is {state} already, since revision {stored.revision}")
     if only_from and entry.get("state") != only_from:
-        raise RefusedError(f"{uid}: somebody else has made it {entry.get('state')} meanwhile")
-    return await write(client, [(one, orjson.dumps({**entry, "state": state}))])
+        raise ChangeRejectedError(f"{uid}: somebody else has made it {entry.get('state')} meanwhile")
+    return await commit(client, [(stored, orjson.dumps({**entry, "state": state}))])
 
 
-def entries_of(text: bytes) -> list[Json]:
-    """The entries of a file: a list of them, or discovery's form; raises RefusedError."""
+def parse_entries(text: bytes) -> list[Json]:
+    """The entries of a file: a list of them, or an object with `targets` as discovery sends it.
+
+    Raises ChangeRejectedError where it is neither, or an entry makes no sense.
+    """
     try:
-        told = orjson.loads(text)
+        document = orjson.loads(text)
     except orjson.JSONDecodeError as problem:
-        raise RefusedError(f"no JSON: {problem}") from None
-    rows = told.get("targets") if isinstance(told, dict) else told
+        raise ChangeRejectedError(f"no JSON: {problem}") from None
+    rows = document.get("targets") if isinstance(document, dict) else document
     if not isinstance(rows, list) or not rows or not all(isinstance(one, dict) for one in rows):
-        raise RefusedError('wanted is a list of entries, or {"targets": [...]}')
-    if len(rows) > MOST:
-        raise RefusedError(f"{len(rows)} entries: at most {MOST} are changed at once")
-    names = [one.get("uid") for one in rows]
-    for one in rows:
-        uid = one.get("uid")
-        if not isinstance(uid, str) or not uid or "/" in uid or names.count(uid) > 1:
-            raise RefusedError(f"uid = {uid!r}: wanted is a text of its own, without /")
-        if one.get("state") not in STATES:
-            raise RefusedError(f"{uid}: state = {one.get('state')!r}: allowed are {', '.join(STATES)}")
-        if not isinstance(one.get("endpoint"), str) or ":" not in one["endpoint"]:
-            raise RefusedError(f"{uid}: endpoint = {one.get('endpoint')!r}: allowed is host:port")
+        raise ChangeRejectedError('wanted is a list of entries, or {"targets": [...]}')
+    if len(rows) > MAX_ENTRIES:
+        raise ChangeRejectedError(f"{len(rows)} entries: at most {MAX_ENTRIES} are changed at once")
+    uids = [one.get("uid") for one in rows]
+    for row in rows:
+        _check_entry(row, uids)
     return rows
 
 
+def _check_entry(row: Json, uids: list[Any]) -> None:
+    uid = row.get("uid")
+    if not isinstance(uid, str) or not uid or "/" in uid or uids.count(uid) > 1:
+        raise ChangeRejectedError(f"uid = {uid!r}: wanted is a text of its own, without /")
+    if row.get("state") not in STATES:
+        raise ChangeRejectedError(f"{uid}: state = {row.get('state')!r}: allowed are {', '.join(STATES)}")
+    if not isinstance(row.get("endpoint"), str) or ":" not in row["endpoint"]:
+        raise ChangeRejectedError(f"{uid}: endpoint = {row.get('endpoint')!r}: allowed is host:port")
+
+
 async def put(client: EtcdClient, rows: list[Json]) -> int:
-    """Puts entries in one transaction; gives the revision."""
-    changes = [(await held(client, one["uid"]), orjson.dumps(one)) for one in rows]
-    return await write(client, changes)
+    """Puts entries in one transaction; returns the revision."""
+    changes = [(await read_entry(client, one["uid"]), orjson.dumps(one)) for one in rows]
+    return await commit(client, changes)
--- a/rainhitch/membership/etcd_source.py
+++ b/rainhitch/membership/etcd_source.py
@@ -1,287 +1,222 @@
-"""Follows etcd's v3 gRPC API: hosts the machine, and decides nothing.
+"""The host of `WatchStateMachine` on etcd's API: makes its calls, and decides nothing.
 
-One connection to one endpoint at a time. What a read or a watch brings goes to the machine as events; what
-the machine says is done. The library is grpclib, imported only with this module.
+One connection to one endpoint, and one call at a time: beginning a call cancels the one before, and a
+cancelled call reports nothing. When to call again after a failure (backoff), and where, is the machine's to
+say.
 """
 
 import asyncio
 import logging
-import ssl
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
 from functools import partial
 from random import Random
 from typing import Any
 
-from grpclib import GRPCError, Status
-from grpclib.client import Channel, StreamStreamMethod, UnaryUnaryMethod
-from grpclib.config import Configuration
-from grpclib.exceptions import ProtocolError, StreamTerminatedError
+from grpclib.exceptions import StreamTerminatedError
 
 from rainhitch import system
-from rainhitch.membership import watch_state_machine as m
+from rainhitch.membership.etcd_client import CALL_ERRORS, EtcdClient, EtcdOptions, describe_error, uid_of
+from rainhitch.membership.watch_events import (
+    Action,
+    CallEnded,
+    Change,
+    Changes,
+    Compacted,
+    Event,
+    LogWarning,
+    Progress,
+    Publish,
+    ReadAll,
+    RequestProgress,
+    StoredValue,
+    SwitchEndpoint,
+    TimeElapsed,
+    WatchFrom,
+)
+from rainhitch.membership.watch_state_machine import WatchStateMachine
 from rainhitch.protocol import etcd
 
-PAGE = 1000  # entries of one answer to a read
-SOON = 2.0  # s for an answer that need not wait
-FAULTS = (OSError, TimeoutError, GRPCError, ProtocolError, StreamTerminatedError)
+PROGRESS_REQUEST_TIMEOUT_S = 2.0  # for sending one
 log = logging.getLogger("rainhitch")
 
 
-@dataclass(slots=True)
-class EtcdOptions:
-    """How etcd is reached; times in seconds."""
-
-    endpoints: list[tuple[str, int]]
-    prefix: str = "/rainhitch/members/"
-    user: str = ""
-    password: str = ""
-    tls: ssl.SSLContext | None = None
-    timeout: float = SOON
-
-
-def tls_context(ca: str, certificate: str = "", key: str = "") -> ssl.SSLContext:
-    """What a connection is secured with; raises OSError (ssl.SSLError) for files that are of no use."""
-    context = ssl.create_default_context(cafile=ca)
-    if certificate:
-        context.load_cert_chain(certificate, key or None)
-    context.set_alpn_protocols(["h2"])
-    return context
-
-
-def reason(problem: BaseException) -> str:
-    """A fault in a few words."""
-    if isinstance(problem, GRPCError):
-        return f"{problem.status.name}: {problem.message}"
-    return f"{type(problem).__name__}: {problem}" if str(problem) else type(problem).__name__
-
-
-@dataclass
-class EtcdClient:
-    """Calls to one endpoint; a token is asked for once and kept."""
-
-    options: EtcdOptions
-    endpoint: tuple[str, int]
-    token: str = ""
-    channel: Channel = field(init=False)
-
-    def __post_init__(self) -> None:
-        host, port = self.endpoint
-        told = Configuration(_keepalive_time=10.0, _keepalive_timeout=5.0)
-        self.channel = Channel(host, port, ssl=self.options.tls, config=told)
-
-    async def metadata(self) -> dict[str, str]:
-        """What goes with each call; asks for a token where there is a user and none yet."""
-        if self.options.user and not self.token:
-            login = etcd.message(
-                "AuthenticateRequest", name=self.options.user, password=self.options.password
-            )
-            self.token = (await self._unary("Auth/Authenticate", login, {})).token
-        return {"token": self.token} if self.token else {}
-
-    async def call(self, method: str, request: Any) -> Any:
-        """The answer to a unary call; raises one of FAULTS. A token that is no longer good is asked for
-        anew."""
-        try:
-            return await self._unary(method, request, await self.metadata())
-        except GRPCError as problem:
-            if problem.status is not Status.UNAUTHENTICATED or not self.token:
-                raise
-            self.token = ""
-            return await self._unary(method, request, await self.metadata())
-
-    async def _unary(self, method: str, request: Any, metadata: dict[str, str]) -> Any:
-        asked, answered, _ = etcd.METHODS[method]
-        call: Any = UnaryUnaryMethod(
-            self.channel, etcd.path(method), etcd.MESSAGES[asked], etcd.MESSAGES[answered]
-        )
-        return await call(request, timeout=self.options.timeout, metadata=metadata)
-
-    def stream(self, method: str, metadata: dict[str, str]) -> Any:
-        """An open stream, to be used as a context."""
-        asked, answered, _ = etcd.METHODS[method]
-        call: Any = StreamStreamMethod(
-            self.channel, etcd.path(method), etcd.MESSAGES[asked], etcd.MESSAGES[answered]
-        )
-        return call.open(metadata=metadata)
-
-    async def read_all(self, prefix: str) -> tuple[int, int, dict[str, tuple[int, bytes]]]:
-        """Cluster, revision, and the entries by uid as of it, page by page."""
-        key, end = prefix.encode(), etcd.prefix_end(prefix.encode())
-        revision, cluster, entries = 0, 0, dict[str, tuple[int, bytes]]()
-        while True:
-            request = etcd.message("RangeRequest", key=key, range_end=end, limit=PAGE, revision=revision)
-            page = await self.call("KV/Range", request)
-            cluster, revision = page.header.cluster_id, revision or page.header.revision
-            for one in page.kvs:
-                entries[uid_of(one.key, prefix)] = (one.mod_revision, one.value)
-            if not page.more or not page.kvs:
-                return cluster, revision, entries
-            key = page.kvs[-1].key + b"\0"
-
-    def close(self) -> None:
-        self.channel.close()
-
-
-def uid_of(key: bytes, prefix: str) -> str:
-    return key[len(prefix.encode()) :].decode("utf-8", "replace")
-
-
 class EtcdSource:
-    """Follows the list until it is stopped; `publish(entries, whole)` gets what it tells."""
+    """Follows the list until it is stopped.
+
+    `publish(entries, whole)` takes what changed: values by uid, None for a deleted one; whole: all others
+    are gone. `known_uids` are those of the configuration's list. `clock` returns nanoseconds.
+    """
 
     def __init__(
         self,
         options: EtcdOptions,
         publish: Callable[[dict[str, bytes | None], bool], None],
         seed: int,
-        known: list[str] | None = None,
+        known_uids: list[str] | None = None,
         clock: Callable[[], int] = system.now,
     ) -> None:
-        self.options, self.publish, self.clock = options, publish, clock
-        self.machine = m.WatchStateMachine(Random(f"{seed}/membership"))
-        # Guards the fleet against a first read that is empty: what the configuration knew counts in its
-        # doubt.
-        self.machine.known = dict.fromkeys(known or (), (0, b""))
-        self.turn = 0
+        self.options = options
+        self.publish = publish
+        self.clock = clock
+        self.machine = WatchStateMachine(Random(f"{seed}/membership"))
+        # Guards the fleet against a first read that is empty: the configuration's endpoints count as known,
+        # so that a read without them is suspicious.
+        self.machine.view.known = dict.fromkeys(known_uids or (), StoredValue(0, b""))
+        self.endpoint_turn = 0  # counts the endpoints tried
         self.client: EtcdClient | None = None
-        self.job: asyncio.Task[None] | None = None
-        self.watching: Any = None
+        self.call: asyncio.Task[None] | None = None  # the read or the watch in progress
+        self.stream: Any = None  # the watch's, once it is created
+        self.progress_request: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
 
     def start(self) -> None:
-        """Begins to follow; does nothing while it does."""
+        """Begins to follow; does nothing once it has begun."""
         if self.timer is None and not self.stopped:
-            self._act(self.machine.start(self.clock()))
+            self._perform(self.machine.start(self.clock()))
 
     def stop(self) -> None:
+        """Ends for good."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
-        self._leave()
+        self._disconnect()
 
-    def _tell(self, event: m.Event) -> None:
+    def _report(self, event: Event) -> None:
         if not self.stopped:
-            self._act(self.machine.handle(self.clock(), event))
+            self._perform(self.machine.handle(self.clock(), event))
 
-    def _act(self, actions: list[m.Action]) -> None:
+    def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case m.Read():
+                case ReadAll():
                     self._begin(self._read)
-                case m.WatchFrom():
+                case WatchFrom():
                     self._begin(partial(self._watch, action.revision))
-                case m.AskProgress():
-                    self._ask_progress()
-                case m.Leave():
-                    self._leave()
-                    self.turn += 1
-                case m.Publish():
-                    try:
-                        self.publish(action.entries, action.whole)
-                    except Exception:
-                        log.exception("a list of etcd's could not be taken up")
-                case m.LogWarning():
+                case RequestProgress():
+                    self._request_progress()
+                case SwitchEndpoint():
+                    self._disconnect()
+                    self.endpoint_turn += 1
+                case Publish():
+                    self._publish(action)
+                case LogWarning():
                     log.warning("%s", action.text)
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0.0, (self.machine.wake_at - self.clock()) / 1e9)
-        self.timer = asyncio.get_running_loop().call_later(wait, self._tell, m.Time())
+        wait_s = max(0.0, (self.machine.wake_at_ns - self.clock()) / 1e9)
+        self.timer = asyncio.get_running_loop().call_later(wait_s, self._report, TimeElapsed())
 
-    def _leave(self) -> None:
-        if self.job is not None:
-            self.job.cancel()
+    def _publish(self, action: Publish) -> None:
+        try:
+            self.publish(action.entries, action.whole)
+        except Exception:
+            # The outermost frame of what the pools and the decisions do with a list: a fault there must not
+            # end the watch, after which no change would ever be known.
+            log.exception("etcd list not applied reason=internal_error")
+
+    def _disconnect(self) -> None:
+        if self.call is not None:
+            self.call.cancel()
         if self.client is not None:
             self.client.close()
-        self.job = self.client = self.watching = None
-
-    def _begin(self, job: Callable[[], Awaitable[None]]) -> None:
-        if self.job is not None:
-            self.job.cancel()
-        self.watching = None
-        self.job = asyncio.ensure_future(self._guarded(job))
-
-    async def _guarded(self, job: Callable[[], Awaitable[None]]) -> None:
-        mine = asyncio.current_task()
+        self.call = None
+        self.client = None
+        self.stream = None
+
+    def _begin(self, call: Callable[[], Awaitable[None]]) -> None:
+        """Cancels the call in progress, and begins another."""
+        if self.call is not None:
+            self.call.cancel()
+        self.stream = None
+        self.call = asyncio.ensure_future(self._guarded(call))
+
+    async def _guarded(self, call: Callable[[], Awaitable[None]]) -> None:
+        """Runs a call, and reports its failure unless another call has taken its place."""
+        this_call = asyncio.current_task()
         try:
-            await job()
-        except FAULTS as problem:
-            ended = reason(problem)
+            await call()
+        except CALL_ERRORS as problem:
+            failure = describe_error(problem)
         except Exception as problem:
-            log.exception("a call to etcd could not be followed")
-            ended = reason(problem)
+            # The outermost frame of a call: a fault of the program counts as a failed call, so that a next
+            # one is made.
+            log.exception("etcd call failed reason=internal_error")
+            failure = describe_error(problem)
         else:
             return
-        if self.job is mine:
-            self._tell(m.Ended(ended))
+        if self.call is this_call:
+            self._report(CallEnded(failure))
 
-    def _at_endpoint(self) -> EtcdClient:
+    def _connected(self) -> EtcdClient:
         if self.client is None:
             endpoints = self.options.endpoints
-            self.client = EtcdClient(self.options, endpoints[self.turn % len(endpoints)])
+            self.client = EtcdClient(self.options, endpoints[self.endpoint_turn % len(endpoints)])
         return self.client
 
     async def _read(self) -> None:
-        cluster, revision, entries = await self._at_endpoint().read_all(self.options.prefix)
-        self._tell(m.Snapshot(cluster, revision, entries))
+        self._report(await self._connected().read_all(self.options.prefix))
 
     async def _watch(self, revision: int) -> None:
-        client, key = self._at_endpoint(), self.options.prefix.encode()
+        """Watches from a revision on, until that is compacted; raises one of CALL_ERRORS at any other end."""
+        client = self._connected()
         async with client.stream("Watch/Watch", await client.metadata()) as stream:
-            create = etcd.message(
-                "WatchCreateRequest",
-                key=key,
-                range_end=etcd.prefix_end(key),
-                start_revision=revision,
-                progress_notify=True,
-                fragment=True,
-            )
-            await stream.send_message(etcd.message("WatchRequest", create_request=create))
-            self.watching = stream
-            parts: list[Any] = []
-            while (told := await stream.recv_message()) is not None:
-                if told.canceled:
-                    if told.compact_revision:
+            await stream.send_message(self._watch_request(revision))
+            self.stream = stream
+            fragments: list[Any] = []
+            while (response := await stream.recv_message()) is not None:
+                if response.canceled:
+                    if response.compact_revision:
                         await stream.cancel()
-                        self._tell(m.Compacted())
+                        self._report(Compacted())
                         return
-                    raise StreamTerminatedError(told.cancel_reason or "the watch was cancelled")
-                parts.append(told)
-                if not told.fragment:
-                    self._heard(parts)
-                    parts = []
-            await stream.recv_trailing_metadata()  # raises what the other side gave as its reason
+                    raise StreamTerminatedError(response.cancel_reason or "the watch was cancelled")
+                fragments.append(response)
+                if not response.fragment:
+                    self._report_response(fragments)
+                    fragments = []
+            await stream.recv_trailing_metadata()  # raises the reason that the other side gave
             raise StreamTerminatedError("the watch ended")
 
-    def _heard(self, parts: list[Any]) -> None:
-        head = parts[-1].header
+    def _watch_request(self, revision: int) -> Any:
+        key = self.options.prefix.encode()
+        create = etcd.message(
+            "WatchCreateRequest",
+            key=key,
+            range_end=etcd.prefix_end(key),
+            start_revision=revision,
+            progress_notify=True,
+            fragment=True,
+        )
+        return etcd.message("WatchRequest", create_request=create)
+
+    def _report_response(self, fragments: list[Any]) -> None:
+        """Reports one response of the watch, which may have come in fragments."""
+        last = fragments[-1]
         changes = [
-            (
-                uid_of(event.kv.key, self.options.prefix),
-                event.kv.mod_revision,
-                None if event.type == etcd.DELETE else event.kv.value,
-            )
-            for part in parts
-            for event in part.events
+            self._change(event.kv, event.type == etcd.DELETE)
+            for fragment in fragments
+            for event in fragment.events
         ]
         if changes:
-            self._tell(m.Changes(head.cluster_id, changes))
-        else:
-            # What creates a watch tells the store's revision, not how far this watch is.
-            created = parts[-1].created
-            self._tell(m.Progress(head.cluster_id, self.machine.revision if created else head.revision))
+            self._report(Changes(last.header.cluster_id, changes))
+            return
+        # The response that creates a watch holds etcd's revision, not how far this watch is.
+        revision = self.machine.view.revision if last.created else last.header.revision
+        self._report(Progress(last.header.cluster_id, revision))
 
-    def _ask_progress(self) -> None:
-        stream = self.watching
-        if stream is not None:
-            asked = etcd.message("WatchRequest", progress_request=etcd.message("WatchProgressRequest"))
+    def _change(self, entry: Any, is_deleted: bool) -> Change:
+        uid = uid_of(entry.key, self.options.prefix)
+        return Change(uid, entry.mod_revision, None if is_deleted else entry.value)
 
-            async def ask() -> None:
-                try:
-                    await asyncio.wait_for(stream.send_message(asked), SOON)
-                except FAULTS as problem:
-                    if self.watching is stream:
-                        self._tell(m.Ended(reason(problem)))
+    def _request_progress(self) -> None:
+        if self.stream is not None:
+            self.progress_request = asyncio.ensure_future(self._send_progress_request(self.stream))
 
-            self.asking = asyncio.ensure_future(ask())
+    async def _send_progress_request(self, stream: Any) -> None:
+        request = etcd.message("WatchRequest", progress_request=etcd.message("WatchProgressRequest"))
+        try:
+            await asyncio.wait_for(stream.send_message(request), PROGRESS_REQUEST_TIMEOUT_S)
+        except CALL_ERRORS as problem:
+            if self.stream is stream:
+                self._report(CallEnded(describe_error(problem)))
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -1,7 +1,8 @@
-"""The operator's own file, deploy/operator.toml: strict, each key documented once, all of it optional.
+"""The operator's own file, deploy/operator.toml: read strictly, each key documented once, all of it optional.
 
-`RAINHITCH_OPERATOR` names the file; without it, deploy/operator.toml in the current folder is taken if it
-exists. A subsystem adds its table here. Where there is no file this module is not even imported.
+`RAINHITCH_OPERATOR` names the file; without it, deploy/operator.toml in the current folder is read if it
+exists. Each subsystem has its table here; a field's name is its key. Where there is no file this module is
+not even imported.
 """
 
 import dataclasses
@@ -10,14 +11,15 @@
 
 from rainhitch import toml_schema
 from rainhitch.fleet.options import FleetOptions as FleetOptions
-from rainhitch.interface import DEFAULT_MIGRATION_FRACTION
-from rainhitch.membership.etcd_settings import check
+from rainhitch.interface import DEFAULT_MIGRATION_FRACTION, Address
 from rainhitch.overload.controller import OverloadOptions
 
+PORT_LIMIT = 65_536
+
 
 @dataclass(slots=True)
 class ClientLimits:
-    """[clients]"""
+    """[clients]: limits of clients' connections."""
 
     idle_s: float = toml_schema.number(
         2.0, 0.5, 3600, "a connection with no request open is left alone so long, however many there are"
@@ -33,7 +35,7 @@
 
 @dataclass(slots=True)
 class ServerLimits:
-    """[servers]"""
+    """[servers]: limits of connections to servers."""
 
     idle_s: float = toml_schema.number(
         10.0,
@@ -46,7 +48,7 @@
 
 @dataclass(slots=True)
 class Storms:
-    """[storms]; the defaults stand in overload/controller.py."""
+    """[storms]: overload control; the defaults stand in overload/controller.py."""
 
     damping: bool = toml_schema.flag(
         OverloadOptions.damping, "false: storms are seen and logged, nothing more"
@@ -72,12 +74,13 @@
     orders: int = toml_schema.whole(OverloadOptions.orders, 16, 1 << 20, "order keys remembered at once")
 
     def options(self) -> OverloadOptions:
+        """The same as the overload control takes it."""
         return OverloadOptions(**dataclasses.asdict(self))
 
 
 @dataclass(slots=True)
 class Growth:
-    """[growth]"""
+    """[growth]: the migration of keys when the endpoint list changes."""
 
     paced: bool = toml_schema.flag(True, "false: keys move as soon as the list changes")
     share: float = toml_schema.number(
@@ -85,12 +88,13 @@
     )
 
     def move_share(self) -> float:
+        """The fraction of the origin's other reads that migration may add; below 0: keys move at once."""
         return self.share if self.paced else -1.0
 
 
 @dataclass(slots=True)
 class Routers:
-    """[routers]; the defaults stand in fleet/options.py."""
+    """[routers]: what routers exchange; the defaults stand in fleet/options.py."""
 
     counts: bool = toml_schema.flag(
         FleetOptions.counts, "customers' use is told to the other routers and added up"
@@ -104,12 +108,13 @@
     )
 
     def options(self) -> FleetOptions:
+        """The same as the exchange between routers takes it."""
         return FleetOptions(**dataclasses.asdict(self))
 
 
 @dataclass(slots=True)
 class Membership:
-    """[membership]"""
+    """[membership]: the source of the endpoint list."""
 
     source: str = toml_schema.text("discovery", "who leads: the other is not asked", ("discovery", "etcd"))
     endpoints: list[str] = toml_schema.texts(["127.0.0.1:2379"], "etcd's, tried in turn: host:port")
@@ -126,7 +131,7 @@
 
 @dataclass(slots=True)
 class OperatorConfig:
-    """All of the file."""
+    """The whole file, one field a table."""
 
     clients: ClientLimits = toml_schema.table(ClientLimits, "what clients' connections are held to")
     servers: ServerLimits = toml_schema.table(ServerLimits, "what connections to servers are held to")
@@ -136,12 +141,40 @@
     membership: Membership = toml_schema.table(Membership, "where the list of servers comes from")
 
 
+def parse_host_port(text: str) -> Address | None:
+    """The address that `HOST:PORT` or `[HOST]:PORT` names; None where it names none."""
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdecimal():
+        return None
+    if not 0 < int(port) < PORT_LIMIT:
+        return None
+    return host.strip("[]"), int(port)
+
+
+def membership_problems(table: Membership) -> list[str]:
+    """What does not fit together in the table, one line each."""
+    problems = [
+        f"membership.endpoints: {endpoint!r}: allowed is host:port"
+        for endpoint in table.endpoints
+        if parse_host_port(endpoint) is None
+    ]
+    if bool(table.certificate) != bool(table.key):
+        problems.append("membership.certificate and membership.key: allowed are both or neither")
+    elif table.certificate and not table.ca:
+        problems.append(f"membership.certificate = {table.certificate!r}: needs membership.ca")
+    if bool(table.user) != bool(table.password_file):
+        problems.append("membership.user and membership.password_file: allowed are both or neither")
+    if not table.prefix.endswith("/") or len(table.prefix) < 2:
+        problems.append(f"membership.prefix = {table.prefix!r}: allowed is a text that ends with /")
+    return problems
+
+
 def read_operator_config(path: Path) -> OperatorConfig:
     """The operator's settings; raises TableError with one line for each bad key."""
     problems: list[str] = []
-    told = toml_schema.read(OperatorConfig, toml_schema.load(path), str(path), problems)
-    if told is not None:
-        problems += [f"{path}: {line}" for line in check(told.membership)]
-    if told is None or problems:
+    config = toml_schema.read(OperatorConfig, toml_schema.load(path), str(path), problems)
+    if config is not None:
+        problems += [f"{path}: {line}" for line in membership_problems(config.membership)]
+    if config is None or problems:
         raise toml_schema.TableError(problems)
-    return told
+    return config
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_editing.py
@@ -14,8 +14,9 @@
 from program import ROOT, configuration, started
 
 from rainhitch.membership import editing
-from rainhitch.membership.etcd_settings import MembershipError, etcd_options
-from rainhitch.membership.etcd_source import EtcdClient, EtcdOptions
+from rainhitch.membership.errors import ChangeRejectedError, MembershipError
+from rainhitch.membership.etcd_client import EtcdClient, EtcdOptions
+from rainhitch.membership.etcd_settings import etcd_options
 from rainhitch.operator_config import Membership, read_operator_config
 from rainhitch.rehearsal.world.etcd import Etcd
 from rainhitch.toml_schema import TableError
@@ -111,14 +112,14 @@
     client = EtcdClient(
         EtcdOptions([("127.0.0.1", etcd.members[0].port)]), ("127.0.0.1", etcd.members[0].port)
     )
-    one = await editing.held(client, "c0")
+    one = await editing.read_entry(client, "c0")
     await editing.set_state(client, "c0", "Terminating")
-    with pytest.raises(editing.RefusedError, match="somebody else changed it"):
-        await editing.write(client, [(one, b"{}")])
-    new = await editing.held(client, "new")
+    with pytest.raises(ChangeRejectedError, match="somebody else changed it"):
+        await editing.commit(client, [(one, b"{}")])
+    new = await editing.read_entry(client, "new")
     await editing.put(client, [entry("new", "h:1")])
-    with pytest.raises(editing.RefusedError):
-        await editing.write(client, [(new, b"{}")])  # it was not there when it was read
+    with pytest.raises(ChangeRejectedError):
+        await editing.commit(client, [(new, b"{}")])  # it was not there when it was read
     client.close()
 
 
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -14,7 +14,8 @@
 from rainhitch import interface as api
 from rainhitch.membership import watch_state_machine
 from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
-from rainhitch.membership.etcd_source import EtcdOptions, EtcdSource
+from rainhitch.membership.etcd_client import EtcdOptions
+from rainhitch.membership.etcd_source import EtcdSource
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.rehearsal.world.etcd import Etcd
@@ -119,14 +120,14 @@
         one.etcd.store.compact(one.etcd.store.revision)
         await one.etcd.revive(0)
         await one.until(c0="draining", c2="ready", c7="ready")
-        assert lines(caplog, "was compacted") == 1
+        assert lines(caplog, "revision compacted") == 1
 
 
 async def test_a_silent_stream_is_given_up_within_the_stated_time(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(watch_state_machine, "SILENT", 600_000_000)
-    monkeypatch.setattr(watch_state_machine, "PROGRESS", 200_000_000)
+    monkeypatch.setattr(watch_state_machine, "SILENCE_LIMIT_NS", 600_000_000)
+    monkeypatch.setattr(watch_state_machine, "PROGRESS_INTERVAL_NS", 200_000_000)
     async with scene(members=2) as one:
         await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         one.etcd.silent = True
@@ -134,20 +135,20 @@
         one.etcd.silent = False
         one.put("c0", "Terminating")
         await one.until(c0="draining", c1="ready", c2="ready")
-        assert lines(caplog, "answers again") == 1
+        assert lines(caplog, "available again") == 1
 
 
 async def test_a_quiet_watch_is_asked_for_progress_and_kept() -> None:
     async with scene() as one:
         await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
-        heard = one.source.machine.heard
-        await soon(lambda: one.source.machine.heard > heard)
-        assert not one.source.machine.away and one.source.turn == 0
+        heard = one.source.machine.heard_at_ns
+        await soon(lambda: one.source.machine.heard_at_ns > heard)
+        assert not one.source.machine.is_failing and one.source.endpoint_turn == 0
 
 
 async def test_progress_told_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain below a progress that came first was taken for known, and never told."""
-    monkeypatch.setattr(watch_state_machine, "PROGRESS", 100_000_000)
+    monkeypatch.setattr(watch_state_machine, "PROGRESS_INTERVAL_NS", 100_000_000)
     async with scene() as one:
         await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         one.etcd.hasty, one.etcd.silent = True, True
@@ -163,7 +164,7 @@
         await one.until(c0="draining", c1="ready", c2="ready")
         one.etcd.lag(1, behind=1)
         await one.etcd.kill(0)
-        await soon(lambda: one.source.turn >= 3)
+        await soon(lambda: one.source.endpoint_turn >= 3)
         assert one.states()["c0"] == "draining"
         one.etcd.lag(-1)
         one.put("c1", "Terminating")
@@ -176,7 +177,7 @@
         one.put("c0", "Terminating")
         await one.until(c0="draining", c1="ready", c2="ready")
         await one.etcd.kill(1)
-        await soon(lambda: one.source.machine.pauses > 2)
+        await soon(lambda: one.source.machine.failures > 2)
         assert one.states() == {"c0": "draining", "c1": "ready", "c2": "ready"} and one.directory.can_serve
         await one.etcd.revive(0)
         one.put("c1", "Terminating")
@@ -203,7 +204,7 @@
         await one.until(c0="draining", c1="ready", c2="ready", c5="ready")
         one.etcd.restore(backup)
         await one.until(c0="ready", c1="ready", c2="ready")
-        assert lines(caplog, "another cluster id") == 1
+        assert lines(caplog, "cluster id changed") == 1
         one.put("c2", "Terminating")
         await one.until(c0="ready", c1="ready", c2="draining")
 
@@ -218,7 +219,9 @@
         one.put("c1", "Terminating")
         await one.until(c0="ready", c1="draining", c2="ready")
         await asyncio.sleep(0.2)
-        assert lines(caplog, "key bad can't be read") == 1 and lines(caplog, "key c0 can't be read") == 1
+        assert (
+            lines(caplog, "entry unreadable uid=bad") == 1 and lines(caplog, "entry unreadable uid=c0") == 1
+        )
 
 
 async def test_a_password_is_checked_and_an_expired_token_is_asked_for_anew(
@@ -243,7 +246,7 @@
     async with scene(start=False, known=[f"k{n}" for n in range(9)]) as one:
         one.source.options.prefix = "/nobody/"
         one.source.start()
-        await soon(lambda: lines(caplog, "a read drops 9 of 9"))
+        await soon(lambda: lines(caplog, "read drops too many dropped=9 known=9"))
 
 
 async def test_a_list_of_many_pages_and_a_response_of_10_mb_are_taken_up() -> None:
@@ -276,11 +279,11 @@
     port = server.sockets[0].getsockname()[1]
     told: list[bool] = []
     source = EtcdSource(
-        EtcdOptions([("127.0.0.1", port)], PREFIX, timeout=0.5), lambda a, b: told.append(b), 1
+        EtcdOptions([("127.0.0.1", port)], PREFIX, timeout_s=0.5), lambda a, b: told.append(b), 1
     )
     source.start()
     async with asyncio.timeout(PATIENCE):
-        await soon(lambda: lines(caplog, "etcd did not answer"))
+        await soon(lambda: lines(caplog, "etcd unavailable"))
     source.stop()
     server.close()
     assert not told
--- a/tests/membership/test_following.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 from support import MILLI, SECOND
 
+from rainhitch.membership import change_publisher, watch_events
 from rainhitch.membership import watch_state_machine as m
 
 START = 1000 * SECOND
@@ -20,12 +21,12 @@
         self.view: dict[str, bytes] = {}
         self.told: list[tuple[str, bytes | None]] = []
         self.said: list[str] = []
-        self.wants: list[m.Action] = []
+        self.wants: list[watch_events.Action] = []
         self.do(self.machine.start(self.now))
 
-    def do(self, actions: list[m.Action]) -> list[m.Action]:
+    def do(self, actions: list[watch_events.Action]) -> list[watch_events.Action]:
         for action in actions:
-            if isinstance(action, m.Publish):
+            if isinstance(action, watch_events.Publish):
                 if action.whole:
                     self.view = {}
                 for uid, value in action.entries.items():
@@ -34,38 +35,44 @@
                     self.view.pop(uid, None)
                     if value is not None:
                         self.view[uid] = value
-            elif isinstance(action, m.LogWarning):
+            elif isinstance(action, watch_events.LogWarning):
                 self.said.append(action.text)
             else:
                 self.wants.append(action)
         return actions
 
-    def tell(self, event: m.Event) -> list[m.Action]:
+    def tell(self, event: watch_events.Event) -> list[watch_events.Action]:
         return self.do(self.machine.handle(self.now, event))
 
     def wait(self, span: int) -> None:
         """Lets time pass, with every time that the machine wants on the way."""
         end = self.now + span
-        while self.machine.wake_at <= end:
-            self.now = max(self.now + 1, self.machine.wake_at)
-            self.tell(m.Time())
+        while self.machine.wake_at_ns <= end:
+            self.now = max(self.now + 1, self.machine.wake_at_ns)
+            self.tell(watch_events.TimeElapsed())
         self.now = end
 
     def read(self, revision: int, entries: dict[str, tuple[int, bytes]], cluster: int = 1) -> None:
-        self.tell(m.Snapshot(cluster, revision, entries))
+        stored = {uid: watch_events.StoredValue(*entry) for uid, entry in entries.items()}
+        self.tell(watch_events.Snapshot(cluster, revision, stored))
 
     def settle(self) -> None:
-        self.wait(m.GATHER + MILLI)
+        self.wait(change_publisher.BATCH_INTERVAL_NS + MILLI)
 
 
 def fleet(count: int, revision: int = 5) -> dict[str, tuple[int, bytes]]:
     return {f"n{n}": (revision, b"ready") for n in range(count)}
 
 
+def changes(cluster: int, rows: list[tuple[str, int, bytes | None]]) -> watch_events.Changes:
+    return watch_events.Changes(cluster, [watch_events.Change(*row) for row in rows])
+
+
 def following(count: int = 6) -> Follower:
     follower = Follower()
     follower.read(10, fleet(count))
-    assert follower.wants == [m.Read(), m.WatchFrom(11)] and len(follower.view) == count
+    assert follower.wants == [watch_events.ReadAll(), watch_events.WatchFrom(11)]
+    assert len(follower.view) == count
     follower.told.clear()
     follower.wants.clear()
     return follower
@@ -74,10 +81,10 @@
 def test_a_change_is_told_at_once_and_the_next_ones_together() -> None:
     follower = following()
     follower.wait(SECOND // 2)
-    follower.tell(m.Changes(1, [("n0", 11, b"drains")]))
+    follower.tell(changes(1, [("n0", 11, b"drains")]))
     assert follower.told == [("n0", b"drains")]
     for n in range(1, 6):
-        follower.tell(m.Changes(1, [(f"n{n}", 11 + n, b"drains")]))
+        follower.tell(changes(1, [(f"n{n}", 11 + n, b"drains")]))
     assert len(follower.told) == 1
     follower.settle()
     assert len(follower.told) == 6
@@ -87,33 +94,34 @@
     """After a fail-over an older member said Ready again, and work went to a drained node."""
     follower = following()
     follower.wait(SECOND // 2)
-    follower.tell(m.Changes(1, [("n0", 12, b"drains")]))
-    follower.tell(m.Changes(1, [("n0", 11, b"ready")]))
-    follower.tell(m.Ended("reset"))
+    follower.tell(changes(1, [("n0", 12, b"drains")]))
+    follower.tell(changes(1, [("n0", 11, b"ready")]))
+    follower.tell(watch_events.CallEnded("reset"))
     follower.machine.mode = m.Mode.READING
     follower.read(11, fleet(6))
     follower.settle()
-    assert follower.view["n0"] == b"drains" and follower.machine.revision == 12
-    assert sum("behind 12" in line for line in follower.said) == 1 and m.Leave() in follower.wants
+    assert follower.view["n0"] == b"drains" and follower.machine.view.revision == 12
+    assert sum("member lags revision=11 known_revision=12" in line for line in follower.said) == 1
+    assert watch_events.SwitchEndpoint() in follower.wants
 
 
 def test_after_a_compaction_each_difference_is_told_once_a_deletion_too() -> None:
     follower = following()
-    assert m.Read() in follower.tell(m.Compacted())
+    assert watch_events.ReadAll() in follower.tell(watch_events.Compacted())
     now = fleet(6) | {"n1": (15, b"drains"), "n9": (16, b"ready")}
     del now["n2"]
     follower.read(20, now)
     follower.settle()
     assert sorted(follower.told, key=str) == [("n1", b"drains"), ("n2", None), ("n9", b"ready")]
-    assert follower.wants[-1] == m.WatchFrom(21)
+    assert follower.wants[-1] == watch_events.WatchFrom(21)
 
 
 def test_a_broken_watch_goes_on_from_where_it_was() -> None:
     follower = following()
-    follower.tell(m.Changes(1, [("n0", 14, b"drains")]))
-    follower.tell(m.Ended("reset"))
+    follower.tell(changes(1, [("n0", 14, b"drains")]))
+    follower.tell(watch_events.CallEnded("reset"))
     follower.wait(SECOND)
-    assert m.WatchFrom(15) in follower.wants and follower.view["n0"] == b"drains"
+    assert watch_events.WatchFrom(15) in follower.wants and follower.view["n0"] == b"drains"
 
 
 def test_thousands_of_newcomers_are_told_in_parts_and_drains_go_before_them() -> None:
@@ -121,10 +129,10 @@
     follower = following()
     follower.wait(SECOND)
     news: list[tuple[str, int, bytes | None]] = [(f"m{n}", 11, b"ready") for n in range(10_000)]
-    follower.tell(m.Changes(1, news))
-    assert len(follower.told) == m.NEW_AT_ONCE
-    follower.tell(m.Changes(1, [("n0", 12, b"drains"), ("n1", 12, None)]))
-    follower.wait(2 * m.BETWEEN)
+    follower.tell(changes(1, news))
+    assert len(follower.told) == change_publisher.MAX_NEW_IN_PART
+    follower.tell(changes(1, [("n0", 12, b"drains"), ("n1", 12, None)]))
+    follower.wait(2 * change_publisher.PART_INTERVAL_NS)
     assert follower.view["n0"] == b"drains" and "n1" not in follower.view
     follower.wait(4 * SECOND)
     assert len(follower.view) == 10_005
@@ -132,8 +140,8 @@
 
 def test_progress_ahead_of_its_events_hides_none_of_them() -> None:
     follower = following()
-    follower.tell(m.Progress(1, 14))
-    follower.tell(m.Changes(1, [("n0", 12, b"drains"), ("n1", 14, None)]))
+    follower.tell(watch_events.Progress(1, 14))
+    follower.tell(changes(1, [("n0", 12, b"drains"), ("n1", 14, None)]))
     follower.settle()
     assert follower.view["n0"] == b"drains" and "n1" not in follower.view
 
@@ -141,25 +149,25 @@
 def test_a_silent_watch_is_asked_and_then_given_up_within_the_stated_time() -> None:
     """A half-open stream kept a drain from the router for TCP's minutes."""
     follower = following()
-    follower.wait(m.PROGRESS + MILLI)
-    assert follower.wants == [m.AskProgress()]
-    follower.wait(m.SILENT - m.PROGRESS)
-    assert m.Leave() in follower.wants and "silent for 3 s" in follower.said[0]
+    follower.wait(m.PROGRESS_INTERVAL_NS + MILLI)
+    assert follower.wants == [watch_events.RequestProgress()]
+    follower.wait(m.SILENCE_LIMIT_NS - m.PROGRESS_INTERVAL_NS)
+    assert watch_events.SwitchEndpoint() in follower.wants and "silent for 3 s" in follower.said[0]
     answered = following()
     for _ in range(20):
-        answered.wait(m.PROGRESS // 2)
-        answered.tell(m.Progress(1, 10))
-    assert m.Leave() not in answered.wants
+        answered.wait(m.PROGRESS_INTERVAL_NS // 2)
+        answered.tell(watch_events.Progress(1, 10))
+    assert watch_events.SwitchEndpoint() not in answered.wants
 
 
 def test_drained_and_restored_in_one_batch_tells_no_drain_and_a_reborn_uid_its_last_address() -> None:
     follower = following()
     follower.wait(SECOND // 2)
-    follower.tell(m.Changes(1, [("n0", 11, b"drains"), ("n0", 12, b"ready")]))
-    follower.tell(m.Changes(1, [("n1", 13, None), ("n1", 14, b"elsewhere")]))
+    follower.tell(changes(1, [("n0", 11, b"drains"), ("n0", 12, b"ready")]))
+    follower.tell(changes(1, [("n1", 13, None), ("n1", 14, b"elsewhere")]))
     follower.settle()
     assert follower.view["n0"] == b"ready" and follower.view["n1"] == b"elsewhere"
-    follower.tell(m.Changes(1, [("n1", 15, None)]))
+    follower.tell(changes(1, [("n1", 15, None)]))
     follower.settle()
     assert "n1" not in follower.view
 
@@ -167,11 +175,11 @@
 def test_a_read_that_drops_most_of_the_fleet_waits_for_a_second_look() -> None:
     """A backup with half of the keys emptied the fleet."""
     follower = following(10)
-    follower.tell(m.Compacted())
+    follower.tell(watch_events.Compacted())
     follower.read(20, fleet(2))
-    assert len(follower.view) == 10 and "drops 8 of 10" in follower.said[-1]
-    follower.wait(m.LOOK_AGAIN + MILLI)
-    assert follower.wants[-1] == m.Read()
+    assert len(follower.view) == 10 and "drops too many dropped=8 known=10" in follower.said[-1]
+    follower.wait(m.READ_AGAIN_AFTER_NS + MILLI)
+    assert follower.wants[-1] == watch_events.ReadAll()
     follower.read(21, fleet(10))
     follower.settle()
     assert len(follower.view) == 10 and follower.told == []
@@ -179,18 +187,18 @@
 
 def test_what_the_first_look_dropped_is_told_before_the_drain_limit_is_over() -> None:
     follower = following(10)
-    follower.tell(m.Compacted())
+    follower.tell(watch_events.Compacted())
     follower.read(20, fleet(2))
     begun = follower.now
-    follower.wait(m.LOOK_AGAIN + MILLI)
-    follower.tell(m.Ended("refused"))
+    follower.wait(m.READ_AGAIN_AFTER_NS + MILLI)
+    follower.tell(watch_events.CallEnded("refused"))
     while len(follower.view) > 2:
         follower.wait(10 * MILLI)
         assert follower.now - begun < SECOND
     agreed = following(10)
-    agreed.tell(m.Compacted())
+    agreed.tell(watch_events.Compacted())
     agreed.read(20, fleet(2))
-    agreed.wait(m.LOOK_AGAIN + MILLI)
+    agreed.wait(m.READ_AGAIN_AFTER_NS + MILLI)
     agreed.read(20, fleet(2))
     agreed.settle()
     assert len(agreed.view) == 2
@@ -198,12 +206,12 @@
 
 def test_a_restored_backup_with_another_cluster_id_is_read_anew_and_said() -> None:
     follower = following()
-    assert m.Read() in follower.tell(m.Changes(2, [("n0", 3, b"old")]))
+    assert watch_events.ReadAll() in follower.tell(changes(2, [("n0", 3, b"old")]))
     follower.read(4, fleet(6, 2) | {"n0": (3, b"old")}, cluster=2)
     follower.settle()
-    assert follower.told == [("n0", b"old")] and follower.machine.revision == 4
-    assert any("another cluster id" in line for line in follower.said)
-    follower.tell(m.Changes(2, [("n1", 5, b"drains")]))
+    assert follower.told == [("n0", b"old")] and follower.machine.view.revision == 4
+    assert any("cluster id changed cluster_id=2 previous=1" in line for line in follower.said)
+    follower.tell(changes(2, [("n1", 5, b"drains")]))
     follower.settle()
     assert follower.view["n1"] == b"drains"
 
@@ -211,36 +219,36 @@
 def test_revisions_that_stay_behind_under_the_same_cluster_are_taken_after_a_while() -> None:
     follower = following()
     for _ in range(40):
-        follower.tell(m.Ended("reset"))
+        follower.tell(watch_events.CallEnded("reset"))
         follower.wait(2 * SECOND)
-        if follower.machine.mode is m.Mode.WATCHING and follower.machine.revision == 10:
-            follower.tell(m.Progress(1, 4))
+        if follower.machine.mode is m.Mode.WATCHING and follower.machine.view.revision == 10:
+            follower.tell(watch_events.Progress(1, 4))
         elif follower.machine.mode is m.Mode.READING:
             follower.read(4, fleet(5, 3))
     follower.settle()
-    assert follower.machine.revision == 4 and "n5" not in follower.view
-    assert sum("went back from 10 to 4" in line for line in follower.said) == 1
+    assert follower.machine.view.revision == 4 and "n5" not in follower.view
+    assert sum("revisions went back from=10 to=4" in line for line in follower.said) == 1
 
 
 def test_an_outage_is_said_once_and_so_is_its_end_and_the_list_stays() -> None:
     follower = following()
     for _ in range(30):
-        follower.tell(m.Ended("refused"))
+        follower.tell(watch_events.CallEnded("refused"))
         follower.wait(SECOND)
-    assert len(follower.view) == 6 and len(follower.said) == 1 and "stays in use" in follower.said[0]
+    assert len(follower.view) == 6 and len(follower.said) == 1 and "revision_in_use=10" in follower.said[0]
     follower.machine.mode = m.Mode.WATCHING
-    follower.tell(m.Progress(1, 10))
-    assert follower.said[1:] == ["etcd answers again"]
+    follower.tell(watch_events.Progress(1, 10))
+    assert follower.said[1:] == ["etcd available again"]
 
 
 def test_pauses_grow_to_a_bound_and_are_spread() -> None:
     follower, pauses = Follower(), []
     for _ in range(12):
-        follower.tell(m.Ended("refused"))
-        pauses.append(follower.machine.resume_at - follower.now)
-        follower.wait(m.MOST_PAUSE)
-    assert pauses[0] <= m.FIRST_PAUSE and max(pauses) <= m.MOST_PAUSE
-    assert all(pause > m.MOST_PAUSE // 2 for pause in pauses[7:]) and len(set(pauses[7:])) > 1
+        follower.tell(watch_events.CallEnded("refused"))
+        pauses.append(follower.machine.resume_at_ns - follower.now)
+        follower.wait(m.MAX_BACKOFF_NS)
+    assert pauses[0] <= m.FIRST_BACKOFF_NS and max(pauses) <= m.MAX_BACKOFF_NS
+    assert all(pause > m.MAX_BACKOFF_NS // 2 for pause in pauses[7:]) and len(set(pauses[7:])) > 1
 
 
 class Play:
@@ -271,20 +279,20 @@
             self.history.append((f"n{which}", self.revision, None))
 
     def broken(self, which: int, value: int) -> None:
-        self.follower.tell(m.Ended("reset"))
+        self.follower.tell(watch_events.CallEnded("reset"))
 
     def compact(self, which: int, value: int) -> None:
         self.compacted = self.revision
 
     def repeat(self, which: int, value: int) -> None:
         told = [one for one in self.history if one[1] <= self.sent]
-        self.follower.tell(m.Changes(1, told[-1 - which :]))
+        self.follower.tell(changes(1, told[-1 - which :]))
 
     def stale(self, which: int, value: int) -> None:
-        self.follower.tell(m.Progress(1, max(1, self.sent - which)))
+        self.follower.tell(watch_events.Progress(1, max(1, self.sent - which)))
 
     def progress(self, which: int, value: int) -> None:
-        self.follower.tell(m.Progress(1, self.sent))
+        self.follower.tell(watch_events.Progress(1, self.sent))
 
     def serve(self) -> None:
         """Does what the machine wants, and has the watch catch up."""
@@ -292,9 +300,9 @@
             self._answer()
             watching = self.follower.machine.mode is m.Mode.WATCHING
             if watching and not self.follower.wants:
-                changes = [one for one in self.history if one[1] > self.sent]
-                if changes:
-                    self.follower.tell(m.Changes(1, changes))
+                unseen = [one for one in self.history if one[1] > self.sent]
+                if unseen:
+                    self.follower.tell(changes(1, unseen))
                 self.sent = self.revision
                 if not self.follower.wants:
                     return
@@ -303,12 +311,12 @@
     def _answer(self) -> None:
         wants, self.follower.wants = self.follower.wants, []
         for want in wants:
-            if isinstance(want, m.Read) and self.follower.machine.mode is m.Mode.READING:
+            if isinstance(want, watch_events.ReadAll) and self.follower.machine.mode is m.Mode.READING:
                 self.follower.read(self.revision, dict(self.store))
-            elif isinstance(want, m.WatchFrom):
+            elif isinstance(want, watch_events.WatchFrom):
                 self.sent = want.revision - 1
                 if want.revision <= self.compacted < self.revision:
-                    self.follower.tell(m.Compacted())
+                    self.follower.tell(watch_events.Compacted())
 
 
 KINDS = ("put", "delete", "many", "broken", "compact", "repeat", "stale", "progress")
@@ -329,7 +337,7 @@
         follower.wait(value * 20 * MILLI)
         if value:
             play.serve()
-        revisions.append(follower.machine.revision)
+        revisions.append(follower.machine.view.revision)
     for _ in range(6):
         follower.wait(2 * SECOND)
         play.serve()
