--- a/rainhitch/admin/__init__.py
+++ b/rainhitch/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator does to a running router: calls on a second address, figures, servers left out by hand."""
+"""The operators' endpoint of a running router: health, metrics, cordons, draining, and upgrades."""
--- a/rainhitch/admin/commands.py
+++ b/rainhitch/admin/commands.py
@@ -1,60 +1,92 @@
-"""The line protocol of the second address, without its sockets.
+"""The line protocol of the operators' endpoint, without its sockets.
 
-One call a connection: a line with a word and, for some, an id. The answer is a line that begins with OK or
-ERR; `counters` answers the figures, a line each, and END.
+A connection carries one command: a line of its name and, for some, a server's id. The reply is one line that
+begins with OK or ERR. That to `counters` is the metrics, one a line, and END.
 """
 
+from collections.abc import Callable
 from typing import Protocol
 
-MOST_LINE = 512  # bytes of a call
-WITH_ID = ("cordon", "uncordon")
-ALONE = ("health", "counters", "quiesce", "resume", "routers")
+from rainhitch.admin.errors import CommandRejectedError
 
-
-class CommandRejectedError(Exception):
-    """What was asked for is not done; the text says why."""
+MAX_LINE_BYTES = 512  # of a command
 
 
 class AdminCommands(Protocol):
-    """What the calls act on. Each raises RefusedError where it can't be done."""
+    """What the commands act on: each returns its reply, or raises CommandRejectedError."""
 
     def health(self) -> str:
-        """Says in a word or two how the router is; RefusedError while it is not ready to serve."""
+        """Says how the router is; CommandRejectedError while it is not ready to serve."""
 
     def metrics(self) -> list[str]:
-        """The figures as they stand, a line each."""
+        """The metrics as they stand, one a line."""
 
     def cordon(self, server: str) -> str:
-        """Leaves a cache server out from now on."""
+        """Sends a cache server no more requests."""
 
     def uncordon(self, server: str) -> str:
         """Uses a cache server again."""
 
     def quiesce(self) -> str:
-        """Sends the clients away."""
+        """Drains the clients' connections."""
 
     def resume(self) -> str:
-        """Takes clients again."""
+        """Keeps clients' connections again."""
 
     def routers(self) -> str:
-        """What this router believes of the others and shares with them: one JSON object."""
+        """What this router knows of the others, and shares with them: one JSON object."""
+
+
+def _metrics_reply(commands: AdminCommands) -> bytes:
+    return "".join(f"{line}\n" for line in [*commands.metrics(), "END"]).encode()
+
+
+def _ok(text: str) -> bytes:
+    return f"OK {text}".strip().encode() + b"\n"
+
+
+def _error(text: str) -> bytes:
+    return f"ERR {text}\n".encode()
+
+
+# The commands by name; what each reply is made by. The order is that of the reply to an unknown command.
+PLAIN_COMMANDS: dict[str, Callable[[AdminCommands], bytes]] = {
+    "health": lambda commands: _ok(commands.health()),
+    "counters": _metrics_reply,
+    "quiesce": lambda commands: _ok(commands.quiesce()),
+    "resume": lambda commands: _ok(commands.resume()),
+    "routers": lambda commands: _ok(commands.routers()),
+}
+SERVER_COMMANDS: dict[str, Callable[[AdminCommands, str], bytes]] = {
+    "cordon": lambda commands, server: _ok(commands.cordon(server)),
+    "uncordon": lambda commands, server: _ok(commands.uncordon(server)),
+}
+READ_ONLY_COMMANDS = frozenset(("health", "counters", "routers"))  # that change nothing
 
 
-def answer(line: bytes, hands: AdminCommands) -> bytes:
-    """The whole answer to a call, with its line ends; nothing in it can break the form."""
+def answer(line: bytes, commands: AdminCommands) -> bytes:
+    """The whole reply to a command, with its line ends; nothing in the command can break the reply's form."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        return b"ERR not plain text\n"
-    name, rest = (words[0], words[1:]) if words else ("", [])
-    if name not in WITH_ID and name not in ALONE:
-        return b"ERR no such call; there are " + ", ".join(ALONE + WITH_ID).encode() + b"\n"
-    if len(rest) != (name in WITH_ID):
-        return f"ERR {name} takes {'one id' if name in WITH_ID else 'nothing'}\n".encode()
+        return _error("not plain text")
+    name = words[0] if words else ""
+    arguments = words[1:]
     try:
-        if name == "counters":
-            return "".join(f"{figure}\n" for figure in [*hands.metrics(), "END"]).encode()
-        said: str = getattr(hands, name)(*rest)
-    except CommandRejectedError as why:
-        return f"ERR {why}\n".encode()
-    return f"OK {said}".strip().encode() + b"\n"
+        if name in PLAIN_COMMANDS:
+            if arguments:
+                return _error(f"{name} takes nothing")
+            return PLAIN_COMMANDS[name](commands)
+        if name in SERVER_COMMANDS:
+            if len(arguments) != 1:
+                return _error(f"{name} takes one id")
+            return SERVER_COMMANDS[name](commands, arguments[0])
+    except CommandRejectedError as reason:
+        return _error(str(reason))
+    return _error("no such call; there are " + ", ".join([*PLAIN_COMMANDS, *SERVER_COMMANDS]))
+
+
+def changes_nothing(line: bytes) -> bool:
+    """Whether a line is a command that only reads."""
+    words = line.split()
+    return bool(words) and words[0].decode("latin-1") in READ_ONLY_COMMANDS
--- a/rainhitch/admin/cordons.py
+++ b/rainhitch/admin/cordons.py
@@ -1,89 +1,112 @@
-"""Cache servers that are left out by hand, and where that is kept.
+"""The cache servers that operators have cordoned, and the file that holds them.
 
-What an operator has said of a server holds until they say otherwise: over each list that comes, over the
-server's restart, and over an upgrade of the router, whose two processes share a folder. So the set is a
-file there, replaced whole, and each process looks whether it has changed.
+A cordon holds until an operator removes it: over each endpoint list that comes, over the server's restart,
+and over an upgrade of the router, whose two processes share a folder. So the set is a file there, replaced
+whole, and each process reads it again when it has changed.
 """
 
 import contextlib
 import logging
 import os
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import orjson
 
-MOST = 4096  # servers
+from rainhitch.admin.errors import CordonError
+
+MAX_CORDONED = 4096  # servers
 Changed = Callable[[set[str], set[str]], None]
 log = logging.getLogger("rainhitch")
 
 
-def freeze(out: set[str]) -> bytes:
-    return orjson.dumps({"cordoned": sorted(out)})
+@dataclass(frozen=True, slots=True)
+class _FileVersion:
+    """What changes whenever the file is replaced."""
+
+    modified_ns: int
+    inode: int
+
 
+def encode_cordons(servers: set[str]) -> bytes:
+    """The file's bytes for a set of servers."""
+    return orjson.dumps({"cordoned": sorted(servers)})
 
-def thaw(text: bytes) -> set[str]:
-    """The set as it was frozen; raises ValueError on anything else."""
-    told = orjson.loads(text)
-    names = told.get("cordoned") if isinstance(told, dict) else None
-    if not isinstance(names, list) or len(names) > MOST or not all(isinstance(one, str) for one in names):
-        raise ValueError("not a list of cordoned servers")
+
+def decode_cordons(text: bytes) -> set[str]:
+    """The servers that the file's bytes name; raises CordonError, or JSONDecodeError for what is no JSON."""
+    document = orjson.loads(text)
+    names = document.get("cordoned") if isinstance(document, dict) else None
+    if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
+        raise CordonError("not a list of cordoned servers")
+    if len(names) > MAX_CORDONED:
+        raise CordonError(f"more than {MAX_CORDONED} cordoned servers: {len(names)}")
     return set(names)
 
 
 class Cordons:
-    """The set, and its file in `folder`, if there is one, by the router's identity. `changed` is called with
-    the servers that went out and those that came back."""
+    """The cordoned servers, and their file in `folder`, which is named by the router's `identity`.
+
+    Without a folder they are kept in memory only. `changed(cordoned, uncordoned)` is called with what
+    changed.
+    """
 
-    def __init__(
-        self, folder: str | None, identity: str, changed: Callable[[set[str], set[str]], None]
-    ) -> None:
+    def __init__(self, folder: str | None, identity: str, changed: Changed) -> None:
         self.path = None if folder is None else os.path.join(folder, f"rainhitch-{identity}.cordons")
         self.changed = changed
-        self.out: set[str] = set()
-        self._seen: tuple[int, int] | None = None  # the file's time and number when it was last read
+        self.servers: set[str] = set()
+        self._version: _FileVersion | None = None  # of the file when it was last read
 
-    def look(self) -> None:
-        """Takes up what another process of this router has written."""
+    def reload(self) -> None:
+        """Takes over what another process has written; a file that can't be read changes nothing."""
         if self.path is None:
             return
         try:
             state = os.stat(self.path)
         except OSError:
             return
-        if (state.st_mtime_ns, state.st_ino) == self._seen:
+        version = _FileVersion(state.st_mtime_ns, state.st_ino)
+        if version == self._version:
             return
-        self._seen = (state.st_mtime_ns, state.st_ino)
+        self._version = version
         try:
             with open(self.path, "rb") as file:
-                self._become(thaw(file.read()))
+                self._replace(decode_cordons(file.read()))
         except (OSError, ValueError) as problem:
-            log.warning("the file of cordoned servers is of no use: %s", problem)
-
-    def put(self, server: str, out: bool) -> None:
-        """Leaves a server out, or uses it again. It is on file before it acts, so that no yes is forgotten;
-        raises OSError where it can't be written, ValueError where there are too many."""
-        self.look()
-        wanted = self.out | {server} if out else self.out - {server}
-        if len(wanted) > MOST:
-            raise ValueError(f"{MOST} servers are cordoned already")
-        if wanted != self.out and self.path is not None:
-            self._write(wanted)
-        self._become(wanted)
-
-    def _write(self, wanted: set[str]) -> None:
-        assert self.path is not None
-        name = f"{self.path}.{os.getpid()}"
+            log.warning("cordon file ignored path=%s reason=%s", self.path, problem)
+
+    def cordon(self, server: str) -> None:
+        """Cordons a server; raises OSError for a file that can't be written, CordonError for one too many."""
+        self.reload()
+        self._store(self.servers | {server})
+
+    def uncordon(self, server: str) -> None:
+        """Removes a cordon; raises OSError where the file can't be written."""
+        self.reload()
+        self._store(self.servers - {server})
+
+    def _store(self, servers: set[str]) -> None:
+        """Writes the set before it takes effect, so that what an operator has seen confirmed is on disk."""
+        if len(servers) > MAX_CORDONED:
+            raise CordonError(f"{MAX_CORDONED} servers are cordoned already")
+        if servers != self.servers and self.path is not None:
+            self._write(self.path, servers)
+        self._replace(servers)
+
+    def _write(self, path: str, servers: set[str]) -> None:
+        temporary = f"{path}.{os.getpid()}"
         try:
-            with open(name, "wb") as file:
-                file.write(freeze(wanted))
-            os.replace(name, self.path)
+            with open(temporary, "wb") as file:
+                file.write(encode_cordons(servers))
+            os.replace(temporary, path)
         except OSError:
             with contextlib.suppress(OSError):
-                os.unlink(name)
+                os.unlink(temporary)
             raise
 
-    def _become(self, wanted: set[str]) -> None:
-        out, back = wanted - self.out, self.out - wanted
-        self.out = wanted
-        if out or back:
-            self.changed(out, back)
+    def _replace(self, servers: set[str]) -> None:
+        cordoned = servers - self.servers
+        uncordoned = self.servers - servers
+        self.servers = servers
+        if cordoned or uncordoned:
+            self.changed(cordoned, uncordoned)
--- a/rainhitch/admin/endpoint.py
+++ b/rainhitch/admin/endpoint.py
@@ -1,4 +1,4 @@
-"""Wires the second address to a router, and keeps in step with the other process of an upgrade."""
+"""The operators' endpoint put together, in step with the other process of an upgrade."""
 
 import asyncio
 import os
@@ -8,16 +8,21 @@
 from rainhitch.admin.router_control import RouterControl
 from rainhitch.admin.server import AdminServer
 from rainhitch.admin.upgrade_peers import UpgradePeers
+from rainhitch.interface import Address
 from rainhitch.node.client_connections import ClientConnections
 from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.node.request_driver import RequestDriver
 
-LOOK = 0.1  # s between looks at what the other process has left in the folder
+FOLDER_CHECK_INTERVAL_S = 0.1  # between looks at what the other process has left in the folder
 
 
 class AdminEndpoint:
-    """The second address of a router. `share` is told how many processes the router's limits are cut between,
-    `beside` is called now and then while there is another; `identity` is the same for both of them."""
+    """The operators' endpoint of a router.
+
+    `identity` is the same for both processes of an upgrade, which share the folder TMPDIR. `divide_limits`
+    is called with the number of processes when that changes; `upgrade_peer_seen` with the time, in
+    nanoseconds, at each check that finds another.
+    """
 
     def __init__(
         self,
@@ -25,40 +30,43 @@
         clients: ClientConnections,
         directory: EndpointDirectory,
         identity: str,
-        share: Callable[[int], None],
-        beside: Callable[[int], None],
+        *,
+        divide_limits: Callable[[int], None],
+        upgrade_peer_seen: Callable[[int], None],
     ) -> None:
         folder = os.environ.get("TMPDIR") or None
         self.control = RouterControl(driver, clients, directory, folder, identity)
         self.upgrade_peers = UpgradePeers(folder, identity)
         self.server = AdminServer(self.control)
-        self.divide_limits, self.upgrade_peer_seen = share, beside
-        self.count = 1
+        self.divide_limits = divide_limits
+        self.upgrade_peer_seen = upgrade_peer_seen
+        self.process_count = 1
         self.closed = False
 
-    async def open(self, host: str, port: int) -> tuple[str, int]:
-        """Begins to listen, with the cordons as they stand; gives the address. Raises OSError."""
-        self.upgrade_peers.enter()
-        self._look()
+    async def open(self, host: str, port: int) -> Address:
+        """Begins to listen, with the cordons as they stand; returns the address. Raises OSError."""
+        self.upgrade_peers.register()
+        self._check_folder()
         return await self.server.open(host, port)
 
-    def _look(self) -> None:
+    def _check_folder(self) -> None:
         if self.closed:
             return
-        self.control.cordons.look()
-        count = self.upgrade_peers.look()
-        if count > 1:
+        self.control.cordons.reload()
+        process_count = self.upgrade_peers.recount()
+        if process_count > 1:
             self.upgrade_peer_seen(system.now())
-        if count != self.count:
-            self.count = count
-            self.divide_limits(count)
-        asyncio.get_running_loop().call_later(LOOK, self._look)
+        if process_count != self.process_count:
+            self.process_count = process_count
+            self.divide_limits(process_count)
+        asyncio.get_running_loop().call_later(FOLDER_CHECK_INTERVAL_S, self._check_folder)
 
     def stop(self) -> None:
-        """The router was told to stop: it is not ready any more."""
+        """The router has begun to stop: it is not ready any more."""
         self.control.stopping = True
 
     def close(self) -> None:
+        """Ends the endpoint, and the traces of this process in the folder."""
         self.closed = True
         self.server.close()
-        self.upgrade_peers.leave()
+        self.upgrade_peers.unregister()
--- a/rainhitch/admin/router_control.py
+++ b/rainhitch/admin/router_control.py
@@ -1,12 +1,12 @@
-"""What the calls of the second address do to this router."""
+"""What the operators' commands do to this router."""
 
 from collections.abc import Callable
 from typing import Any
 
 import orjson
 
-from rainhitch.admin.commands import CommandRejectedError
 from rainhitch.admin.cordons import Cordons
+from rainhitch.admin.errors import CommandRejectedError
 from rainhitch.interface import EndpointState
 from rainhitch.node.client_connections import ClientConnections
 from rainhitch.node.endpoint_directory import EndpointDirectory
@@ -16,7 +16,10 @@
 
 
 class RouterControl:
-    """The router as the second address sees it; the cordons' folder is shared with an upgrade's process."""
+    """The commands of `AdminCommands` on a running router.
+
+    `folder` is shared with the other process of an upgrade, which has the same `identity`.
+    """
 
     def __init__(
         self,
@@ -26,17 +29,21 @@
         folder: str | None,
         identity: str,
     ) -> None:
-        self.driver, self.clients, self.directory = driver, clients, directory
+        self.driver = driver
+        self.clients = clients
+        self.directory = directory
         self.cordons = Cordons(folder, identity, directory.cordon)
         self.stopping = False
-        self.describe_peers: Callable[[], Json] | None = None  # where other routers are told and heard
+        self.describe_peers: Callable[[], Json] | None = None  # None: there is no gossip
 
     def routers(self) -> str:
+        """What gossip tells of the other routers, as JSON; rejected where there is no gossip."""
         if self.describe_peers is None:
             raise CommandRejectedError("no word with other routers")
         return orjson.dumps(self.describe_peers()).decode()
 
     def health(self) -> str:
+        """`ready`; rejected while the router stops, drains its clients, or has no cache server."""
         if self.stopping:
             raise CommandRejectedError("told to stop")
         if self.clients.draining:
@@ -46,35 +53,44 @@
         return "ready"
 
     def metrics(self) -> list[str]:
+        """The router's metrics in statsd's form."""
         listed = {name for name in self.directory.targets if self.directory.is_cache(name)}
         draining = {name for name in listed if self.directory.targets[name].listed is not EndpointState.READY}
-        avoided = (self.driver.balancer.servers.ejected_servers() - draining) | self.cordons.out
-        return self.driver.metrics.lines(
-            self.driver.pools.attempts_written, len(listed), len(avoided & listed)
-        )
+        ejected = self.driver.balancer.servers.ejected_servers() - draining
+        avoided = (ejected | self.cordons.servers) & listed
+        return self.driver.metrics.lines(self.driver.pools.attempts_written, len(listed), len(avoided))
 
     def cordon(self, server: str) -> str:
-        return self._set(server, True)
+        """Sends a cache server no more requests, whatever the list says."""
+        self._check_known(server)
+        try:
+            self.cordons.cordon(server)
+        except (OSError, ValueError) as problem:
+            raise CommandRejectedError(f"not done: {problem}") from None
+        return f"{len(self.cordons.servers)} out"
 
     def uncordon(self, server: str) -> str:
-        return self._set(server, False)
-
-    def _set(self, server: str, out: bool) -> str:
-        self.cordons.look()
-        # One that is out may be off the list while it is started anew: it is known all the same.
-        if not self.directory.is_cache(server) and server not in self.cordons.out:
-            raise CommandRejectedError("no cache server of that id is on the list")
+        """Uses a cache server again."""
+        self._check_known(server)
         try:
-            self.cordons.put(server, out)
+            self.cordons.uncordon(server)
         except (OSError, ValueError) as problem:
             raise CommandRejectedError(f"not done: {problem}") from None
-        return f"{len(self.cordons.out)} out"
+        return f"{len(self.cordons.servers)} out"
+
+    def _check_known(self, server: str) -> None:
+        """Rejects an id that is neither listed nor cordoned: a cordoned server may be off the list."""
+        self.cordons.reload()
+        if not self.directory.is_cache(server) and server not in self.cordons.servers:
+            raise CommandRejectedError("no cache server of that id is on the list")
 
     def quiesce(self) -> str:
+        """Drains the clients' connections."""
         self.clients.drain()
         return "clients are sent away"
 
     def resume(self) -> str:
+        """Keeps clients' connections again; rejected while the router stops."""
         if self.stopping:
             raise CommandRejectedError("told to stop")
         self.clients.cancel_drain()
--- a/rainhitch/admin/upgrade_peers.py
+++ b/rainhitch/admin/upgrade_peers.py
@@ -1,7 +1,7 @@
-"""Two processes of one router, as during an upgrade: each knows that the other lives.
+"""How many processes of this router run, as during an upgrade.
 
-A process leaves a file with its number in the folder that they share, and takes it away at its end. One
-whose process has ended without that counts for nothing.
+A process leaves a file with its process id in the folder that they share, and removes it at its end. A file
+whose process has ended counts for nothing.
 """
 
 import contextlib
@@ -9,37 +9,40 @@
 
 
 class UpgradePeers:
-    """How many processes of this router there are; `folder` None: one."""
+    """The processes of one router, by its `identity`; without a `folder` there is one."""
 
     def __init__(self, folder: str | None, identity: str) -> None:
-        self.folder, self.prefix = folder, f"rainhitch-{identity}.process."
-        self.mine = None if folder is None else os.path.join(folder, f"{self.prefix}{os.getpid()}")
+        self.folder = folder
+        self.prefix = f"rainhitch-{identity}.process."
+        self.own_path = None if folder is None else os.path.join(folder, f"{self.prefix}{os.getpid()}")
         self.count = 1
 
-    def enter(self) -> None:
+    def register(self) -> None:
         """Makes this process known, and counts."""
-        if self.mine is not None:
-            with contextlib.suppress(OSError):
-                open(self.mine, "wb").close()
-        self.look()
+        if self.own_path is not None:
+            with contextlib.suppress(OSError), open(self.own_path, "wb"):
+                pass
+        self.recount()
 
-    def look(self) -> int:
-        """Counts anew."""
+    def recount(self) -> int:
+        """How many processes run now, this one included."""
         others = 0
         if self.folder is not None:
             with contextlib.suppress(OSError):
                 names = [name for name in os.listdir(self.folder) if name.startswith(self.prefix)]
-                others = sum(_lives(name.removeprefix(self.prefix)) for name in names)
+                others = sum(_is_other_process(name.removeprefix(self.prefix)) for name in names)
         self.count = 1 + others
         return self.count
 
-    def leave(self) -> None:
-        if self.mine is not None:
+    def unregister(self) -> None:
+        """Removes what makes this process known."""
+        if self.own_path is not None:
             with contextlib.suppress(OSError):
-                os.unlink(self.mine)
+                os.unlink(self.own_path)
 
 
-def _lives(number: str) -> bool:
+def _is_other_process(number: str) -> bool:
+    """Whether another process of this number runs."""
     if not number.isdigit() or int(number) == os.getpid():
         return False
     try:
@@ -47,5 +50,5 @@
     except ProcessLookupError:
         return False
     except OSError:
-        return True
+        return True  # it runs, and may not be signalled
     return True
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -108,7 +108,12 @@
             identity = f"{told.listen[0]}:{told.listen[1]}"
             share = partial(cut, told.sockets, self.pools, self.clients)
             self.admin = AdminEndpoint(
-                self.driver, self.clients, self.directory, identity, share, self.overload.upgrade_peer_seen
+                self.driver,
+                self.clients,
+                self.directory,
+                identity,
+                divide_limits=share,
+                upgrade_peer_seen=self.overload.upgrade_peer_seen,
             )
             if self.gossip is not None:
                 self.admin.control.describe_peers = self.gossip.describe
--- /dev/null
+++ b/tests/admin/test_commands.py
@@ -0,0 +1,83 @@
+"""The line protocol of the operators' endpoint, without sockets."""
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from rainhitch.admin.commands import PLAIN_COMMANDS, SERVER_COMMANDS, answer
+from rainhitch.admin.errors import CommandRejectedError
+
+
+class Scripted:
+    """Hands that note what was asked, and refuse what they are told to."""
+
+    def __init__(self, refuses: str = "") -> None:
+        self.asked: list[tuple[str, ...]] = []
+        self.refuses = refuses
+
+    def _do(self, *what: str) -> str:
+        self.asked.append(what)
+        if what[0] == self.refuses:
+            raise CommandRejectedError("not now")
+        return "done"
+
+    def health(self) -> str:
+        return self._do("health")
+
+    def metrics(self) -> list[str]:
+        return ["app.active:1|g", "app.tries:2|c"]
+
+    def cordon(self, server: str) -> str:
+        return self._do("cordon", server)
+
+    def uncordon(self, server: str) -> str:
+        return self._do("uncordon", server)
+
+    def quiesce(self) -> str:
+        return self._do("quiesce")
+
+    def resume(self) -> str:
+        return self._do("resume")
+
+    def routers(self) -> str:
+        return self._do("routers")
+
+
+@pytest.mark.parametrize("line", ["health", "quiesce", "resume", "routers", "cordon s-1", "uncordon s-1"])
+def test_each_call_reaches_the_hands_and_its_yes_or_no_comes_back(line: str) -> None:
+    hands = Scripted()
+    assert answer(f" {line}\r".encode(), hands) == b"OK done\n"
+    assert hands.asked == [tuple(line.split())]
+    assert answer(line.encode(), Scripted(line.split()[0])) == b"ERR not now\n"
+
+
+def test_the_figures_end_with_a_line_of_their_own() -> None:
+    assert answer(b"counters", Scripted()) == b"app.active:1|g\napp.tries:2|c\nEND\n"
+
+
+@pytest.mark.parametrize(
+    "line", [b"", b"cordon", b"cordon a b", b"health now", b"reload", b"HEALTH", b"\xff\xfe", b"__init__"]
+)
+def test_what_is_no_call_gets_a_no_and_does_nothing(line: bytes) -> None:
+    hands = Scripted()
+    told = answer(line, hands)
+    assert told.startswith(b"ERR ") and told.endswith(b"\n") and not hands.asked
+
+
+@given(st.binary(max_size=64))
+def test_any_line_gets_one_answer_of_the_form(line: bytes) -> None:
+    told = answer(line, Scripted())
+    assert told.startswith((b"OK", b"ERR ")) or line.split() == [b"counters"]
+    assert told.endswith(b"\n") and (told.count(b"\n") == 1 or line.split() == [b"counters"])
+
+
+def test_every_call_of_the_page_is_there() -> None:
+    assert {*PLAIN_COMMANDS, *SERVER_COMMANDS} == {
+        "health",
+        "counters",
+        "cordon",
+        "uncordon",
+        "quiesce",
+        "resume",
+        "routers",
+    }
--- a/tests/admin/test_compatibility.py
+++ b/tests/admin/test_compatibility.py
@@ -88,7 +88,7 @@
                 asked = router.control("/nonexistent-folder")
             case "4096 servers are cordoned":
                 asked = router.control()
-                asked.cordons.out = {f"n{number}" for number in range(4096)}
+                asked.cordons.servers = {f"n{number}" for number in range(4096)}
             case given:
                 assert given in ("", "no server is ready")
         reply = answer(row["call"].encode("latin-1"), asked).decode()
@@ -98,7 +98,7 @@
 def test_a_cordon_file_has_the_name_and_the_bytes_that_it_had(tmp_path: Path) -> None:
     cordons = Cordons(str(tmp_path), "127.0.0.1:7000", lambda out, back: None)
     for server in ("s-2", "s-1", "s-é"):
-        cordons.put(server, True)
+        cordons.cordon(server)
     assert os.listdir(tmp_path) == [CORDON_FILE]
     assert (tmp_path / CORDON_FILE).read_bytes() == (FIXTURES / "cordons.json").read_bytes()
 
@@ -106,8 +106,8 @@
 def test_a_cordon_file_of_the_earlier_version_is_read(tmp_path: Path) -> None:
     (tmp_path / CORDON_FILE).write_bytes((FIXTURES / "cordons.json").read_bytes())
     cordons = Cordons(str(tmp_path), "127.0.0.1:7000", lambda out, back: None)
-    cordons.look()
-    assert cordons.out == {"s-1", "s-2", "s-é"}
+    cordons.reload()
+    assert cordons.servers == {"s-1", "s-2", "s-é"}
 
 
 def test_the_example_of_the_operators_file_is_read_to_the_same_settings() -> None:
--- a/tests/admin/test_desk.py
+++ b/tests/admin/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The second address over loopback sockets: calls, cordons, sending clients away, and an upgrade."""
+"""The operators' endpoint over loopback sockets: commands, cordons, draining clients, and an upgrade."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 from peers import PATIENCE, Bench, Caller, Web, entry, hit, http, router, soon
 from program import ROOT, configuration, listing, started
 
-from rainhitch.admin import server as desk_module
+from rainhitch.admin import server as admin_server
 from rainhitch.admin.router_control import RouterControl
 from rainhitch.admin.server import AdminServer
 from rainhitch.protocol.resp import command
@@ -32,15 +32,15 @@
 
 @contextlib.asynccontextmanager
 async def attended(bench: Bench, folder: Path | None = None) -> AsyncIterator[tuple[str, int]]:
-    steward = RouterControl(
+    control = RouterControl(
         bench.driver, bench.clients, bench.directory, str(folder) if folder else None, "r"
     )
     bench.clients.can_serve = lambda: bench.directory.can_serve and not bench.clients.draining
-    desk = AdminServer(steward)
+    server = AdminServer(control)
     try:
-        yield await desk.open("127.0.0.1", 0)
+        yield await server.open("127.0.0.1", 0)
     finally:
-        desk.close()
+        server.close()
 
 
 async def served(bench: Bench, caller: Caller, name: bytes) -> object:
@@ -62,7 +62,7 @@
 
 
 async def test_callers_that_say_nothing_hold_up_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(desk_module, "MOST", 4)
+    monkeypatch.setattr(admin_server, "MAX_CALLERS", 4)
     async with router() as bench, attended(bench) as address:
         mute = [await asyncio.open_connection(*address) for _ in range(9)]
         mute[8][1].write(b"hea")
@@ -95,9 +95,9 @@
         bench.directory.apply({"rev": 11, "all": True, "targets": listed})
         assert await served(bench, caller, b"i4") != b"v"
         assert (await call(address, b"uncordon c0"))[0].startswith("OK")
-        server = bench.driver.balancer.servers.servers["c0"]
-        assert server.slow_start_at_ns > 0  # it may have been started anew meanwhile
-        server.slow_start_at_ns = 0
+        restarted = bench.driver.balancer.servers.servers["c0"]
+        assert restarted.slow_start_at_ns > 0  # it may have been started anew meanwhile
+        restarted.slow_start_at_ns = 0
         assert await served(bench, caller, b"i3") == b"v"
 
 
