--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -234,7 +234,7 @@
     clients.idle_s, clients.at_need_s = limits.idle_s, limits.at_need_s
     clients.unfinished_s, clients.unread_s = limits.unfinished_s, limits.unread_s
     pools.hold_idle(operator.servers.idle_s)
-    driver.balancer.settings.migration_fraction = operator.growth.move_share()
+    driver.balancer.settings.migration_fraction = operator.growth.migration_fraction()
     if operator.servers.resp3:
         from rainhitch.node.resp3_cache_connection import Resp3Connection
 
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -87,7 +87,7 @@
         DEFAULT_MIGRATION_FRACTION, 0, 100, "of what the database is sent besides, for keys that move"
     )
 
-    def move_share(self) -> float:
+    def migration_fraction(self) -> float:
         """The fraction of the origin's other reads that migration may add; below 0: keys move at once."""
         return self.share if self.paced else -1.0
 
--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -1,9 +1,12 @@
-"""Reads TOML tables strictly into dataclasses: one line for each key that is unknown, of a wrong type or
-out of range, with the key, its value and what is allowed; and gives a JSON Schema for editors.
+"""Strict reading of TOML tables into dataclasses.
 
-A table is a dataclass whose fields are made by `number`, `whole`, `flag`, `text`, `texts`, `pair`, `table`
-and `tables`; each states its default, its bounds and what it is for. pydantic does the checking, by a model
-that is made from these once; what comes out is the dataclass, which needs none of it.
+Each key that is unknown, of a wrong type or out of range is one line of the problems, with the key, its
+value and what is allowed. The same definitions make a JSON Schema for editors.
+
+A table is a dataclass whose fields are made by `number`, `whole`, `flag`, `text`, `texts`, `numbers`,
+`pair`, `table` and `tables`; each states its default, its bounds and what it is for. pydantic does the
+checking, with a model that is made from these once; the result is the dataclass, which needs nothing of
+pydantic.
 """
 
 import dataclasses
@@ -24,27 +27,57 @@
     create_model,
 )
 
+from rainhitch.errors import RainhitchError
+
 T = TypeVar("T")
-REQUIRED: Any = dataclasses.MISSING
-BARE = frozenset(string.ascii_letters + string.digits + "_-")  # of a key that needs no quotes
+REQUIRED: Any = dataclasses.MISSING  # as a default: the key must be there
+BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")  # of a key that needs no quotes
+MAX_SHOWN = 60  # characters of a value in a problem's line
+SPEC = "spec"  # under which a dataclass field's metadata holds its FieldSpec
 
 
-class TableError(ValueError):
-    """A file of tables that can't be taken; `lines` holds one problem each."""
+class TableError(RainhitchError, ValueError):
+    """A file of tables that can't be read; `lines` holds one problem each."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
+class DisallowedValueError(RainhitchError, ValueError):
+    """A value that is of the right type and not allowed; raised to pydantic, which reports the place."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class FieldSpec:
+    """What a field of a table takes."""
+
+    doc: str
+    form: Any = None  # the type that pydantic checks; None for tables
+    allowed: str = ""  # what is allowed, for a problem's line
+    table: type | None = None  # the dataclass of the field's table, or of each table in its array
+    is_array: bool = False  # of tables
+
+    def allowed_text(self) -> str:
+        """What is allowed, in words."""
+        if self.table is None:
+            return self.allowed
+        return "tables" if self.is_array else "a table"
+
+
+def _spec(one: "dataclasses.Field[Any]") -> FieldSpec:
+    spec: FieldSpec = one.metadata[SPEC]
+    return spec
+
+
 def _field(form: Any, allowed: str, default: Any, doc: str) -> Any:
-    """A field of a table; `form` is what pydantic takes it for."""
-    told = {"form": form, "allowed": allowed, "doc": doc}
+    """A field of a table; `form` is the type that pydantic checks."""
+    metadata = {SPEC: FieldSpec(doc, form, allowed)}
     if isinstance(default, list):
-        return dataclasses.field(default_factory=lambda: list(default), metadata=told)
+        return dataclasses.field(default_factory=lambda: list(default), metadata=metadata)
     if default is dataclasses.MISSING:
-        return dataclasses.field(metadata=told)
-    return dataclasses.field(default=default, metadata=told)
+        return dataclasses.field(metadata=metadata)
+    return dataclasses.field(default=default, metadata=metadata)
 
 
 def _bounded(kind: type, low: float, high: float) -> Any:
@@ -64,18 +97,20 @@
 
 
 def flag(default: bool, doc: str) -> Any:
+    """True or false."""
     return _field(Annotated[bool, Field(strict=True)], "true or false", default, doc)
 
 
 def text(default: Any, doc: str, choices: tuple[str, ...] = ()) -> Any:
     """A text, one of the choices where there are any."""
-    form: Any = Literal[choices] if choices else Annotated[str, Field(strict=True)]
-    return _field(form, "one of " + ", ".join(choices) if choices else "a text", default, doc)
+    if choices:
+        return _field(Literal[choices], "one of " + ", ".join(choices), default, doc)
+    return _field(Annotated[str, Field(strict=True)], "a text", default, doc)
 
 
 def _different(value: list[str]) -> list[str]:
     if len(set(value)) < len(value):
-        raise ValueError("not all different")
+        raise DisallowedValueError("not all different")
     return value
 
 
@@ -93,12 +128,13 @@
 
 
 def _both_ends(value: object) -> object:
+    """A range as pydantic takes it: one number stands for both ends."""
     return tuple(value) if isinstance(value, list) else (value, value)
 
 
 def _in_order(value: tuple[float, float]) -> tuple[float, float]:
     if value[0] > value[1]:
-        raise ValueError("the second is less than the first")
+        raise DisallowedValueError("the second is less than the first")
     return value
 
 
@@ -111,97 +147,126 @@
 
 def table(kind: type, doc: str) -> Any:
     """A table of its own."""
-    return dataclasses.field(default_factory=kind, metadata={"table": kind, "doc": doc})
+    return dataclasses.field(default_factory=kind, metadata={SPEC: FieldSpec(doc, table=kind)})
 
 
 def tables(kind: type, doc: str, default: Callable[[], list[Any]] = list) -> Any:
     """An array of tables."""
-    return dataclasses.field(default_factory=default, metadata={"tables": kind, "doc": doc})
+    spec = FieldSpec(doc, table=kind, is_array=True)
+    return dataclasses.field(default_factory=default, metadata={SPEC: spec})
 
 
 @cache
 def model(kind: Any) -> type[BaseModel]:
     """The pydantic model of a table."""
-    fields: dict[str, Any] = {}
-    for one in dataclasses.fields(kind):
-        told = one.metadata
-        form: Any = told.get("form")
-        if "table" in told:
-            form = model(told["table"])
-        elif "tables" in told:
-            form = Annotated[list[model(told["tables"])], Field(strict=True)]  # type: ignore[misc]
-        if one.default is not dataclasses.MISSING:
-            about = Field(one.default, description=told["doc"])
-        elif one.default_factory is not dataclasses.MISSING:
-            about = Field(default_factory=one.default_factory, description=told["doc"])
-        else:
-            about = Field(description=told["doc"])
-        fields[one.name] = (form, about)
-    made: type[BaseModel] = create_model(kind.__name__, __config__=ConfigDict(extra="forbid"), **fields)
+    fields = {one.name: (_form(_spec(one)), _model_field(one)) for one in dataclasses.fields(kind)}
+    definitions: dict[str, Any] = fields
+    config = ConfigDict(extra="forbid")
+    made: type[BaseModel] = create_model(kind.__name__, __config__=config, **definitions)
     return made
 
 
+def _form(spec: FieldSpec) -> Any:
+    """The type that pydantic checks."""
+    if spec.table is None:
+        return spec.form
+    row = model(spec.table)
+    return Annotated[list[row], Field(strict=True)] if spec.is_array else row  # type: ignore[valid-type]
+
+
+def _model_field(one: "dataclasses.Field[Any]") -> Any:
+    """The default and the description of a pydantic field."""
+    doc = _spec(one).doc
+    if one.default is not dataclasses.MISSING:
+        return Field(one.default, description=doc)
+    if one.default_factory is not dataclasses.MISSING:
+        return Field(default_factory=one.default_factory, description=doc)
+    return Field(description=doc)
+
+
 def schema(kind: type) -> dict[str, Any]:
     """The JSON Schema of a file of this kind."""
     return model(kind).model_json_schema()
 
 
 def read(kind: type[T], source: Mapping[str, object], where: str, problems: list[str]) -> T | None:
-    """Reads a table; what is wrong with it is added to the problems, and then there is no value."""
+    """The dataclass of a table; None where anything is wrong with it, which is added to `problems`.
+
+    `where` begins each problem's line, as the file's name.
+    """
     try:
-        told = model(kind).model_validate(dict(source))  # type: ignore[arg-type]
+        checked = model(kind).model_validate(dict(source))  # type: ignore[arg-type]
     except ValidationError as problem:
-        lines = [_line(kind, source, one["type"], one["loc"]) for one in problem.errors(include_url=False)]
+        found = problem.errors(include_url=False)
+        lines = [_problem_line(kind, source, one["loc"], one["type"] == "missing") for one in found]
         problems += [f"{where}: {line}" for line in dict.fromkeys(lines)]
         return None
-    return _made(kind, told)
+    return _dataclass(kind, checked)
 
 
-def _made(kind: type[T], told: Any) -> T:
+def _dataclass(kind: type[T], checked: Any) -> T:
     """The dataclass of what pydantic has read. Defaults are dataclasses already."""
     values: dict[str, Any] = {}
     for one in dataclasses.fields(kind):  # type: ignore[arg-type]
-        value = getattr(told, one.name)
-        if "table" in one.metadata and isinstance(value, BaseModel):
-            value = _made(one.metadata["table"], value)
-        elif "tables" in one.metadata:
-            of = one.metadata["tables"]
-            value = [_made(of, row) if isinstance(row, BaseModel) else row for row in value]
+        value = getattr(checked, one.name)
+        spec = _spec(one)
+        if spec.table is not None:
+            value = _tables(spec.table, value) if spec.is_array else _table(spec.table, value)
         values[one.name] = value
     return kind(**values)
 
 
-def _line(kind: Any, source: Any, what: str, place: tuple[int | str, ...]) -> str:
-    """One problem in a line: where it is, what stands there, what may."""
-    path, value, allowed = "", source, "a table"
+def _table(kind: type, value: Any) -> Any:
+    return _dataclass(kind, value) if isinstance(value, BaseModel) else value
+
+
+def _tables(kind: type, rows: list[Any]) -> list[Any]:
+    return [_table(kind, row) for row in rows]
+
+
+def _problem_line(kind: Any, source: Any, place: tuple[int | str, ...], is_missing: bool) -> str:
+    """One problem: the path of the key, the value that stands there, and what is allowed.
+
+    `place` is pydantic's: keys and indexes from the outermost table inwards.
+    """
+    path = ""
+    value = source
+    allowed = "a table"
     for step in place:
         if isinstance(step, int):
-            path, value, allowed = f"{path}[{step}]", value[step], "a table"
+            path += f"[{step}]"
+            value = value[step]
+            allowed = "a table"
             continue
-        known = {one.name: one for one in dataclasses.fields(kind)}
-        path += ("." if path else "") + (_shown(step) if set(step) - BARE else step)
-        field = known.get(step)
-        if field is None:
-            return f"{path} = {_shown(value[step])}: no such key; allowed: {', '.join(known)}"
-        told = field.metadata
-        if what == "missing" and step not in value:
-            return f"{path} is missing: allowed is {told.get('allowed', 'a table')}"
-        value, allowed = value[step], told.get("allowed", "a table" if "table" in told else "tables")
-        kind = told.get("table") or told.get("tables")
+        specs = {one.name: _spec(one) for one in dataclasses.fields(kind)}
+        path = f"{path}.{_key(step)}" if path else _key(step)
+        spec = specs.get(step)
+        if spec is None:
+            return f"{path} = {_shown(value[step])}: no such key; allowed: {', '.join(specs)}"
+        if is_missing and step not in value:
+            return f"{path} is missing: allowed is {spec.allowed or 'a table'}"
+        value = value[step]
+        allowed = spec.allowed_text()
+        kind = spec.table
         if kind is None:
             break  # what is wrong within a value is wrong with the value
     verb = "allowed are" if allowed == "tables" else "allowed is"
     return f"{path} = {_shown(value)}: {verb} {allowed}"
 
 
+def _key(name: str) -> str:
+    """A key as it stands in TOML, quoted where it must be."""
+    return _shown(name) if set(name) - BARE_KEY_CHARACTERS else name
+
+
 def _shown(value: object) -> str:
     """A value in one short line."""
     shown = " ".join(repr(value).split())
-    return shown if len(shown) <= 60 else shown[:57] + "..."
+    return shown if len(shown) <= MAX_SHOWN else shown[: MAX_SHOWN - 3] + "..."
 
 
 def load(path: Path) -> dict[str, Any]:
-    """The tables of a TOML file; a file that can't be read or is no TOML is a TableError of one line."""
+    """The tables of a TOML file; raises TableError of one line where it can't be read or is no TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as problem:
