--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -9,7 +9,7 @@
 
 
 class Scripted:
-    """Hands that note what was asked, and refuse what they are told to."""
+    """Commands that note what was asked, and reject the one that they are set to."""
 
     def __init__(self, refuses: str = "") -> None:
         self.asked: list[tuple[str, ...]] = []
@@ -44,34 +44,34 @@
 
 
 @pytest.mark.parametrize("line", ["health", "quiesce", "resume", "routers", "cordon s-1", "uncordon s-1"])
-def test_each_call_reaches_the_hands_and_its_yes_or_no_comes_back(line: str) -> None:
+def test_each_command_is_carried_out_and_its_ok_or_error_is_the_reply(line: str) -> None:
     hands = Scripted()
     assert answer(f" {line}\r".encode(), hands) == b"OK done\n"
     assert hands.asked == [tuple(line.split())]
     assert answer(line.encode(), Scripted(line.split()[0])) == b"ERR not now\n"
 
 
-def test_the_figures_end_with_a_line_of_their_own() -> None:
+def test_the_metrics_end_with_a_line_of_their_own() -> None:
     assert answer(b"counters", Scripted()) == b"app.active:1|g\napp.tries:2|c\nEND\n"
 
 
 @pytest.mark.parametrize(
     "line", [b"", b"cordon", b"cordon a b", b"health now", b"reload", b"HEALTH", b"\xff\xfe", b"__init__"]
 )
-def test_what_is_no_call_gets_a_no_and_does_nothing(line: bytes) -> None:
+def test_what_is_no_command_is_rejected_and_does_nothing(line: bytes) -> None:
     hands = Scripted()
     told = answer(line, hands)
     assert told.startswith(b"ERR ") and told.endswith(b"\n") and not hands.asked
 
 
 @given(st.binary(max_size=64))
-def test_any_line_gets_one_answer_of_the_form(line: bytes) -> None:
+def test_any_line_gets_one_reply_of_the_protocols_form(line: bytes) -> None:
     told = answer(line, Scripted())
     assert told.startswith((b"OK", b"ERR ")) or line.split() == [b"counters"]
     assert told.endswith(b"\n") and (told.count(b"\n") == 1 or line.split() == [b"counters"])
 
 
-def test_every_call_of_the_page_is_there() -> None:
+def test_every_documented_command_exists() -> None:
     assert {*PLAIN_COMMANDS, *SERVER_COMMANDS} == {
         "health",
         "counters",
--- a/tests/admin/test_cordons.py
+++ b/tests/admin/test_cordons.py
@@ -15,7 +15,7 @@
     return Cordons(str(folder) if folder else None, "r", lambda out, back: seen.append((out, back))), seen
 
 
-def test_a_cordon_twice_is_undone_by_one_call() -> None:
+def test_a_server_cordoned_twice_is_uncordoned_by_one_call() -> None:
     cordons, seen = followed(None)
     cordons.cordon("s")
     cordons.cordon("s")
@@ -35,7 +35,8 @@
     assert sorted(os.listdir(tmp_path)) == ["rainhitch-r.cordons"]
 
 
-def test_what_can_not_be_written_is_not_said_to_be_done(tmp_path: Path) -> None:
+def test_a_cordon_that_cannot_be_written_is_not_confirmed(tmp_path: Path) -> None:
+    """A cordon that is not on disk would be gone after a restart: the operator must not see an OK."""
     cordons, seen = followed(tmp_path / "gone")
     with pytest.raises(OSError, match="No such file"):
         cordons.cordon("s")
@@ -43,7 +44,8 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"{}", b"[1]", b'{"cordoned": [1]}', b'{"cordoned": "s"}', b"\xff"])
-def test_a_file_that_makes_no_sense_changes_nothing(tmp_path: Path, text: bytes) -> None:
+def test_an_unreadable_file_changes_nothing(tmp_path: Path, text: bytes) -> None:
+    """A damaged file must not put servers back in use that an operator has cordoned."""
     cordons, _ = followed(tmp_path)
     cordons.cordon("s")
     (tmp_path / "rainhitch-r.cordons").write_bytes(text)
@@ -52,5 +54,5 @@
 
 
 @given(st.sets(st.text(min_size=1)))
-def test_what_is_frozen_thaws(names: set[str]) -> None:
+def test_encoded_cordons_decode_to_the_same_set(names: set[str]) -> None:
     assert decode_cordons(encode_cordons(names)) == names
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -48,7 +48,7 @@
     return await caller.answer()
 
 
-async def test_figures_tell_what_was_served_refused_and_failed() -> None:
+async def test_metrics_count_served_rejected_and_failed_requests() -> None:
     refusing = iter([hit(), b"-BUSY\r\n", b"-BUSY\r\n", b"-BUSY\r\n", b"-BUSY\r\n", hit()])
     async with router(lambda asked, line: next(refusing)) as bench, attended(bench) as address:
         caller = await bench.caller()
@@ -61,7 +61,8 @@
         assert int(told["app.tries"].split("|")[0]) == len(bench.cache.got) + len(bench.origin.got)
 
 
-async def test_callers_that_say_nothing_hold_up_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_callers_hold_up_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Callers that connect and send nothing must not keep an operator from the endpoint."""
     monkeypatch.setattr(admin_server, "MAX_CALLERS", 4)
     async with router() as bench, attended(bench) as address:
         mute = [await asyncio.open_connection(*address) for _ in range(9)]
@@ -76,7 +77,7 @@
             writer.transport.abort()
 
 
-async def test_a_server_left_out_gets_nothing_whatever_the_list_says(tmp_path: Path) -> None:
+async def test_a_cordoned_server_gets_no_request_whatever_the_list_says(tmp_path: Path) -> None:
     async with router() as bench, attended(bench, tmp_path) as address:
         caller = await bench.caller()
         assert await served(bench, caller, b"i1") == b"v"
@@ -101,7 +102,7 @@
         assert await served(bench, caller, b"i3") == b"v"
 
 
-async def test_who_is_sent_away_goes_after_an_answer_and_nobody_is_cut_off(
+async def test_a_draining_connection_is_closed_after_its_answer_and_none_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     waiting: list[asyncio.StreamWriter] = []
@@ -138,7 +139,7 @@
         assert await back.answer() == b"v"  # its connection is kept again
 
 
-async def test_who_pipelines_without_end_is_sent_away_in_time() -> None:
+async def test_a_client_that_pipelines_without_end_is_drained_in_time() -> None:
     async with router() as bench, attended(bench) as address:
         bench.clients.schedule = replace(bench.clients.schedule, close_idle_s=0.1, stop_reading_s=0.2)
         caller = await bench.caller()
@@ -173,7 +174,7 @@
     return host, int(port)
 
 
-async def test_an_upgrade_loses_nothing_and_keeps_what_was_left_out(tmp_path: Path) -> None:
+async def test_an_upgrade_loses_no_request_and_keeps_the_cordons(tmp_path: Path) -> None:
     """Two processes on one inherited socket and one folder; the first is told to stop once the second is
     ready, while a client asks all the time."""
     cache = Web(lambda asked, line: http(500))
@@ -239,7 +240,9 @@
 
 
 @pytest.mark.parametrize("named", ["none", "63", "1.5"])
-async def test_an_inherited_socket_that_is_none_ends_with_one_plain_line(tmp_path: Path, named: str) -> None:
+async def test_a_descriptor_that_is_no_listening_socket_ends_with_one_plain_line(
+    tmp_path: Path, named: str
+) -> None:
     environment = {**configuration(tmp_path), "BALANCER_SOCKET_FD": named}
     running = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "rainhitch", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
@@ -250,7 +253,7 @@
     )
 
 
-async def test_a_request_right_behind_a_greeting_is_served_by_a_router_that_sends_away() -> None:
+async def test_a_request_right_behind_a_greeting_is_served_by_a_draining_router() -> None:
     async with router() as bench, attended(bench) as address:
         one = await bench.caller()
         await one.answer_to_ping()
--- a/tests/admin/test_upgrade_peers.py
+++ b/tests/admin/test_upgrade_peers.py
@@ -6,7 +6,8 @@
 from rainhitch.admin.upgrade_peers import UpgradePeers
 
 
-def test_a_process_that_ended_without_a_word_counts_for_nothing(tmp_path: Path) -> None:
+def test_the_file_of_a_process_that_was_killed_counts_for_nothing(tmp_path: Path) -> None:
+    """A killed process leaves its file: the router would keep half of its limits for good."""
     processes = UpgradePeers(str(tmp_path), "r")
     processes.register()
     assert processes.count == 1
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -131,7 +131,9 @@
     assert code == 0 and out.splitlines() == ["the list, 2 entries", "c1 Gone"]
 
 
-async def test_etcd_away_and_bad_tables_are_told_in_a_line(tmp_path: Path, etcd: Etcd) -> None:
+async def test_an_unreachable_etcd_and_a_bad_table_end_with_one_plain_line(
+    tmp_path: Path, etcd: Etcd
+) -> None:
     path = operator(tmp_path, etcd, "timeout_s = 0.5\n")
     etcd.refuse = True
     code, _, err = await members(path, "list")
@@ -154,7 +156,7 @@
         ("timeout_s = 0", "a number from 0.1 to 60"),
     ],
 )
-def test_each_bad_key_of_the_table_is_told(tmp_path: Path, text: str, why: str) -> None:
+def test_each_bad_key_of_the_table_is_one_line(tmp_path: Path, text: str, why: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(f"[membership]\n{text}\n")
     with pytest.raises(TableError) as failed:
@@ -162,7 +164,7 @@
     assert len(failed.value.lines) == 1 and why in failed.value.lines[0]
 
 
-def test_files_that_are_of_no_use_are_told(tmp_path: Path) -> None:
+def test_files_that_cannot_be_used_are_rejected(tmp_path: Path) -> None:
     bad = tmp_path / "bad.pem"
     bad.write_text("no certificate")
     for table in (
@@ -199,7 +201,7 @@
     await etcd.close()
 
 
-async def test_a_router_follows_etcd_and_serves_from_what_it_knows_while_that_is_away(
+async def test_a_router_follows_etcd_and_serves_from_its_known_list_while_etcd_is_unavailable(
     tmp_path: Path, etcd: Etcd
 ) -> None:
     """PING tells the truth: with etcd away at the start, by the known list alone."""
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -98,7 +98,7 @@
         assert len(one.told) == before + 1
 
 
-async def test_a_dropped_stream_resumes_and_nothing_is_told_twice() -> None:
+async def test_a_dropped_stream_resumes_and_no_change_is_published_twice() -> None:
     async with scene() as one:
         for n in range(4):
             one.etcd.drop()
@@ -109,9 +109,10 @@
         ] * 4
 
 
-async def test_a_watch_that_was_compacted_away_is_read_whole_and_compared(
+async def test_after_a_compaction_the_list_is_read_whole_and_compared(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """A watch that was away for longer than etcd's history must miss no drain and no deletion."""
     async with scene() as one:
         await one.etcd.kill(0)
         one.put("c0", "Terminating")
@@ -146,7 +147,7 @@
         assert not one.source.machine.is_failing and one.source.endpoint_turn == 0
 
 
-async def test_progress_told_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_progress_reported_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain below a progress that came first was taken for known, and never told."""
     monkeypatch.setattr(watch_state_machine, "PROGRESS_INTERVAL_NS", 100_000_000)
     async with scene() as one:
@@ -159,6 +160,7 @@
 
 
 async def test_a_member_that_lags_does_not_undo_a_drain(caplog: pytest.LogCaptureFixture) -> None:
+    """A fail-over to a lagging member must not bring a drained server back."""
     async with scene(members=2) as one:
         one.put("c0", "Terminating")
         await one.until(c0="draining", c1="ready", c2="ready")
@@ -184,9 +186,10 @@
         await one.until(c0="draining", c1="draining", c2="ready")
 
 
-async def test_without_a_leader_the_list_stays_and_goes_on_with_the_next(
+async def test_without_a_leader_the_list_stays_in_use_and_continues_with_the_next_leader(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """While etcd elects a leader it answers nothing: the router must serve from the list in use."""
     async with scene() as one:
         one.etcd.lead(False)
         await soon(lambda: lines(caplog, "no leader"))
@@ -196,7 +199,7 @@
         await one.until(c0="draining", c1="ready", c2="ready")
 
 
-async def test_a_restored_backup_is_said_and_read_anew(caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_restored_backup_is_logged_and_read_again(caplog: pytest.LogCaptureFixture) -> None:
     async with scene() as one:
         backup = one.etcd.store.revision
         one.put("c0", "Terminating")
@@ -224,7 +227,7 @@
         )
 
 
-async def test_a_password_is_checked_and_an_expired_token_is_asked_for_anew(
+async def test_a_password_is_checked_and_an_expired_token_is_fetched_again(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with scene(start=False, user="router", password="secret") as one:
@@ -249,7 +252,7 @@
         await soon(lambda: lines(caplog, "read drops too many dropped=9 known=9"))
 
 
-async def test_a_list_of_many_pages_and_a_response_of_10_mb_are_taken_up() -> None:
+async def test_a_list_of_many_pages_and_a_response_of_10_mb_are_applied() -> None:
     async with scene() as one:
         keys = [(PREFIX.encode() + b"m%d" % n, row(f"m{n}"), 0) for n in range(2500)]
         one.etcd.store.commit(keys)
@@ -263,14 +266,18 @@
         await soon(lambda: len(two.directory.targets) == 2503)
 
 
-async def test_delays_only_delay() -> None:
+async def test_a_slow_etcd_delays_a_change_and_loses_none() -> None:
     async with scene() as one:
         one.etcd.delay_s = 0.3
         one.put("c0", "Terminating")
         await one.until(c0="draining", c1="ready", c2="ready")
 
 
-async def test_what_is_no_etcd_is_said_and_harms_nothing(caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_server_that_is_no_etcd_is_logged_and_publishes_nothing(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    """A wrong address in the operator's file must be seen in the log, and empty no list."""
+
     async def noise(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 400 Bad Request\r\n\r\n")
         writer.close()
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -78,7 +78,7 @@
     return follower
 
 
-def test_a_change_is_told_at_once_and_the_next_ones_together() -> None:
+def test_a_change_is_published_at_once_and_the_next_ones_together() -> None:
     follower = following()
     follower.wait(SECOND // 2)
     follower.tell(changes(1, [("n0", 11, b"drains")]))
@@ -105,7 +105,7 @@
     assert watch_events.SwitchEndpoint() in follower.wants
 
 
-def test_after_a_compaction_each_difference_is_told_once_a_deletion_too() -> None:
+def test_after_a_compaction_each_difference_is_published_once_a_deletion_too() -> None:
     follower = following()
     assert watch_events.ReadAll() in follower.tell(watch_events.Compacted())
     now = fleet(6) | {"n1": (15, b"drains"), "n9": (16, b"ready")}
@@ -116,7 +116,7 @@
     assert follower.wants[-1] == watch_events.WatchFrom(21)
 
 
-def test_a_broken_watch_goes_on_from_where_it_was() -> None:
+def test_a_broken_watch_continues_from_its_revision() -> None:
     follower = following()
     follower.tell(changes(1, [("n0", 14, b"drains")]))
     follower.tell(watch_events.CallEnded("reset"))
@@ -124,7 +124,7 @@
     assert watch_events.WatchFrom(15) in follower.wants and follower.view["n0"] == b"drains"
 
 
-def test_thousands_of_newcomers_are_told_in_parts_and_drains_go_before_them() -> None:
+def test_thousands_of_new_entries_are_published_in_parts_and_drains_go_first() -> None:
     """Ten thousand entries at once held up requests in work for a fifth of a second."""
     follower = following()
     follower.wait(SECOND)
@@ -146,7 +146,7 @@
     assert follower.view["n0"] == b"drains" and "n1" not in follower.view
 
 
-def test_a_silent_watch_is_asked_and_then_given_up_within_the_stated_time() -> None:
+def test_a_silent_watch_is_asked_for_progress_and_then_given_up_in_time() -> None:
     """A half-open stream kept a drain from the router for TCP's minutes."""
     follower = following()
     follower.wait(m.PROGRESS_INTERVAL_NS + MILLI)
@@ -160,7 +160,7 @@
     assert watch_events.SwitchEndpoint() not in answered.wants
 
 
-def test_drained_and_restored_in_one_batch_tells_no_drain_and_a_reborn_uid_its_last_address() -> None:
+def test_a_drain_undone_in_one_batch_is_not_published_and_a_reused_uid_has_its_last_address() -> None:
     follower = following()
     follower.wait(SECOND // 2)
     follower.tell(changes(1, [("n0", 11, b"drains"), ("n0", 12, b"ready")]))
@@ -172,7 +172,7 @@
     assert "n1" not in follower.view
 
 
-def test_a_read_that_drops_most_of_the_fleet_waits_for_a_second_look() -> None:
+def test_a_read_that_drops_most_of_the_fleet_waits_for_a_second_read() -> None:
     """A backup with half of the keys emptied the fleet."""
     follower = following(10)
     follower.tell(watch_events.Compacted())
@@ -185,7 +185,7 @@
     assert len(follower.view) == 10 and follower.told == []
 
 
-def test_what_the_first_look_dropped_is_told_before_the_drain_limit_is_over() -> None:
+def test_a_suspicious_read_counts_before_the_limit_on_a_drain_is_over() -> None:
     follower = following(10)
     follower.tell(watch_events.Compacted())
     follower.read(20, fleet(2))
@@ -204,7 +204,7 @@
     assert len(agreed.view) == 2
 
 
-def test_a_restored_backup_with_another_cluster_id_is_read_anew_and_said() -> None:
+def test_a_restored_backup_with_another_cluster_id_is_read_again_and_logged() -> None:
     follower = following()
     assert watch_events.ReadAll() in follower.tell(changes(2, [("n0", 3, b"old")]))
     follower.read(4, fleet(6, 2) | {"n0": (3, b"old")}, cluster=2)
@@ -216,7 +216,7 @@
     assert follower.view["n1"] == b"drains"
 
 
-def test_revisions_that_stay_behind_under_the_same_cluster_are_taken_after_a_while() -> None:
+def test_revisions_that_stay_behind_under_the_same_cluster_id_are_adopted_after_a_while() -> None:
     follower = following()
     for _ in range(40):
         follower.tell(watch_events.CallEnded("reset"))
@@ -230,7 +230,7 @@
     assert sum("revisions went back from=10 to=4" in line for line in follower.said) == 1
 
 
-def test_an_outage_is_said_once_and_so_is_its_end_and_the_list_stays() -> None:
+def test_an_outage_and_its_end_are_logged_once_and_the_list_stays_in_use() -> None:
     follower = following()
     for _ in range(30):
         follower.tell(watch_events.CallEnded("refused"))
@@ -241,7 +241,7 @@
     assert follower.said[1:] == ["etcd available again"]
 
 
-def test_pauses_grow_to_a_bound_and_are_spread() -> None:
+def test_backoffs_grow_to_a_bound_and_are_spread() -> None:
     follower, pauses = Follower(), []
     for _ in range(12):
         follower.tell(watch_events.CallEnded("refused"))
@@ -325,7 +325,7 @@
 
 @settings(max_examples=300)
 @given(STEPS)
-def test_whatever_happens_the_view_becomes_the_stores_and_never_goes_back(
+def test_whatever_happens_the_view_becomes_the_stores_and_no_revision_goes_back(
     steps: list[tuple[str, int, int]],
 ) -> None:
     """The watch may break, repeat, compact or lag at any step."""
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -27,7 +27,7 @@
     return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
 
 
-async def test_the_watch_goes_on_and_after_a_failure_asks_for_the_whole_list() -> None:
+async def test_the_watch_continues_and_after_a_failure_asks_for_the_whole_list() -> None:
     c0, c1 = entry("c0", "127.0.0.1:1"), entry("c1", "127.0.0.1:1")
     script: list[bytes | None] = [
         whole_list(7, c0),
@@ -62,7 +62,7 @@
     await web.stop()
 
 
-async def test_where_lists_are_asked_for_a_failure_is_told_to_the_decisions() -> None:
+async def test_where_lists_are_polled_a_failure_is_reported_to_the_decisions() -> None:
     web = Web(lambda asked, line: http(503))
     await web.start()
     one, told = directory()
--- a/tests/node/test_endpoint_directory.py
+++ b/tests/node/test_endpoint_directory.py
@@ -20,7 +20,7 @@
     return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append), told
 
 
-async def test_a_list_is_told_with_names_as_indexes_and_start_times_on_the_clock() -> None:
+async def test_a_list_becomes_an_update_with_names_as_indexes_and_start_times_on_the_clock() -> None:
     one, told = directory()
     boot = time.time_ns() // 1_000_000 - 1000
     entries = (
@@ -38,6 +38,7 @@
 
 
 async def test_an_older_version_changes_nothing() -> None:
+    """An answer that was delayed may hold an older list: it must not bring back endpoints that are gone."""
     one, told = directory()
     one.apply(listing(5, entry("c0", "127.0.0.1:1")))
     one.apply(listing(4))
@@ -45,7 +46,10 @@
     assert len(told) == 1 and one.version == 5 and one.can_serve
 
 
-async def test_an_entry_that_makes_no_sense_is_skipped_with_a_line(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_unreadable_entry_is_skipped_and_logged_and_the_others_stand(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    """One bad entry must not cost the whole list, and an operator must see which one it was."""
     one, told = directory()
     odd: list[Any] = [
         entry("x1", "127.0.0.1:1", model="m99"),
@@ -65,7 +69,10 @@
             one.apply(bad)
 
 
-async def test_a_changed_endpoint_or_start_drops_the_old_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_changed_address_or_start_time_drops_the_old_connections(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A server that restarted has lost its requests: their clients must hear so, not wait."""
     monkeypatch.setattr(connection_pool, "SETTLE", 0.0)
     async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
         caller = await bench.caller()
@@ -87,7 +94,7 @@
         await second.stop()
 
 
-async def test_nothing_goes_to_a_server_that_drains_and_what_is_out_is_answered() -> None:
+async def test_a_draining_server_gets_no_request_and_those_in_flight_are_answered() -> None:
     async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -59,9 +59,7 @@
 
 
 @pytest.mark.parametrize(("times", "polled"), [(PUSHED_TIMES, False), (POLLED_TIMES, True)])
-def test_the_bound_is_the_sum_of_its_parts_with_a_reserve_for_a_late_loop(
-    times: PollTimes, polled: bool
-) -> None:
+def test_the_longest_staleness_leaves_time_for_a_late_event_loop(times: PollTimes, polled: bool) -> None:
     assert times.longest() <= MAX_STALENESS_S - 0.5
     assert times.max_pause_s >= ASK_AGAIN / SECOND or not polled
 
@@ -87,7 +85,7 @@
     st.floats(0, 30),
     st.floats(0.5, 1),
 )
-def test_nor_does_any_history(
+def test_no_history_of_outages_hides_a_change_for_longer(
     kind: tuple[PollTimes, bool],
     change: float,
     outages: list[tuple[float, float]],
@@ -102,11 +100,11 @@
     assert known_after(times, polled, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
 
 
-def test_what_an_agent_gets_at_its_return_is_asked_for_within_a_drains_grace() -> None:
+def test_an_agent_that_returns_is_asked_again_within_a_drains_grace() -> None:
     assert PUSHED_TIMES.patience_s + PUSHED_TIMES.max_pause_s < 1.0
 
 
-def test_a_failed_watch_is_followed_by_a_call_also_where_the_decisions_choose() -> None:
+def test_a_failed_watch_is_followed_by_a_call_for_the_whole_list_even_where_polled() -> None:
     polling = PollSchedule(POLLED_TIMES, True, lambda: ALL)
     polling.succeeded()
     assert polling.call().hold_s == POLLED_TIMES.hold_s
@@ -117,7 +115,7 @@
     assert polling.call().hold_s
 
 
-def test_the_decisions_ask_again_in_time_however_often_it_failed() -> None:
+def test_the_decisions_ask_again_in_time_however_many_calls_failed() -> None:
     router = Router(settings(endpoints_polled=True))
     for _ in range(8):
         router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -61,7 +61,7 @@
         assert lines.startswith(b"rainhitch: ") and lines.count(b"\n") == 1
 
 
-async def test_the_program_serves_and_on_sigterm_answers_what_it_holds(tmp_path: Path) -> None:
+async def test_the_program_serves_and_on_sigterm_answers_requests_in_flight(tmp_path: Path) -> None:
     cache = Cache(lambda asked, line: None if asked[2] == b"slow" else hit())
     await cache.start()
     known = listing(3, entry("c0", cache.address))
--- a/tests/telemetry/test_router_metrics.py
+++ b/tests/telemetry/test_router_metrics.py
@@ -3,7 +3,7 @@
 from rainhitch.telemetry.router_metrics import RouterMetrics
 
 
-def test_figures_are_told_by_class_with_their_kind() -> None:
+def test_metrics_are_named_by_class_with_their_statsd_kind() -> None:
     tally = RouterMetrics(["menu-read", "order-place"])
     tally.served[0], tally.rejected[1], tally.failed[1], tally.in_flight = 812, 3, 2, 14
     told = tally.lines(900, 9, 1)
