--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -272,7 +272,7 @@
     clients.unfinished_s = limits.unfinished_s
     clients.unread_s = limits.unread_s
     pools.set_max_idle(operator.servers.idle_s)
-    driver.balancer.settings.migration_fraction = operator.growth.move_share()
+    driver.balancer.settings.migration_fraction = operator.growth.migration_fraction()
     if operator.servers.resp3:
         from rainhitch.node.resp3_cache_connection import Resp3Connection
 
--- a/rainhitch/program.py
+++ b/rainhitch/program.py
@@ -41,8 +41,8 @@
         router.clients,
         router.directory,
         f"{host}:{port}",
-        divide_limits,
-        router.overload.upgrade_peer_seen,
+        divide_limits=divide_limits,
+        upgrade_peer_seen=router.overload.upgrade_peer_seen,
     )
     if router.gossip is not None:
         endpoint.control.describe_peers = router.gossip.describe
