--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -116,7 +116,7 @@
     path.write_text("{half a fi")
     running.send_signal(signal.SIGHUP)
     async with asyncio.timeout(PATIENCE):
-        while b"is of no use" not in await running.stderr.readline():
+        while b"configuration rejected" not in await running.stderr.readline():
             pass
     path.write_text(json.dumps({**good, "discovery": new.address}))
     for _ in range(3):
