--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -16,7 +16,7 @@
 from rainhitch.node.client_request import AttemptResult, Exchange
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.decision_loop import DecisionLoop
-from rainhitch.node.in_flight_request import Attempt, FinishedAttempt, InFlightRequest, RequestState
+from rainhitch.node.in_flight_request import REQUEST_OPEN, Attempt, FinishedAttempt, InFlightRequest
 from rainhitch.node.relay import Relay, Source
 from rainhitch.telemetry.counts import Counts
 
@@ -72,7 +72,7 @@
         timeout_ns = min(action.timeout_ns, left_ns) if action.timeout_ns else left_ns
         pool = self.pools.pools.get(action.server)
         max_attempts = self.decisions.balancer.settings.max_attempts
-        is_allowed = request.state is RequestState.OPEN and request.attempt is None and number < max_attempts
+        is_allowed = request.state is REQUEST_OPEN and request.attempt is None and number < max_attempts
         if pool is None or pool.retired or not is_allowed or timeout_ns <= 0:
             self._report(attempt, AttemptResult(api.AttemptStatus.ABANDONED))
             return
@@ -139,7 +139,7 @@
         request.attempt = None
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
-        if result.status is api.AttemptStatus.OK and request.state is RequestState.OPEN:
+        if result.status is api.AttemptStatus.OK and request.state is REQUEST_OPEN:
             self.owner.served(request, result.value)
         self._report(attempt, result)
         self.owner.forget_if_over(request)
@@ -153,9 +153,9 @@
         request = attempt.request
         in_time = self.clock.now() < write_by_ns
         # Asked last: the clock's reading may be old by a delay of this process, the client's end is not.
-        if request.state is RequestState.OPEN and request.sink.gone():
+        if request.state is REQUEST_OPEN and request.sink.gone():
             self.owner.withdraw(request)
-        return in_time and request.state is RequestState.OPEN and attempt.is_in_flight()
+        return in_time and request.state is REQUEST_OPEN and attempt.is_in_flight()
 
     def _long_value_began(self, attempt: Attempt, source: Source, size_bytes: int) -> Relay | None:
         """A long value begins to arrive; None where nobody wants it.
@@ -163,7 +163,7 @@
         From here on there is no other attempt, and no time limit but the relay's.
         """
         request = attempt.request
-        if not attempt.is_in_flight() or request.state is not RequestState.OPEN:
+        if not attempt.is_in_flight() or request.state is not REQUEST_OPEN:
             return None
         request.attempt = None
         for timer in (request.overdue_timer, attempt.timeout_timer):
@@ -195,7 +195,7 @@
                 attempt.number,
                 attempt.server,
                 status,
-                request.state is not RequestState.OPEN,
+                request.state is not REQUEST_OPEN,
                 elapsed_ns,
                 result.note,
                 connection_reused=reused,
--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Iterator
 
-from rainhitch.node.client_connection import ClientConnection, ConnectionState
+from rainhitch.node.client_connection import CONNECTION_OPEN, HALF_CLOSED, ClientConnection
 from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS
 
 
@@ -29,7 +29,7 @@
         """Notes what a connection waits for."""
         responses = client.responses
         is_blocked = responses.write_buffer_full or client.flow.turn_over
-        takes_commands = client.state is ConnectionState.OPEN and not is_blocked
+        takes_commands = client.state is CONNECTION_OPEN and not is_blocked
         in_work = len(responses.slots)
         expects_command = bool(client.frames.buffer) or not client.command_count
         if takes_commands and expects_command and in_work < MAX_PIPELINED_COMMANDS:
@@ -41,7 +41,7 @@
         else:
             self.awaited.pop(client, None)
             self.idle.pop(client, None)
-            if client.state is ConnectionState.HALF_CLOSED:
+            if client.state is HALF_CLOSED:
                 self.lingering[client] = self.loop.time()
 
     def unused(self, group: dict[ClientConnection, float], for_s: float) -> Iterator[ClientConnection]:
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -41,7 +41,11 @@
     CLOSED = "closed"
 
 
-ANSWERED_STATES = (ConnectionState.HALF_CLOSED, ConnectionState.REJECTED)
+# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+CONNECTION_OPEN = ConnectionState.OPEN
+LAST_COMMAND_READ = ConnectionState.LAST_COMMAND_READ
+HALF_CLOSED = ConnectionState.HALF_CLOSED
+ANSWERED_STATES = (HALF_CLOSED, ConnectionState.REJECTED)
 
 
 class ActivityObserver(Protocol):
@@ -84,7 +88,7 @@
     def __init__(self, host: ClientHost) -> None:
         self.host = host
         self.activity = host.activity
-        self.state = ConnectionState.OPEN
+        self.state = CONNECTION_OPEN
         self.close_reason: CloseReason | None = None
         self.transport: asyncio.Transport | None = None
         self.frames = resp.Frames()
@@ -126,12 +130,12 @@
         self.host.driver.decisions.just_resumed()
         self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
         self.nothing_received = False
-        if self.state is ConnectionState.OPEN:
+        if self.state is CONNECTION_OPEN:
             self.frames.feed(data)
             self.advance()
         elif self.rejected is not None:
             self.rejected.data_received(data)
-        elif self.state is ConnectionState.HALF_CLOSED:
+        elif self.state is HALF_CLOSED:
             # Guards memory and CPU against a client that goes on at full speed: the rest stays unread.
             self.lingered_bytes += len(data)
             if self.lingered_bytes > MAX_LINGER_BYTES and self.transport is not None:
@@ -206,7 +210,7 @@
         finally:
             self.is_advancing = False
         all_answered = not self.responses.slots
-        if all_answered and self.state is not ConnectionState.OPEN:
+        if all_answered and self.state is not CONNECTION_OPEN:
             self.half_close(CloseReason.LAST_COMMAND)
         elif all_answered and self.host.draining and self._may_be_drained():
             self.half_close(CloseReason.SHUTDOWN)
@@ -226,7 +230,7 @@
         handled = 0
         responses = self.responses
         try:
-            while handled < max_commands and self.state is ConnectionState.OPEN:
+            while handled < max_commands and self.state is CONNECTION_OPEN:
                 if responses.write_buffer_full or len(responses.slots) >= MAX_PIPELINED_COMMANDS:
                     break
                 parts = self.frames.next()
@@ -243,8 +247,8 @@
         return handled
 
     def _read_no_more(self) -> None:
-        if self.state is ConnectionState.OPEN:
-            self.state = ConnectionState.LAST_COMMAND_READ
+        if self.state is CONNECTION_OPEN:
+            self.state = LAST_COMMAND_READ
 
     def end(self, problem: str, reason: CloseReason) -> None:
         """Reads no more: what has been read is answered, then the problem is, then all is closed."""
@@ -280,10 +284,10 @@
         client sends it again elsewhere.
         """
         assert self.transport is not None
-        if self.state is ConnectionState.HALF_CLOSED or self.transport.is_closing():
+        if self.state is HALF_CLOSED or self.transport.is_closing():
             return
         self.note_close_reason(reason)
-        self.state = ConnectionState.HALF_CLOSED
+        self.state = HALF_CLOSED
         answers = self.commands.reject_rest(self.frames)
         if answers:
             self.transport.write(answers)
@@ -300,8 +304,8 @@
         """Pauses or resumes reading; ends the connection where memory is short."""
         if self.transport is None or self.transport.is_closing():
             return
-        no_more_commands = self.state is ConnectionState.LAST_COMMAND_READ
-        is_lingering = self.state is ConnectionState.HALF_CLOSED
+        no_more_commands = self.state is LAST_COMMAND_READ
+        is_lingering = self.state is HALF_CLOSED
         self.flow.steer(self.transport, no_more_commands, is_lingering)
         self.activity.classify(self)
         self.flow.account(self.transport)
@@ -311,7 +315,7 @@
     def _drop_input(self) -> None:
         """Memory is short: ends the connection where what its client has sent is a good part of that."""
         is_large = len(self.frames.buffer) > SMALL_ANSWER_BYTES
-        if is_large and self.state is ConnectionState.OPEN:
+        if is_large and self.state is CONNECTION_OPEN:
             self.frames.buffer.clear()
             self.end("out of memory", CloseReason.OUT_OF_MEMORY)
             self.advance()
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -31,6 +31,11 @@
     FINISHED = "finished"
 
 
+# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+REQUEST_OPEN = RequestState.OPEN
+REQUEST_FINISHED = RequestState.FINISHED
+
+
 class ResponseSink(Protocol):
     """Where a request's one answer goes: `fill` or `stream` is called once."""
 
@@ -85,7 +90,7 @@
     sink: ResponseSink
     deadline_ns: int  # by when the router answers
     client_deadline_ns: int  # when its client stops waiting
-    state: RequestState = RequestState.OPEN
+    state: RequestState = REQUEST_OPEN
     attempts_started: int = 0
     attempt: Attempt | None = None
     overdue_timer: asyncio.TimerHandle | None = None
@@ -94,8 +99,8 @@
 
     def is_open(self) -> bool:
         """Whether it still needs its final answer."""
-        return self.state is RequestState.OPEN
+        return self.state is REQUEST_OPEN
 
     def may_be_forgotten(self) -> bool:
         """Whether it is over and nothing of it is in flight."""
-        return self.state is RequestState.FINISHED and self.attempt is None
+        return self.state is REQUEST_FINISHED and self.attempt is None
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -15,7 +15,7 @@
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.deadlines import ANSWER_DELIVERY_NS, DelayReserve, client_wait_ns
 from rainhitch.node.decision_loop import DecisionLoop
-from rainhitch.node.in_flight_request import InFlightRequest, RequestState, ResponseSink
+from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, RequestState, ResponseSink
 from rainhitch.node.key_invalidations import KeyInvalidations
 from rainhitch.node.loop_lag import HEARTBEAT_NS, LoopLag
 from rainhitch.node.relay import Relay, Source
@@ -204,7 +204,7 @@
         return relay
 
     def _relay_ended(self, request: InFlightRequest, whole: bool) -> None:
-        request.state = RequestState.FINISHED
+        request.state = REQUEST_FINISHED
         request.relay = None
         self.accounting.relay_ended(request, whole)
         self.forget_if_over(request)
@@ -218,7 +218,7 @@
         request.sink.fill(answer)
 
     def _mark_finished(self, request: InFlightRequest) -> None:
-        request.state = RequestState.FINISHED
+        request.state = REQUEST_FINISHED
         self.metrics.in_flight -= 1
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -40,6 +40,12 @@
     WRITTEN = "written"
 
 
+# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+NOT_WRITTEN = WriteProgress.NOT_WRITTEN
+PARTLY_WRITTEN = WriteProgress.PARTLY_WRITTEN
+WRITTEN = WriteProgress.WRITTEN
+
+
 class UpstreamHost(Protocol):
     """What all connections of a router share."""
 
@@ -81,7 +87,7 @@
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
-        self.write_progress = WriteProgress.NOT_WRITTEN
+        self.write_progress = NOT_WRITTEN
         self.is_closed = False  # closed or given up, also where it comes up later
         self.opened_at_s = 0.0  # loop time
         self.reused = False  # it has carried more attempts than the one it was opened for
@@ -107,7 +113,7 @@
     def start_exchange(self, exchange: Exchange) -> None:
         """Begins an attempt, or has it wait for the connection to come up."""
         self.exchange = exchange
-        self.write_progress = WriteProgress.NOT_WRITTEN
+        self.write_progress = NOT_WRITTEN
         if self.transport is not None:
             self._write()
 
@@ -128,12 +134,12 @@
             self.finish(AttemptResult(AttemptStatus.ABANDONED), reusable=False)
             return
         # Set before the write: the transport calls pause_writing within it where bytes stay behind.
-        self.write_progress = WriteProgress.WRITTEN
+        self.write_progress = WRITTEN
         self.transport.write(request)
         if self.transport.is_closing():
             # A write that failed at once handed nothing over: what it asked for never ran.
-            self.write_progress = WriteProgress.PARTLY_WRITTEN
-        if self.write_progress is WriteProgress.WRITTEN:
+            self.write_progress = PARTLY_WRITTEN
+        if self.write_progress is WRITTEN:
             self.host.attempts_written += 1
 
     def abandon(self) -> bool:
@@ -142,7 +148,7 @@
         Guards against second copies: the system has closed the connection before this returns, and so before
         anybody may start another attempt.
         """
-        may_have_run = self.write_progress is WriteProgress.WRITTEN
+        may_have_run = self.write_progress is WRITTEN
         self.exchange = None
         self.close()
         return may_have_run
@@ -159,10 +165,10 @@
 
         Where nothing of it was written, the connection is kept for the next attempt.
         """
-        if self.exchange is None or self.write_progress is WriteProgress.WRITTEN:
+        if self.exchange is None or self.write_progress is WRITTEN:
             return False
         self.exchange = None
-        if self.write_progress is WriteProgress.PARTLY_WRITTEN:
+        if self.write_progress is PARTLY_WRITTEN:
             self.close()
         return True
 
@@ -217,7 +223,7 @@
         exchange = self.exchange
         self.exchange = None
         # Guards the next request against the rest of one that was answered before its last byte was written.
-        if reusable and self.write_progress is not WriteProgress.PARTLY_WRITTEN:
+        if reusable and self.write_progress is not PARTLY_WRITTEN:
             self.pool.release(self)
         else:
             self.close()
@@ -232,7 +238,7 @@
         """The connection is gone or never came up; `never_up` is the status of an attempt that never ran."""
         self._break_relay()
         self.is_closed = True
-        was_written = self.write_progress is WriteProgress.WRITTEN
+        was_written = self.write_progress is WRITTEN
         status = AttemptStatus.RESET if was_written else never_up
         if self.transport is None:
             is_refused = status is AttemptStatus.CONNECT_FAILED
@@ -271,13 +277,13 @@
 
     def pause_writing(self) -> None:
         """Some of what was written is not with the system yet."""
-        self.write_progress = WriteProgress.PARTLY_WRITTEN
+        self.write_progress = PARTLY_WRITTEN
 
     def resume_writing(self) -> None:
         """All of what was written is with the system."""
-        if self.write_progress is not WriteProgress.WRITTEN:
+        if self.write_progress is not WRITTEN:
             self.host.attempts_written += 1
-        self.write_progress = WriteProgress.WRITTEN
+        self.write_progress = WRITTEN
 
     def data_received(self, data: bytes) -> None:
         """Something has come."""
