--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -84,7 +84,7 @@
     cls = names.classes.get(fields.get("c", ""), -1)
     if cls < 0:
         raise ClientRequestError("unknown class")
-    effect = names.effects[cls]
+    effect = names.idempotency[cls]
     value = parts[4] if name == b"C.SET" else None
     # A safe class reads and a keyed one writes; one that may not be repeated can do either.
     if effect is not Idempotency.NOT_IDEMPOTENT and (value is None) is not (effect is Idempotency.IDEMPOTENT):
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -48,7 +48,7 @@
     def __init__(self, told: Configuration, operator: "OperatorConfig | None" = None) -> None:
         self.configuration, self.stopping = told, False
         self.pools = ConnectionPools(
-            told.sockets * 3 // 8, told.ceilings.dial_timeout / 1e9, told.ceilings.keepalive / 1e9
+            told.sockets * 3 // 8, told.ceilings.connect_timeout_ns / 1e9, told.ceilings.keepalive_ns / 1e9
         )
         # What is left beside the program itself: a quarter for what clients sent, one for what they have not
         # yet sent or read, and half for what servers are sending and what the memory's bookkeeping wastes.
@@ -57,7 +57,7 @@
             told.settings, told.seed, None if operator is None else operator.storms.options()
         )
         self.balancer = Balancer(told.settings, told.seed, self.overload)
-        self.driver = RequestDriver(self.balancer, self.pools, told.ceilings.most_held, quarter)
+        self.driver = RequestDriver(self.balancer, self.pools, told.ceilings.max_requests, quarter)
         self.driver.metrics = RouterMetrics(list(told.names.classes))
         self.driver.tenant_names.update((number, name) for name, number in told.names.tenants.items())
         self.clients = ClientConnections(self.driver, told.names, told.sockets // 2, quarter, self.overload)
--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -1,110 +1,158 @@
-"""Reads the settings that a router is given at its start, for the adapter and the real router alike."""
+"""Reads the settings that the platform gives a router at its start.
+
+Here, and in `wirehost.py`, the platform's words are mapped to the terms of `interface.py`. A setting is named
+by its path, such as `ceilings.attemptsCap`: the last part is its key, the whole stands in messages of errors.
+"""
 
 from dataclasses import dataclass
 from typing import Any
 
-from rainhitch import interface as io
+from rainhitch import interface as api
+from rainhitch.errors import RainhitchError
 
-FLEET_MODES = ("pushed", "on_request")
-CACHE_MODES = ("through", "aside")
-# The platform's word for what a second execution of a request would do.
-IDEMPOTENCY = {
-    "safe": io.Idempotency.IDEMPOTENT,
-    "keyed": io.Idempotency.IDEMPOTENCY_KEY,
-    "unsafe": io.Idempotency.NOT_IDEMPOTENT,
-}
 Json = dict[str, Any]
 
+# The platform's words, and what they stand for.
+ENDPOINT_LIST_WORDS = ("pushed", "on_request")
+CACHE_MODE_WORDS = ("through", "aside")
+DEDUP_SCOPE_WORDS = ("all", "zone", "cell")
+IDEMPOTENCY_BY_WORD = {
+    "safe": api.Idempotency.IDEMPOTENT,
+    "keyed": api.Idempotency.IDEMPOTENCY_KEY,
+    "unsafe": api.Idempotency.NOT_IDEMPOTENT,
+}
+
+NUMBER_LIMIT = 1e19  # numbers are below it; it is more than any time in ns
+DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
+DEFAULT_POLL_WITHIN_NS = 10_000_000_000
+DEFAULT_SLOW_START_WINDOW_NS = 1_000_000_000
+DEFAULT_MAX_REQUESTS = 20_000
+DEFAULT_KEEPALIVE_NS = 60_000_000_000
+
 
-class SettingError(ValueError):
+class SettingError(RainhitchError, ValueError):
     """A start-up setting is missing or makes no sense."""
 
 
-def _get(source: Json, path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """Reads one setting; with no default it must be there."""
-    value = source.get(path.rsplit(".", 1)[-1])
+# One setting
+
+
+def _read(source: Json, path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    """Reads one setting of this type from the object that holds it.
+
+    A missing setting, or one that is null, has the default; with no default it raises SettingError, as does a
+    value of another type. JSON's true and false are no numbers.
+    """
+    key = path.rsplit(".", 1)[-1]
+    value = source.get(key)
     if value is None:
         if default is None:
             raise SettingError(f"setting {path} is missing")
         return default
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+    is_unwanted_bool = isinstance(value, bool) and kind is not bool
+    if not isinstance(value, kind) or is_unwanted_bool:
         raise SettingError(f"setting {path} makes no sense: {value!r}")
     return value
 
 
-def _number(source: Json, path: str, low: float, default: float | None = None) -> float:
-    value = float(_get(source, path, (int, float), default))
-    if not low <= value < 1e19:
+def _read_number(source: Json, path: str, least: float, default: float | None = None) -> float:
+    """Reads a number from `least` up."""
+    value = float(_read(source, path, (int, float), default))
+    if not least <= value < NUMBER_LIMIT:
         raise SettingError(f"setting {path} makes no sense: {value:g}")
     return value
 
 
-def _count(source: Json, path: str, low: int, default: int | None = None) -> int:
-    return int(_number(source, path, low, default))
+def _read_int(source: Json, path: str, least: int, default: int | None = None) -> int:
+    """Reads a number from `least` up; a fraction is cut off."""
+    return int(_read_number(source, path, least, default))
 
 
-def _choice(source: Json, path: str, choices: tuple[str, ...], default: str) -> str:
-    value = _get(source, path, str, default)
-    if value not in choices:
+def _read_word(source: Json, path: str, words: tuple[str, ...], default: str) -> str:
+    """Reads one of these words."""
+    value = _read(source, path, str, default)
+    if value not in words:
         raise SettingError(f"setting {path} makes no sense: {value!r}")
     return str(value)
 
 
-def _objects(source: Json, path: str, default: list[Json] | None = None) -> list[Json]:
-    value: list[Json] = _get(source, path, list, default)
+def _read_objects(source: Json, path: str, default: list[Json] | None = None) -> list[Json]:
+    """Reads a list of objects."""
+    value: list[Json] = _read(source, path, list, default)
     if not all(isinstance(one, dict) for one in value):
         raise SettingError(f"setting {path} makes no sense: no list of objects")
     return value
 
 
-def _class(source: Json, number: int) -> io.RequestClass:
-    at = f"classes[{number}]"
-    return io.RequestClass(
-        latency_objective_ns=_count(source, f"{at}.aim", 1),
-        deadline_ns=_count(source, f"{at}.deadline", 1),
-        idempotency=IDEMPOTENCY[_choice(source, f"{at}.effect", tuple(IDEMPOTENCY), "safe")],
-        dedup_scope=_choice(source, f"{at}.group", ("all", "zone", "cell"), "all"),
-        dedup_window_ns=_count(source, f"{at}.repeatWindow", 0, 0),
-        priority_weight=_number(source, f"{at}.gain", 0, 1),
-        late_weight=_number(source, f"{at}.lateWorth", 0, 0),
-        is_streamed=_get(source, f"{at}.stream", bool, False),
+def _read_indexes(values: list[Any], path: str) -> dict[str, int]:
+    """Takes a list of different names; returns the index of each."""
+    if not all(isinstance(one, str) for one in values) or len(set(values)) < len(values):
+        raise SettingError(f"setting {path} makes no sense: {values!r}")
+    return {name: number for number, name in enumerate(values)}
+
+
+# What the decisions are given
+
+
+def _read_class(source: Json, number: int) -> api.RequestClass:
+    path = f"classes[{number}]"
+    return api.RequestClass(
+        latency_objective_ns=_read_int(source, f"{path}.aim", 1),
+        deadline_ns=_read_int(source, f"{path}.deadline", 1),
+        idempotency=IDEMPOTENCY_BY_WORD[
+            _read_word(source, f"{path}.effect", tuple(IDEMPOTENCY_BY_WORD), "safe")
+        ],
+        dedup_scope=_read_word(source, f"{path}.group", DEDUP_SCOPE_WORDS, "all"),
+        dedup_window_ns=_read_int(source, f"{path}.repeatWindow", 0, 0),
+        priority_weight=_read_number(source, f"{path}.gain", 0, 1),
+        late_weight=_read_number(source, f"{path}.lateWorth", 0, 0),
+        is_streamed=_read(source, f"{path}.stream", bool, False),
     )
 
 
-def read_settings(info: Json) -> io.Settings:
-    """Turns the wire's start-up settings into the module's."""
+def _read_tenant(source: Json, number: int) -> api.Tenant:
+    return api.Tenant(quota_per_s=_read_number(source, f"tenants[{number}].quotaRps", 0, 0))
+
+
+def read_settings(info: Json) -> api.Settings:
+    """Reads what the decisions are given; raises SettingError."""
     if not isinstance(info, dict):
         raise SettingError("setting info makes no sense: not an object")
-    classes, tenants = _objects(info, "classes"), _objects(info, "tenants", [])
+    classes = _read_objects(info, "classes")
+    tenants = _read_objects(info, "tenants", [])
     if not classes:
         raise SettingError("setting classes makes no sense: it is empty")
-    ceilings, safety = _get(info, "ceilings", dict), _get(info, "safety", dict)
-    cache = _get(info, "specifics", dict, {})
-    return io.Settings(
-        classes=[_class(one, number) for number, one in enumerate(classes)],
-        router_count=_count(info, "balancers", 1, 1),
-        tenants=[io.Tenant(_number(one, f"tenants[{n}].quotaRps", 0, 0)) for n, one in enumerate(tenants)],
-        cache_aside=_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
-        origin_kind=_count(cache, "specifics.originKind", -1, -1),
-        endpoints_polled=_choice(info, "registryMode", FLEET_MODES, "pushed") == "on_request",
-        retry_after_allowed=_get(ceilings, "ceilings.retryAfter", bool, False),
-        max_retry_after_ns=_count(ceilings, "ceilings.maxRetryAfter", 0, 0),
-        max_attempts=_count(ceilings, "ceilings.attemptsCap", 1, 1),
-        connect_timeout_ns=_count(ceilings, "ceilings.dialTimeout", 0, 250_000_000),
-        poll_within_ns=_count(safety, "safety.askWithin", 0, 10_000_000_000),
-        slow_start_initial_fraction=_number(safety, "safety.coldFrom", 0, 1),
-        slow_start_ns=_count(safety, "safety.rampTime", 0, 0),
-        slow_start_overload_factor=_number(safety, "safety.tipMultiple", 0, 1),
-        slow_start_window_ns=_count(safety, "safety.fall", 0, 1_000_000_000),
+    ceilings = _read(info, "ceilings", dict)
+    safety = _read(info, "safety", dict)
+    cache = _read(info, "specifics", dict, {})
+    return api.Settings(
+        classes=[_read_class(one, number) for number, one in enumerate(classes)],
+        router_count=_read_int(info, "balancers", 1, 1),
+        tenants=[_read_tenant(one, number) for number, one in enumerate(tenants)],
+        cache_aside=_read_word(cache, "specifics.mode", CACHE_MODE_WORDS, "through") == "aside",
+        origin_kind=_read_int(cache, "specifics.originKind", -1, -1),
+        endpoints_polled=_read_word(info, "registryMode", ENDPOINT_LIST_WORDS, "pushed") == "on_request",
+        retry_after_allowed=_read(ceilings, "ceilings.retryAfter", bool, False),
+        max_retry_after_ns=_read_int(ceilings, "ceilings.maxRetryAfter", 0, 0),
+        max_attempts=_read_int(ceilings, "ceilings.attemptsCap", 1, 1),
+        connect_timeout_ns=_read_int(ceilings, "ceilings.dialTimeout", 0, DEFAULT_CONNECT_TIMEOUT_NS),
+        poll_within_ns=_read_int(safety, "safety.askWithin", 0, DEFAULT_POLL_WITHIN_NS),
+        slow_start_initial_fraction=_read_number(safety, "safety.coldFrom", 0, 1),
+        slow_start_ns=_read_int(safety, "safety.rampTime", 0, 0),
+        slow_start_overload_factor=_read_number(safety, "safety.tipMultiple", 0, 1),
+        slow_start_window_ns=_read_int(safety, "safety.fall", 0, DEFAULT_SLOW_START_WINDOW_NS),
     )
 
 
+# What the sockets are given
+
+
 @dataclass(slots=True)
 class Names:
-    """What stands on the sockets for the module's indexes."""
+    """The names that stand on the sockets for the indexes of the decisions."""
 
     classes: dict[str, int]
-    effects: list[io.Idempotency]  # of each class
+    idempotency: list[api.Idempotency]  # of each class, by index
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -112,37 +160,31 @@
 
 @dataclass(slots=True)
 class Ceilings:
-    """What the router's sockets are held to; durations are nanoseconds."""
-
-    most_held: int
-    dial_timeout: int
-    keepalive: int
-
+    """The limits of the router's sockets."""
 
-def _indexes(source: Json, path: str, default: list[str]) -> dict[str, int]:
-    values = _get(source, path, list, default)
-    if not all(isinstance(one, str) for one in values) or len(set(values)) < len(values):
-        raise SettingError(f"setting {path} makes no sense: {values!r}")
-    return {name: number for number, name in enumerate(values)}
+    max_requests: int  # held at a time
+    connect_timeout_ns: int
+    keepalive_ns: int  # an upstream connection idle for this long is closed by its server
 
 
 def read_names(info: Json) -> Names:
-    """The names of classes, tenants, zones and kinds, each with its index."""
-    classes, tenants = _objects(info, "classes"), _objects(info, "tenants", [])
+    """Reads the names of classes, tenants, zones and kinds; raises SettingError."""
+    classes = _read_objects(info, "classes")
+    tenants = _read_objects(info, "tenants", [])
     return Names(
-        _indexes({"name": [one.get("name") for one in classes]}, "classes[].name", []),
-        [_class(one, number).idempotency for number, one in enumerate(classes)],
-        _indexes({"name": [one.get("name") for one in tenants]}, "tenants[].name", []),
-        _indexes(info, "azs", []),
-        _indexes(info, "hostTypes", []),
+        classes=_read_indexes([one.get("name") for one in classes], "classes[].name"),
+        idempotency=[_read_class(one, number).idempotency for number, one in enumerate(classes)],
+        tenants=_read_indexes([one.get("name") for one in tenants], "tenants[].name"),
+        zones=_read_indexes(_read(info, "azs", list, []), "azs"),
+        kinds=_read_indexes(_read(info, "hostTypes", list, []), "hostTypes"),
     )
 
 
 def read_ceilings(info: Json) -> Ceilings:
-    """The part of the settings that binds the router and not the module."""
-    ceilings = _get(info, "ceilings", dict)
+    """Reads the limits of the router's sockets; raises SettingError."""
+    ceilings = _read(info, "ceilings", dict)
     return Ceilings(
-        most_held=_count(ceilings, "ceilings.mostHeld", 1, 20_000),
-        dial_timeout=_count(ceilings, "ceilings.dialTimeout", 1, 250_000_000),
-        keepalive=_count(ceilings, "ceilings.keepalive", 1, 60_000_000_000),
+        max_requests=_read_int(ceilings, "ceilings.mostHeld", 1, DEFAULT_MAX_REQUESTS),
+        connect_timeout_ns=_read_int(ceilings, "ceilings.dialTimeout", 1, DEFAULT_CONNECT_TIMEOUT_NS),
+        keepalive_ns=_read_int(ceilings, "ceilings.keepalive", 1, DEFAULT_KEEPALIVE_NS),
     )
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -81,7 +81,7 @@
     assert list(names.tenants) == [one["name"] for one in site["tenant"]]
     assert list(names.zones) == site["net"]["zones"]
     assert settings.slow_start_window_ns == site["rules"]["fall_ms"] * MS
-    assert ceilings.dial_timeout == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
+    assert ceilings.connect_timeout_ns == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
     longest = max(one.deadline_ns for one in settings.classes) / SECOND
     assert schedule(longest).gone < min(longest, 3) + 0.7
     assert (ASKED if settings.endpoints_polled else PUSHED).longest() < 6
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -256,9 +256,9 @@
         await peer.start()
     told = info(**ceilings)
     settings, limits, names = read_settings(told), read_ceilings(told), read_names(told)
-    pools = ConnectionPools(sockets, limits.dial_timeout / 1e9, limits.keepalive / 1e9)
+    pools = ConnectionPools(sockets, limits.connect_timeout_ns / 1e9, limits.keepalive_ns / 1e9)
     damper = OverloadController(settings, 1)
-    driver = RequestDriver(Balancer(settings, 1, damper), pools, limits.most_held, memory)
+    driver = RequestDriver(Balancer(settings, 1, damper), pools, limits.max_requests, memory)
     clients = ClientConnections(driver, names, sockets, memory, damper)
     directory = EndpointDirectory(names, 1, pools, driver.endpoints_updated)
     clients.can_serve = lambda: directory.can_serve
