--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,7 @@
 
 from rainhitch.rehearsal.faults import Fault
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
-from rainhitch.rehearsal.virtual.play import play
+from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 from rainhitch.telemetry.sums import RecordSum, sum_folder
 
 Row = tuple[float, int, RecordSum]  # service, breaches of rules, what the routers wrote down
@@ -101,7 +101,7 @@
         half = list(range(routers // 2))
         told.faults.append(Fault("routers-apart", 0.0, told.day.length_s + 60, group=half))
     with tempfile.TemporaryDirectory() as folder:
-        made = play(told, kind, seed, logs=Path(folder))
+        made = run_virtual_scenario(told, kind, seed, logs=Path(folder))
         return made["service"], sum(made["rules"].values()), sum_folder(Path(folder)).whole
 
 
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -26,12 +26,12 @@
 
 import orjson
 
-from rainhitch.rehearsal import play, report
-from rainhitch.rehearsal.judge.evidence import SECOND, Evidence
-from rainhitch.rehearsal.plan import Plan, draw
+from rainhitch.rehearsal import report, runner
+from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
+from rainhitch.rehearsal.environment import Environment
+from rainhitch.rehearsal.plan import Plan, draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario, shipped
-from rainhitch.rehearsal.stage import Stage
-from rainhitch.rehearsal.virtual.stage import play_day
+from rainhitch.rehearsal.virtual.environment import run_day
 
 Json = dict[str, Any]
 NAMES = ("grow-third", "shrink-third", "grow-while-cold", "leave-in-transition", "grow-while-database-slow")
@@ -83,8 +83,8 @@
     """A day in virtual time, in a process of a pool."""
     name, router, seed = job
     day = read_scenario(shipped()[name])
-    plan = draw(day, name, seed)
-    ledgers = play_day(day, plan, operator=AT_ONCE if router == "at once" else "")
+    plan = draw_plan(day, name, seed)
+    ledgers = run_day(day, plan, operator=AT_ONCE if router == "at once" else "")
     return {"router": router, **row_of(day, plan, name, seed, ledgers)}
 
 
@@ -97,8 +97,8 @@
 
 
 async def one_day(day: Scenario, name: str, seed: int, words: list[str]) -> Json:
-    plan = draw(day, name, seed)
-    ledgers = await Stage(day, plan, words, lambda at, row: None).play()
+    plan = draw_plan(day, name, seed)
+    ledgers = await Environment(day, plan, words, lambda at, row: None).play()
     return row_of(day, plan, name, seed, ledgers)
 
 
@@ -130,8 +130,8 @@
     with tempfile.TemporaryDirectory() as folder:
         at_once = Path(folder) / "operator.toml"
         at_once.write_text(AT_ONCE)
-        routers = {"paced": play.our_router()}
-        routers["at once"] = ["env", f"RAINHITCH_OPERATOR={at_once}", *play.our_router()]
+        routers = {"paced": runner.rainhitch_command()}
+        routers["at once"] = ["env", f"RAINHITCH_OPERATOR={at_once}", *runner.rainhitch_command()]
         if told.before is not None:
             path = f"PYTHONPATH={told.before.resolve()}"
             routers["before"] = ["env", path, sys.executable, "-P", "-m", "rainhitch"]
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,11 +23,11 @@
 import orjson
 
 from benchmarks.refusals import command, cpu
-from rainhitch.rehearsal.routers import hold_port, resident, settings
+from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
+from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.router_process import hold_port, resident_memory, router_settings
 from rainhitch.rehearsal.scenario import read_scenario, shipped
-from rainhitch.rehearsal.world.discovery import Agent
-from rainhitch.rehearsal.world.etcd import Etcd
-from rainhitch.rehearsal.world.node import Node, Spec
 
 Json = dict[str, Any]
 NODES, CONNECTIONS, PACE = 20, 8, 0.02  # s between two requests of a connection
@@ -42,13 +42,13 @@
         self.port = self.held.getsockname()[1]
         self.day = read_scenario(shipped()["quiet"])
         self.day.fleet.warm_s, self.day.traffic.quota_rps = 0.1, 1e9
-        spec = Spec(cores=64, slots=10_000, table=10_000, memory=10_000, warm_s=0.1, cold_from=1.0)
-        self.nodes = {f"n{n}": Node(f"n{n}", spec, 1, lambda id: 100.0) for n in range(NODES)}
+        spec = CacheNodeSpec(cores=64, slots=10_000, table=10_000, memory=10_000, warm_s=0.1, cold_from=1.0)
+        self.nodes = {f"n{n}": CacheNode(f"n{n}", spec, 1, lambda id: 100.0) for n in range(NODES)}
         self.keys = [f"key{n}" for n in range(400)]
         for node in self.nodes.values():
             for key in self.keys:
                 node.store(key)
-        self.agent = Agent(0, [self.entry(uid, "Ready") for uid in self.nodes])
+        self.agent = DiscoveryAgent(0, [self.entry(uid, "Ready") for uid in self.nodes])
         self.asked, self.waits = 0, list[float]()
         self.asking = True
 
@@ -72,7 +72,7 @@
             "seed": "1",
             "limits": {"memory_mb": 2048, "sockets": 4096},
             "known": self.agent.whole(),
-            "settings": settings(self.day, 0),
+            "settings": router_settings(self.day, 0),
         }
         path, operator = self.folder / "config.json", self.folder / "operator.toml"
         path.write_bytes(orjson.dumps(config))
@@ -169,7 +169,7 @@
     """Takes up many members, then a thousand changes a second."""
     fleet.p99()
     await asyncio.sleep(3.0)
-    calm, before = fleet.p99(), resident(fleet.router.pid)
+    calm, before = fleet.p99(), resident_memory(fleet.router.pid)
     rows = [
         (PREFIX + b"m%d" % n, orjson.dumps(fleet.entry(f"m{n}", "Terminating")), 0) for n in range(members)
     ]
@@ -179,7 +179,7 @@
     while cpu(fleet.router.pid) - used > 0.25 * (time.monotonic() - begun) and time.monotonic() - begun < 60:
         used, begun = cpu(fleet.router.pid), time.monotonic()
         await asyncio.sleep(0.5)
-    whole, took = resident(fleet.router.pid) - before, fleet.p99()
+    whole, took = resident_memory(fleet.router.pid) - before, fleet.p99()
     random, until, count = Random(2), time.monotonic() + 10, 0
     used, begun = cpu(fleet.router.pid), time.monotonic()
     while time.monotonic() < until:
@@ -211,7 +211,7 @@
                 await etcd.start()
             fleet = Fleet(Path(folder), etcd)
             await fleet.start()
-            print(f"{name}: resident {resident(fleet.router.pid) / 2**20:.1f} MB", flush=True)
+            print(f"{name}: resident {resident_memory(fleet.router.pid) / 2**20:.1f} MB", flush=True)
             count = told.drains if etcd is not None else max(20, told.drains // 5)
             times, over = await drains(fleet, count, lag)
             print(
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -18,10 +18,10 @@
 
 import orjson
 
-from rainhitch.rehearsal.routers import hold_port, resident, settings
+from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
+from rainhitch.rehearsal.router_process import hold_port, resident_memory, router_settings
 from rainhitch.rehearsal.scenario import read_scenario, shipped
-from rainhitch.rehearsal.world.discovery import Agent
-from rainhitch.rehearsal.world.node import Node, Spec
 
 CONNECTIONS, KEYS = 4, 64
 TICK = os.sysconf("SC_CLK_TCK")
@@ -69,7 +69,9 @@
     customers = [one.name for one in day.customers]
     big = 10**9  # nothing is beyond a share
     day.traffic.quota_rps = float(big)
-    node = Node("n0", Spec(cores=256, slots=10_000, table=10_000, memory=KEYS), 1, lambda id: 100.0)
+    node = CacheNode(
+        "n0", CacheNodeSpec(cores=256, slots=10_000, table=10_000, memory=KEYS), 1, lambda id: 100.0
+    )
     for number in range(KEYS):
         node.store(f"key{number}")
     entry = {
@@ -82,7 +84,7 @@
         "capacity_hint": 1.0,
         "boot_ms": 0,
     }
-    agent, held = Agent(0, [entry]), hold_port()
+    agent, held = DiscoveryAgent(0, [entry]), hold_port()
     port = held.getsockname()[1]
     config = {
         "name": "r0",
@@ -91,7 +93,7 @@
         "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": min(hard, 4 * told.idle + 1024)},
         "known": agent.whole(),
-        "settings": settings(day, 0),
+        "settings": router_settings(day, 0),
     }
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
@@ -125,13 +127,13 @@
             end="",
         )
         print(f"ratio {refused / served:.2f}; a core refuses {1e6 / refused:,.0f} a second")
-        before, lines = resident(router.pid), []
+        before, lines = resident_memory(router.pid), []
         for _ in range(told.idle):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"*1\r\n$4\r\nPING\r\n")
             await reader.readline()
             lines.append(writer)
-        each = (resident(router.pid) - before) / told.idle
+        each = (resident_memory(router.pid) - before) / told.idle
         used = cpu(router.pid)
         await asyncio.sleep(5.0)
         print(f"{told.idle} idle connections: {each / 1024:.1f} KiB each; ", end="")
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -14,17 +14,17 @@
 
 import orjson
 
-from rainhitch.rehearsal import play, report
+from rainhitch.rehearsal import report, runner
 from rainhitch.rehearsal.scenario import read_scenario, shipped
 
 Json = dict[str, Any]
-ROUTERS = {"rainhitch": play.our_router(), "plain": play.plain_router()}
+ROUTERS = {"rainhitch": runner.rainhitch_command(), "plain": runner.plain_router_command()}
 
 
 async def one(name: str, seed: int, router: str, free: asyncio.Semaphore, voids: list[str]) -> Json:
     async with free:
         for _ in range(3):
-            made = await play.play(read_scenario(shipped()[name]), name, seed, ROUTERS[router])
+            made = await runner.run_scenario(read_scenario(shipped()[name]), name, seed, ROUTERS[router])
             if made["exit"] != report.VOID:
                 break
             voids.append(f"{name} {seed} {router}")
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from typing import Any
 
-from rainhitch.rehearsal import play
+from rainhitch.rehearsal import runner
 from rainhitch.rehearsal.scenario import Scenario, read_scenario, shipped
 
 Json = dict[str, Any]
@@ -37,7 +37,7 @@
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for rate, times in ((480.0, 2), (2000.0, 6)):
         day = at_rate(rate, times)
-        made = await play.play(day, "rig", 1, play.our_router())
+        made = await runner.run_scenario(day, "rig", 1, runner.rainhitch_command())
         late, size = made["rig_late"], sum(one.count for one in day.fleet.nodes)
         figures = (
             f"{late['arrivals_p99_ms']} ms | {late['arrivals_max_ms']} ms | {late['longest_stall_ms']} ms"
@@ -46,8 +46,8 @@
         print(f"| {rate:g} | {size} | {day.fleet.routers} | {figures} | {share} |", flush=True)
     for name in ("lunch", "quiet"):
         day = read_scenario(shipped()[name])
-        plain = await play.play(day, name, 1, play.plain_router())
-        plays = [await play.play(day, name, 1, play.our_router()) for _ in range(repeats)]
+        plain = await runner.run_scenario(day, name, 1, runner.plain_router_command())
+        plays = [await runner.run_scenario(day, name, 1, runner.rainhitch_command()) for _ in range(repeats)]
         services = [float(one["service"]) for one in plays]
         shown = ", ".join(f"{one:.4f}" for one in services)
         spread = max(services) - min(services)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -19,10 +19,10 @@
 
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
-from rainhitch.rehearsal.plan import draw
+from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
+from rainhitch.rehearsal.virtual.environment import run_day
 from rainhitch.rehearsal.virtual.loop import OWNER, VirtualLoop
-from rainhitch.rehearsal.virtual.stage import play_day
 
 Json = dict[str, Any]
 SECOND = 1_000_000_000
@@ -109,10 +109,10 @@
 
 def row(nodes: int, routers: int) -> str:
     day = scenario(nodes, routers)
-    plan = draw(day, "scale", 1)
+    plan = draw_plan(day, "scale", 1)
     begun = time.monotonic()
     with Meter() as meter:
-        ledgers = play_day(day, plan)
+        ledgers = run_day(day, plan)
     took = time.monotonic() - begun
     rows = [
         one
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -24,12 +24,12 @@
 
 import orjson
 
-from rainhitch.rehearsal import play, report
-from rainhitch.rehearsal.judge.evidence import SECOND, Evidence
-from rainhitch.rehearsal.judge.service import fates
-from rainhitch.rehearsal.plan import draw
+from rainhitch.rehearsal import report, runner
+from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
+from rainhitch.rehearsal.checker.service import request_outcomes
+from rainhitch.rehearsal.environment import Environment
+from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario, shipped
-from rainhitch.rehearsal.stage import Stage
 
 Json = dict[str, Any]
 KINDS: dict[str, dict[str, object]] = {
@@ -65,7 +65,7 @@
         answered = one["kind"] == "served" and first <= one["answered"] < last
         if answered and one["answered"] <= one["sent"] + one["wait"]:
             useful += evidence.plan["asks"][one["ask"]]["work_us"] / 1e6
-    rows = [one for one in fates(evidence) if not one.ask["origin"]]
+    rows = [one for one in request_outcomes(evidence) if not one.ask["origin"]]
     length = int(evidence.scenario["day"]["length_s"])
 
     def service(start: int, end: int) -> float:
@@ -82,7 +82,7 @@
                 sent[(send.last - evidence.zero) // SECOND] += 1
                 done[send.order] += bool(send.order and send.executed)
     database = evidence.scenario["database"]
-    storm = [one for one in fates(evidence) if one.ask["origin"]]
+    storm = [one for one in request_outcomes(evidence) if one.ask["origin"]]
     return {
         "goodput": useful / capacity(evidence, int(begin * SECOND), int((begin + WINDOW) * SECOND)),
         "back": back,
@@ -94,8 +94,8 @@
 
 
 async def one_day(day: Scenario, seed: int, words: list[str]) -> Json:
-    plan = draw(day, "reconnect-storm", seed)
-    ledgers = await Stage(day, plan, words, lambda at, row: None).play()
+    plan = draw_plan(day, "reconnect-storm", seed)
+    ledgers = await Environment(day, plan, words, lambda at, row: None).play()
     ledgers["plan_digest"] = plan.digest()
     told, rows = orjson.loads(orjson.dumps(day)), plan.rows()
     made = report.build("reconnect-storm", told, rows, ledgers)
@@ -122,8 +122,8 @@
     with tempfile.TemporaryDirectory() as folder:
         undamped = Path(folder) / "operator.toml"
         undamped.write_text("[storms]\ndamping = false\n")
-        routers = {"damped": play.our_router()}
-        routers["not damped"] = ["env", f"RAINHITCH_OPERATOR={undamped}", *play.our_router()]
+        routers = {"damped": runner.rainhitch_command()}
+        routers["not damped"] = ["env", f"RAINHITCH_OPERATOR={undamped}", *runner.rainhitch_command()]
         if told.before is not None:
             path = f"PYTHONPATH={told.before.resolve()}"
             routers["before"] = ["env", path, sys.executable, "-P", "-m", "rainhitch"]
--- a/rainhitch/cli/rehearse.py
+++ b/rainhitch/cli/rehearse.py
@@ -85,8 +85,8 @@
 
 
 def _play(told: argparse.Namespace) -> int:
-    from rainhitch.rehearsal import play, scenario
-    from rainhitch.rehearsal.routers import StageError, command_of
+    from rainhitch.rehearsal import runner, scenario
+    from rainhitch.rehearsal.router_process import RehearsalError, parse_command
 
     path = scenario.find(told.target[0])
     changes = {} if told.routers is None else {"fleet.routers": told.routers}
@@ -97,20 +97,20 @@
                 _writable(file)
         if day.fleet.routers > MOST_REAL:
             many = f"fleet.routers = {day.fleet.routers}"
-            raise StageError(f"{many}: more than {MOST_REAL} play with --virtual")
-        words = play.our_router()
+            raise RehearsalError(f"{many}: more than {MOST_REAL} play with --virtual")
+        words = runner.rainhitch_command()
         if told.router is not None:
-            words = play.plain_router() if told.router == "plain" else command_of(told.router)
+            words = runner.plain_router_command() if told.router == "plain" else parse_command(told.router)
         return _interruptible(_repeat(told, day, path.stem, words))
-    except StageError as problem:
+    except RehearsalError as problem:
         return bad(str(problem))
 
 
 def _writable(file: Path) -> None:
-    from rainhitch.rehearsal.routers import StageError
+    from rainhitch.rehearsal.router_process import RehearsalError
 
     if not file.absolute().parent.is_dir():
-        raise StageError(f"{file}: its folder does not exist")
+        raise RehearsalError(f"{file}: its folder does not exist")
 
 
 def _interruptible(what: Coroutine[Any, Any, int]) -> int:
@@ -129,14 +129,14 @@
 
 
 async def _repeat(told: argparse.Namespace, day: Any, name: str, words: list[str]) -> int:
-    from rainhitch.rehearsal import play, report
+    from rainhitch.rehearsal import report, runner
 
     made: list[Json] = []
     for number in range(told.repeat):
         records = told.records
         if records is not None and told.repeat > 1:
             records = records / str(number + 1)
-        made.append(await play.play(day, name, told.seed, words, _progress(day), records))
+        made.append(await runner.run_scenario(day, name, told.seed, words, _progress(day), records))
         if sys.stderr.isatty():
             print("\r\x1b[K", end="", file=sys.stderr)
         if told.repeat > 1:
@@ -176,15 +176,15 @@
 
 
 async def _prove(seed: int) -> int:
-    from rainhitch.rehearsal import play
-    from rainhitch.rehearsal.plain import MODES
+    from rainhitch.rehearsal import runner
+    from rainhitch.rehearsal.plain_router import MODES
 
     def say(mode: str, wrong: str, made: Json) -> None:
         seen = next((one["what"] for one in made["breaches"]), "no breach")
         late = " (void: the rig ran late)" if made["exit"] == 3 else ""
         print(f"{'WRONG' if wrong else 'ok':6}{mode:18}{wrong or seen}{late}", flush=True)
 
-    code = await play.prove(list(MODES), say, seed)
+    code = await runner.prove_checker(list(MODES), say, seed)
     held = {
         0: "each is caught by its own rule, and no good one is accused",
         1: "the judge is wrong",
--- a/rainhitch/cli/virtual.py
+++ b/rainhitch/cli/virtual.py
@@ -72,9 +72,9 @@
 ) -> int:
     """Plays the day that the options name; gives the exit code."""
     from rainhitch.rehearsal import report, scenario
-    from rainhitch.rehearsal.routers import StageError
+    from rainhitch.rehearsal.router_process import RehearsalError
     from rainhitch.rehearsal.virtual.loop import StuckError
-    from rainhitch.rehearsal.virtual.play import play
+    from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 
     if line := wrong(told):
         return bad(line)
@@ -84,8 +84,10 @@
     tell, made = progress(day), []
     try:
         for _ in range(told.repeat):
-            made.append(play(day, path.stem, told.seed, tell, told.records, told.trace, told.logs))
-    except (StageError, StuckError) as problem:
+            made.append(
+                run_virtual_scenario(day, path.stem, told.seed, tell, told.records, told.trace, told.logs)
+            )
+    except (RehearsalError, StuckError) as problem:
         return bad(str(problem))
     except KeyboardInterrupt:
         print("rainhitch: interrupted", file=sys.stderr)
--- a/rainhitch/rehearsal/judge/evidence.py
+++ b/rainhitch/rehearsal/checker/evidence.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Send:
+class ObservedAttempt:
     """One attempt of a router, as the node or the database saw it; times are monotonic ns."""
 
     to: str
@@ -41,7 +41,7 @@
     scenario: Json
     plan: Json
     ledgers: Json
-    sends: dict[str, list[Send]] = field(
+    sends: dict[str, list[ObservedAttempt]] = field(
         default_factory=dict
     )  # by request id, in the order of their last bytes
     tries: list[Json] = field(default_factory=list)
@@ -52,7 +52,7 @@
         parts = self.ledgers["parts"]
         self.zero: int = self.ledgers["zero"]
         self.nodes: Json = {}
-        grouped: dict[str, list[Send]] = defaultdict(list)
+        grouped: dict[str, list[ObservedAttempt]] = defaultdict(list)
         for role, rows in sorted(parts.items()):
             if role.startswith("clients"):
                 self.tries += rows["sent"]
@@ -136,10 +136,10 @@
         return longest
 
 
-def _attempt(row: Json) -> Send:
+def _attempt(row: Json) -> ObservedAttempt:
     proven = row["ended"] and row["outcome"] in NEVER_RAN
     ends = [one for one in (row["ended"], row["closed"]) if one]
-    return Send(
+    return ObservedAttempt(
         row["node"],
         row["router"],
         row["id"],
@@ -155,9 +155,9 @@
     )
 
 
-def _fetch(row: Json) -> Send:
+def _fetch(row: Json) -> ObservedAttempt:
     ends = [one for one in (row["ended"], row["closed"]) if one]
-    return Send(
+    return ObservedAttempt(
         "database",
         row["router"],
         row["id"],
--- a/rainhitch/rehearsal/judge/rules.py
+++ b/rainhitch/rehearsal/checker/rules.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from rainhitch.rehearsal.judge.evidence import MILLI, NEVER, SECOND, Evidence, Send
+from rainhitch.rehearsal.checker.evidence import MILLI, NEVER, SECOND, Evidence, ObservedAttempt
 
 Json = dict[str, Any]
 RULES = ("lost", "repeated", "drained", "overrun")
@@ -20,7 +20,7 @@
 COLD_DUE = 1.25  # times the reads that were due to them
 
 
-def breaches(evidence: Evidence) -> list[Json]:
+def find_violations(evidence: Evidence) -> list[Json]:
     """All that was broken, in the order of time."""
     found = [*lost(evidence), *repeated(evidence), *drained(evidence), *overrun(evidence)]
     for router in evidence.ledgers["routers"]:
@@ -81,7 +81,7 @@
             yield _breach(evidence, "lost", ended, what, one["id"])
 
 
-def _by_router(sends: list[Send]) -> Iterator[list[Send]]:
+def _by_router(sends: list[ObservedAttempt]) -> Iterator[list[ObservedAttempt]]:
     """The sends of one request, router by router: a client whose connection breaks sends again, perhaps
     to another router, and neither can know what the other does."""
     for router in dict.fromkeys(one.router for one in sends):
@@ -119,7 +119,7 @@
     yield from _orders(evidence)
 
 
-def _overlaps(evidence: Evidence, id: str, sends: list[Send]) -> Iterator[Json]:
+def _overlaps(evidence: Evidence, id: str, sends: list[ObservedAttempt]) -> Iterator[Json]:
     for number, later in enumerate(sends[1:], 1):
         for earlier in sends[:number]:
             over = earlier.out_until - later.last
@@ -130,7 +130,7 @@
                 return
 
 
-def _resent(evidence: Evidence, id: str, sends: list[Send], spec: Json) -> Iterator[Json]:
+def _resent(evidence: Evidence, id: str, sends: list[ObservedAttempt], spec: Json) -> Iterator[Json]:
     if spec["repeats"] == "safe":
         return
     for number, later in enumerate(sends):
@@ -167,7 +167,7 @@
 
 def _orders(evidence: Evidence) -> Iterator[Json]:
     """Orders that the database carried out twice, by one router's sends of one request."""
-    done: dict[tuple[str, str, int], list[Send]] = defaultdict(list)
+    done: dict[tuple[str, str, int], list[ObservedAttempt]] = defaultdict(list)
     for id, sends in evidence.sends.items():
         for one in sends:
             if one.order and one.executed:
@@ -194,7 +194,7 @@
 
 def overrun(evidence: Evidence) -> Iterator[Json]:
     """Rule 4: no cold node pushed over, nor the database stopped by misses at cold nodes."""
-    at_node: dict[str, list[Send]] = defaultdict(list)
+    at_node: dict[str, list[ObservedAttempt]] = defaultdict(list)
     for sends in evidence.sends.values():
         for one in sends:
             at_node[one.to].append(one)
--- a/rainhitch/rehearsal/judge/service.py
+++ b/rainhitch/rehearsal/checker/service.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rainhitch.rehearsal.judge.evidence import SECOND, Evidence
+from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
 
 Json = dict[str, Any]
 WINDOW = 10  # s, of which the worst counts
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Fate:
+class RequestOutcome:
     """What became of one request, over all its tries."""
 
     ask: Json
@@ -37,7 +37,7 @@
     after: int  # ns from its first try to its end
 
 
-def fates(evidence: Evidence) -> list[Fate]:
+def request_outcomes(evidence: Evidence) -> list[RequestOutcome]:
     """The fate of each scored request."""
     scenario = evidence.scenario
     by_ask: dict[int, list[Json]] = defaultdict(list)
@@ -53,38 +53,38 @@
     return found
 
 
-def _fate(ask: Json, number: int, spec: Json, worth: float, tries: list[Json]) -> Fate:
+def _fate(ask: Json, number: int, spec: Json, worth: float, tries: list[Json]) -> RequestOutcome:
     begun = next((one["sent"] for one in tries if one["sent"]), 0)
     for one in tries:
         took = one["answered"] - begun
         if one["kind"] == "served" and one["own"] and one["answered"] <= one["sent"] + one["wait"]:
             if took <= spec["aim_ms"] * 1e6:
-                return Fate(ask, number, worth, worth, "", took)
-            return Fate(ask, number, worth, worth * spec["late_worth"], "served late", took)
+                return RequestOutcome(ask, number, worth, worth, "", took)
+            return RequestOutcome(ask, number, worth, worth * spec["late_worth"], "served late", took)
     if not tries:
-        return Fate(ask, number, worth, 0.0, "not sent", 0)
+        return RequestOutcome(ask, number, worth, 0.0, "not sent", 0)
     last = tries[-1]
     cause = "left early" if last["left"] else last["kind"] or "no answer"
     cause = {"served": "served too late", "ended": "connection ended"}.get(cause, cause)
     ended = last["answered"] or last["ended"] or last["left"] or last["sent"] + last["wait"]
-    return Fate(ask, number, worth, 0.0, cause, max(0, ended - begun) if begun else 0)
+    return RequestOutcome(ask, number, worth, 0.0, cause, max(0, ended - begun) if begun else 0)
 
 
-def _ratio(rows: list[Fate]) -> float:
+def _ratio(rows: list[RequestOutcome]) -> float:
     asked = sum(one.worth for one in rows)
     return round(sum(one.earned for one in rows) / asked, 6) if asked else 1.0
 
 
-def _by(rows: list[Fate], key: Any) -> dict[Any, list[Fate]]:
-    grouped: dict[Any, list[Fate]] = defaultdict(list)
+def _by(rows: list[RequestOutcome], key: Any) -> dict[Any, list[RequestOutcome]]:
+    grouped: dict[Any, list[RequestOutcome]] = defaultdict(list)
     for one in rows:
         grouped[key(one)].append(one)
     return grouped
 
 
-def service(evidence: Evidence) -> Json:
+def measure_service(evidence: Evidence) -> Json:
     """All figures of service, and the score with the prices beside it."""
-    scenario, rows = evidence.scenario, fates(evidence)
+    scenario, rows = evidence.scenario, request_outcomes(evidence)
     length = scenario["day"]["length_s"]
     classes = [one["name"] for one in scenario["classes"]]
     customers = [one["name"] for one in scenario["customers"]]
@@ -129,7 +129,7 @@
     }
 
 
-def _causes(rows: list[Fate]) -> list[Json]:
+def _causes(rows: list[RequestOutcome]) -> list[Json]:
     """What cost the most worth."""
     asked = sum(one.worth for one in rows) or 1.0
     grouped = _by([one for one in rows if one.cause], lambda one: (one.cause, one.ask["over"]))
@@ -144,7 +144,7 @@
     return sorted(found, key=lambda one: (-one["lost"], one["cause"]))
 
 
-def _prices(evidence: Evidence, rows: list[Fate]) -> Json:
+def _prices(evidence: Evidence, rows: list[RequestOutcome]) -> Json:
     """Points of service in 100 that the day cost."""
     zero, plan = evidence.zero, evidence.plan
     asked = max(1, len(rows))
--- a/rainhitch/rehearsal/population.py
+++ b/rainhitch/rehearsal/closed_loop_simulation.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Crowd:
+class ClientLoad:
     """Who asks, and how they take a refusal."""
 
     rate: float  # first tries a second, the ordinary load
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Course:
+class SimulationResult:
     """What became of it all."""
 
     asked: Counter[int] = field(default_factory=Counter)  # first tries, by second
@@ -87,12 +87,12 @@
         return -1 if bad and bad[-1] == end - 1 else (bad[-1] + 1 - after if bad else 0)
 
 
-class World:
+class ClosedLoopSimulation:
     """Plays a crowd against a balancer; `make` gives one for the settings."""
 
     def __init__(
         self,
-        crowd: Crowd,
+        crowd: ClientLoad,
         settings: api.Settings,
         make: Callable[[api.Settings], Any],
         seed: int,
@@ -104,7 +104,7 @@
         self.count = itertools.count()
         self.now = 0
         self.backends = {f"n{n}": Backend(6, 60) for n in range(4)}
-        self.course = Course()
+        self.course = SimulationResult()
         self.open: dict[str, tuple[int, int, int, api.Request, float]] = {}
         self.out: dict[tuple[str, int], tuple[str, int]] = {}
         self.made: Counter[str] = Counter()
@@ -115,7 +115,7 @@
     def at(self, when: int, what: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (max(when, self.now), next(self.count), what))
 
-    def play(self) -> Course:
+    def play(self) -> SimulationResult:
         crowd, at = self.crowd, 0.0
         while (at := at + self.random.expovariate(crowd.rate)) < crowd.length_s:
             self.at(int(at * SECOND), self._first)
--- a/rainhitch/rehearsal/stage.py
+++ b/rainhitch/rehearsal/environment.py
@@ -20,17 +20,17 @@
 
 from rainhitch import system
 from rainhitch.rehearsal.plan import Plan
-from rainhitch.rehearsal.routers import Router, StageError, hold_port, settings
+from rainhitch.rehearsal.router_process import RehearsalError, RouterProcess, hold_port, router_settings
 from rainhitch.rehearsal.scenario import Scenario
 
 Json = dict[str, Any]
 LEAD = 0.6  # s between all being ready and the prelude
 SPARE = 200  # descriptors of a part beside its connections
 PART_READY = 60.0  # s
-Told = Callable[[float, Json], None]  # how far the day is, in its seconds, and the stage's word
+ProgressCallback = Callable[[float, Json], None]  # how far the day is, in its seconds, and the stage's word
 
 
-class PartProcess:
+class WorkerProcess:
     """One part of the world in its process."""
 
     def __init__(self, role: str, folder: Path) -> None:
@@ -38,7 +38,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        words = [sys.executable, "-m", "rainhitch.rehearsal.world", self.role, str(self.folder)]
+        words = [sys.executable, "-m", "rainhitch.rehearsal.fakes", self.role, str(self.folder)]
         with (self.folder / f"{self.name}.log").open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *words,
@@ -69,7 +69,7 @@
         except TimeoutError:
             pass
         log = (self.folder / f"{self.name}.log").read_text(errors="replace").strip().splitlines()
-        raise StageError(f"the stand-in {self.role} failed: {log[-1] if log else 'no word'}")
+        raise RehearsalError(f"the stand-in {self.role} failed: {log[-1] if log else 'no word'}")
 
     async def end(self) -> None:
         if self.process is not None and self.process.returncode is None:
@@ -88,7 +88,9 @@
     need = max(scenario.clients.most, listeners + 2 * tables, scenario.day.sockets) + SPARE
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and need > hard:
-        raise StageError(f"too few descriptors: this fleet needs {need} in a process, the limit is {hard}")
+        raise RehearsalError(
+            f"too few descriptors: this fleet needs {need} in a process, the limit is {hard}"
+        )
     if soft != resource.RLIM_INFINITY and soft < need:
         resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
@@ -102,10 +104,10 @@
             try:
                 one.bind(("127.0.0.1", port))
             except OSError as problem:
-                raise StageError(f"port {port} can't be had for a router: {problem.strerror}") from None
+                raise RehearsalError(f"port {port} can't be had for a router: {problem.strerror}") from None
 
 
-class Stage:
+class Environment:
     """One day."""
 
     def __init__(
@@ -113,27 +115,27 @@
         scenario: Scenario,
         plan: Plan,
         words: list[str],
-        tell: Told = lambda at, row: None,
+        tell: ProgressCallback = lambda at, row: None,
         operator: str = "",
     ) -> None:
         self.operator = operator  # the text of an operator's file that all routers have
         self.scenario, self.plan, self.words, self.tell = scenario, plan, words, tell
         self.folder = Path(tempfile.mkdtemp(prefix="rainhitch-"))
-        self.parts: list[PartProcess] = []
-        self.routers: list[Router] = []
+        self.parts: list[WorkerProcess] = []
+        self.routers: list[RouterProcess] = []
         self.acting: set[asyncio.Task[None]] = set()
         self.held: list[socket.socket] = []
         self.zero = 0
 
     # what a stage on another machine than this one has of its own
 
-    def part(self, role: str) -> PartProcess:
-        return PartProcess(role, self.folder)
+    def part(self, role: str) -> WorkerProcess:
+        return WorkerProcess(role, self.folder)
 
-    def router(self, number: int, config: Json) -> Router:
+    def router(self, number: int, config: Json) -> RouterProcess:
         day = self.scenario.day
         memory = int(day.memory_mb * (1 << 20))
-        made = Router(number, self.words, self.folder, config, memory, day.sockets)
+        made = RouterProcess(number, self.words, self.folder, config, memory, day.sockets)
         made.operator = self.operator
         return made
 
@@ -213,7 +215,7 @@
                 "peers": peers[number][:-1],
                 "peers_all": peers[number][-1],
                 "known": lists[number]["known"],
-                "settings": settings(self.scenario, number),
+                "settings": router_settings(self.scenario, number),
             }
             router = self.router(number, config)
             if "etcd" in lists[number]:
@@ -229,14 +231,16 @@
             if not await router.ready():
                 lines = router.last_lines()
                 what = router.crash["why"] if router.crash else "did not answer PING"
-                raise StageError(f"the router's command failed: {what}: {lines[-1] if lines else 'no word'}")
+                raise RehearsalError(
+                    f"the router's command failed: {what}: {lines[-1] if lines else 'no word'}"
+                )
 
     def _do(self, what: Any) -> None:
         task = asyncio.get_running_loop().create_task(what)
         self.acting.add(task)
         task.add_done_callback(self.acting.discard)
 
-    async def _through(self, clients: list[PartProcess]) -> None:
+    async def _through(self, clients: list[WorkerProcess]) -> None:
         """Acts on the routers' cues until the clients are done."""
         loop = asyncio.get_running_loop()
         for cue in self.plan.cues:
@@ -261,7 +265,7 @@
                 return
             last = max((cue["at"] for cue in self.plan.cues), default=0) / 1e6
             if at > max(whole, last + whole):
-                raise StageError("the clients did not come to an end")
+                raise RehearsalError("the clients did not come to an end")
 
     def _act(self, cue: Json) -> None:
         self._do(self._cue(cue))
@@ -283,7 +287,7 @@
             await router.stop()
             await self._up(router)
 
-    async def _up(self, router: Router) -> None:
+    async def _up(self, router: RouterProcess) -> None:
         if router.crash is None:
             await router.start()
             if await router.ready():
--- a/rainhitch/rehearsal/explore/explorer.py
+++ b/rainhitch/rehearsal/explore/explorer.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from rainhitch.rehearsal.explore.findings import Case, EndlessError, Result, case, examine
-from rainhitch.rehearsal.explore.grammar import draw, mutate, valid
+from rainhitch.rehearsal.explore.grammar import draw_scenario, mutate, valid
 from rainhitch.rehearsal.explore.shrink import shrink
 
 Json = dict[str, Any]
@@ -124,7 +124,7 @@
             # The newest have been changed least often.
             place = int(len(self.fresh) * self.random.random() ** 0.5)
             return case(mutate(self.random, self.fresh[place].tables), seed)
-        return case(draw(self.random), seed)
+        return case(draw_scenario(self.random), seed)
 
     def heard(self, result: Result) -> bool:
         """Takes a day's result; whether it is worth making small."""
--- a/rainhitch/rehearsal/explore/findings.py
+++ b/rainhitch/rehearsal/explore/findings.py
@@ -11,11 +11,11 @@
 
 from rainhitch.rehearsal import report
 from rainhitch.rehearsal.explore.coverage import features
-from rainhitch.rehearsal.plan import draw
-from rainhitch.rehearsal.routers import StageError
+from rainhitch.rehearsal.plan import draw_plan
+from rainhitch.rehearsal.router_process import RehearsalError
 from rainhitch.rehearsal.scenario import scenario_of
+from rainhitch.rehearsal.virtual.environment import run_day
 from rainhitch.rehearsal.virtual.loop import StuckError
-from rainhitch.rehearsal.virtual.stage import play_day
 
 Json = dict[str, Any]
 MOST_CALLBACKS = 3_000_000  # of a day, far beyond the largest that is drawn
@@ -72,7 +72,7 @@
     except StuckError as problem:
         result.add("stuck", str(problem))
         return result
-    except (StageError, AssertionError, LookupError, TypeError, ValueError, AttributeError) as problem:
+    except (RehearsalError, AssertionError, LookupError, TypeError, ValueError, AttributeError) as problem:
         result.add(f"stage {type(problem).__name__}", repr(problem))
         return result
     except MemoryError:
@@ -102,8 +102,8 @@
 
 def _play(one: Case) -> tuple[Json, Json]:
     scenario = scenario_of(one.tables, "case")
-    plan = draw(scenario, "case", one.seed)
-    ledgers = play_day(scenario, plan, most_callbacks=MOST_CALLBACKS)
+    plan = draw_plan(scenario, "case", one.seed)
+    ledgers = run_day(scenario, plan, most_callbacks=MOST_CALLBACKS)
     ledgers["plan_digest"] = plan.digest()
     rows = plan.rows()
     made = report.build("case", orjson.loads(orjson.dumps(scenario)), rows, ledgers)
--- a/rainhitch/rehearsal/explore/grammar.py
+++ b/rainhitch/rehearsal/explore/grammar.py
@@ -95,7 +95,7 @@
         return None
 
 
-def draw(random: Random) -> Json:
+def draw_scenario(random: Random) -> Json:
     """The source of a scenario."""
     for _ in range(TRIES):
         source = _draw(random)
@@ -202,7 +202,7 @@
             _change(random, made)
         if made != source and valid(made) is not None:
             return made
-    return draw(random)
+    return draw_scenario(random)
 
 
 def _change(random: Random, source: Json) -> None:
--- a/rainhitch/rehearsal/world/__main__.py
+++ b/rainhitch/rehearsal/fakes/__main__.py
@@ -1,6 +1,6 @@
 """One part of a day's world in a process of its own: a room's nodes, the centre, or a room's clients.
 
-    python -m rainhitch.rehearsal.world ROLE FOLDER
+    python -m rainhitch.rehearsal.fakes ROLE FOLDER
 
 ROLE is `nodes:ROOM`, `centre` or `clients:ROOM` (numbers). FOLDER holds plan.json. The stage speaks to it in
 lines of JSON on its standard input; it answers on its standard output, writes its ledger to FOLDER when told
@@ -14,21 +14,21 @@
 import orjson
 import uvloop
 
-from rainhitch.rehearsal.world.callers import Callers
-from rainhitch.rehearsal.world.centre import Centre
-from rainhitch.rehearsal.world.room import Room
+from rainhitch.rehearsal.fakes.cache_node_worker import CacheNodeWorker
+from rainhitch.rehearsal.fakes.client_worker import ClientWorker
+from rainhitch.rehearsal.fakes.shared_services_worker import SharedServicesWorker
 
 
 async def main(role: str, folder: Path) -> None:
     told = orjson.loads((folder / "plan.json").read_bytes())
     name, _, number = role.partition(":")
     if name == "nodes":
-        await Room(folder, told, int(number)).run()
+        await CacheNodeWorker(folder, told, int(number)).run()
     elif name == "clients":
         told["addresses"] = orjson.loads((folder / "addresses.json").read_bytes())
-        await Callers(folder, told, int(number)).run()
+        await ClientWorker(folder, told, int(number)).run()
     else:
-        await Centre(folder, told).run()
+        await SharedServicesWorker(folder, told).run()
 
 
 if __name__ == "__main__":
--- a/rainhitch/rehearsal/world/node.py
+++ b/rainhitch/rehearsal/fakes/cache_node.py
@@ -16,8 +16,8 @@
 import hiredis
 
 from rainhitch import system
-from rainhitch.rehearsal.world.link import Ledgered, Link, Wire
-from rainhitch.rehearsal.world.machine import Budget, Machine, Memory
+from rainhitch.rehearsal.fakes.cache_node_model import Budget, CacheNodeModel, Memory
+from rainhitch.rehearsal.fakes.link import LedgerRow, Link, LinkConnection
 
 BUSY = b"-BUSY\r\n"
 FAILED = b"-ERR failed\r\n"
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Spec:
+class CacheNodeSpec:
     """What a node is like; times are microseconds of work, or seconds where the name says so."""
 
     cores: int = 7
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt(Ledgered):
+class ReceivedAttempt(LedgerRow):
     """One command as the node saw it; times are monotonic ns, of when the router sent it."""
 
     node: str
@@ -85,7 +85,7 @@
     ended: int = 0  # when that was written
     closed: int = 0  # when the router closed its connection
     cold: bool = False  # the node was warming up
-    wire: "NodeWire | None" = None
+    wire: "CacheNodeConnection | None" = None
 
 
 def _length(command: Any) -> int:
@@ -100,14 +100,14 @@
 class Turn:
     """The place of an answer on its connection."""
 
-    attempt: Attempt | None
+    attempt: ReceivedAttempt | None
     answer: bytes | None = None
 
 
-class NodeWire(Wire):
+class CacheNodeConnection(LinkConnection):
     """A router's connection to a node. Commands are begun at once and answered in their order."""
 
-    def __init__(self, link: Link, node: "Node") -> None:
+    def __init__(self, link: Link, node: "CacheNode") -> None:
         super().__init__(link)
         self.node = node
         self.number = node.next_connection()
@@ -169,26 +169,26 @@
 
 
 @dataclass(eq=False)
-class Node:
+class CacheNode:
     """A cache node. All that decides is in its machine, memory and budget."""
 
     uid: str
-    spec: Spec
+    spec: CacheNodeSpec
     routers: int
     work_of: Callable[[str], float]  # microseconds of work that a request id means
-    missed: Callable[[str, "Node"], None] = lambda id, node: None
-    fell: Callable[["Node"], None] = lambda node: None
-    rows: list[Attempt] = field(default_factory=list)
+    missed: Callable[[str, "CacheNode"], None] = lambda id, node: None
+    fell: Callable[["CacheNode"], None] = lambda node: None
+    rows: list[ReceivedAttempt] = field(default_factory=list)
     links: list[Link] = field(init=False)
 
     def __post_init__(self) -> None:
         spec = self.spec
-        self.machine = Machine(spec.cores, spec.speed, spec.slots, spec.queue)
+        self.machine = CacheNodeModel(spec.cores, spec.speed, spec.slots, spec.queue)
         self.budget = Budget(spec.tip_multiple, int(spec.tip_s * 1e9))
         self.memory = Memory(spec.memory)
-        self.links = [Link(n, lambda link: NodeWire(link, self)) for n in range(self.routers)]
-        self.at_work: dict[str, tuple[NodeWire, Turn]] = {}
-        self.open: dict[NodeWire, None] = {}
+        self.links = [Link(n, lambda link: CacheNodeConnection(link, self)) for n in range(self.routers)]
+        self.at_work: dict[str, tuple[CacheNodeConnection, Turn]] = {}
+        self.open: dict[CacheNodeConnection, None] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.up, self.draining, self.spoils = True, False, 0.0
         self.resp3 = False  # where it is greeted so
@@ -206,7 +206,7 @@
         self.connections += 1
         return self.connections
 
-    def connected(self, wire: NodeWire) -> bool:
+    def connected(self, wire: CacheNodeConnection) -> bool:
         """Takes a connection; whether the table was full before."""
         full = len(self.open) >= self.spec.table
         if full:
@@ -219,7 +219,7 @@
         self._arm()
         return False
 
-    def left(self, wire: NodeWire) -> None:
+    def left(self, wire: CacheNodeConnection) -> None:
         self.open.pop(wire, None)
         self._note_table()
         for turn in wire.turns:
@@ -232,10 +232,10 @@
         self.tables.append((system.now(), len(self.open)))
 
     @staticmethod
-    def _name(attempt: Attempt) -> str:
+    def _name(attempt: ReceivedAttempt) -> str:
         return f"{attempt.id}/{attempt.router}/{attempt.connection}/{attempt.last}"
 
-    def command(self, wire: NodeWire, turn: Turn, parts: Any, first: int, last: int) -> None:
+    def command(self, wire: CacheNodeConnection, turn: Turn, parts: Any, first: int, last: int) -> None:
         """One command whose last byte has come."""
         words = parts if isinstance(parts, list) and all(isinstance(one, bytes) for one in parts) else []
         name = words[0].upper() if words else b""
@@ -244,7 +244,7 @@
             turn.answer = self._greeting(wire, words[1:]) if name == b"HELLO" else self._other(name)
             return
         told = [one.decode("latin-1") for one in words[1:4]]
-        attempt = Attempt(
+        attempt = ReceivedAttempt(
             self.uid, wire.link.router, wire.number, told[1], told[0], name.decode(), told[2], first, last
         )
         attempt.wire, turn.attempt = wire, attempt
@@ -265,7 +265,7 @@
         self.at_work[self._name(attempt)] = (wire, turn)
         self._arm()
 
-    def _greeting(self, wire: NodeWire, told: list[bytes]) -> bytes:
+    def _greeting(self, wire: CacheNodeConnection, told: list[bytes]) -> bytes:
         if not self.resp3 or told[:1] != [b"3"]:
             return b"-ERR unknown command\r\n"
         wire.version = 3
@@ -301,7 +301,7 @@
                 wire.flush()
         self._arm()
 
-    def _answer(self, attempt: Attempt) -> bytes:
+    def _answer(self, attempt: ReceivedAttempt) -> bytes:
         chance = crc32(f"answer{attempt.id}{self.uid}".encode()) / 2**32
         if chance < self.spoils:
             attempt.outcome = "spoilt"
--- a/rainhitch/rehearsal/world/machine.py
+++ b/rainhitch/rehearsal/fakes/cache_node_model.py
@@ -12,7 +12,7 @@
 DROPS_FOR = 5_000_000_000  # ns for which a repeat of an order key is dropped
 
 
-class Machine:
+class CacheNodeModel:
     """One node's cores, slots and waiting room. Times are nanoseconds."""
 
     def __init__(self, cores: int, speed: float, slots: int, queue: int) -> None:
--- a/rainhitch/rehearsal/world/room.py
+++ b/rainhitch/rehearsal/fakes/cache_node_worker.py
@@ -6,25 +6,25 @@
 
 import orjson
 
-from rainhitch.rehearsal.world.node import Node, Spec
-from rainhitch.rehearsal.world.part import Json, Part
+from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.worker import Json, Worker
 
 KEPT_MISSES = 1 << 14
 
 
-class Room(Part):
+class CacheNodeWorker(Worker):
     """The cache nodes of one room."""
 
     def __init__(self, folder: Path, told: Json, room: int) -> None:
         super().__init__(folder, told)
         fleet, traffic = self.scenario["fleet"], self.scenario["traffic"]
         self.work = {one["id"]: float(ask["work_us"]) for ask in self.plan["asks"] for one in ask["tries"]}
-        self.misses: dict[str, list[Node]] = {}
-        self.nodes: dict[str, Node] = {}
+        self.misses: dict[str, list[CacheNode]] = {}
+        self.nodes: dict[str, CacheNode] = {}
         for one in self.plan["nodes"]:
             if one["room"] != self.plan["rooms"][room]:
                 continue
-            spec = Spec(
+            spec = CacheNodeSpec(
                 one["cores"],
                 one["speed"],
                 one["slots"],
@@ -41,7 +41,7 @@
                 fleet["error_rate"],
                 traffic["value_bytes"],
             )
-            self.nodes[one["uid"]] = Node(
+            self.nodes[one["uid"]] = CacheNode(
                 one["uid"], spec, len(self.plan["routers"]), self.work_of, self.missed, self.fell
             )
             self.nodes[one["uid"]].resp3 = "resp3" in one
@@ -51,12 +51,12 @@
     def work_of(self, id: str) -> float:
         return self.work.get(id, 0.0)
 
-    def missed(self, id: str, node: Node) -> None:
+    def missed(self, id: str, node: CacheNode) -> None:
         self.misses.setdefault(id, []).append(node)
         if len(self.misses) > KEPT_MISSES:
             del self.misses[next(iter(self.misses))]
 
-    def fell(self, node: Node) -> None:
+    def fell(self, node: CacheNode) -> None:
         self.tell({"fell": node.uid})
 
     def ready(self) -> Json:
--- a/rainhitch/rehearsal/world/callers.py
+++ b/rainhitch/rehearsal/fakes/client_worker.py
@@ -2,17 +2,17 @@
 
 from pathlib import Path
 
-from rainhitch.rehearsal.world.clients import Crowd
-from rainhitch.rehearsal.world.part import Json, Part
+from rainhitch.rehearsal.fakes.clients import ClientPopulation
+from rainhitch.rehearsal.fakes.worker import Json, Worker
 
 
-class Callers(Part):
+class ClientWorker(Worker):
     """The clients of one room."""
 
     def __init__(self, folder: Path, told: Json, room: int) -> None:
         super().__init__(folder, told)
         addresses = [(host, int(port)) for host, port in told["addresses"]]
-        self.crowd = Crowd(room, self.plan, self.scenario, addresses)
+        self.crowd = ClientPopulation(room, self.plan, self.scenario, addresses)
 
     def begin(self, zero: int) -> None:
         super().begin(zero)
--- a/rainhitch/rehearsal/world/clients.py
+++ b/rainhitch/rehearsal/fakes/clients.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Sent:
+class SentTry:
     """One try as its client saw it; times are monotonic ns, 0 for never."""
 
     ask: int  # its number in the plan
@@ -45,15 +45,15 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class Line(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection: one command at a time."""
 
-    def __init__(self, crowd: "Crowd", router: int) -> None:
+    def __init__(self, crowd: "ClientPopulation", router: int) -> None:
         self.crowd, self.router = crowd, router
         self.number = crowd.next_line()
         self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.sent: Sent | None = None
+        self.sent: SentTry | None = None
         self.done: Callable[[], None] | None = None
         self.last = ""  # the id of the request answered last
         self.idle_since = 0.0
@@ -72,7 +72,7 @@
     def usable(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def ask(self, sent: Sent, data: bytes, done: Callable[[], None]) -> None:
+    def ask(self, sent: SentTry, data: bytes, done: Callable[[], None]) -> None:
         self.sent, self.done = sent, done
         # One that was greeted is between requests too: its router may close it as our request crosses.
         used = self.uses > 0 or (self.three and not self.greeting)
@@ -147,7 +147,7 @@
             self.transport.abort()
 
 
-class Crowd:
+class ClientPopulation:
     """The clients of a room and the front that spreads them over its routers."""
 
     def __init__(self, room: int, plan: Json, scenario: Json, addresses: list[tuple[str, int]]) -> None:
@@ -156,10 +156,10 @@
         self.rooms = [plan["rooms"].index(one["room"]) for one in plan["routers"]]
         self.up = [True] * len(addresses)  # as the front believes
         self.turn = 0
-        self.lines: dict[Line, None] = {}  # in the order in which they came up
+        self.lines: dict[ClientConnection, None] = {}  # in the order in which they came up
         self.numbers = 0
-        self.idle: dict[int, list[Line]] = {}  # by router of a surge, -1 for the front's
-        self.sent: list[Sent] = []
+        self.idle: dict[int, list[ClientConnection]] = {}  # by router of a surge, -1 for the front's
+        self.sent: list[SentTry] = []
         self.extras: list[Json] = []
         self.opened = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -176,7 +176,7 @@
         self.numbers += 1
         return self.numbers * len(self.plan["rooms"]) + self.room
 
-    def extra(self, line: Line, id: str, kind: str, now: int) -> None:
+    def extra(self, line: ClientConnection, id: str, kind: str, now: int) -> None:
         self.extras.append(
             {"id": id, "router": line.router, "connection": line.number, "at": now, "kind": kind}
         )
@@ -206,7 +206,7 @@
             wait = min(one["wait_ms"], left // MILLI)
             if wait < 1:
                 return
-            sent = Sent(number, n, one["id"], due=due, wait=wait * MILLI)
+            sent = SentTry(number, n, one["id"], due=due, wait=wait * MILLI)
             self.sent.append(sent)
             await self._try(ask, spec, one, sent)
             begun = begun or sent.sent or system.now()
@@ -223,7 +223,7 @@
             await asyncio.sleep(back)
             due = system.now()
 
-    async def _try(self, ask: Json, spec: Json, one: Json, sent: Sent) -> None:
+    async def _try(self, ask: Json, spec: Json, one: Json, sent: SentTry) -> None:
         """Sends a try, once more where its connection was closed between requests, and waits for its end."""
         for again in range(2):
             line = await self._line(ask["router"], fresh=again > 0 or ask["fresh"])
@@ -247,7 +247,7 @@
             self._release(ask["router"], line)
             return
 
-    def _command(self, ask: Json, spec: Json, one: Json, sent: Sent) -> bytes:
+    def _command(self, ask: Json, spec: Json, one: Json, sent: SentTry) -> bytes:
         customer = self.scenario["customers"][ask["customer"]]["name"]
         info = f"c={spec['name']},t={customer},d={sent.wait // MILLI}"
         info += f",k={ask['order']}" if ask["order"] else ""
@@ -261,7 +261,7 @@
         words += [self.value] if spec["write"] else []
         return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
-    def _leave(self, line: Line, sent: Sent, early: bool) -> None:
+    def _leave(self, line: ClientConnection, sent: SentTry, early: bool) -> None:
         """The client has gone; but for who leaves early, what comes in the next moment is still noted."""
         sent.left = system.now()
         if early:
@@ -271,16 +271,16 @@
         sent.left = 0
         self.loop.call_later(AFTER, self._gone, line, sent)
 
-    def _gone(self, line: Line, sent: Sent) -> None:
+    def _gone(self, line: ClientConnection, sent: SentTry) -> None:
         line.sent = line.done = None
         line.close()
 
-    def _release(self, which: int, line: Line) -> None:
+    def _release(self, which: int, line: ClientConnection) -> None:
         if line.usable:
             line.idle_since = self.loop.time()
             self.idle.setdefault(which, []).append(line)
 
-    async def _line(self, which: int, fresh: bool) -> Line | None:
+    async def _line(self, which: int, fresh: bool) -> ClientConnection | None:
         """The newest idle connection, or a new one where the front sends it; None where no router takes
         it.
         """
@@ -297,7 +297,7 @@
         try:
             async with asyncio.timeout(1.0):
                 _, line = await self.loop.create_connection(
-                    lambda: Line(self, router), *self.addresses[router]
+                    lambda: ClientConnection(self, router), *self.addresses[router]
                 )
         except (OSError, TimeoutError):
             return None
--- a/rainhitch/rehearsal/world/database.py
+++ b/rainhitch/rehearsal/fakes/database.py
@@ -15,9 +15,9 @@
 from zlib import crc32
 
 from rainhitch import system
-from rainhitch.rehearsal.world.link import Ledgered, Link
-from rainhitch.rehearsal.world.machine import Overload, Repeats
-from rainhitch.rehearsal.world.web import Request, WebWire
+from rainhitch.rehearsal.fakes.cache_node_model import Overload, Repeats
+from rainhitch.rehearsal.fakes.http_server import HttpRequest, HttpServerConnection
+from rainhitch.rehearsal.fakes.link import LedgerRow, Link
 
 WRITE_TIMES = 1.5  # a write takes so many times a read
 LONGEST = 5  # times the mean that one may take
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Fetch(Ledgered):
+class Fetch(LedgerRow):
     """One request as the database saw it; times are monotonic ns, of when the router sent it."""
 
     router: int
@@ -51,10 +51,10 @@
     closed: int = 0
     order: str = ""
     executed: bool = False  # a write that was carried out, not dropped as a repeat
-    wire: "DatabaseWire | None" = None
+    wire: "DatabaseConnection | None" = None
 
 
-class DatabaseWire(WebWire):
+class DatabaseConnection(HttpServerConnection):
     """A router's connection to the database."""
 
     def __init__(self, link: Link, database: "Database") -> None:
@@ -63,7 +63,7 @@
         database.connections += 1
         self.number = database.connections
 
-    def asked(self, request: Request) -> None:
+    def asked(self, request: HttpRequest) -> None:
         told = request.headers
         fetch = Fetch(
             self.link.router,
@@ -93,7 +93,7 @@
     links: list[Link] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.links = [Link(n, lambda link: DatabaseWire(link, self)) for n in range(self.routers)]
+        self.links = [Link(n, lambda link: DatabaseConnection(link, self)) for n in range(self.routers)]
         self.overload = Overload(self.spec.stop_multiple, int(self.spec.stop_after_s * 1e9))
         self.repeats = Repeats()
         self.waiting: deque[Fetch] = deque()
--- a/rainhitch/rehearsal/world/datagrams.py
+++ b/rainhitch/rehearsal/fakes/datagrams.py
@@ -10,7 +10,7 @@
 MOST_BYTES = 256
 
 
-class Datagrams:
+class DatagramRelay:
     """Carries what router i sends to its address for j on to j, from j's address for i."""
 
     def __init__(self, routers: int, seed: int, delay_s: tuple[float, float], loss: float) -> None:
--- a/rainhitch/rehearsal/world/discovery.py
+++ b/rainhitch/rehearsal/fakes/discovery.py
@@ -12,25 +12,25 @@
 import orjson
 
 from rainhitch import system
-from rainhitch.rehearsal.world.link import Link
-from rainhitch.rehearsal.world.web import Request, WebWire
+from rainhitch.rehearsal.fakes.http_server import HttpRequest, HttpServerConnection
+from rainhitch.rehearsal.fakes.link import Link
 
 Json = dict[str, Any]
 MOST_HOLD = 60.0
 
 
-class AgentWire(WebWire):
+class DiscoveryConnection(HttpServerConnection):
     """A router's connection to its agent."""
 
-    def __init__(self, link: Link, agent: "Agent") -> None:
+    def __init__(self, link: Link, agent: "DiscoveryAgent") -> None:
         super().__init__(link)
         self.agent = agent
 
-    def asked(self, request: Request) -> None:
+    def asked(self, request: HttpRequest) -> None:
         self.agent.asked(self, request.target)
 
 
-class Agent:
+class DiscoveryAgent:
     """What one router is told of the list."""
 
     def __init__(self, router: int, entries: list[Json], rev: int = 1) -> None:
@@ -39,9 +39,9 @@
         self.changed: dict[str, int] = {}  # uid: the version that last changed it
         self.rows: list[Json] = []
         self.silent = False
-        self.waiting: list[tuple[AgentWire, int, asyncio.TimerHandle | None]] = []
+        self.waiting: list[tuple[DiscoveryConnection, int, asyncio.TimerHandle | None]] = []
         self.loop = asyncio.get_running_loop()
-        self.link = Link(router, lambda link: AgentWire(link, self))
+        self.link = Link(router, lambda link: DiscoveryConnection(link, self))
 
     @property
     def endpoint(self) -> str:
@@ -72,7 +72,7 @@
                     timer.cancel()
             self.waiting = []
 
-    def asked(self, wire: AgentWire, target: str) -> None:
+    def asked(self, wire: DiscoveryConnection, target: str) -> None:
         url = urlsplit(target)
         if url.path != "/api/targets":
             wire.answer(404)
@@ -92,14 +92,14 @@
         timer = self.loop.call_later(hold, self._held_enough, wire)
         self.waiting.append((wire, known, timer))
 
-    def _held_enough(self, wire: AgentWire) -> None:
+    def _held_enough(self, wire: DiscoveryConnection) -> None:
         for one in self.waiting:
             if one[0] is wire:
                 self.waiting.remove(one)
                 self._answer(wire, one[1])
                 return
 
-    def _answer(self, wire: AgentWire, known: int) -> None:
+    def _answer(self, wire: DiscoveryConnection, known: int) -> None:
         if wire.closed_at:
             return
         if known < 0:
--- a/rainhitch/rehearsal/world/web.py
+++ b/rainhitch/rehearsal/fakes/http_server.py
@@ -4,11 +4,11 @@
 
 import httptools
 
-from rainhitch.rehearsal.world.link import Link, Wire
+from rainhitch.rehearsal.fakes.link import Link, LinkConnection
 
 
 @dataclass(slots=True)
-class Request:
+class HttpRequest:
     """One whole request; header names in lower case; `first` and `last` are when its bytes were sent."""
 
     method: str = ""
@@ -19,7 +19,7 @@
     last: int = 0
 
 
-class WebWire(Wire):
+class HttpServerConnection(LinkConnection):
     """A connection that speaks HTTP/1.1. Subclasses answer `asked`; methods that begin with on_ are the
     parser's.
     """
@@ -27,10 +27,10 @@
     def __init__(self, link: Link) -> None:
         super().__init__(link)
         self.parser = httptools.HttpRequestParser(self)
-        self.request = Request()
+        self.request = HttpRequest()
         self.at = 0
 
-    def asked(self, request: Request) -> None:
+    def asked(self, request: HttpRequest) -> None:
         """A whole request has come."""
         raise NotImplementedError
 
@@ -59,5 +59,5 @@
     def on_message_complete(self) -> None:
         self.request.method = self.parser.get_method().decode()
         self.request.last = self.at
-        done, self.request = self.request, Request()
+        done, self.request = self.request, HttpRequest()
         self.asked(done)
--- a/rainhitch/rehearsal/world/link.py
+++ b/rainhitch/rehearsal/fakes/link.py
@@ -19,7 +19,7 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
 
 
-class Place(Protocol):
+class ListenPoint(Protocol):
     """A listening address that can refuse, or hang, and be itself again."""
 
     address: tuple[str, int]
@@ -37,7 +37,7 @@
         """Is gone."""
 
 
-def listen(make: Callable[[], asyncio.Protocol]) -> Place:
+def listen(make: Callable[[], asyncio.Protocol]) -> ListenPoint:
     """Listens on a free address of the machine that the running loop stands for."""
     place: Any = getattr(asyncio.get_running_loop(), "place", Listener)
     return place(make)  # type: ignore[no-any-return]
@@ -121,13 +121,13 @@
 class Link:
     """What connects one router with one stand-in: connections, and the faults on them."""
 
-    def __init__(self, router: int, make: "Callable[[Link], Wire]") -> None:
+    def __init__(self, router: int, make: "Callable[[Link], LinkConnection]") -> None:
         self.router, self.make = router, make
         self.loop = asyncio.get_running_loop()
         self.delay = 0.0  # s, each way
         self.silent = False
         self.up = True  # whether what stands at its end runs
-        self.wires: dict[Wire, None] = {}  # in the order in which they came
+        self.wires: dict[LinkConnection, None] = {}  # in the order in which they came
         self.listener = listen(lambda: self.make(self))
 
     @property
@@ -167,7 +167,7 @@
         self.listener.close()
 
 
-class Ledgered:
+class LedgerRow:
     """A row of a stand-in's ledger: a dataclass with slots, one of which is the `wire` it came on."""
 
     __slots__ = ()
@@ -182,7 +182,7 @@
         return told
 
 
-class Wire(asyncio.Protocol):
+class LinkConnection(asyncio.Protocol):
     """One connection of a router, at the stand-in's end. Subclasses read `arrived` and write with `send`."""
 
     def __init__(self, link: Link) -> None:
--- a/rainhitch/rehearsal/world/centre.py
+++ b/rainhitch/rehearsal/fakes/shared_services_worker.py
@@ -7,11 +7,11 @@
 import orjson
 
 from rainhitch import system
-from rainhitch.rehearsal.world.database import Database, DatabaseSpec
-from rainhitch.rehearsal.world.datagrams import Datagrams
-from rainhitch.rehearsal.world.discovery import Agent
-from rainhitch.rehearsal.world.etcd import Etcd
-from rainhitch.rehearsal.world.part import Json, Part
+from rainhitch.rehearsal.fakes.database import Database, DatabaseSpec
+from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
+from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
+from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.fakes.worker import Json, Worker
 
 PREFIX = "/rainhitch/members/"
 
@@ -25,7 +25,7 @@
         self.world.sent, self.world.read = self._sent, self._read
         self.rows: list[Json] = []
 
-    async def start(self, agents: list[Agent]) -> list[str]:
+    async def start(self, agents: list[DiscoveryAgent]) -> list[str]:
         await self.world.start()
         for agent in agents:
             for entry in agent.entries.values():
@@ -79,7 +79,7 @@
             world.delay_s = cue.get("delay", 0) / 1e6 if what == "delay" else 0.0
 
 
-class Centre(Part):
+class SharedServicesWorker(Worker):
     """The order database, discovery, and the datagrams between routers."""
 
     def __init__(self, folder: Path, told: Json) -> None:
@@ -89,8 +89,8 @@
         self.database = Database(spec, routers, self.stored, self.voided)
         delay = tuple(one / 1000 for one in scenario["messages"]["delay_ms"])
         seed = self.plan["seed"]
-        self.datagrams = Datagrams(routers, seed, (delay[0], delay[1]), scenario["messages"]["loss"])
-        self.agents: list[Agent] = []
+        self.datagrams = DatagramRelay(routers, seed, (delay[0], delay[1]), scenario["messages"]["loss"])
+        self.agents: list[DiscoveryAgent] = []
         self.etcd = EtcdList(routers) if scenario["discovery"]["source"] == "etcd" else None
         self.endpoints: dict[str, list[str]] = {}
         self.rooms: list[asyncio.StreamWriter] = []
@@ -116,7 +116,7 @@
             mean = sum(size.values()) / len(size)
             self.weights = {uid: round(one / mean, 3) for uid, one in size.items()}
             for router in range(len(self.plan["routers"])):
-                self.agents.append(Agent(router, self.listed(router)))
+                self.agents.append(DiscoveryAgent(router, self.listed(router)))
             self.spawn(self.host(message["bus"]))
         elif "listens" in message:
             listens = message["listens"].items()
--- a/rainhitch/rehearsal/world/part.py
+++ b/rainhitch/rehearsal/fakes/worker.py
@@ -36,7 +36,7 @@
     os._exit(1)
 
 
-class Part:
+class Worker:
     """What all parts do: heed the stage, act on cues, note their own lateness, keep a ledger."""
 
     def __init__(self, folder: Path, told: Json) -> None:
--- a/rainhitch/rehearsal/plain.py
+++ b/rainhitch/rehearsal/plain_router.py
@@ -1,6 +1,6 @@
 """A plain router that the kit holds as a yardstick: random choice, one attempt. And, asked for, a bad one.
 
-    python -m rainhitch.rehearsal.plain [FAULT]
+    python -m rainhitch.rehearsal.plain_router [FAULT]
 
 It speaks what a router speaks and shares no code with one. FAULT is a way to break one rule, so that the
 judge can be shown to see it; `MODES` tells which rule each breaks, "" for those that break none.
@@ -122,7 +122,7 @@
             self.entries.pop(uid, None)
 
 
-class Plain:
+class PlainRouter:
     """The whole of it."""
 
     def __init__(self, config: Json, mode: str) -> None:
@@ -313,7 +313,7 @@
         sys.exit(f"no such fault: {mode}; allowed: {', '.join(MODES)}")
 
     async def play() -> None:
-        await Plain(config, mode).run()
+        await PlainRouter(config, mode).run()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(play())
--- a/rainhitch/rehearsal/report.py
+++ b/rainhitch/rehearsal/report.py
@@ -6,9 +6,9 @@
 
 import orjson
 
-from rainhitch.rehearsal.judge.evidence import MILLI, SECOND, Evidence
-from rainhitch.rehearsal.judge.rules import RULES, breaches
-from rainhitch.rehearsal.judge.service import service
+from rainhitch.rehearsal.checker.evidence import MILLI, SECOND, Evidence
+from rainhitch.rehearsal.checker.rules import RULES, find_violations
+from rainhitch.rehearsal.checker.service import measure_service
 
 Json = dict[str, Any]
 LATE_MOST = 50.0  # ms: beyond it the hundredth-latest arrival voids the day
@@ -43,8 +43,8 @@
 def build(name: str, scenario: Json, plan: Json, ledgers: Json) -> Json:
     """The whole report as JSON takes it. `exit` is the exit code it stands for."""
     evidence = Evidence(scenario, plan, ledgers)
-    broken = breaches(evidence)
-    told = service(evidence)
+    broken = find_violations(evidence)
+    told = measure_service(evidence)
     late = rig_late(evidence)
     expect, stops = scenario["expect"], sum(pressed for _, pressed in ledgers["parts"]["centre"]["stops"])
     unmet = [
--- a/rainhitch/rehearsal/routers.py
+++ b/rainhitch/rehearsal/router_process.py
@@ -27,23 +27,23 @@
 MILLI = 1_000_000
 
 
-class StageError(Exception):
+class RehearsalError(Exception):
     """The day can't be played as asked; one line says why."""
 
 
-def command_of(text: str) -> list[str]:
+def parse_command(text: str) -> list[str]:
     """The words of a router's command; raises StageError for one that can't be started."""
     try:
         words = shlex.split(text)
     except ValueError as problem:
-        raise StageError(f"--router {text!r}: {problem}") from None
+        raise RehearsalError(f"--router {text!r}: {problem}") from None
     words = words[1:] if words[:1] == ["exec"] else words
     if not words or shutil.which(words[0]) is None:
-        raise StageError(f"--router {text!r}: no such command")
+        raise RehearsalError(f"--router {text!r}: no such command")
     return words
 
 
-def settings(scenario: Scenario, number: int) -> Json:
+def router_settings(scenario: Scenario, number: int) -> Json:
     """The settings that a router of this fleet is told, in the platform's form; durations in nanoseconds."""
     fleet, customers = scenario.fleet, scenario.customers
     kinds = [one.name for one in fleet.nodes]
@@ -121,7 +121,7 @@
 
 
 @dataclass(eq=False)
-class Router:
+class RouterProcess:
     """One router's process, through its starts and ends; `events` tells them with monotonic ns."""
 
     number: int
@@ -222,7 +222,7 @@
         waiting = asyncio.ensure_future(process.wait())
         while not waiting.done():
             await asyncio.wait([waiting], timeout=0.2)
-            held = resident(process.pid)
+            held = resident_memory(process.pid)
             self.peak = max(self.peak, held)
             if held > self.memory and not waiting.done():
                 self._crashed(f"killed over its memory: {held >> 20} MB of {self.memory >> 20}")
@@ -293,7 +293,7 @@
         self._signal(signal.SIGKILL)
 
 
-def resident(pid: int) -> int:
+def resident_memory(pid: int) -> int:
     """Bytes that a process holds in memory; 0 for one that is gone."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize()
--- a/rainhitch/rehearsal/play.py
+++ b/rainhitch/rehearsal/runner.py
@@ -9,39 +9,39 @@
 import orjson
 
 from rainhitch.rehearsal import report
-from rainhitch.rehearsal.plain import MODES
-from rainhitch.rehearsal.plan import draw
+from rainhitch.rehearsal.environment import Environment, ProgressCallback, check_descriptors, check_ports
+from rainhitch.rehearsal.plain_router import MODES
+from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario
-from rainhitch.rehearsal.stage import Stage, Told, check_descriptors, check_ports
 
 Json = dict[str, Any]
 AT_ONCE = 3  # proofs side by side
 TRIES = 3  # of a proof that the rig spoilt by being late
 
 
-def our_router() -> list[str]:
+def rainhitch_command() -> list[str]:
     """The words that start this installation's router."""
     return [sys.executable, "-m", "rainhitch"]
 
 
-def plain_router(mode: str = "good") -> list[str]:
+def plain_router_command(mode: str = "good") -> list[str]:
     """The words that start the yardstick, or one that breaks a rule."""
-    return [sys.executable, "-m", "rainhitch.rehearsal.plain", mode]
+    return [sys.executable, "-m", "rainhitch.rehearsal.plain_router", mode]
 
 
-async def play(
+async def run_scenario(
     scenario: Scenario,
     name: str,
     seed: int,
     words: list[str],
-    tell: Told = lambda at, row: None,
+    tell: ProgressCallback = lambda at, row: None,
     records: Path | None = None,
 ) -> Json:
     """Plays a day and gives its report; raises StageError for one that can't be played."""
     check_descriptors(scenario)
     check_ports(scenario)
-    plan = draw(scenario, name, seed)
-    ledgers = await Stage(scenario, plan, words, tell).play()
+    plan = draw_plan(scenario, name, seed)
+    ledgers = await Environment(scenario, plan, words, tell).play()
     ledgers["plan_digest"] = plan.digest()
     told, rows = orjson.loads(orjson.dumps(scenario)), plan.rows()
     if records is not None:
@@ -58,7 +58,7 @@
     return f"found {', '.join(sorted(found)) or 'nothing'}, expected {', '.join(wanted) or 'nothing'}"
 
 
-async def prove(modes: list[str], say: Callable[[str, str, Json], None], seed: int = 1) -> int:
+async def prove_checker(modes: list[str], say: Callable[[str, str, Json], None], seed: int = 1) -> int:
     """Plays each router of the list; `say` gets its mode, what is wrong, its report. Gives an exit code."""
     scenario = read_scenario(Path(__file__).with_name("prove.toml"))
     free = asyncio.Semaphore(AT_ONCE)
@@ -67,7 +67,7 @@
     async def one(mode: str) -> None:
         for _ in range(TRIES):
             async with free:
-                told = await play(scenario, "prove", seed, plain_router(mode))
+                told = await run_scenario(scenario, "prove", seed, plain_router_command(mode))
             if told["exit"] != report.VOID:
                 break
         wrong = judged(mode, told)
--- a/rainhitch/rehearsal/virtual/datagrams.py
+++ b/rainhitch/rehearsal/virtual/datagrams.py
@@ -1,7 +1,7 @@
 """Datagrams on the virtual network, as a kernel gives them: the world's sockets, and the routers' endpoints.
 
 A router's endpoint belongs to its owner: what comes is read in the owner's turn, at its cost, and what comes
-for a dead one is gone. What is late or lost on the way is the world's part: world/datagrams.py.
+for a dead one is gone. What is late or lost on the way is the world's part: fakes/datagrams.py.
 """
 
 import asyncio
--- a/rainhitch/rehearsal/virtual/stage.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -16,43 +16,43 @@
 import orjson
 
 from rainhitch.node.configuration import load_operator_config, parse_configuration
-from rainhitch.node.router import Router as RouterProcess
-from rainhitch.rehearsal.plan import Plan, streams
-from rainhitch.rehearsal.routers import Json, Router, StageError
+from rainhitch.node.router import Router as NodeRouter
+from rainhitch.rehearsal.environment import Environment, ProgressCallback, WorkerProcess
+from rainhitch.rehearsal.fakes.cache_node_worker import CacheNodeWorker
+from rainhitch.rehearsal.fakes.client_worker import ClientWorker
+from rainhitch.rehearsal.fakes.shared_services_worker import SharedServicesWorker
+from rainhitch.rehearsal.fakes.worker import Worker
+from rainhitch.rehearsal.plan import Plan, random_stream
+from rainhitch.rehearsal.router_process import Json, RehearsalError, RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
-from rainhitch.rehearsal.stage import PartProcess, Stage, Told
 from rainhitch.rehearsal.virtual.costs import Costs
 from rainhitch.rehearsal.virtual.loop import OWNER, Owner, StuckError, VirtualLoop
-from rainhitch.rehearsal.virtual.machine import VirtualMachine
 from rainhitch.rehearsal.virtual.network import Network
-from rainhitch.rehearsal.world.callers import Callers
-from rainhitch.rehearsal.world.centre import Centre
-from rainhitch.rehearsal.world.part import Part
-from rainhitch.rehearsal.world.room import Room
+from rainhitch.rehearsal.virtual.system import VirtualSystem
 
 SWEPT = 5.0  # virtual s in which what a day has left is to end
 STARTS = 0.3  # s from a router's start until its program runs: what imports take
 
 
-class VirtualPart(PartProcess):
+class VirtualWorker(WorkerProcess):
     """A part of the world on the stage's own loop."""
 
-    def __init__(self, role: str, stage: "VirtualStage") -> None:
+    def __init__(self, role: str, stage: "VirtualEnvironment") -> None:
         super().__init__(role, stage.folder)
         self.stage = stage
         self.words: asyncio.Queue[Json] = asyncio.Queue()
-        self.part: Part | None = None
+        self.part: Worker | None = None
 
     async def start(self) -> None:
         told: Json = orjson.loads((self.folder / "plan.json").read_bytes())
         name, _, number = self.role.partition(":")
         if name == "nodes":
-            self.part = Room(self.folder, told, int(number))
+            self.part = CacheNodeWorker(self.folder, told, int(number))
         elif name == "clients":
             told["addresses"] = orjson.loads((self.folder / "addresses.json").read_bytes())
-            self.part = Callers(self.folder, told, int(number))
+            self.part = ClientWorker(self.folder, told, int(number))
         else:
-            self.part = Centre(self.folder, told)
+            self.part = SharedServicesWorker(self.folder, told)
         self.part.say, self.part.failed = self.words.put_nowait, self.stage.failed
         self.words.put_nowait({"ready": self.part.ready()})
 
@@ -66,19 +66,19 @@
                 while key not in (message := await self.words.get()):
                     pass
         except TimeoutError:
-            raise StageError(f"the stand-in {self.role} failed: no word of {key}") from None
+            raise RehearsalError(f"the stand-in {self.role} failed: no word of {key}") from None
         return message[key]
 
     async def end(self) -> None:
         """The day's loop ends with it."""
 
 
-class VirtualRouter(Router):
+class VirtualRouterProcess(RouterProcess):
     """A router as an owner on the stage's loop, through its starts and ends."""
 
-    stage: "VirtualStage"
+    stage: "VirtualEnvironment"
     owner: Owner | None = None
-    service: RouterProcess | None = None
+    service: NodeRouter | None = None
     stopping: asyncio.Event | None = None
 
     async def start(self) -> None:
@@ -105,7 +105,7 @@
             path = self.folder / f"router-{self.number}.toml"
             path.write_text(self.operator)
             operator = load_operator_config(str(path))
-        service = self.service = RouterProcess(parse_configuration(self.config, self.path), operator)
+        service = self.service = NodeRouter(parse_configuration(self.config, self.path), operator)
         await service.start()
         await stopping.wait()
         await service.stop()
@@ -163,7 +163,7 @@
             owner.log.append(f"{self.loop.time():.6f} {record.levelname} {record.getMessage()}")
 
 
-class VirtualStage(Stage):
+class VirtualEnvironment(Environment):
     """One day in virtual time."""
 
     def __init__(
@@ -171,7 +171,7 @@
         scenario: Scenario,
         plan: Plan,
         loop: VirtualLoop,
-        tell: Told = lambda at, row: None,
+        tell: ProgressCallback = lambda at, row: None,
         operator: str = "",
     ) -> None:
         super().__init__(scenario, plan, [], tell, operator)
@@ -181,20 +181,20 @@
         self.network = loop.network = Network(
             loop, plan.seed, told.chop, (first, last), int(told.window_kb * 1024), round(1e6 / told.mb_s)
         )
-        random = streams(plan.seed, "clocks")
+        random = random_stream(plan.seed, "clocks")
         routers = range(scenario.fleet.routers)
         self.rates = [1.0 + random.uniform(-1, 1) * told.drift for _ in routers]
         self.jumps = [int(random.uniform(-1, 1) * told.wall_s * 1e9) for _ in routers]
-        loop.system = VirtualMachine(loop)
+        loop.system = VirtualSystem(loop)
         self.owners: list[Owner] = []
         self.problems: list[str] = []  # what no callback may end with
         loop.set_exception_handler(self._problem)
 
-    def part(self, role: str) -> PartProcess:
-        return VirtualPart(role, self)
+    def part(self, role: str) -> WorkerProcess:
+        return VirtualWorker(role, self)
 
-    def router(self, number: int, config: Json) -> Router:
-        made = VirtualRouter(number, [], self.folder, config, 0, self.scenario.day.sockets)
+    def router(self, number: int, config: Json) -> RouterProcess:
+        made = VirtualRouterProcess(number, [], self.folder, config, 0, self.scenario.day.sockets)
         made.stage, made.operator = self, self.operator
         return made
 
@@ -242,10 +242,10 @@
         other.disabled = quiet
 
 
-def play_day(
+def run_day(
     scenario: Scenario,
     plan: Plan,
-    tell: Told = lambda at, row: None,
+    tell: ProgressCallback = lambda at, row: None,
     watch: Any = None,
     most_callbacks: int = 0,
     operator: str = "",
@@ -257,7 +257,7 @@
     loop.watch, loop.most = watch, most_callbacks
     try:
         with noted(loop):
-            stage = VirtualStage(scenario, plan, loop, tell, operator)
+            stage = VirtualEnvironment(scenario, plan, loop, tell, operator)
             try:
                 return loop.run_until_complete(stage.play())
             finally:
--- a/rainhitch/rehearsal/virtual/play.py
+++ b/rainhitch/rehearsal/virtual/runner.py
@@ -6,33 +6,33 @@
 import orjson
 
 from rainhitch.rehearsal import report
-from rainhitch.rehearsal.plan import draw
+from rainhitch.rehearsal.environment import ProgressCallback
+from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario
-from rainhitch.rehearsal.stage import Told
-from rainhitch.rehearsal.virtual.stage import play_day
+from rainhitch.rehearsal.virtual.environment import run_day
 from rainhitch.rehearsal.virtual.trace import Trace
 
 Json = dict[str, Any]
 
 
-def play(
+def run_virtual_scenario(
     scenario: Scenario,
     name: str,
     seed: int,
-    tell: Told = lambda at, row: None,
+    tell: ProgressCallback = lambda at, row: None,
     records: Path | None = None,
     trace: Path | None = None,
     logs: Path | None = None,
 ) -> Json:
     """Plays a day and gives its report, with `problems`: what callbacks ended with that should not have;
     the same bytes for the same arguments, wherever it is played. Raises as play_day does."""
-    plan = draw(scenario, name, seed)
+    plan = draw_plan(scenario, name, seed)
     if trace is None:
-        ledgers = play_day(scenario, plan, tell)
+        ledgers = run_day(scenario, plan, tell)
     else:
         with trace.open("w", encoding="utf-8") as file:
             watch = Trace(file, name, seed, plan.digest())
-            ledgers = play_day(scenario, plan, tell, watch)
+            ledgers = run_day(scenario, plan, tell, watch)
     if logs is not None:
         logs.mkdir(exist_ok=True)
         for router, lines in ledgers["logs"].items():
--- a/rainhitch/rehearsal/virtual/machine.py
+++ b/rainhitch/rehearsal/virtual/system.py
@@ -7,7 +7,7 @@
 from rainhitch.rehearsal.virtual.network import Door, End
 
 
-class VirtualMachine:
+class VirtualSystem:
     """All routers' machines; each has a wall clock of its own."""
 
     def __init__(self, loop: VirtualLoop) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -12,21 +12,21 @@
 from lossy import SECOND
 
 from rainhitch.cli.fleet import ask_all
-from rainhitch.rehearsal.plan import Ask, draw
-from rainhitch.rehearsal.play import our_router
-from rainhitch.rehearsal.routers import Router
+from rainhitch.rehearsal.environment import Environment
+from rainhitch.rehearsal.plan import PlannedRequest, draw_plan
+from rainhitch.rehearsal.router_process import RouterProcess
+from rainhitch.rehearsal.runner import rainhitch_command
 from rainhitch.rehearsal.scenario import scenario_of
-from rainhitch.rehearsal.stage import Stage
 
 Json = dict[str, Any]
 TOTAL = 24.0  # reads of the database a second that all routers may send
 AT_ONCE = 4  # days side by side
 
 
-class Watched(Stage):
+class Watched(Environment):
     """A day that keeps what its routers wrote, and asks them now and then what they believe."""
 
-    def router(self, number: int, config: Json) -> Router:
+    def router(self, number: int, config: Json) -> RouterProcess:
         if not hasattr(self, "admins"):
             self.admins: list[tuple[str, int]] = []
             self.views: list[tuple[float, list[Json]]] = []  # seconds from the first scored one; by router
@@ -59,7 +59,7 @@
     faults: list[Json],
     operator: str = "",
     length_s: float = 8.0,
-    change: Callable[[list[Ask]], None] = lambda asks: None,
+    change: Callable[[list[PlannedRequest]], None] = lambda asks: None,
     **traffic: Any,
 ) -> Watched:
     """A day of so many processes."""
@@ -80,9 +80,9 @@
         },
         "processes",
     )
-    plan = draw(scenario, "processes", 7)
+    plan = draw_plan(scenario, "processes", 7)
     change(plan.asks)
-    return Watched(scenario, plan, our_router(), operator=operator)
+    return Watched(scenario, plan, rainhitch_command(), operator=operator)
 
 
 def reads(ledgers: Json) -> list[tuple[float, int]]:
@@ -101,10 +101,10 @@
     return most
 
 
-def to_one(router: int, part: float) -> Callable[[list[Ask]], None]:
+def to_one(router: int, part: float) -> Callable[[list[PlannedRequest]], None]:
     """Sends so much of the load to one router."""
 
-    def change(asks: list[Ask]) -> None:
+    def change(asks: list[PlannedRequest]) -> None:
         for number, ask in enumerate(asks):
             if ask.at >= 0 and number % 100 < 100 * part:
                 ask.router = router
@@ -139,7 +139,7 @@
 HELD = f"[routers]\ndatabase_rps = {TOTAL}\nmembers = true\n"
 
 
-def small_at_one(asks: list[Ask]) -> None:
+def small_at_one(asks: list[PlannedRequest]) -> None:
     """All of a small customer's load comes to router 0."""
     for ask in asks:
         if ask.at >= 0:
@@ -147,13 +147,13 @@
             ask.router = 0 if ask.customer == 1 else 1 + ask.at % 2
 
 
-def often_anew(asks: list[Ask]) -> None:
+def often_anew(asks: list[PlannedRequest]) -> None:
     """Clients keep what answers: who was stopped gets new connections, or nothing for seconds."""
     for ask in asks[::3]:
         ask.fresh = True
 
 
-def soon_gone(asks: list[Ask]) -> None:
+def soon_gone(asks: list[PlannedRequest]) -> None:
     """Half of the clients leave after 30 to 230 ms."""
     for number, ask in enumerate(asks[::2]):
         for one in ask.tries:
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -18,7 +18,7 @@
 from rainhitch.membership.etcd_client import EtcdClient, EtcdOptions
 from rainhitch.membership.etcd_settings import etcd_options
 from rainhitch.operator_config import Membership, read_operator_config
-from rainhitch.rehearsal.world.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd import Etcd
 from rainhitch.toml_schema import TableError
 
 KEY = b"/rainhitch/members/"
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -18,7 +18,7 @@
 from rainhitch.membership.etcd_source import EtcdSource
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.endpoint_directory import EndpointDirectory
-from rainhitch.rehearsal.world.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd import Etcd
 from rainhitch.settings import read_names
 
 PREFIX = "/rainhitch/members/"
--- a/tests/membership/test_stand_in.py
+++ b/tests/membership/test_stand_in.py
@@ -8,7 +8,7 @@
 import pytest_asyncio
 from peers import PATIENCE
 
-from rainhitch.rehearsal.world.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd import Etcd
 
 
 @pytest_asyncio.fixture
--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -6,7 +6,7 @@
 from rainhitch import interface as api
 from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
-from rainhitch.rehearsal.population import Course, Crowd, World
+from rainhitch.rehearsal.closed_loop_simulation import ClientLoad, ClosedLoopSimulation, SimulationResult
 
 SETTINGS = api.Settings(
     [
@@ -19,10 +19,12 @@
 )
 
 
-def played(seed: int = 1, **changes: object) -> Course:
+def played(seed: int = 1, **changes: object) -> SimulationResult:
     values: dict[str, object] = {"rate": 150.0, "storm": 3000, "storm_at": 6.0, "length_s": 18.0}
-    crowd = Crowd(**{**values, **changes})  # type: ignore[arg-type]
-    return World(crowd, SETTINGS, lambda told: Balancer(told, 7, OverloadController(told, 7)), seed).play()
+    crowd = ClientLoad(**{**values, **changes})  # type: ignore[arg-type]
+    return ClosedLoopSimulation(
+        crowd, SETTINGS, lambda told: Balancer(told, 7, OverloadController(told, 7)), seed
+    ).play()
 
 
 @pytest.mark.parametrize(
--- a/tests/rehearsal/test_machine.py
+++ b/tests/rehearsal/test_cache_node_model.py
@@ -3,13 +3,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainhitch.rehearsal.world.machine import DROPS_FOR, Budget, Machine, Memory, Overload, Repeats
+from rainhitch.rehearsal.fakes.cache_node_model import (
+    DROPS_FOR,
+    Budget,
+    CacheNodeModel,
+    Memory,
+    Overload,
+    Repeats,
+)
 
 MILLI = 1_000_000
 SECOND = 1_000_000_000
 
 
-def drive(machine: Machine, until: int, now: int = 0) -> dict[str, int]:
+def drive(machine: CacheNodeModel, until: int, now: int = 0) -> dict[str, int]:
     """Lets time pass; gives when each request was finished."""
     ended = {}
     while (due := machine.due(now)) is not None and now + due <= until:
@@ -20,27 +27,27 @@
 
 
 def test_one_request_takes_its_work_at_the_cores_speed() -> None:
-    machine = Machine(2, 0.5, 4, 0)
+    machine = CacheNodeModel(2, 0.5, 4, 0)
     assert machine.offer(0, "a", 100_000)
     assert abs(drive(machine, SECOND)["a"] - 200 * MILLI) < MILLI
 
 
 def test_more_requests_than_cores_share_them() -> None:
-    machine = Machine(1, 1.0, 4, 0)
+    machine = CacheNodeModel(1, 1.0, 4, 0)
     for name in "abcd":
         assert machine.offer(0, name, 100_000)
     assert all(abs(at - 400 * MILLI) < MILLI for at in drive(machine, SECOND).values())
 
 
 def test_beyond_slots_requests_wait_and_beyond_the_queue_they_are_turned_away() -> None:
-    machine = Machine(1, 1.0, 1, 1)
+    machine = CacheNodeModel(1, 1.0, 1, 1)
     assert [machine.offer(0, name, 100_000) for name in "abc"] == [True, True, False]
     ended = drive(machine, SECOND)
     assert abs(ended["a"] - 100 * MILLI) < MILLI and abs(ended["b"] - 200 * MILLI) < 2 * MILLI
 
 
 def test_one_that_waits_can_be_withdrawn_and_one_in_work_goes_on() -> None:
-    machine = Machine(1, 1.0, 1, 1)
+    machine = CacheNodeModel(1, 1.0, 1, 1)
     machine.offer(0, "a", 100_000)
     machine.offer(0, "b", 100_000)
     assert machine.withdraw("b") and not machine.withdraw("a")
@@ -48,7 +55,7 @@
 
 
 def test_a_cold_node_has_part_of_its_capacity_and_all_of_it_when_warm() -> None:
-    machine = Machine(4, 1.0, 8, 0)
+    machine = CacheNodeModel(4, 1.0, 8, 0)
     machine.start_cold(0, 0.25, 8 * SECOND)
     assert [machine.capacity(at * SECOND) for at in (0, 4, 8, 20)] == [1.0, 2.5, 4.0, 4.0]
     assert machine.offer(0, "a", 100_000)
@@ -61,7 +68,7 @@
 )
 def test_no_work_is_lost_or_done_for_nothing(cores: int, arrivals: list[tuple[int, int]]) -> None:
     """Every request ends, none sooner than its work takes, all no sooner than the cores could."""
-    machine, now = Machine(cores, 1.0, 4, 1000), 0
+    machine, now = CacheNodeModel(cores, 1.0, 4, 1000), 0
     ended: dict[str, int] = {}
     due: dict[str, int] = {}
     for number, (at, work) in enumerate(sorted(arrivals)):
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_checker.py
@@ -6,10 +6,10 @@
 import pytest
 
 from rainhitch.rehearsal import report
-from rainhitch.rehearsal.judge.evidence import Evidence
-from rainhitch.rehearsal.judge.rules import breaches
-from rainhitch.rehearsal.judge.service import service
-from rainhitch.rehearsal.plan import Ask, Plan, Try
+from rainhitch.rehearsal.checker.evidence import Evidence
+from rainhitch.rehearsal.checker.rules import find_violations
+from rainhitch.rehearsal.checker.service import measure_service
+from rainhitch.rehearsal.plan import Plan, PlannedRequest, PlannedTry
 from rainhitch.rehearsal.scenario import Customer, Day, Fleet, NodeClass, Scenario, WorkClass
 
 Json = dict[str, Any]
@@ -35,7 +35,7 @@
     """Ledgers put together by hand; times in milliseconds from the plan's 0."""
 
     def __init__(self) -> None:
-        self.asks: list[Ask] = []
+        self.asks: list[PlannedRequest] = []
         self.tries: list[Json] = []
         self.extras: list[Json] = []
         self.attempts: list[Json] = []
@@ -54,8 +54,10 @@
         number = len(self.asks)
         ids = [f"r{number}.{n}" for n in range(tries)]
         order = f"o{number}" if cls == 1 else ""
-        row = [Try(id, wait, 0, 0) for id in ids]
-        self.asks.append(Ask(int(at * 1000), 0, cls, customer, "k", 100_000, over, True, order, -1, row))
+        row = [PlannedTry(id, wait, 0, 0) for id in ids]
+        self.asks.append(
+            PlannedRequest(int(at * 1000), 0, cls, customer, "k", 100_000, over, True, order, -1, row)
+        )
         return ids[0]
 
     def sent(self, id: str, at: float, **changes: Any) -> Json:
@@ -152,7 +154,7 @@
 
     def found(self) -> list[tuple[str, str]]:
         """Each breach: its rule, and the request or the node that it names."""
-        return [(one["rule"], one["request"] or one["node"]) for one in breaches(self.evidence())]
+        return [(one["rule"], one["request"] or one["node"]) for one in find_violations(self.evidence())]
 
 
 def ns(at: float) -> int:
@@ -501,7 +503,7 @@
 
 def test_a_crash_is_a_finding_with_its_last_lines(world: World) -> None:
     world.crashes[1] = {"router": 1, "at": ns(500), "why": "ended with 3", "log": ["out of ideas"]}
-    (one,) = breaches(world.evidence())
+    (one,) = find_violations(world.evidence())
     assert (
         one["rule"] == "crashed" and one["log"] == ["out of ideas"] and "router 1 ended with 3" in one["what"]
     )
@@ -515,7 +517,7 @@
     world.served(100, took=600)  # late: a quarter
     world.sent(world.ask(200), 200, answered=300, kind="refused", detail="BUSY")
     world.served(300, took=400, over=True)  # beyond a share: 5%
-    told = service(world.evidence())
+    told = measure_service(world.evidence())
     assert told["service"] == round((1 + 0.25 + 0.05) / 3.05, 6)
     assert told["by_customer"]["big"] == round(1.25 / 3, 6)  # within its share alone
     causes = {one["cause"]: one["requests"] for one in told["causes"]}
@@ -528,13 +530,13 @@
         id = one.ask(0, tries=2)
         one.sent(id, 0, answered=50, kind="refused", detail="BUSY")
         one.sent("r0.1", 200, answered=answered, kind="served", own=True)
-        assert service(one.evidence())["service"] == worth
+        assert measure_service(one.evidence())["service"] == worth
 
 
 def test_what_is_answered_after_the_client_left_earns_nothing(world: World) -> None:
     id = world.ask(0, wait=300)
     world.sent(id, 0, wait=300 * MILLI, answered=320, kind="served", own=True)
-    told = service(world.evidence())
+    told = measure_service(world.evidence())
     assert told["service"] == 0.0 and told["causes"][0]["cause"] == "served too late"
 
 
@@ -542,7 +544,7 @@
     world.served(0)
     world.served(500, cls=1, customer=1)
     world.sent(world.ask(11_500, customer=1), 11_500, answered=11_600, kind="refused")
-    told = service(world.evidence())
+    told = measure_service(world.evidence())
     assert told["parts"] == {
         "whole": round(2 / 3, 6),
         "worst_window": 0.0,
@@ -556,14 +558,14 @@
     for n in range(4):
         id = world.served(n * 100, node="b-0")
         world.fetch(id, n * 100 + 1, n * 100 + 50, write=False)
-    prices = service(world.evidence())["prices"]
+    prices = measure_service(world.evidence())["prices"]
     assert prices["fetches"] == 5.0 and prices["crossings"] == 1.0 and prices["new_connections"] == 0.75
 
 
 def test_the_prelude_is_not_scored_but_its_rules_are_kept(world: World) -> None:
     id = world.ask(-500)
     world.sent(id, -500)
-    assert world.found() == [("lost", id)] and service(world.evidence())["requests"] == 0
+    assert world.found() == [("lost", id)] and measure_service(world.evidence())["requests"] == 0
 
 
 # the report
--- a/tests/rehearsal/test_clients.py
+++ b/tests/rehearsal/test_clients.py
@@ -9,8 +9,8 @@
 import orjson
 from peers import PATIENCE, Cache, soon
 
+from rainhitch.rehearsal.fakes.clients import ClientPopulation, SentTry
 from rainhitch.rehearsal.scenario import Scenario
-from rainhitch.rehearsal.world.clients import Crowd, Sent
 
 Json = dict[str, Any]
 Answer = Callable[[Any, asyncio.StreamWriter], bytes | None]
@@ -40,7 +40,7 @@
 @contextlib.asynccontextmanager
 async def played(
     answers: list[Answer], asks: list[Json], order: str = "keyed", **clients: Any
-) -> AsyncIterator[tuple[Crowd, list[Cache]]]:
+) -> AsyncIterator[tuple[ClientPopulation, list[Cache]]]:
     """A room's clients through a few requests, with as many routers as there are answers."""
     routers = [Cache(answer) for answer in answers]
     for one in routers:
@@ -51,7 +51,7 @@
     plan: Json = {"rooms": ["neihu", "banqiao", "taoyuan"], "asks": asks}
     plan["routers"] = [{"room": plan["rooms"][n % 3]} for n in range(len(routers))]
     addresses = [(host, int(port)) for host, port in (one.address.split(":") for one in routers)]
-    crowd = Crowd(0, plan, scenario, addresses)
+    crowd = ClientPopulation(0, plan, scenario, addresses)
     try:
         async with asyncio.timeout(PATIENCE):
             await crowd.play(time.monotonic_ns() + 20_000_000)
@@ -63,7 +63,7 @@
             await one.stop()
 
 
-def kinds(crowd: Crowd) -> list[str]:
+def kinds(crowd: ClientPopulation) -> list[str]:
     return [one.kind for one in crowd.sent]
 
 
@@ -178,7 +178,7 @@
 
 
 @contextlib.asynccontextmanager
-async def ended_before(said: bytes) -> AsyncIterator[Sent]:
+async def ended_before(said: bytes) -> AsyncIterator[SentTry]:
     """A try on a connection that the router ended, with these last words, before the client wrote."""
 
     async def end(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -191,7 +191,7 @@
         line = await crowd._line(-1, fresh=True)
         assert line is not None
         await soon(lambda: line.transport is None)
-        sent, over = Sent(0, 0, "x", wait=10**9), asyncio.Event()
+        sent, over = SentTry(0, 0, "x", wait=10**9), asyncio.Event()
         line.ask(sent, b"...", over.set)
         assert over.is_set()
         yield sent
@@ -230,7 +230,7 @@
     async with played(routers, [ask(0, router=1)]) as (crowd, both):
         assert [len(one.got) for one in both] == [0, 1] and crowd.sent[0].router == 1
         crowd.up = [False, False]
-        sent = Sent(0, 0, "x", wait=10**9)
+        sent = SentTry(0, 0, "x", wait=10**9)
         one = ask(0)
         await crowd._try(one, crowd.scenario["classes"][0], one["tries"][0], sent)
         assert sent.kind == "unreachable" and not sent.sent
--- a/tests/rehearsal/test_world.py
+++ b/tests/rehearsal/test_fakes.py
@@ -12,11 +12,11 @@
 import pytest
 from peers import PATIENCE, soon
 
-from rainhitch.rehearsal.routers import hold_port
-from rainhitch.rehearsal.world.database import Database, DatabaseSpec
-from rainhitch.rehearsal.world.datagrams import Datagrams
-from rainhitch.rehearsal.world.discovery import Agent
-from rainhitch.rehearsal.world.node import Node, Spec
+from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.database import Database, DatabaseSpec
+from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
+from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
+from rainhitch.rehearsal.router_process import hold_port
 
 BRIEF = 0.3  # s in which nothing may come
 
@@ -59,8 +59,8 @@
 
 
 @contextlib.asynccontextmanager
-async def node(works: float = 1000.0, routers: int = 2, **changes: Any) -> AsyncIterator[Node]:
-    one = Node("n0", Spec(**{"memory": 4, **changes}), routers, lambda id: works)
+async def node(works: float = 1000.0, routers: int = 2, **changes: Any) -> AsyncIterator[CacheNode]:
+    one = CacheNode("n0", CacheNodeSpec(**{"memory": 4, **changes}), routers, lambda id: works)
     try:
         yield one
     finally:
@@ -381,7 +381,7 @@
 
 
 async def test_the_agent_gives_the_list_holds_a_watch_and_tells_what_changes() -> None:
-    agent = Agent(0, [entry("a"), entry("b")])
+    agent = DiscoveryAgent(0, [entry("a"), entry("b")])
     line = await dial(agent.endpoint)
     line.send("GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n")
     whole = await listed(line)
@@ -399,7 +399,7 @@
 
 
 async def test_a_silent_agent_answers_nothing_and_tells_nothing() -> None:
-    agent = Agent(0, [entry("a")])
+    agent = DiscoveryAgent(0, [entry("a")])
     line = await dial(agent.endpoint)
     line.send("GET /api/targets?from=1&hold_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n")
     await soon(lambda: agent.waiting)
@@ -433,8 +433,8 @@
 
 
 @contextlib.asynccontextmanager
-async def ears() -> AsyncIterator[tuple[Datagrams, list[Ear]]]:
-    carried, ends = Datagrams(3, 1, (0.0, 0.001), 0.0), [Ear() for _ in range(3)]
+async def ears() -> AsyncIterator[tuple[DatagramRelay, list[Ear]]]:
+    carried, ends = DatagramRelay(3, 1, (0.0, 0.001), 0.0), [Ear() for _ in range(3)]
     carried.targets = {n: ear.socket.getsockname() for n, ear in enumerate(ends)}
     try:
         yield carried, ends
@@ -459,7 +459,7 @@
         assert not ends[1].heard and carried.delivered == 3
 
 
-def dropped(carried: Datagrams, count: int) -> bool:
+def dropped(carried: DatagramRelay, count: int) -> bool:
     return carried.dropped == count
 
 
--- a/tests/rehearsal/test_plan.py
+++ b/tests/rehearsal/test_plan.py
@@ -9,7 +9,8 @@
 from program import ROOT
 
 from rainhitch.rehearsal.faults import Fault, check_faults
-from rainhitch.rehearsal.plan import MICRO, Keys, Plan, draw
+from rainhitch.rehearsal.plan import MICROSECONDS_PER_SECOND as MICRO
+from rainhitch.rehearsal.plan import Keys, Plan, draw_plan
 from rainhitch.rehearsal.scenario import Clients, Customer, Day, Discovery, Scenario, Traffic, WorkClass
 
 SHORT = Scenario(
@@ -23,15 +24,15 @@
 
 
 def test_the_same_seed_gives_the_same_digest_and_another_seed_another() -> None:
-    assert draw(SHORT, "x", 7).digest() == draw(SHORT, "x", 7).digest()
-    assert draw(SHORT, "x", 7).digest() != draw(SHORT, "x", 8).digest()
+    assert draw_plan(SHORT, "x", 7).digest() == draw_plan(SHORT, "x", 7).digest()
+    assert draw_plan(SHORT, "x", 7).digest() != draw_plan(SHORT, "x", 8).digest()
 
 
 def test_the_digest_does_not_hang_on_the_process_or_its_hash_seed() -> None:
     code = (
-        "from rainhitch.rehearsal.plan import draw\n"
+        "from rainhitch.rehearsal.plan import draw_plan\n"
         "from rainhitch.rehearsal.scenario import read_scenario, shipped\n"
-        "print(draw(read_scenario(shipped()['room-loss']), 'room-loss', 3).digest())"
+        "print(draw_plan(read_scenario(shipped()['room-loss']), 'room-loss', 3).digest())"
     )
     found = {
         subprocess.run(
@@ -75,8 +76,8 @@
 def test_one_more_fault_shifts_nothing_else(faults: list[Fault], more: Fault, seed: int) -> None:
     if any(one.kind == more.kind for one in faults):
         return
-    before = draw(replace(SHORT, faults=faults), "x", seed)
-    after = draw(replace(SHORT, faults=[*faults, more]), "x", seed)
+    before = draw_plan(replace(SHORT, faults=faults), "x", seed)
+    after = draw_plan(replace(SHORT, faults=[*faults, more]), "x", seed)
     bends = more.kind in ("hot-keys", "key-flood")
     assert others(before, not bends) == others(after, not bends)
     cues = [{**cue, "fault": 0} for cue in after.cues if cue["fault"] < len(faults)]
@@ -88,7 +89,7 @@
 @settings(max_examples=25)
 @given(st.integers(0, 1 << 40))
 def test_arrivals_are_in_order_within_the_day_and_about_as_many_as_asked(seed: int) -> None:
-    plan = draw(PERFECT, "x", seed)
+    plan = draw_plan(PERFECT, "x", seed)
     times = [ask.at for ask in plan.asks if ask.at >= 0]
     assert times == sorted(times) and times[-1] < 3 * MICRO
     assert abs(len(times) - 90) < 6 * 90**0.5
@@ -99,9 +100,9 @@
 
 def test_hot_keys_and_floods_bend_their_share_of_the_keys_and_only_then() -> None:
     day = replace(SHORT, traffic=Traffic(rate=400.0, keys=200))
-    plain = draw(day, "x", 1)
-    hot = draw(replace(day, faults=[Fault("hot-keys", 2.0, 2.0, share=0.25, keys=1)]), "x", 1)
-    flood = draw(replace(day, faults=[Fault("key-flood", 2.0, 2.0, share=0.25)]), "x", 1)
+    plain = draw_plan(day, "x", 1)
+    hot = draw_plan(replace(day, faults=[Fault("hot-keys", 2.0, 2.0, share=0.25, keys=1)]), "x", 1)
+    flood = draw_plan(replace(day, faults=[Fault("key-flood", 2.0, 2.0, share=0.25)]), "x", 1)
     for bent in (hot, flood):
         changed = [(a, b) for a, b in zip(plain.asks, bent.asks, strict=True) if a.key != b.key]
         assert all(2 * MICRO <= a.at < 4 * MICRO for a, _ in changed)
@@ -115,13 +116,13 @@
 
 def test_a_surge_adds_its_share_at_its_router() -> None:
     day = replace(SHORT, traffic=Traffic(rate=400.0), faults=[Fault("surge", 2.0, 2.0, router=2, share=0.5)])
-    surged = [ask for ask in draw(day, "x", 1).asks if ask.router == 2]
+    surged = [ask for ask in draw_plan(day, "x", 1).asks if ask.router == 2]
     assert 280 < len(surged) < 520 and all(2 * MICRO <= ask.at < 4 * MICRO for ask in surged)
 
 
 def test_a_storm_of_reconnects_comes_on_new_connections_within_its_time() -> None:
     storm = Fault("reconnect-storm", 2.0, 0.5, clients=300)
-    stormy = [ask for ask in draw(replace(SHORT, faults=[storm]), "x", 1).asks if ask.origin]
+    stormy = [ask for ask in draw_plan(replace(SHORT, faults=[storm]), "x", 1).asks if ask.origin]
     assert len(stormy) == 300 and all(ask.fresh and ask.router == -1 for ask in stormy)
     assert all(2 * MICRO <= ask.at <= 2.5 * MICRO for ask in stormy)
     rooms = [sum(ask.room == room for ask in stormy) for room in range(3)]
@@ -130,15 +131,15 @@
 
 def test_one_surge_shifts_no_other() -> None:
     first = Fault("surge", 1.0, 2.0, router=0, share=0.3)
-    one = draw(replace(SHORT, faults=[first]), "x", 1)
-    two = draw(replace(SHORT, faults=[first, Fault("surge", 1.5, 2.0, router=1, share=0.3)]), "x", 1)
+    one = draw_plan(replace(SHORT, faults=[first]), "x", 1)
+    two = draw_plan(replace(SHORT, faults=[first, Fault("surge", 1.5, 2.0, router=1, share=0.3)]), "x", 1)
     assert [a.tries for a in one.asks if a.origin == 1] == [a.tries for a in two.asks if a.origin == 1]
 
 
 def test_what_is_beyond_a_share_is_told_by_a_bucket_filled_at_the_quota() -> None:
     whole = Customer("a", 1, 1)
     day = replace(PERFECT, customers=[whole], day=Day(20.0, 0.5), traffic=Traffic(rate=100.0, quota_rps=40.0))
-    asks = [ask for ask in draw(day, "x", 1).asks if ask.at >= 0]
+    asks = [ask for ask in draw_plan(day, "x", 1).asks if ask.at >= 0]
     inside = sum(not ask.over for ask in asks)
     assert 40 * 20 <= inside <= 40 * 21 + 1
 
@@ -146,11 +147,11 @@
 def test_the_list_tells_of_a_death_within_its_lag_and_later_to_who_is_cut_off() -> None:
     lag = Discovery((1.0, 1.0), (0.5, 0.5), (0.2, 0.2), (0.0, 0.0))
     kill, cut = Fault("node-kill", 1.0, 1.0, node="neihu-0"), Fault("partition", 0.5, 3.0, room="banqiao")
-    plan = draw(replace(SHORT, discovery=lag, faults=[kill, cut]), "x", 1)
+    plan = draw_plan(replace(SHORT, discovery=lag, faults=[kill, cut]), "x", 1)
     told = {(one.router, one.state): one.at / MICRO for one in plan.changes}
     assert told[0, "Gone"] == 2.0 and told[0, "Ready"] == 2.2
     assert told[1, "Gone"] == told[1, "Ready"] == 3.6
-    late = draw(
+    late = draw_plan(
         replace(SHORT, discovery=lag, faults=[kill, Fault("list-late", 1.0, 1.1, delay_s=2.0)]), "x", 1
     )
     assert {(one.router, one.state): one.at / MICRO for one in late.changes}[0, "Gone"] == 4.0
@@ -169,7 +170,7 @@
     work = WorkClass("w", 1, 100, 1000, 2000)
     heavy = [
         ask.work_us
-        for ask in draw(replace(PERFECT, classes=[work], day=Day(30.0, 0.5)), "x", 1).asks
+        for ask in draw_plan(replace(PERFECT, classes=[work], day=Day(30.0, 0.5)), "x", 1).asks
         if ask.at > 0
     ]
     assert 85_000 < sum(heavy) / len(heavy) < 115_000 and max(heavy) <= 800_000
@@ -177,7 +178,7 @@
 
 def test_a_node_that_joins_holds_nothing_before_and_is_told_cold() -> None:
     joined = replace(SHORT, faults=[Fault("node-join", 3.0, node="taoyuan-2")])
-    plan, before = draw(joined, "x", 7), draw(SHORT, "x", 7)
+    plan, before = draw_plan(joined, "x", 7), draw_plan(SHORT, "x", 7)
     assert [one["uid"] for one in plan.nodes if "joins" in one] == ["taoyuan-2"]
     assert len(plan.warm) <= len(before.warm)
     assert [(cue["what"], cue["at"]) for cue in plan.cues] == [("start", 3 * MICRO)]
@@ -186,7 +187,7 @@
 
 
 def test_a_node_that_retires_is_read_then_drains_then_is_gone() -> None:
-    plan = draw(replace(SHORT, faults=[Fault("node-retire", 1.0, 2.0, node="neihu-0")]), "x", 7)
+    plan = draw_plan(replace(SHORT, faults=[Fault("node-retire", 1.0, 2.0, node="neihu-0")]), "x", 7)
     assert [cue["what"] for cue in plan.cues] == ["retire", "drain", "kill"]
     for router in range(3):
         mine = [one.state for one in plan.changes if one.router == router]
--- a/tests/rehearsal/test_play.py
+++ b/tests/rehearsal/test_runner.py
@@ -13,7 +13,7 @@
 import pytest
 from program import ROOT
 
-from rainhitch.rehearsal.world.part import Part
+from rainhitch.rehearsal.fakes.worker import Worker
 
 VOID = 3
 TRIES = 3  # of a day that the machine spoilt
@@ -149,7 +149,7 @@
 
 def test_a_router_that_crashes_is_a_finding_with_its_last_lines_and_not_a_hang(tmp_path: Path) -> None:
     made = tmp_path / "made.json"
-    bad = f"{sys.executable} -m rainhitch.rehearsal.plain crashes"
+    bad = f"{sys.executable} -m rainhitch.rehearsal.plain_router crashes"
     ended = rehearse(written(tmp_path, SMALL), "--routers", "1", "--router", bad, "--json", str(made))
     told: dict[str, Any] = orjson.loads(made.read_bytes())
     assert ended.returncode == 1 and told["rules"]["crashed"] == 1
@@ -161,7 +161,9 @@
     made = tmp_path / "made.json"
     hog = tmp_path / "hog.py"
     hog.write_text("import runpy, sys\nkept = bytearray(120 << 20)\nsys.argv = ['x']\n")
-    hog.write_text(hog.read_text() + "runpy.run_module('rainhitch.rehearsal.plain', run_name='__main__')\n")
+    hog.write_text(
+        hog.read_text() + "runpy.run_module('rainhitch.rehearsal.plain_router', run_name='__main__')\n"
+    )
     day = written(tmp_path, SMALL.replace("prelude_s = 0.8", "prelude_s = 0.8\nmemory_mb = 96.0"))
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
     words = command(day, "--router", f"{sys.executable} {hog}", "--json", str(made))
@@ -176,13 +178,13 @@
     async def end_badly() -> None:
         raise RuntimeError("a piece of it is gone")
 
-    Part(folder, {"plan": {"cues": []}, "scenario": {}}).spawn(end_badly())
+    Worker(folder, {"plan": {"cues": []}, "scenario": {}}).spawn(end_badly())
     await asyncio.sleep(30)
 
 
 def test_a_part_of_the_world_that_fails_is_told_and_no_day_goes_on_without_it() -> None:
-    code = "import asyncio, pathlib, test_play\n"
-    code += "asyncio.run(test_play.failing(pathlib.Path('x')))"
+    code = "import asyncio, pathlib, test_runner\n"
+    code += "asyncio.run(test_runner.failing(pathlib.Path('x')))"
     env = {**os.environ, "PYTHONPATH": f"{ROOT}:{Path(__file__).parent}:{ROOT / 'tests'}"}
     ended = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, timeout=60)
     assert ended.returncode == 1 and "RuntimeError: a piece of it is gone" in ended.stderr
--- a/tests/virtual/test_differential.py
+++ b/tests/virtual/test_differential.py
@@ -17,8 +17,8 @@
 import uvloop
 
 from rainhitch.rehearsal.virtual.loop import VirtualLoop
-from rainhitch.rehearsal.virtual.machine import VirtualMachine
 from rainhitch.rehearsal.virtual.network import Network
+from rainhitch.rehearsal.virtual.system import VirtualSystem
 
 SETTLE = 0.12  # s between steps
 LARGE = 3 << 20  # more than buffers hold
@@ -225,7 +225,7 @@
 def virtual(chop: float = 0.0) -> VirtualLoop:
     loop = VirtualLoop()
     loop.network = Network(loop, 1, chop)
-    loop.system = VirtualMachine(loop)
+    loop.system = VirtualSystem(loop)
     return loop
 
 
--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -13,7 +13,7 @@
 from rainhitch.rehearsal.explore import corpus
 from rainhitch.rehearsal.explore.explorer import Explorer
 from rainhitch.rehearsal.explore.findings import Case, Result, case, examine
-from rainhitch.rehearsal.explore.grammar import draw, mutate, valid
+from rainhitch.rehearsal.explore.grammar import draw_scenario, mutate, valid
 from rainhitch.rehearsal.explore.shrink import shrink, steps
 
 Json = dict[str, Any]
@@ -37,14 +37,14 @@
 def test_what_is_drawn_and_changed_is_a_scenario_and_the_same_for_the_same_seed() -> None:
     random, again = Random("x"), Random("x")
     for _ in range(60):
-        one = draw(random)
-        assert valid(one) is not None and one == draw(again)
+        one = draw_scenario(random)
+        assert valid(one) is not None and one == draw_scenario(again)
         other = mutate(random, one)
         assert valid(other) is not None and other != one and other == mutate(again, one)
 
 
 def test_a_case_is_made_as_small_as_what_it_shows_allows() -> None:
-    source = draw(Random("shrink"))
+    source = draw_scenario(Random("shrink"))
     source["faults"] = [{"kind": "list-silent", "at_s": 0.2, "for_s": 0.1}] * 3 + [
         {"kind": "database-stop", "at_s": 1.0, "for_s": 0.5}
     ]
@@ -60,7 +60,7 @@
 
 
 def test_a_case_is_read_back_as_it_was_kept(tmp_path: Path) -> None:
-    result = Result(case(draw(Random("kept")), 77), kinds=["lost: a thing"], detail=["1.0 s lost"])
+    result = Result(case(draw_scenario(Random("kept")), 77), kinds=["lost: a thing"], detail=["1.0 s lost"])
     path = corpus.keep(tmp_path, result)
     assert path.name == "lost-a-thing-77.toml" and corpus.read(path) == result.case
 
--- a/tests/virtual/test_held_up_days.py
+++ b/tests/virtual/test_held_up_days.py
@@ -8,8 +8,8 @@
 import pytest
 
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
-from rainhitch.rehearsal.virtual.machine import VirtualMachine
-from rainhitch.rehearsal.virtual.play import play
+from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
+from rainhitch.rehearsal.virtual.system import VirtualSystem
 
 HELD_S = 0.15  # for which a router may be held up
 ROUTERS, LENGTH_S = 3, 12.0
@@ -60,5 +60,5 @@
     seed: int, blind: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if blind:
-        monkeypatch.setattr(VirtualMachine, "unread_ms", lambda self, transport: 0)
-    assert not play(day(seed), "hold-ups", seed)["breaches"]
+        monkeypatch.setattr(VirtualSystem, "unread_ms", lambda self, transport: 0)
+    assert not run_virtual_scenario(day(seed), "hold-ups", seed)["breaches"]
--- a/tests/virtual/test_virtual_day.py
+++ b/tests/virtual/test_virtual_day.py
@@ -9,11 +9,11 @@
 import pytest
 
 from rainhitch.rehearsal import report
-from rainhitch.rehearsal.plan import draw
+from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario
+from rainhitch.rehearsal.virtual.environment import run_day
 from rainhitch.rehearsal.virtual.loop import StuckError
-from rainhitch.rehearsal.virtual.play import play
-from rainhitch.rehearsal.virtual.stage import play_day
+from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 
 DAY = """
 about = "a small day with a router that dies and a node that is cut off"
@@ -101,8 +101,8 @@
 
 def test_a_router_that_is_killed_does_nothing_more_and_comes_back(tmp_path: Path) -> None:
     day = scenario(tmp_path)
-    plan = draw(day, "small", 3)
-    ledgers = play_day(day, plan)
+    plan = draw_plan(day, "small", 3)
+    ledgers = run_day(day, plan)
     zero, events = ledgers["zero"], dict(ledgers["routers"][1]["events"][::-1])
     assert [what for what, _ in ledgers["routers"][1]["events"]] == [
         *("start", "ready", "kill", "ended", "start", "ready", "term", "ended")
@@ -126,7 +126,7 @@
         raise ZeroDivisionError("on purpose")
 
     monkeypatch.setattr(RequestDriver, "stop", fails)
-    made = play(scenario(tmp_path), "small", 1)
+    made = run_virtual_scenario(scenario(tmp_path), "small", 1)
     assert made["exit"] == report.BROKEN and "on purpose" in str(made["breaches"])
 
 
@@ -138,19 +138,19 @@
 
     monkeypatch.setattr(ClientConnections, "drain", again)
     with pytest.raises(StuckError):
-        play(scenario(tmp_path, DAY + "[virtual]\ncore = 0.0\n"), "small", 1)
+        run_virtual_scenario(scenario(tmp_path, DAY + "[virtual]\ncore = 0.0\n"), "small", 1)
 
 
 def test_a_core_that_is_too_slow_makes_a_router_late(tmp_path: Path) -> None:
     days = (scenario(tmp_path, DAY + f"[virtual]\ncore = {scale}\n") for scale in (1.0, 150.0))
-    quick, slow = (play(day, "small", 1) for day in days)
+    quick, slow = (run_virtual_scenario(day, "small", 1) for day in days)
     assert quick["service"] > 0.7 and slow["service"] < quick["service"] - 0.2
     busy = slow["work"]["router-0"]["busy_ns"] / quick["work"]["router-0"]["busy_ns"]
     assert busy > 5
 
 
 def test_the_records_of_a_virtual_day_give_its_report_again(tmp_path: Path) -> None:
-    made = play(scenario(tmp_path), "small", 1, records=tmp_path / "records")
+    made = run_virtual_scenario(scenario(tmp_path), "small", 1, records=tmp_path / "records")
     again = report.from_records(tmp_path / "records")
     assert orjson.dumps(again["service"]) == orjson.dumps(made["service"])
     assert again["rules"] == made["rules"]
