--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,7 +25,7 @@
 from benchmarks.refusals import command, cpu
 from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
-from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
 from rainhitch.rehearsal.router_process import hold_port, resident_memory, router_settings
 from rainhitch.rehearsal.scenario import read_scenario, shipped
 
@@ -37,7 +37,7 @@
 class Fleet:
     """A router, its nodes, and clients that ask without end."""
 
-    def __init__(self, folder: Path, etcd: Etcd | None) -> None:
+    def __init__(self, folder: Path, etcd: EtcdCluster | None) -> None:
         self.folder, self.etcd, self.held = folder, etcd, hold_port()
         self.port = self.held.getsockname()[1]
         self.day = read_scenario(shipped()["quiet"])
@@ -165,7 +165,7 @@
     return times, sum(one > 1000 for one in times)
 
 
-async def growth(fleet: Fleet, etcd: Etcd, members: int) -> None:
+async def growth(fleet: Fleet, etcd: EtcdCluster, members: int) -> None:
     """Takes up many members, then a thousand changes a second."""
     fleet.p99()
     await asyncio.sleep(3.0)
@@ -206,7 +206,7 @@
     lag = read_scenario(shipped()["quiet"]).discovery.drain_s
     for name in ("discovery", "etcd"):
         with tempfile.TemporaryDirectory() as folder:
-            etcd = Etcd() if name == "etcd" else None
+            etcd = EtcdCluster() if name == "etcd" else None
             if etcd is not None:
                 await etcd.start()
             fleet = Fleet(Path(folder), etcd)
--- a/rainhitch/rehearsal/fakes/shared_services_worker.py
+++ b/rainhitch/rehearsal/fakes/shared_services_worker.py
@@ -10,7 +10,7 @@
 from rainhitch.rehearsal.fakes.database import Database, DatabaseSpec
 from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
-from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
 from rainhitch.rehearsal.fakes.worker import Json, Worker
 
 PREFIX = "/rainhitch/members/"
@@ -21,8 +21,8 @@
     told to whom, and a prefix of its own, since endpoints differ from router to router."""
 
     def __init__(self, routers: int) -> None:
-        self.world = Etcd(routers)
-        self.world.sent, self.world.read = self._sent, self._read
+        self.world = EtcdCluster(routers)
+        self.world.entry_sent, self.world.list_read = self._sent, self._read
         self.rows: list[Json] = []
 
     async def start(self, agents: list[DiscoveryAgent]) -> list[str]:
@@ -67,7 +67,9 @@
         if what == "drop":
             world.drop()
         elif what == "compact":
-            if world.store.compacted < world.store.revision:  # else nothing has changed since the last time
+            if (
+                world.store.compacted_revision < world.store.revision
+            ):  # else nothing has changed since the last time
                 world.store.compact(world.store.revision)
             world.drop()
         elif what in ("silent", "speak"):
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -18,15 +18,15 @@
 from rainhitch.membership.etcd_client import EtcdClient, EtcdOptions
 from rainhitch.membership.etcd_settings import etcd_options
 from rainhitch.operator_config import Membership, read_operator_config
-from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
 from rainhitch.toml_schema import TableError
 
 KEY = b"/rainhitch/members/"
 
 
 @pytest_asyncio.fixture
-async def etcd() -> AsyncIterator[Etcd]:
-    made = Etcd()
+async def etcd() -> AsyncIterator[EtcdCluster]:
+    made = EtcdCluster()
     await made.start()
     for name in ("c0", "c1"):
         made.store.put(KEY + name.encode(), json.dumps(entry(name, "127.0.0.1:1")).encode())
@@ -34,7 +34,7 @@
     await made.close()
 
 
-def operator(tmp_path: Path, etcd: Etcd, more: str = "") -> Path:
+def operator(tmp_path: Path, etcd: EtcdCluster, more: str = "") -> Path:
     path = tmp_path / "operator.toml"
     endpoints = json.dumps(etcd.endpoints)
     path.write_text(f'[membership]\nsource = "etcd"\nendpoints = {endpoints}\n{more}')
@@ -58,7 +58,7 @@
     return running.returncode or 0, out.decode(), err.decode()
 
 
-async def test_a_member_is_listed_drained_and_restored(tmp_path: Path, etcd: Etcd) -> None:
+async def test_a_member_is_listed_drained_and_restored(tmp_path: Path, etcd: EtcdCluster) -> None:
     path = operator(tmp_path, etcd)
     etcd.store.put(KEY + b"odd", b"{")
     code, out, _ = await members(path, "list")
@@ -74,7 +74,7 @@
 
 
 async def test_a_member_retires_and_drains_unless_somebody_else_has_changed_it(
-    tmp_path: Path, etcd: Etcd
+    tmp_path: Path, etcd: EtcdCluster
 ) -> None:
     path = operator(tmp_path, etcd)
     code, out, _ = await members(path, "retire", "c0", "--drain-after", "0.1")
@@ -89,7 +89,7 @@
     assert code == 1 and "somebody else has made it Ready" in err
 
 
-async def test_a_file_is_put_whole_or_not_at_all(tmp_path: Path, etcd: Etcd) -> None:
+async def test_a_file_is_put_whole_or_not_at_all(tmp_path: Path, etcd: EtcdCluster) -> None:
     path, file = operator(tmp_path, etcd), tmp_path / "list.json"
     file.write_text(json.dumps([entry("c8", "127.0.0.1:8"), entry("c0", "127.0.0.1:7")]))
     before = etcd.store.revision
@@ -108,7 +108,7 @@
     assert etcd.store.revision == before + 1
 
 
-async def test_two_operators_do_not_undo_one_another(etcd: Etcd) -> None:
+async def test_two_operators_do_not_undo_one_another(etcd: EtcdCluster) -> None:
     client = EtcdClient(
         EtcdOptions([("127.0.0.1", etcd.members[0].port)]), ("127.0.0.1", etcd.members[0].port)
     )
@@ -123,16 +123,16 @@
     client.close()
 
 
-async def test_changes_are_shown_as_they_come(tmp_path: Path, etcd: Etcd) -> None:
+async def test_changes_are_shown_as_they_come(tmp_path: Path, etcd: EtcdCluster) -> None:
     watching = asyncio.create_task(members(operator(tmp_path, etcd), "watch", "--for", "4"))
-    await soon(lambda: etcd.wakes)
+    await soon(lambda: etcd.watch_wake_ups)
     etcd.store.delete(KEY + b"c1")
     code, out, _ = await watching
     assert code == 0 and out.splitlines() == ["the list, 2 entries", "c1 Gone"]
 
 
 async def test_an_unreachable_etcd_and_a_bad_table_end_with_one_plain_line(
-    tmp_path: Path, etcd: Etcd
+    tmp_path: Path, etcd: EtcdCluster
 ) -> None:
     path = operator(tmp_path, etcd, "timeout_s = 0.5\n")
     etcd.refuse = True
@@ -186,7 +186,7 @@
     context.verify_mode = ssl.CERT_REQUIRED
     authority.configure_trust(context)
     context.set_alpn_protocols(["h2"])
-    etcd = Etcd(tls=context)
+    etcd = EtcdCluster(tls=context)
     await etcd.start()
     etcd.store.put(KEY + b"c0", json.dumps(entry("c0", "127.0.0.1:1")).encode())
     ca, mine = tmp_path / "ca.pem", authority.issue_cert("router@example.org")
@@ -202,7 +202,7 @@
 
 
 async def test_a_router_follows_etcd_and_serves_from_its_known_list_while_etcd_is_unavailable(
-    tmp_path: Path, etcd: Etcd
+    tmp_path: Path, etcd: EtcdCluster
 ) -> None:
     """PING tells the truth: with etcd away at the start, by the known list alone."""
     known = {"rev": 3, "all": True, "targets": [entry("k0", "127.0.0.1:1")]}
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -18,7 +18,7 @@
 from rainhitch.membership.etcd_source import EtcdSource
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.endpoint_directory import EndpointDirectory
-from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
 from rainhitch.settings import read_names
 
 PREFIX = "/rainhitch/members/"
@@ -30,7 +30,7 @@
 
 @dataclass
 class Scene:
-    etcd: Etcd
+    etcd: EtcdCluster
     source: EtcdSource
     directory: EndpointDirectory
     told: list[api.EndpointUpdate]
@@ -50,7 +50,7 @@
 async def scene(
     members: int = 1, known: list[str] | None = None, start: bool = True, **options: Any
 ) -> AsyncIterator[Scene]:
-    etcd = Etcd(members)
+    etcd = EtcdCluster(members)
     await etcd.start()
     told: list[api.EndpointUpdate] = []
     directory = EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append)
@@ -83,7 +83,7 @@
         await one.until(c0="draining", c2="ready")
         now = [0.0]
         one.etcd.store.clock = lambda: now[0]
-        one.etcd.store.put(PREFIX.encode() + b"c3", row("c3"), one.etcd.store.grant(2))
+        one.etcd.store.put(PREFIX.encode() + b"c3", row("c3"), one.etcd.store.grant_lease(2))
         await one.until(c0="draining", c2="ready", c3="ready")
         now[0] = 3.0
         await one.until(c0="draining", c2="ready")
@@ -152,7 +152,7 @@
     monkeypatch.setattr(watch_state_machine, "PROGRESS_INTERVAL_NS", 100_000_000)
     async with scene() as one:
         await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
-        one.etcd.hasty, one.etcd.silent = True, True
+        one.etcd.progress_before_events, one.etcd.silent = True, True
         await asyncio.sleep(0.5)  # progress is asked for meanwhile
         one.put("c0", "Terminating")
         one.etcd.silent = False
@@ -191,11 +191,11 @@
 ) -> None:
     """While etcd elects a leader it answers nothing: the router must serve from the list in use."""
     async with scene() as one:
-        one.etcd.lead(False)
+        one.etcd.set_leader(False)
         await soon(lambda: lines(caplog, "no leader"))
         assert len(one.states()) == 3
         one.put("c0", "Terminating")
-        one.etcd.lead(True)
+        one.etcd.set_leader(True)
         await one.until(c0="draining", c1="ready", c2="ready")
 
 
--- a/tests/membership/test_stand_in.py
+++ b/tests/membership/test_stand_in.py
@@ -8,23 +8,23 @@
 import pytest_asyncio
 from peers import PATIENCE
 
-from rainhitch.rehearsal.fakes.etcd import Etcd
+from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
 
 
 @pytest_asyncio.fixture
-async def world() -> AsyncIterator[Etcd]:
-    etcd = Etcd()
+async def world() -> AsyncIterator[EtcdCluster]:
+    etcd = EtcdCluster()
     await etcd.start()
     yield etcd
     await etcd.close()
 
 
-def client(world: Etcd, **more: str) -> aetcd.Client:
+def client(world: EtcdCluster, **more: str) -> aetcd.Client:
     host, port = world.endpoints[0].split(":")
     return aetcd.Client(host=host, port=int(port), timeout=10, **more)
 
 
-async def test_keys_are_put_read_and_deleted_under_revisions(world: Etcd) -> None:
+async def test_keys_are_put_read_and_deleted_under_revisions(world: EtcdCluster) -> None:
     async with client(world) as one:
         await one.put(b"/m/a", b"1")
         await one.put(b"/m/b", b"2")
@@ -38,7 +38,7 @@
         assert not await one.delete(b"/m/a")
 
 
-async def test_a_watch_tells_what_came_after_its_revision_and_goes_on(world: Etcd) -> None:
+async def test_a_watch_tells_what_came_after_its_revision_and_goes_on(world: EtcdCluster) -> None:
     async with client(world) as one:
         await one.put(b"/m/a", b"1")
         await one.put(b"/m/a", b"2")
@@ -60,7 +60,7 @@
         await watch.cancel()
 
 
-async def test_a_watch_from_a_compacted_revision_is_cancelled_with_it(world: Etcd) -> None:
+async def test_a_watch_from_a_compacted_revision_is_cancelled_with_it(world: EtcdCluster) -> None:
     async with client(world) as one:
         for n in range(5):
             await one.put(b"/m/a", b"%d" % n)
@@ -72,7 +72,7 @@
         assert failed.value.compacted_revision == 5
 
 
-async def test_a_lease_ends_and_takes_its_keys_with_it(world: Etcd) -> None:
+async def test_a_lease_ends_and_takes_its_keys_with_it(world: EtcdCluster) -> None:
     now = [0.0]
     world.store.clock = lambda: now[0]
     async with client(world) as one:
@@ -81,14 +81,14 @@
         now[0] = 4.0
         await one.refresh_lease(lease.id)
         now[0] = 8.0
-        world.store.expire()
+        world.store.expire_leases()
         assert (await one.get(b"/m/a")).value == b"1"
         now[0] = 10.0
-        world.store.expire()
+        world.store.expire_leases()
         assert await one.get(b"/m/a") is None
 
 
-async def test_a_transaction_is_carried_out_only_where_its_comparisons_hold(world: Etcd) -> None:
+async def test_a_transaction_is_carried_out_only_where_its_comparisons_hold(world: EtcdCluster) -> None:
     async with client(world) as one:
         await one.put(b"/m/a", b"1")
         for value, held in ((b"1", True), (b"1", False)):
@@ -102,7 +102,7 @@
         assert [pair.mod_revision for pair in both] == [3, 3]  # one commit, one revision
 
 
-async def test_a_user_needs_the_right_password(world: Etcd) -> None:
+async def test_a_user_needs_the_right_password(world: EtcdCluster) -> None:
     world.users["router"] = "secret"
     async with client(world, username="router", password="secret") as one:
         await one.put(b"/m/a", b"1")
