--- a/rainhitch/rehearsal/scenario.py
+++ b/rainhitch/rehearsal/scenario.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from importlib import resources
 from pathlib import Path
+from typing import NamedTuple
 
 from rainhitch import toml_schema
 from rainhitch.rehearsal.faults import Fault, check_faults
@@ -215,6 +216,14 @@
     origin_stops: int = toml_schema.whole(1000, 0, 1000, "at most: how often the database stops")
 
 
+class PlacedNode(NamedTuple):
+    """A cache node of the scenario: its name, its class, and the room that it stands in."""
+
+    uid: str
+    node_class: NodeClass
+    room: str
+
+
 @dataclass(slots=True)
 class Scenario:
     about: str = toml_schema.text(toml_schema.REQUIRED, "what it rehearses, in a sentence")
@@ -233,13 +242,15 @@
     expect: Expect = toml_schema.table(Expect, "what else must hold")
     faults: list[Fault] = toml_schema.tables(Fault, "what goes wrong, and when")
 
-    def nodes(self) -> list[tuple[str, NodeClass, str]]:
-        """Each node: its uid, class and room. Full and small ones alternate, so that each room has both."""
-        rows, rooms = [], self.fleet.rooms
-        for number, kind in enumerate(one for one in self.fleet.nodes for _ in range(one.count)):
+    def nodes(self) -> list[PlacedNode]:
+        """All cache nodes, dealt to the rooms in turn, so that each room has nodes of each class."""
+        placed = []
+        rooms = self.fleet.rooms
+        node_classes = (one for one in self.fleet.nodes for _ in range(one.count))
+        for number, node_class in enumerate(node_classes):
             room = rooms[number % len(rooms)]
-            rows.append((f"{room}-{number // len(rooms)}", kind, room))
-        return rows
+            placed.append(PlacedNode(f"{room}-{number // len(rooms)}", node_class, room))
+        return placed
 
     def router_room(self, number: int) -> str:
         return self.fleet.rooms[number % len(self.fleet.rooms)]
--- a/tests/rehearsal/test_plan.py
+++ b/tests/rehearsal/test_plan.py
@@ -10,7 +10,8 @@
 
 from rainhitch.rehearsal.faults import Fault, check_faults
 from rainhitch.rehearsal.plan import MICROSECONDS_PER_SECOND as MICRO
-from rainhitch.rehearsal.plan import Keys, Plan, draw_plan
+from rainhitch.rehearsal.plan import Plan, draw_plan
+from rainhitch.rehearsal.planned_requests import KeyPopularity
 from rainhitch.rehearsal.scenario import Clients, Customer, Day, Discovery, Scenario, Traffic, WorkClass
 
 SHORT = Scenario(
@@ -160,12 +161,12 @@
 
 def test_popularity_follows_zipfs_law_and_drifts_by_and_by() -> None:
     day = replace(SHORT, traffic=Traffic(keys=1000, zipf=1.0, offset=0.0, drift=0.05))
-    keys = Keys(day, 1)
-    first = keys.pick(0, 0.0)
-    assert first == keys.pick(MICRO // 2, 0.1) and keys.pick(0, 0.999) != first
-    before = list(keys.order)
-    keys.pick(10 * MICRO, 0.5)
-    moved = sum(a != b for a, b in zip(before, keys.order, strict=True))
+    keys = KeyPopularity(day, 1)
+    first = keys.key_at(0, 0.0)
+    assert first == keys.key_at(MICRO // 2, 0.1) and keys.key_at(0, 0.999) != first
+    before = list(keys.key_by_rank)
+    keys.key_at(10 * MICRO, 0.5)
+    moved = sum(a != b for a, b in zip(before, keys.key_by_rank, strict=True))
     assert 300 < moved < 1000
     work = WorkClass("w", 1, 100, 1000, 2000)
     heavy = [
