--- a/rainhitch/rehearsal/environment.py
+++ b/rainhitch/rehearsal/environment.py
@@ -53,11 +53,11 @@
     def name(self) -> str:
         return self.role.replace(":", "-")
 
-    def say(self, message: Json) -> None:
+    def send(self, message: Json) -> None:
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(orjson.dumps(message) + b"\n")
 
-    async def hear(self, key: str, within: float = PART_READY) -> Any:
+    async def receive(self, key: str, within: float = PART_READY) -> Any:
         """The next word with this key."""
         assert self.process is not None and self.process.stdout is not None
         try:
@@ -114,14 +114,14 @@
         self,
         scenario: Scenario,
         plan: Plan,
-        words: list[str],
-        tell: ProgressCallback = lambda at, row: None,
-        operator: str = "",
+        command: list[str],
+        on_progress: ProgressCallback = lambda at, row: None,
+        operator_config: str = "",
     ) -> None:
-        self.operator = operator  # the text of an operator's file that all routers have
-        self.scenario, self.plan, self.words, self.tell = scenario, plan, words, tell
+        self.operator_config = operator_config  # the text of an operator's file that all routers have
+        self.scenario, self.plan, self.command, self.on_progress = scenario, plan, command, on_progress
         self.folder = Path(tempfile.mkdtemp(prefix="rainhitch-"))
-        self.parts: list[WorkerProcess] = []
+        self.workers: list[WorkerProcess] = []
         self.routers: list[RouterProcess] = []
         self.acting: set[asyncio.Task[None]] = set()
         self.held: list[socket.socket] = []
@@ -129,17 +129,17 @@
 
     # what a stage on another machine than this one has of its own
 
-    def part(self, role: str) -> WorkerProcess:
+    def make_worker(self, role: str) -> WorkerProcess:
         return WorkerProcess(role, self.folder)
 
-    def router(self, number: int, config: Json) -> RouterProcess:
+    def make_router(self, number: int, config: Json) -> RouterProcess:
         day = self.scenario.day
         memory = int(day.memory_mb * (1 << 20))
-        made = RouterProcess(number, self.words, self.folder, config, memory, day.sockets)
-        made.operator = self.operator
+        made = RouterProcess(number, self.command, self.folder, config, memory, day.sockets)
+        made.operator_config = self.operator_config
         return made
 
-    def port(self) -> int:
+    def free_port(self) -> int:
         """A port that nobody listens on, kept for this day."""
         self.held.append(hold_port())
         return int(self.held[-1].getsockname()[1])
@@ -153,7 +153,7 @@
                 task.cancel()
             for router in self.routers:
                 router.end_now()
-            for part in self.parts:
+            for part in self.workers:
                 await part.end()
             for router in self.routers:
                 if router.process is not None:
@@ -166,65 +166,65 @@
         scenario, plan = self.scenario, self.plan
         told = {"plan": plan.rows(), "scenario": orjson.loads(orjson.dumps(scenario))}
         (self.folder / "plan.json").write_bytes(orjson.dumps(told))
-        centre = self.part("centre")
-        nodes = [self.part(f"nodes:{n}") for n in range(len(plan.rooms))]
-        clients = [self.part(f"clients:{n}") for n in range(len(plan.rooms))]
-        self.parts = [centre, *nodes]
-        for part in self.parts:
+        centre = self.make_worker("centre")
+        nodes = [self.make_worker(f"nodes:{n}") for n in range(len(plan.rooms))]
+        clients = [self.make_worker(f"clients:{n}") for n in range(len(plan.rooms))]
+        self.workers = [centre, *nodes]
+        for part in self.workers:
             await part.start()
-        await centre.hear("ready")
+        await centre.receive("ready")
         endpoints: Json = {}
         for part in nodes:
-            endpoints |= (await part.hear("ready"))["nodes"]
+            endpoints |= (await part.receive("ready"))["nodes"]
         bus = str(self.folder / "bus")
-        centre.say({"nodes": endpoints, "bus": bus})
-        told_lists = await centre.hear("lists")
+        centre.send({"nodes": endpoints, "bus": bus})
+        told_lists = await centre.receive("lists")
         lists, peers = told_lists["agents"], told_lists["peers"]
         for part in nodes:
-            part.say({"bus": bus})
+            part.send({"bus": bus})
         await self._start_routers(lists, peers)
-        centre.say(
+        centre.send(
             {"listens": {str(n): one.config["peer_listen"].split(":") for n, one in enumerate(self.routers)}}
         )
         (self.folder / "addresses.json").write_bytes(orjson.dumps([one.address for one in self.routers]))
-        self.parts += clients
+        self.workers += clients
         for part in clients:
             await part.start()
         for part in clients:
-            await part.hear("ready")
+            await part.receive("ready")
         first = min((ask.at for ask in plan.asks), default=0)
         self.zero = system.now() + int(LEAD * 1e9) - min(first, 0) * 1000
-        for part in self.parts:
-            part.say({"zero": self.zero})
-        await self._through(clients)
+        for part in self.workers:
+            part.send({"zero": self.zero})
+        await self._run_timeline(clients)
         for router in self.routers:
             self._do(router.stop())
         await asyncio.gather(*self.acting)
-        return await self._ledgers()
+        return await self._collect_records()
 
     async def _start_routers(self, lists: list[Json], peers: list[list[str]]) -> None:
         day, first = self.scenario.day, self.scenario.fleet.first_port
         for number in range(self.scenario.fleet.routers):
             config = {
                 "name": f"router-{number}",
-                "listen": f"127.0.0.1:{first + number if first else self.port()}",
+                "listen": f"127.0.0.1:{first + number if first else self.free_port()}",
                 "discovery": lists[number]["agent"],
                 "seed": f"{self.plan.seed * 1000 + number & (1 << 63) - 1:016x}",
                 "limits": {"cores": 1.0, "memory_mb": day.memory_mb, "sockets": day.sockets},
-                "peer_listen": f"127.0.0.1:{self.port()}",
+                "peer_listen": f"127.0.0.1:{self.free_port()}",
                 "peers": peers[number][:-1],
                 "peers_all": peers[number][-1],
                 "known": lists[number]["known"],
                 "settings": router_settings(self.scenario, number),
             }
-            router = self.router(number, config)
+            router = self.make_router(number, config)
             if "etcd" in lists[number]:
-                router.operator += (
+                router.operator_config += (
                     f'[membership]\nsource = "etcd"\nendpoints = ["{lists[number]["etcd"]}"]\n'
                     f'prefix = "/rainhitch/members/{number}/"\n'
                 )
             if self.scenario.fleet.resp3 or any(one.kind == "node-upgrade" for one in self.scenario.faults):
-                router.operator += "[servers]\nresp3 = true\n"
+                router.operator_config += "[servers]\nresp3 = true\n"
             self.routers.append(router)
             await router.start()
         for router in self.routers:
@@ -240,7 +240,7 @@
         self.acting.add(task)
         task.add_done_callback(self.acting.discard)
 
-    async def _through(self, clients: list[WorkerProcess]) -> None:
+    async def _run_timeline(self, clients: list[WorkerProcess]) -> None:
         """Acts on the routers' cues until the clients are done."""
         loop = asyncio.get_running_loop()
         for cue in self.plan.cues:
@@ -249,12 +249,12 @@
                 loop.call_later(after, self._act, cue)
         longest = max(one.deadline_ms for one in self.scenario.classes) / 1000
         whole = self.scenario.day.length_s + 2 * longest + 10
-        over = [loop.create_task(part.hear("over", whole + PART_READY)) for part in clients]
+        over = [loop.create_task(part.receive("over", whole + PART_READY)) for part in clients]
         crashed: set[int] = set()
         while True:
             done, _ = await asyncio.wait(over, timeout=0.25)
             at = (system.now() - self.zero) / 1e9
-            self.tell(at, {"crashes": sum(one.crash is not None for one in self.routers)})
+            self.on_progress(at, {"crashes": sum(one.crash is not None for one in self.routers)})
             for number, router in enumerate(self.routers):
                 if router.crash is not None and number not in crashed:
                     crashed.add(number)
@@ -299,20 +299,20 @@
         await asyncio.sleep(after)
         back = any(what == "ready" for what, _ in self.routers[router].events[begun:])
         if up or not back:  # who is back before the front noticed was never missed
-            for part in self.parts:
+            for part in self.workers:
                 if part.role.startswith("clients"):
-                    part.say({"router": router, "up": up})
+                    part.send({"router": router, "up": up})
 
-    async def _ledgers(self) -> Json:
+    async def _collect_records(self) -> Json:
         rows: Json = {"parts": {}}
-        for part in self.parts:
-            part.say({"end": f"{part.name}.json"})
-        for part in self.parts:
-            await part.hear("ended")
+        for part in self.workers:
+            part.send({"end": f"{part.name}.json"})
+        for part in self.workers:
+            await part.receive("ended")
             rows["parts"][part.role] = orjson.loads((self.folder / f"{part.name}.json").read_bytes())
         rows["zero"] = self.zero
         rows["routers"] = [
-            {"number": one.number, "events": one.events, "crash": one.crash, "peak": one.peak}
+            {"number": one.number, "events": one.events, "crash": one.crash, "peak": one.peak_memory_bytes}
             for one in self.routers
         ]
         return rows
--- a/rainhitch/rehearsal/router_process.py
+++ b/rainhitch/rehearsal/router_process.py
@@ -125,18 +125,18 @@
     """One router's process, through its starts and ends; `events` tells them with monotonic ns."""
 
     number: int
-    words: list[str]
+    command: list[str]
     folder: Path
     config: Json
-    memory: int  # bytes
-    sockets: int
+    memory_limit_bytes: int  # bytes
+    max_sockets: int
     events: list[tuple[str, int]] = field(default_factory=list)
     process: asyncio.subprocess.Process | None = None
-    told: str = ""  # what the stage did to it last: start, kill, term
+    last_command: str = ""  # what the stage did to it last: start, kill, term
     crash: Json | None = None
-    peak: int = 0  # bytes resident, at most
-    operator: str = ""  # the operator's file, where the day needs one
-    lives: int = 0  # how often it was started
+    peak_memory_bytes: int = 0  # bytes resident, at most
+    operator_config: str = ""  # the operator's file, where the day needs one
+    start_count: int = 0  # how often it was started
 
     def __post_init__(self) -> None:
         host, _, port = self.config["listen"].rpartition(":")
@@ -145,7 +145,7 @@
         self.watching: asyncio.Task[None] | None = None
         self.ended = asyncio.Event()
 
-    def _note(self, what: str) -> None:
+    def _record_event(self, what: str) -> None:
         self.events.append((what, system.now()))
 
     def last_lines(self) -> list[str]:
@@ -153,14 +153,14 @@
             return self.log.read_text(errors="replace").splitlines()[-LAST_LINES:]
         return []
 
-    def configured(self) -> Path:
+    def write_configuration(self) -> Path:
         """Writes its configuration."""
         path = self.folder / f"router-{self.number}.json"
         path.write_bytes(orjson.dumps(self.config))
         return path
 
     async def start(self) -> None:
-        path = self.configured()
+        path = self.write_configuration()
         scratch = self.folder / f"router-{self.number}"
         scratch.mkdir(exist_ok=True)
         env = {
@@ -171,16 +171,16 @@
             "BALANCER_CONFIG": str(path),
             "TMPDIR": str(scratch),
         }
-        if self.operator:
+        if self.operator_config:
             path = self.folder / f"router-{self.number}.toml"
-            path.write_text(self.operator)
+            path.write_text(self.operator_config)
             env["RAINHITCH_OPERATOR"] = str(path)
-        self.told = "start"
-        self.lives += 1
+        self.last_command = "start"
+        self.start_count += 1
         self.ended.clear()
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                *self.words,
+                *self.command,
                 env=env,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
@@ -188,9 +188,9 @@
                 start_new_session=True,
                 preexec_fn=end_with_parent,
             )
-        self._note("start")
+        self._record_event("start")
         with contextlib.suppress(ProcessLookupError):
-            resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.sockets, self.sockets))
+            resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.max_sockets, self.max_sockets))
         self.watching = asyncio.get_running_loop().create_task(self._watch(self.process))
 
     async def ready(self) -> bool:
@@ -199,7 +199,7 @@
             async with asyncio.timeout(READY_WITHIN):
                 while not self.ended.is_set():
                     if await self._pong():
-                        self._note("ready")
+                        self._record_event("ready")
                         return True
                     await asyncio.sleep(0.02)
         except TimeoutError:
@@ -223,19 +223,21 @@
         while not waiting.done():
             await asyncio.wait([waiting], timeout=0.2)
             held = resident_memory(process.pid)
-            self.peak = max(self.peak, held)
-            if held > self.memory and not waiting.done():
-                self._crashed(f"killed over its memory: {held >> 20} MB of {self.memory >> 20}")
-                self._signal(signal.SIGKILL)
-        self._note("ended")
+            self.peak_memory_bytes = max(self.peak_memory_bytes, held)
+            if held > self.memory_limit_bytes and not waiting.done():
+                self._record_crash(
+                    f"killed over its memory: {held >> 20} MB of {self.memory_limit_bytes >> 20}"
+                )
+                self._send_signal(signal.SIGKILL)
+        self._record_event("ended")
         self.ended.set()
         code = process.returncode
-        if self.told == "start" or (self.told == "term" and code != 0):
-            self._crashed(
-                f"ended with {code}" if self.told == "start" else f"ended with {code} after SIGTERM"
+        if self.last_command == "start" or (self.last_command == "term" and code != 0):
+            self._record_crash(
+                f"ended with {code}" if self.last_command == "start" else f"ended with {code} after SIGTERM"
             )
 
-    def _crashed(self, why: str) -> None:
+    def _record_crash(self, why: str) -> None:
         if self.crash is None:
             self.crash = {
                 "router": self.number,
@@ -244,7 +246,7 @@
                 "log": self.last_lines(),
             }
 
-    def _signal(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 # Not by the process object, which would take the exit code from who waits for it.
@@ -256,41 +258,41 @@
     async def kill(self) -> None:
         """As a machine that dies: no warning."""
         if not self.ended.is_set():
-            self.told = "kill"
-            self._note("kill")
-            self._signal(signal.SIGKILL)
+            self.last_command = "kill"
+            self._record_event("kill")
+            self._send_signal(signal.SIGKILL)
             await self.ended.wait()
 
     async def stop(self) -> None:
         """SIGTERM, and SIGKILL for one that does not end in time: that is a finding."""
-        if not self.lives or self.ended.is_set():
+        if not self.start_count or self.ended.is_set():
             return
-        self.told = "term"
-        self._note("term")
-        self._signal(signal.SIGTERM)
+        self.last_command = "term"
+        self._record_event("term")
+        self._send_signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(ENDS_WITHIN):
                 await self.ended.wait()
         except TimeoutError:
-            self._crashed(f"did not end within {ENDS_WITHIN} s after SIGTERM")
-            self.told = "kill"
-            self._note("late kill")
-            self._signal(signal.SIGKILL)
+            self._record_crash(f"did not end within {ENDS_WITHIN} s after SIGTERM")
+            self.last_command = "kill"
+            self._record_event("late kill")
+            self._send_signal(signal.SIGKILL)
             await self.ended.wait()
 
     def reload(self) -> None:
-        self._note("reload")
-        self._signal(signal.SIGHUP)
+        self._record_event("reload")
+        self._send_signal(signal.SIGHUP)
 
     def pause(self, stopped: bool) -> None:
         """Stops the process as it stands, or lets it go on."""
-        self._note("pause" if stopped else "wake")
-        self._signal(signal.SIGSTOP if stopped else signal.SIGCONT)
+        self._record_event("pause" if stopped else "wake")
+        self._send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
     def end_now(self) -> None:
         """When the stage itself ends: whatever runs is ended."""
-        self.told = "kill"
-        self._signal(signal.SIGKILL)
+        self.last_command = "kill"
+        self._send_signal(signal.SIGKILL)
 
 
 def resident_memory(pid: int) -> int:
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -56,11 +56,11 @@
         self.part.say, self.part.failed = self.words.put_nowait, self.stage.failed
         self.words.put_nowait({"ready": self.part.ready()})
 
-    def say(self, message: Json) -> None:
+    def send(self, message: Json) -> None:
         assert self.part is not None
         self.part.told(message)
 
-    async def hear(self, key: str, within: float = 60.0) -> Any:
+    async def receive(self, key: str, within: float = 60.0) -> Any:
         try:
             async with asyncio.timeout(within):
                 while key not in (message := await self.words.get()):
@@ -82,16 +82,16 @@
     stopping: asyncio.Event | None = None
 
     async def start(self) -> None:
-        self.lives += 1
-        self.path = str(self.configured())
-        self.told = "start"
+        self.start_count += 1
+        self.path = str(self.write_configuration())
+        self.last_command = "start"
         self.ended.clear()
-        self._note("start")
-        seed = f"{self.config['seed']}/{self.lives}"
+        self._record_event("start")
+        seed = f"{self.config['seed']}/{self.start_count}"
         owner = self.owner = Owner(f"router-{self.number}", seed, self.stage.costs)
         owner.rate, owner.unix_jump = self.stage.rates[self.number], self.stage.jumps[self.number]
         self.stage.owners.append(owner)
-        self.stage.network.limits[owner] = self.sockets
+        self.stage.network.limits[owner] = self.max_sockets
         context = contextvars.copy_context()
         context.run(OWNER.set, owner)
         self.stopping, self.service = asyncio.Event(), None
@@ -101,9 +101,9 @@
     async def _serve(self, stopping: asyncio.Event) -> None:
         await asyncio.sleep(STARTS)
         operator = None
-        if self.operator:
+        if self.operator_config:
             path = self.folder / f"router-{self.number}.toml"
-            path.write_text(self.operator)
+            path.write_text(self.operator_config)
             operator = load_operator_config(str(path))
         service = self.service = NodeRouter(parse_configuration(self.config, self.path), operator)
         await service.start()
@@ -116,15 +116,15 @@
             return
         problem = None if task.cancelled() else task.exception()
         self._down(owner)
-        if self.told == "start" or problem is not None:
-            self._crashed(f"ended with {problem!r}")
+        if self.last_command == "start" or problem is not None:
+            self._record_crash(f"ended with {problem!r}")
 
     def _down(self, owner: Owner) -> None:
         self.stage.network.kill(owner)
-        self._note("ended")
+        self._record_event("ended")
         self.ended.set()
 
-    def _signal(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         owner = self.owner
         if owner is None or owner.dead:
             return
@@ -190,15 +190,15 @@
         self.problems: list[str] = []  # what no callback may end with
         loop.set_exception_handler(self._problem)
 
-    def part(self, role: str) -> WorkerProcess:
+    def make_worker(self, role: str) -> WorkerProcess:
         return VirtualWorker(role, self)
 
-    def router(self, number: int, config: Json) -> RouterProcess:
+    def make_router(self, number: int, config: Json) -> RouterProcess:
         made = VirtualRouterProcess(number, [], self.folder, config, 0, self.scenario.day.sockets)
-        made.stage, made.operator = self, self.operator
+        made.stage, made.operator_config = self, self.operator_config
         return made
 
-    def port(self) -> int:
+    def free_port(self) -> int:
         return self.network.port()
 
     def failed(self, problem: BaseException) -> None:
@@ -212,8 +212,8 @@
         what = "" if task is None else getattr(task.get_coro(), "__qualname__", "")
         self.problems.append(f"{who}: {context.get('message')}: {problem!r} {what}")
 
-    async def _ledgers(self) -> Json:
-        rows = await super()._ledgers()
+    async def _collect_records(self) -> Json:
+        rows = await super()._collect_records()
         rows["problems"] = list(self.problems)
         work: dict[str, dict[str, int]] = {}
         for one in self.owners:  # each life of a router is one
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -26,18 +26,18 @@
 class Watched(Environment):
     """A day that keeps what its routers wrote, and asks them now and then what they believe."""
 
-    def router(self, number: int, config: Json) -> RouterProcess:
+    def make_router(self, number: int, config: Json) -> RouterProcess:
         if not hasattr(self, "admins"):
             self.admins: list[tuple[str, int]] = []
             self.views: list[tuple[float, list[Json]]] = []  # seconds from the first scored one; by router
-        self.admins.append(("127.0.0.1", self.port()))
+        self.admins.append(("127.0.0.1", self.free_port()))
         config["admin_addr"] = "{}:{}".format(*self.admins[-1])
-        return super().router(number, config)
+        return super().make_router(number, config)
 
-    async def _through(self, clients: Any) -> None:
+    async def _run_timeline(self, clients: Any) -> None:
         looking = asyncio.get_running_loop().create_task(self._look())
         try:
-            await super()._through(clients)
+            await super()._run_timeline(clients)
         finally:
             looking.cancel()
 
@@ -47,8 +47,8 @@
             self.views.append(((asyncio.get_running_loop().time() * SECOND - self.zero) / SECOND, views))
             await asyncio.sleep(0.25)
 
-    async def _ledgers(self) -> Json:
-        rows = await super()._ledgers()
+    async def _collect_records(self) -> Json:
+        rows = await super()._collect_records()
         rows["logs"] = [one.log.read_text(errors="replace") for one in self.routers]
         rows["views"] = self.views
         return rows
@@ -82,7 +82,7 @@
     )
     plan = draw_plan(scenario, "processes", 7)
     change(plan.asks)
-    return Watched(scenario, plan, rainhitch_command(), operator=operator)
+    return Watched(scenario, plan, rainhitch_command(), operator_config=operator)
 
 
 def reads(ledgers: Json) -> list[tuple[float, int]]:
