--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -22,7 +22,8 @@
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
 from rainhitch.rehearsal.virtual.environment import run_day
-from rainhitch.rehearsal.virtual.loop import OWNER, VirtualLoop
+from rainhitch.rehearsal.virtual.loop import VirtualLoop
+from rainhitch.rehearsal.virtual.process import CURRENT_PROCESS
 
 Json = dict[str, Any]
 SECOND = 1_000_000_000
@@ -55,7 +56,7 @@
         self.callbacks = self.decisions = self.events = 0
         self.largest = 0  # members in a list taken up, and what it took
         self.list_ns = self.change_ns = self.changes = 0
-        self.run, self.handle = VirtualLoop._run, Balancer.handle
+        self.run, self.handle = VirtualLoop._run_callback, Balancer.handle
 
     def __enter__(self) -> "Meter":
         meter, run, handle = self, self.run, self.handle
@@ -63,7 +64,7 @@
         def timed_run(loop: VirtualLoop, callback: asyncio.Handle) -> None:
             begun = time.thread_time_ns()
             run(loop, callback)
-            if callback._context.get(OWNER) is not None:  # type: ignore[attr-defined]
+            if callback._context.get(CURRENT_PROCESS) is not None:  # type: ignore[attr-defined]
                 meter.callbacks += time.thread_time_ns() - begun
 
         def timed_handle(balancer: Balancer, now: int, event: api.Event) -> list[api.Action]:
@@ -77,7 +78,7 @@
                 meter.events += 1
             return made
 
-        VirtualLoop._run = timed_run  # type: ignore[method-assign,assignment]
+        VirtualLoop._run_callback = timed_run  # type: ignore[method-assign,assignment]
         Balancer.handle = timed_handle  # type: ignore[method-assign,assignment]
         return self
 
@@ -89,7 +90,7 @@
             self.changes += 1
 
     def __exit__(self, *told: object) -> None:
-        VirtualLoop._run, Balancer.handle = self.run, self.handle  # type: ignore[method-assign]
+        VirtualLoop._run_callback, Balancer.handle = self.run, self.handle  # type: ignore[method-assign]
 
 
 def held(nodes: int) -> float:
--- a/rainhitch/cli/virtual.py
+++ b/rainhitch/cli/virtual.py
@@ -85,7 +85,9 @@
     try:
         for _ in range(told.repeat):
             made.append(
-                run_virtual_scenario(day, path.stem, told.seed, tell, told.records, told.trace, told.logs)
+                run_virtual_scenario(
+                    day, path.stem, told.seed, tell, records=told.records, trace=told.trace, logs=told.logs
+                )
             )
     except (RehearsalError, StuckError) as problem:
         return bad(str(problem))
--- a/rainhitch/rehearsal/explore/findings.py
+++ b/rainhitch/rehearsal/explore/findings.py
@@ -103,7 +103,7 @@
 def _play(one: Case) -> tuple[Json, Json]:
     scenario = scenario_of(one.tables, "case")
     plan = draw_plan(scenario, "case", one.seed)
-    ledgers = run_day(scenario, plan, most_callbacks=MOST_CALLBACKS)
+    ledgers = run_day(scenario, plan, max_callbacks=MOST_CALLBACKS)
     ledgers["plan_digest"] = plan.digest()
     rows = plan.rows()
     made = report.build("case", orjson.loads(orjson.dumps(scenario)), rows, ledgers)
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -1,7 +1,7 @@
-"""A day on the virtual loop: the stage, the world's parts and the routers as they are, all in this process.
+"""A rehearsal on the virtual loop: the environment, its fakes and the routers unchanged, all in this process.
 
-What differs from a real day stands here and nowhere else: a part is told by a call in place of a pipe, a
-router is a `Service` of an owner of its own in place of a process, and nobody is ever late but a router
+What differs from a real run is in this module only: a fake gets its messages by calls in place of a pipe, a
+router is a `node.router.Router` in a `SimulatedProcess` of its own, and nothing is ever late but a router
 whose core is busy.
 """
 
@@ -25,146 +25,171 @@
 from rainhitch.rehearsal.plan import Plan, random_stream
 from rainhitch.rehearsal.router_process import Json, RehearsalError, RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
-from rainhitch.rehearsal.virtual.costs import Costs
-from rainhitch.rehearsal.virtual.loop import OWNER, Owner, StuckError, VirtualLoop
+from rainhitch.rehearsal.virtual.costs import CallbackCosts
+from rainhitch.rehearsal.virtual.loop import CallbackObserver, StuckError, VirtualLoop
 from rainhitch.rehearsal.virtual.network import Network
+from rainhitch.rehearsal.virtual.process import CURRENT_PROCESS, DEAD, SimulatedProcess
 from rainhitch.rehearsal.virtual.system import VirtualSystem
 
-SWEPT = 5.0  # virtual s in which what a day has left is to end
-STARTS = 0.3  # s from a router's start until its program runs: what imports take
+CLEANUP_S = 5.0  # virtual time in which the tasks that a run has left are to end
+ROUTER_START_S = 0.3  # from a router's start until its program runs: what imports take
+MESSAGE_TIMEOUT_S = 60.0
+CRASH_LOG_LINES = 5
+NS_PER_MS = 1e6
+PICOSECONDS_PER_MICROSECOND = 1e6
 
 
 class VirtualWorker(WorkerProcess):
-    """A part of the world on the stage's own loop."""
+    """A process of fakes, on the environment's own loop."""
 
-    def __init__(self, role: str, stage: "VirtualEnvironment") -> None:
-        super().__init__(role, stage.folder)
-        self.stage = stage
-        self.words: asyncio.Queue[Json] = asyncio.Queue()
-        self.part: Worker | None = None
+    def __init__(self, role: str, environment: "VirtualEnvironment") -> None:
+        super().__init__(role, environment.folder)
+        self.environment = environment
+        self.messages: asyncio.Queue[Json] = asyncio.Queue()  # from the worker
+        self.worker: Worker | None = None
 
     async def start(self) -> None:
-        told: Json = orjson.loads((self.folder / "plan.json").read_bytes())
+        """Makes the worker for its role, from the files that a process would read."""
+        plan_rows: Json = orjson.loads((self.folder / "plan.json").read_bytes())
         name, _, number = self.role.partition(":")
         if name == "nodes":
-            self.part = CacheNodeWorker(self.folder, told, int(number))
+            self.worker = CacheNodeWorker(self.folder, plan_rows, int(number))
         elif name == "clients":
-            told["addresses"] = orjson.loads((self.folder / "addresses.json").read_bytes())
-            self.part = ClientWorker(self.folder, told, int(number))
+            plan_rows["addresses"] = orjson.loads((self.folder / "addresses.json").read_bytes())
+            self.worker = ClientWorker(self.folder, plan_rows, int(number))
         else:
-            self.part = SharedServicesWorker(self.folder, told)
-        self.part.say, self.part.failed = self.words.put_nowait, self.stage.failed
-        self.words.put_nowait({"ready": self.part.ready()})
+            self.worker = SharedServicesWorker(self.folder, plan_rows)
+        self.worker.say = self.messages.put_nowait
+        self.worker.failed = self.environment.failed
+        self.messages.put_nowait({"ready": self.worker.ready()})
 
     def say(self, message: Json) -> None:
-        assert self.part is not None
-        self.part.told(message)
+        """Hands the worker a message."""
+        assert self.worker is not None
+        self.worker.told(message)
 
-    async def hear(self, key: str, within: float = 60.0) -> Any:
+    async def hear(self, key: str, within: float = MESSAGE_TIMEOUT_S) -> Any:
+        """The value of the worker's next message with this key; raises RehearsalError after `within` s."""
         try:
             async with asyncio.timeout(within):
-                while key not in (message := await self.words.get()):
+                while key not in (message := await self.messages.get()):
                     pass
         except TimeoutError:
             raise RehearsalError(f"the stand-in {self.role} failed: no word of {key}") from None
         return message[key]
 
     async def end(self) -> None:
-        """The day's loop ends with it."""
+        """Nothing to do: the loop of the run ends with it."""
 
 
 class VirtualRouterProcess(RouterProcess):
-    """A router as an owner on the stage's loop, through its starts and ends."""
+    """A router through its starts and ends; each life is a `SimulatedProcess` of its own."""
 
-    stage: "VirtualEnvironment"
-    owner: Owner | None = None
-    service: NodeRouter | None = None
-    stopping: asyncio.Event | None = None
+    environment: "VirtualEnvironment"
+    simulated: SimulatedProcess | None = None
+    node_router: NodeRouter | None = None  # none until its program runs
+    stop_requested: asyncio.Event | None = None
 
     async def start(self) -> None:
+        """Starts the router's program in a new process."""
         self.lives += 1
         self.path = str(self.configured())
         self.told = "start"
         self.ended.clear()
         self._note("start")
-        seed = f"{self.config['seed']}/{self.lives}"
-        owner = self.owner = Owner(f"router-{self.number}", seed, self.stage.costs)
-        owner.rate, owner.unix_jump = self.stage.rates[self.number], self.stage.jumps[self.number]
-        self.stage.owners.append(owner)
-        self.stage.network.limits[owner] = self.sockets
+        environment = self.environment
+        process_seed = f"{self.config['seed']}/{self.lives}"
+        process = SimulatedProcess(f"router-{self.number}", process_seed, environment.costs)
+        process.clock_rate = environment.clock_rates[self.number]
+        process.unix_offset_ns = environment.unix_offsets_ns[self.number]
+        self.simulated = process
+        environment.processes.append(process)
+        environment.network.descriptors.set_limit(process, self.sockets)
         context = contextvars.copy_context()
-        context.run(OWNER.set, owner)
-        self.stopping, self.service = asyncio.Event(), None
-        task = asyncio.get_running_loop().create_task(self._serve(self.stopping), context=context)
-        task.add_done_callback(lambda one: self._over(owner, one), context=contextvars.Context())
-
-    async def _serve(self, stopping: asyncio.Event) -> None:
-        await asyncio.sleep(STARTS)
-        operator = None
+        context.run(CURRENT_PROCESS.set, process)
+        self.stop_requested = asyncio.Event()
+        self.node_router = None
+        program = self._run_program(self.stop_requested)
+        task = asyncio.get_running_loop().create_task(program, context=context)
+        task.add_done_callback(
+            lambda ended: self._program_ended(process, ended), context=contextvars.Context()
+        )
+
+    async def _run_program(self, stop_requested: asyncio.Event) -> None:
+        """What `rainhitch/program.py` does: starts a router and stops it in good order."""
+        await asyncio.sleep(ROUTER_START_S)
+        operator_config = None
         if self.operator:
             path = self.folder / f"router-{self.number}.toml"
             path.write_text(self.operator)
-            operator = load_operator_config(str(path))
-        service = self.service = NodeRouter(parse_configuration(self.config, self.path), operator)
-        await service.start()
-        await stopping.wait()
-        await service.stop()
-
-    def _over(self, owner: Owner, task: "asyncio.Task[None]") -> None:
-        """Its program has come to an end, as it was told to or not."""
-        if owner.dead:
+            operator_config = load_operator_config(str(path))
+        self.node_router = NodeRouter(parse_configuration(self.config, self.path), operator_config)
+        node_router = self.node_router
+        await node_router.start()
+        await stop_requested.wait()
+        await node_router.stop()
+
+    def _program_ended(self, process: SimulatedProcess, task: "asyncio.Task[None]") -> None:
+        """The program has ended, as it was asked to or not."""
+        if process.state is DEAD:
             return
         problem = None if task.cancelled() else task.exception()
-        self._down(owner)
+        self._process_ended(process)
         if self.told == "start" or problem is not None:
             self._crashed(f"ended with {problem!r}")
 
-    def _down(self, owner: Owner) -> None:
-        self.stage.network.kill(owner)
+    def _process_ended(self, process: SimulatedProcess) -> None:
+        self.environment.network.kill(process)
         self._note("ended")
         self.ended.set()
 
     def _signal(self, number: signal.Signals) -> None:
-        owner = self.owner
-        if owner is None or owner.dead:
+        process = self.simulated
+        if process is None or process.state is DEAD:
             return
-        if number is signal.SIGKILL:
-            self._down(owner)
-        elif number in (signal.SIGSTOP, signal.SIGCONT):
-            self.stage.loop.hold(owner, number is signal.SIGSTOP)
-        else:
-            context = contextvars.Context()
-            context.run(OWNER.set, owner)
-            self.stage.loop.call_soon(self._heed, number, context=context)
-
-    def _heed(self, number: signal.Signals) -> None:
+        loop = self.environment.loop
+        match number:
+            case signal.SIGKILL:
+                self._process_ended(process)
+            case signal.SIGSTOP:
+                loop.stop_process(process)
+            case signal.SIGCONT:
+                loop.resume_process(process)
+            case _:
+                context = contextvars.Context()
+                context.run(CURRENT_PROCESS.set, process)
+                loop.call_soon(self._handle_signal, number, context=context)
+
+    def _handle_signal(self, number: signal.Signals) -> None:
         """In the router's own turn. One that does not serve yet ends at once, as a process does."""
-        if self.service is None and number is signal.SIGTERM and self.owner is not None:
-            self._down(self.owner)
-        elif number is signal.SIGTERM and self.stopping is not None:
-            self.stopping.set()
-        elif number is signal.SIGHUP and self.service is not None:
-            self.service.reload_configuration(self.path)
+        if self.node_router is None and number is signal.SIGTERM and self.simulated is not None:
+            self._process_ended(self.simulated)
+        elif number is signal.SIGTERM and self.stop_requested is not None:
+            self.stop_requested.set()
+        elif number is signal.SIGHUP and self.node_router is not None:
+            self.node_router.reload_configuration(self.path)
 
     def last_lines(self) -> list[str]:
-        return [] if self.owner is None else self.owner.log[-5:]
+        """The newest lines of its log."""
+        return [] if self.simulated is None else self.simulated.log[-CRASH_LOG_LINES:]
 
 
-class Notes(logging.Handler):
-    """What routers log goes to each one's own log, at its virtual time."""
+class ProcessLogHandler(logging.Handler):
+    """Writes what a router logs to its process's own log, at its own virtual time."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(logging.INFO)
         self.loop = loop
 
     def emit(self, record: logging.LogRecord) -> None:
-        owner = OWNER.get()
-        if owner is not None:
-            owner.log.append(f"{self.loop.time():.6f} {record.levelname} {record.getMessage()}")
+        """Keeps a line; one of no process is dropped."""
+        process = CURRENT_PROCESS.get()
+        if process is not None:
+            process.log.append(f"{self.loop.time():.6f} {record.levelname} {record.getMessage()}")
 
 
 class VirtualEnvironment(Environment):
-    """One day in virtual time."""
+    """The environment of one run in virtual time."""
 
     def __init__(
         self,
@@ -175,112 +200,150 @@
         operator: str = "",
     ) -> None:
         super().__init__(scenario, plan, [], tell, operator)
-        told = scenario.virtual
-        self.loop, self.costs = loop, Costs(told.core) if told.core else None
-        first, last = (round(one * 1e6) for one in told.way_ms)
-        self.network = loop.network = Network(
-            loop, plan.seed, told.chop, (first, last), int(told.window_kb * 1024), round(1e6 / told.mb_s)
+        options = scenario.virtual
+        self.loop = loop
+        self.costs = CallbackCosts(options.core) if options.core else None
+        least_way_ms, largest_way_ms = options.way_ms
+        self.network = Network(
+            loop,
+            plan.seed,
+            chop_fraction=options.chop,
+            one_way_range_ns=(round(least_way_ms * NS_PER_MS), round(largest_way_ms * NS_PER_MS)),
+            receive_window_bytes=int(options.window_kb * 1024),
+            picoseconds_per_byte=round(PICOSECONDS_PER_MICROSECOND / options.mb_s),  # 1 MB/s is 1 byte/us
         )
+        loop.network = self.network
+        loop.system = VirtualSystem(loop)
         random = random_stream(plan.seed, "clocks")
         routers = range(scenario.fleet.routers)
-        self.rates = [1.0 + random.uniform(-1, 1) * told.drift for _ in routers]
-        self.jumps = [int(random.uniform(-1, 1) * told.wall_s * 1e9) for _ in routers]
-        loop.system = VirtualSystem(loop)
-        self.owners: list[Owner] = []
-        self.problems: list[str] = []  # what no callback may end with
-        loop.set_exception_handler(self._problem)
+        self.clock_rates = [1.0 + random.uniform(-1, 1) * options.drift for _ in routers]
+        self.unix_offsets_ns = [int(random.uniform(-1, 1) * options.wall_s * 1e9) for _ in routers]
+        self.processes: list[SimulatedProcess] = []  # each life of a router is one
+        self.problems: list[str] = []  # exceptions that no callback may end with
+        loop.set_exception_handler(self._unhandled)
 
     def part(self, role: str) -> WorkerProcess:
+        """A process of fakes."""
         return VirtualWorker(role, self)
 
     def router(self, number: int, config: Json) -> RouterProcess:
-        made = VirtualRouterProcess(number, [], self.folder, config, 0, self.scenario.day.sockets)
-        made.stage, made.operator = self, self.operator
-        return made
+        """A router's process."""
+        router = VirtualRouterProcess(number, [], self.folder, config, 0, self.scenario.day.sockets)
+        router.environment = self
+        router.operator = self.operator
+        return router
 
     def port(self) -> int:
-        return self.network.port()
+        """A free port."""
+        return self.network.allocate_port()
 
     def failed(self, problem: BaseException) -> None:
-        """A part of the world has failed: the day is of no use."""
+        """A fake has failed: the run is of no use."""
         self.problems.append(f"the world: {problem!r}")
 
-    def _problem(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        owner = OWNER.get()
-        who = "the world" if owner is None else owner.name
-        problem, task = context.get("exception"), context.get("task")
-        what = "" if task is None else getattr(task.get_coro(), "__qualname__", "")
-        self.problems.append(f"{who}: {context.get('message')}: {problem!r} {what}")
+    def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """The loop's exception handler."""
+        process = CURRENT_PROCESS.get()
+        who = "the world" if process is None else process.name
+        problem = context.get("exception")
+        task = context.get("task")
+        coroutine = "" if task is None else getattr(task.get_coro(), "__qualname__", "")
+        self.problems.append(f"{who}: {context.get('message')}: {problem!r} {coroutine}")
 
     async def _ledgers(self) -> Json:
         rows = await super()._ledgers()
         rows["problems"] = list(self.problems)
-        work: dict[str, dict[str, int]] = {}
-        for one in self.owners:  # each life of a router is one
-            sums = work.setdefault(one.name, {"busy_ns": 0, "callbacks": 0})
-            sums["busy_ns"] += one.worked
-            sums["callbacks"] += one.callbacks
-        rows["work"] = work
-        rows["logs"] = {f"{n}:{one.name}": one.log for n, one in enumerate(self.owners)}
-        kept: Json = orjson.loads(orjson.dumps(rows))  # what ends after the day is not in them
-        return kept
+        rows["work"] = self._cpu_rows()
+        rows["logs"] = {f"{number}:{one.name}": one.log for number, one in enumerate(self.processes)}
+        copied: Json = orjson.loads(orjson.dumps(rows))  # what is logged after the run is not in them
+        return copied
+
+    def _cpu_rows(self) -> dict[str, dict[str, int]]:
+        """CPU time and callbacks by router, over all its lives."""
+        rows: dict[str, dict[str, int]] = {}
+        for process in self.processes:
+            row = rows.setdefault(process.name, {"busy_ns": 0, "callbacks": 0})
+            row["busy_ns"] += process.cpu_ns
+            row["callbacks"] += process.callback_count
+        return rows
 
 
 @contextlib.contextmanager
-def noted(loop: VirtualLoop) -> Iterator[None]:
-    """Takes routers' logs into their owners' while a day is played."""
-    notes, log, other = Notes(loop), logging.getLogger("rainhitch"), logging.getLogger("asyncio")
-    before, level, propagates = log.handlers[:], log.level, log.propagate
-    log.handlers, log.propagate = [notes], False
-    log.setLevel(logging.INFO)
-    quiet, other.disabled = other.disabled, True
+def capture_router_logs(loop: VirtualLoop) -> Iterator[None]:
+    """Writes routers' log lines to their processes' logs, and mutes asyncio's, for as long as a run lasts."""
+    router_log = logging.getLogger("rainhitch")
+    asyncio_log = logging.getLogger("asyncio")
+    handlers_before = router_log.handlers[:]
+    level_before = router_log.level
+    propagate_before = router_log.propagate
+    disabled_before = asyncio_log.disabled
+    router_log.handlers = [ProcessLogHandler(loop)]
+    router_log.propagate = False
+    router_log.setLevel(logging.INFO)
+    asyncio_log.disabled = True
     try:
         yield
     finally:
-        log.handlers, log.propagate = before, propagates
-        log.setLevel(level)
-        other.disabled = quiet
+        router_log.handlers = handlers_before
+        router_log.propagate = propagate_before
+        router_log.setLevel(level_before)
+        asyncio_log.disabled = disabled_before
 
 
 def run_day(
     scenario: Scenario,
     plan: Plan,
     tell: ProgressCallback = lambda at, row: None,
-    watch: Any = None,
-    most_callbacks: int = 0,
+    *,
+    observer: CallbackObserver | None = None,
+    max_callbacks: int = 0,
     operator: str = "",
 ) -> Json:
-    """Plays a day in virtual time; gives its ledgers. `watch` is told of each callback before it runs,
-    `operator` is the text of an operator's file that all routers have.
-    Raises StuckError for a day that does not end, StageError for one that can't be played."""
+    """Runs a scenario's day in virtual time; gives its records.
+
+    Args:
+        scenario: what is run.
+        plan: its requests and faults.
+        tell: called with how far the day is.
+        observer: called before each callback.
+        max_callbacks: bound of the run; 0 for none.
+        operator: the text of an operator's file that all routers have.
+
+    Raises:
+        StuckError: the day does not end.
+        RehearsalError: it can't be run.
+    """
     loop = VirtualLoop()
-    loop.watch, loop.most = watch, most_callbacks
+    loop.observer = observer
+    loop.max_callbacks = max_callbacks
     try:
-        with noted(loop):
-            stage = VirtualEnvironment(scenario, plan, loop, tell, operator)
+        with capture_router_logs(loop):
+            environment = VirtualEnvironment(scenario, plan, loop, tell, operator)
             try:
-                return loop.run_until_complete(stage.play())
+                return loop.run_until_complete(environment.play())
             finally:
-                sweep(loop, stage.owners)
+                end_remaining_tasks(loop, environment.processes)
     finally:
         loop.close()
 
 
-def sweep(loop: VirtualLoop, owners: list[Owner]) -> None:
-    """Ends what the day has left: the world goes on waiting, and a killed router's tasks stand still."""
-    loop.watch, loop.most, loop.at_once = None, 0, 0
+def end_remaining_tasks(loop: VirtualLoop, processes: list[SimulatedProcess]) -> None:
+    """Ends what a run has left: fakes that go on waiting, and tasks of routers that were killed."""
+    loop.observer = None
+    loop.max_callbacks = 0
+    loop.callbacks_this_instant = 0
     loop.set_exception_handler(lambda loop, context: None)
-    for owner in owners:
-        owner.dead, owner.costs = False, None
-        owner.line.clear()
-    left = asyncio.all_tasks(loop)
-    for task in left:
+    for process in processes:
+        process.revive_for_cleanup()
+    remaining = asyncio.all_tasks(loop)
+    for task in remaining:
         task.cancel()
     with contextlib.suppress(StuckError):
-        if left:
-            loop.run_until_complete(asyncio.wait(left, timeout=SWEPT))
+        if remaining:
+            loop.run_until_complete(asyncio.wait(remaining, timeout=CLEANUP_S))
     for task in asyncio.all_tasks(loop):
-        # What it waits for has come while its owner was dead; nobody will wake it.
+        # What it waits for came while its process was dead: nothing will wake it. Guards against asyncio's
+        # message on a pending task that is destroyed.
         task._log_destroy_pending = False  # type: ignore[attr-defined]
         with contextlib.suppress(Exception):
             task.get_coro().close()
--- a/rainhitch/rehearsal/virtual/runner.py
+++ b/rainhitch/rehearsal/virtual/runner.py
@@ -10,7 +10,7 @@
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.virtual.environment import run_day
-from rainhitch.rehearsal.virtual.trace import Trace
+from rainhitch.rehearsal.virtual.trace import TraceWriter
 
 Json = dict[str, Any]
 
@@ -20,30 +20,41 @@
     name: str,
     seed: int,
     tell: ProgressCallback = lambda at, row: None,
+    *,
     records: Path | None = None,
     trace: Path | None = None,
     logs: Path | None = None,
 ) -> Json:
-    """Plays a day and gives its report, with `problems`: what callbacks ended with that should not have;
-    the same bytes for the same arguments, wherever it is played. Raises as play_day does."""
+    """Runs a scenario and gives its report: the same bytes for the same arguments, wherever it is run.
+
+    The report's `problems` are exceptions that callbacks ended with and should not have.
+
+    The run's records go to the folder `records`, its trace to the file `trace`, the routers' logs to the
+    folder `logs`. Raises as `run_day` does, and OSError for a file that can't be written.
+    """
     plan = draw_plan(scenario, name, seed)
     if trace is None:
-        ledgers = run_day(scenario, plan, tell)
+        run_records = run_day(scenario, plan, tell)
     else:
         with trace.open("w", encoding="utf-8") as file:
-            watch = Trace(file, name, seed, plan.digest())
-            ledgers = run_day(scenario, plan, tell, watch)
+            run_records = run_day(scenario, plan, tell, observer=TraceWriter(file, name, seed, plan.digest()))
     if logs is not None:
-        logs.mkdir(exist_ok=True)
-        for router, lines in ledgers["logs"].items():
-            (logs / f"{router.replace(':', '-')}.log").write_text("\n".join(lines) + "\n", encoding="utf-8")
-    ledgers["plan_digest"] = plan.digest()
-    told, rows = orjson.loads(orjson.dumps(scenario)), plan.rows()
+        _write_logs(logs, run_records["logs"])
+    run_records["plan_digest"] = plan.digest()
+    scenario_row = orjson.loads(orjson.dumps(scenario))
+    plan_rows = plan.rows()
     if records is not None:
-        report.keep(records, name, told, rows, ledgers)
-    made = report.build(name, told, rows, ledgers)
-    made["problems"], made["work"] = ledgers["problems"], ledgers["work"]
+        report.keep(records, name, scenario_row, plan_rows, run_records)
+    made = report.build(name, scenario_row, plan_rows, run_records)
+    made["problems"] = run_records["problems"]
+    made["work"] = run_records["work"]
     if made["problems"] and made["exit"] == report.HELD:
         made["exit"] = report.BROKEN
     made["unmet"] += [f"unhandled: {line}" for line in made["problems"]]
     return made
+
+
+def _write_logs(folder: Path, lines_by_router: dict[str, list[str]]) -> None:
+    folder.mkdir(exist_ok=True)
+    for router, lines in lines_by_router.items():
+        (folder / f"{router.replace(':', '-')}.log").write_text("\n".join(lines) + "\n", encoding="utf-8")
--- a/rainhitch/rehearsal/virtual/system.py
+++ b/rainhitch/rehearsal/virtual/system.py
@@ -1,52 +1,68 @@
-"""What a router asks of its machine, on a virtual loop."""
+"""The machine under a simulated router (`rainhitch/system.py` `System`), on a virtual loop."""
 
 import asyncio
 from typing import cast
 
-from rainhitch.rehearsal.virtual.loop import BEGIN, OWNER, UNIX, VirtualLoop
-from rainhitch.rehearsal.virtual.network import Door, End
+from rainhitch.rehearsal.virtual.connection_socket import VirtualSocket
+from rainhitch.rehearsal.virtual.listener import VirtualListeningSocket
+from rainhitch.rehearsal.virtual.loop import VirtualLoop
+from rainhitch.rehearsal.virtual.process import CURRENT_PROCESS, NS_PER_S, START_NS
+from rainhitch.rehearsal.virtual.transport import VirtualTransport
+
+START_UNIX_NS = 1_700_000_000 * NS_PER_S  # the wall clock at the start of a run
+NS_PER_MS = 1_000_000
 
 
 class VirtualSystem:
-    """All routers' machines; each has a wall clock of its own."""
+    """The machines of all processes; each has clocks of its own."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
 
     def now(self) -> int:
-        owner = OWNER.get()
-        return self.loop.clock if owner is None else owner.time(self.loop.clock)
+        """Monotonic ns by the clock of the process that asks."""
+        process = CURRENT_PROCESS.get()
+        return self.loop.clock_ns if process is None else process.local_ns(self.loop.clock_ns)
 
     def unix(self) -> int:
-        owner = OWNER.get()
-        return UNIX + self.now() - BEGIN + (0 if owner is None else owner.unix_jump)
+        """Unix ns by the wall clock of the process that asks."""
+        process = CURRENT_PROCESS.get()
+        offset_ns = 0 if process is None else process.unix_offset_ns
+        return START_UNIX_NS + self.now() - START_NS + offset_ns
 
     def cpu(self) -> float:
-        owner = OWNER.get()
-        return 0.0 if owner is None else owner.worked / 1e9
+        """CPU seconds of the process that asks."""
+        process = CURRENT_PROCESS.get()
+        return 0.0 if process is None else process.cpu_ns / 1e9
 
-    def open_listener(self, host: str, port: int, inherited: int | None) -> Door:
-        made: Door = self.loop.network.door(host, port)
-        return made
+    def open_listener(self, host: str, port: int, inherited: int | None) -> VirtualListeningSocket:
+        """Listens at an address; raises OSError where somebody does. Nothing is ever inherited here."""
+        return self.loop.network.open_listener(host, port)
 
     def readable(self, transport: asyncio.Transport) -> bool:
-        return cast(End, transport).readable()
+        """Whether something has come on a connection, or its end, that was not read yet."""
+        return _socket_of(transport).is_readable()
 
     def hung_up(self, transport: asyncio.Transport) -> bool:
-        return cast(End, transport).hung_up()
+        """Whether the peer has ended or reset a connection, also behind bytes that were not read yet."""
+        return _socket_of(transport).is_hung_up()
 
     def shut(self, transport: asyncio.Transport) -> None:
-        """The abort that follows does all."""
+        """Does nothing: the abort that follows does all."""
 
     def unread_ms(self, transport: asyncio.Transport) -> int:
-        return (self.loop.clock - cast(End, transport).came) // 1_000_000
+        """For how many ms what has come last had been lying unread."""
+        return (self.loop.clock_ns - _socket_of(transport).last_received_ns) // NS_PER_MS
+
+    def take_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
+        """Reads what has come past the loop, for a connection that is closed next."""
+        return _socket_of(transport).take_unread(max_bytes)
+
+    def bound_reads(self, transport: asyncio.Transport, size_bytes: int) -> None:
+        """Bounds what is held for a connection that is not read; a kernel grants twice what is asked for."""
+        sock = _socket_of(transport)
+        sock.receive_window_bytes = min(sock.receive_window_bytes, 2 * size_bytes)
 
-    def take_unread(self, transport: asyncio.Transport, most: int) -> bytes:
-        end = cast(End, transport)
-        data = bytes(end.inbox[:most])
-        del end.inbox[: len(data)]
-        return data
 
-    def bound_reads(self, transport: asyncio.Transport, size: int) -> None:
-        end = cast(End, transport)
-        end.window = min(end.window, 2 * size)
+def _socket_of(transport: asyncio.Transport) -> VirtualSocket:
+    return cast(VirtualTransport, transport).socket
--- a/rainhitch/rehearsal/virtual/trace.py
+++ b/rainhitch/rehearsal/virtual/trace.py
@@ -1,10 +1,10 @@
-"""Every callback of a virtual day, a line each, and where two such days part.
+"""Every callback of a virtual day, a line each, and where two such traces differ first.
 
     rainhitch-trace 1 lunch 1 <digest of the plan>
-    <ns since the start> <who> <what is called> <what it is given>
+    <ns since the start> <process> <what is called> <its arguments>
 
-Bytes are told by length and CRC-32. Two runs of the same day give the same file; of two that differ, the
-first line that does is where to look.
+Bytes are shown by length and CRC-32. Two runs of the same day by the same code give the same file; of two
+that differ, the first line that does is where to look.
 """
 
 import asyncio
@@ -12,76 +12,86 @@
 from typing import Any, TextIO
 from zlib import crc32
 
-from rainhitch.rehearsal.virtual.loop import BEGIN, OWNER
-from rainhitch.rehearsal.virtual.network import Door, End
+from rainhitch.errors import RainhitchError
+from rainhitch.rehearsal.virtual.connection_socket import VirtualSocket
+from rainhitch.rehearsal.virtual.listener import VirtualListeningSocket
+from rainhitch.rehearsal.virtual.process import CURRENT_PROCESS, START_NS
+from rainhitch.rehearsal.virtual.transport import VirtualTransport
 
 VERSION = 1
-HEAD = "rainhitch-trace"
+MAGIC = "rainhitch-trace"
+ENVIRONMENT = "world"  # in the place of a process: a callback of the test environment's own
 
 
-class TraceError(ValueError):
+class TraceError(RainhitchError, ValueError):
     """A file that can't be compared; one line says why."""
 
 
-def shown(value: Any) -> str:
-    """An argument in a word that is the same in each run."""
+def format_value(value: Any) -> str:
+    """A value as one word that is the same in each run."""
+    if isinstance(value, VirtualTransport):
+        value = value.socket
     if isinstance(value, bytes | bytearray):
         return f"{len(value)}:{crc32(value):08x}"
-    if isinstance(value, End):
+    if isinstance(value, VirtualSocket):
         return f"{value.address[1]}-{value.peer_address[1]}"
-    if isinstance(value, Door):
+    if isinstance(value, VirtualListeningSocket):
         return f"door-{value.address[1]}"
     if value is None or isinstance(value, str | int | float):
         return repr(value)
     return type(value).__name__
 
 
-def named(handle: asyncio.Handle) -> str:
-    """Who is called: a method by its name and its owner, a task by its coroutine's."""
+def format_callback(handle: asyncio.Handle) -> str:
+    """What is called: a method by its qualified name and its object, a task by its coroutine's name."""
     callback: Any = handle._callback  # type: ignore[attr-defined]
-    of = getattr(callback, "__self__", None)
-    if isinstance(of, asyncio.Task):
-        return f"task {getattr(of.get_coro(), '__qualname__', '?')}"
+    bound_to = getattr(callback, "__self__", None)
+    if isinstance(bound_to, asyncio.Task):
+        return f"task {getattr(bound_to.get_coro(), '__qualname__', '?')}"
     name = getattr(callback, "__qualname__", type(callback).__name__)
-    return f"{name} {shown(of)}" if of is not None else str(name)
+    return f"{name} {format_value(bound_to)}" if bound_to is not None else str(name)
 
 
-class Trace:
-    """Writes a day's events to a file."""
+class TraceWriter:
+    """Writes a run's callbacks to a file; called by the loop before each (`VirtualLoop.observer`)."""
 
     def __init__(self, file: TextIO, name: str, seed: int, digest: str) -> None:
         self.file = file
-        file.write(f"{HEAD} {VERSION} {name} {seed} {digest}\n")
+        file.write(f"{MAGIC} {VERSION} {name} {seed} {digest}\n")
 
-    def __call__(self, clock: int, handle: asyncio.Handle) -> None:
-        owner = handle._context.get(OWNER)  # type: ignore[attr-defined]
-        args = " ".join(shown(one) for one in handle._args)
-        who = "world" if owner is None else owner.name
-        self.file.write(f"{clock - BEGIN} {who} {named(handle)} {args}\n")
+    def __call__(self, clock_ns: int, handle: asyncio.Handle) -> None:
+        """Writes the line of one callback."""
+        process = handle._context.get(CURRENT_PROCESS)  # type: ignore[attr-defined]
+        arguments = " ".join(format_value(argument) for argument in handle._args)
+        name = ENVIRONMENT if process is None else process.name
+        self.file.write(f"{clock_ns - START_NS} {name} {format_callback(handle)} {arguments}\n")
 
 
 def first_difference(one: Path, other: Path) -> tuple[int, str, str] | None:
-    """The number of the first line in which two traces differ, and both lines ("" where one has ended);
-    None for equal ones. Raises TraceError."""
-    with _opened(one) as a, _opened(other) as b:
+    """The number of the first line in which two traces differ, and both lines; None for equal traces.
+
+    A line is "" where its trace has ended. Raises TraceError.
+    """
+    with _open_trace(one) as left_file, _open_trace(other) as right_file:
         number = 0
         while True:
             number += 1
-            left, right = a.readline(), b.readline()
+            left = left_file.readline()
+            right = right_file.readline()
             if left != right:
                 return number, left.rstrip("\n"), right.rstrip("\n")
             if not left:
                 return None
 
 
-def _opened(path: Path) -> TextIO:
+def _open_trace(path: Path) -> TextIO:
     try:
         file = path.open(encoding="utf-8", errors="replace")
     except OSError as problem:
         raise TraceError(f"{path}: {problem.strerror}") from None
     head = file.readline().split()
     file.seek(0)
-    if head[:1] != [HEAD]:
+    if head[:1] != [MAGIC]:
         file.close()
         raise TraceError(f"{path}: not a trace")
     if head[1:2] != [str(VERSION)]:
