--- a/rainhitch/admin/endpoint.py
+++ b/rainhitch/admin/endpoint.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from rainhitch import system
-from rainhitch.admin.router_control import RouterControl
+from rainhitch.admin.router_control import Json, RouterControl
 from rainhitch.admin.server import AdminServer
 from rainhitch.admin.upgrade_peers import UpgradePeers
 from rainhitch.interface import Address
@@ -21,7 +21,8 @@
 
     `identity` is the same for both processes of an upgrade, which share the folder TMPDIR. `divide_limits`
     is called with the number of processes when that changes; `upgrade_peer_seen` with the time, in
-    nanoseconds, at each check that finds another.
+    nanoseconds, at each check that finds another. `describe_peers` gives what is known of the other routers;
+    None: there is no gossip.
     """
 
     def __init__(
@@ -33,9 +34,12 @@
         *,
         divide_limits: Callable[[int], None],
         upgrade_peer_seen: Callable[[int], None],
+        describe_peers: Callable[[], Json] | None = None,
     ) -> None:
         folder = os.environ.get("TMPDIR") or None
-        self.control = RouterControl(driver, clients, directory, folder, identity)
+        self.control = RouterControl(
+            driver, clients, directory, folder, identity, describe_peers=describe_peers
+        )
         self.upgrade_peers = UpgradePeers(folder, identity)
         self.server = AdminServer(self.control)
         self.divide_limits = divide_limits
--- a/rainhitch/admin/router_control.py
+++ b/rainhitch/admin/router_control.py
@@ -18,7 +18,8 @@
 class RouterControl:
     """The commands of `AdminCommands` on a running router.
 
-    `folder` is shared with the other process of an upgrade, which has the same `identity`.
+    `folder` is shared with the other process of an upgrade, which has the same `identity`. `describe_peers`
+    gives what is known of the other routers; None: there is no gossip.
     """
 
     def __init__(
@@ -28,13 +29,15 @@
         directory: EndpointDirectory,
         folder: str | None,
         identity: str,
+        *,
+        describe_peers: Callable[[], Json] | None = None,
     ) -> None:
         self.driver = driver
         self.clients = clients
         self.directory = directory
         self.cordons = Cordons(folder, identity, directory.cordon)
         self.stopping = False
-        self.describe_peers: Callable[[], Json] | None = None  # None: there is no gossip
+        self.describe_peers = describe_peers
 
     def routers(self) -> str:
         """What gossip tells of the other routers, as JSON; rejected where there is no gossip."""
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -37,7 +37,7 @@
 
 
 class ClientConnections:
-    """The listener and its connections."""
+    """The listener and its connections, `max_open` at least; `can_serve` says how PING is answered."""
 
     def __init__(
         self,
@@ -45,9 +45,13 @@
         names: Names,
         max_open: int,
         max_buffered_bytes: int,
+        *,
+        can_serve: Callable[[], bool],
         overload: "OverloadController | None" = None,
     ) -> None:
         self.driver = driver
+        self.can_serve = can_serve
+        self.descriptors = driver.pools.descriptors
         self.names = names
         self.max_open = max_open
         self.max_buffered_bytes = max_buffered_bytes
@@ -63,11 +67,6 @@
         self.authenticator = OPEN  # who may come in
         self.last_connection_id = 0
         self.buffered_bytes = 0  # that clients have not finished sending or reading
-        self.can_serve: Callable[[], bool] = lambda: False
-        # The cap while the servers' side leaves its part of the descriptors unused.
-        self.extra_capacity: Callable[[], int] = lambda: max_open
-        # Has the servers' side close a connection that it does not use; False where there is none.
-        self.release_upstream: Callable[[], bool] = lambda: False
         self.closing = False
         self.draining = False
         self.sweep_planned = False
@@ -89,7 +88,7 @@
     def admit(self, client: ClientConnection) -> bool:
         """Takes in a new connection; at the cap only where another can be closed."""
         self._pace_accepts()
-        if len(self.open) >= max(self.max_open, self.extra_capacity()):
+        if len(self.open) >= self.descriptors.max_clients(self.max_open):
             if not self._make_room():
                 return False
         elif len(self.open) > self.max_open // 2:
@@ -101,6 +100,7 @@
                 # Guards against clients that ask once and stay: with one for one they would never be fewer.
                 self._close_idle(min(self.idle_s, self.at_need_s))
         self.open[client] = None
+        self.descriptors.clients_open = len(self.open)
         self.activity.connected(client)
         if not self.sweep_planned:
             self.sweep_planned = True
@@ -151,7 +151,7 @@
             return True
         if self._close_idle(min(self.idle_s, self.at_need_s)) is not None:
             return True
-        return self.release_upstream()
+        return self.descriptors.shared is not None and self.driver.pools.close_surplus()
 
     def _close_idle(self, for_s: float) -> ClientConnection | None:
         return self._close_unused(self.activity.idle, for_s)
@@ -183,6 +183,7 @@
         if client in self.open and client.close_reason is not None:
             self.driver.counts.add("closed", client.close_reason.value)
         self.open.pop(client, None)
+        self.descriptors.clients_open = len(self.open)
         self.activity.forget(client)
         self.buffered_bytes -= client.flow.buffered_bytes
         client.flow.buffered_bytes = 0
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -8,6 +8,9 @@
 from rainhitch.interface import Address, AttemptStatus
 from rainhitch.node.client_request import AttemptResult, Exchange
 from rainhitch.node.deadlines import HOST_DELAY_NS
+from rainhitch.node.descriptors import DescriptorBudget
+from rainhitch.node.key_invalidations import KeyInvalidations
+from rainhitch.node.loop_lag import LoopLag
 from rainhitch.node.upstream_connection import UpstreamConnection, WriteProgress
 from rainhitch.telemetry.counts import Counts
 
@@ -51,7 +54,7 @@
             return None
         connection = self.make_connection(self)
         self.all[connection] = None
-        self.host.open_count += 1
+        self.host.descriptors.upstream_open += 1
         self.host.counts.add("links", "new")
         connection.exchange = exchange
         connection.opened_at_s = asyncio.get_running_loop().time()
@@ -116,7 +119,7 @@
         """Forgets a connection that is closed."""
         if connection in self.all:
             del self.all[connection]
-            self.host.open_count -= 1
+            self.host.descriptors.upstream_open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -154,18 +157,17 @@
         self.connect_timeout_s = connect_timeout_s
         self.keepalive_s = keepalive_s  # after which a server closes an idle connection
         self.system = system.running()
-        self.descriptors_left: Callable[[], int] = lambda: max_open  # that clients leave to this side
+        self.descriptors = DescriptorBudget()
         self.set_max_idle(MAX_IDLE_S)
         self.pools: dict[str, ConnectionPool] = {}  # by server
-        self.open_count = 0  # connections that are open, or being opened
         self.draining_pools: list[ConnectionPool] = []  # replaced, with attempts still active
         self.sweep_planned = False
-        self.keys_invalidated: Callable[[str, list[bytes] | None], None] = lambda server, keys: None
         self.unknown_pushes = 0
         self.attempts_written = 0
         self.counts = Counts()
-        self.callback_begins: Callable[[], None] = lambda: None
-        self.callback_ends: Callable[[], None] = lambda: None
+        loop = asyncio.get_running_loop()
+        self.loop_lag = LoopLag(loop, self.system.now)
+        self.key_invalidations = KeyInvalidations(loop)
 
     def set_max_idle(self, seconds: float) -> None:
         """Sets for how long a connection may be idle; a server's keepalive bounds it."""
@@ -199,11 +201,11 @@
 
     def open(self) -> int:
         """The number of connections that are open, or being opened."""
-        return self.open_count
+        return self.descriptors.upstream_open
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes room for it."""
-        return self.open() < min(self.max_open, self.descriptors_left()) or self.close_oldest()
+        return self.open() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
         """Gives up one idle connection for a client, where more than SURPLUS_FRACTION of the cap are open."""
--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -20,7 +20,6 @@
 from rainhitch.node.endpoint_list import EndpointListError
 from rainhitch.node.polling import POLLED_TIMES, PUSHED_TIMES, PollCall, PollSchedule
 from rainhitch.protocol.http1 import Answer, Http, HttpError
-from rainhitch.telemetry.counts import Counts
 
 LIST_PATH = "/api/targets"
 HTTP_OK = 200
@@ -143,7 +142,7 @@
         self.connection: _DiscoveryConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.stopped = False
-        self.counts = Counts()
+        self.counts = directory.pools.counts
         self.answered_at = 0.0  # when discovery last did, in seconds of the loop's clock; 0: never
 
     @property
--- a/rainhitch/node/key_invalidations.py
+++ b/rainhitch/node/key_invalidations.py
@@ -7,16 +7,20 @@
 
 
 class KeyInvalidations:
-    """The notices of one turn of the event loop; `report` is called once for each server in them.
+    """The notices of one turn of the event loop, reported once for each server in them.
 
     Guards answers against a flood of such notices.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, report: Callable[[KeysInvalidated], None]) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.report = report
+        self._report: Callable[[KeysInvalidated], None] = lambda event: None
         self._keys: dict[str, list[str] | None] = {}  # by server; None: all of its keys
 
+    def report_to(self, report: Callable[[KeysInvalidated], None]) -> None:
+        """Has the notices reported from now on; to one place."""
+        self._report = report
+
     def add(self, server: str, keys: list[bytes] | None) -> None:
         """A server holds these keys no more; None: it holds none at all."""
         if not self._keys:
@@ -32,4 +36,4 @@
         gathered = self._keys
         self._keys = {}
         for server, keys in gathered.items():
-            self.report(KeysInvalidated(server, keys))
+            self._report(KeysInvalidated(server, keys))
--- a/rainhitch/node/loop_lag.py
+++ b/rainhitch/node/loop_lag.py
@@ -25,23 +25,22 @@
 
 
 class LoopLag:
-    """The lag of one event loop; `on_delay` is called with each delay, in ns."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        now: Callable[[], int],
-        on_delay: Callable[[int], None] = lambda delay_ns: None,
-    ) -> None:
+    """The lag of one event loop."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, now: Callable[[], int]) -> None:
         self.loop = loop
         self.now = now
-        self.on_delay = on_delay
+        self._on_delay: Callable[[int], None] = lambda delay_ns: None
         self.ran_at_ns = now()  # when the process was last known to run, and nothing older to be unread
         self.heartbeat_due_at_ns = self.ran_at_ns + HEARTBEAT_NS
         self._delayed_since_ns: int | None = None  # begin of the delay found in this turn
         self._delayed_before_ns: int | None = None  # and in the one before it
         self._watches_turns = False
 
+    def report_to(self, on_delay: Callable[[int], None]) -> None:
+        """Has each delay reported from now on, in ns; to one place."""
+        self._on_delay = on_delay
+
     def heartbeat(self) -> None:
         """To be called every HEARTBEAT_NS, by a timer."""
         self.callback_begins()
@@ -67,7 +66,7 @@
         return 0 if since_ns is None else self.now() - since_ns
 
     def _delayed(self, now: int, since_ns: int) -> None:
-        self.on_delay(now - since_ns)
+        self._on_delay(now - since_ns)
         if self._delayed_since_ns is None:
             self._delayed_since_ns = since_ns
         else:
--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -18,10 +18,10 @@
 class RequestAccounting:
     """The counts of one router; outcomes are texts as the records have them."""
 
-    def __init__(self, clock: Clock, class_names: list[str]) -> None:
+    def __init__(self, clock: Clock, class_names: list[str], counts: Counts) -> None:
         self.clock = clock
         self.metrics = RouterMetrics(class_names)
-        self.counts = Counts()
+        self.counts = counts
         self.tenant_names: dict[int, str] = defaultdict(str)  # by the tenant's number
 
     def accepted(self, client_request: ClientRequest) -> None:
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -6,7 +6,7 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
+from typing import Protocol
 
 from rainhitch import interface as api
 from rainhitch import system
@@ -16,8 +16,7 @@
 from rainhitch.node.deadlines import ANSWER_DELIVERY_NS, DelayReserve, client_wait_ns
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, RequestState, ResponseSink
-from rainhitch.node.key_invalidations import KeyInvalidations
-from rainhitch.node.loop_lag import HEARTBEAT_NS, LoopLag
+from rainhitch.node.loop_lag import HEARTBEAT_NS
 from rainhitch.node.relay import Relay, Source
 from rainhitch.node.request_accounting import RequestAccounting
 from rainhitch.policy.balancer import Balancer
@@ -28,10 +27,36 @@
 log = logging.getLogger("rainhitch")
 
 
+class DriverHost(Protocol):
+    """Where the driver passes on what does not concern its requests alone."""
+
+    def request_taken(self, tenant: int) -> None:
+        """A tenant's request was taken in."""
+
+    def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
+        """Tells the other routers, where there are some."""
+
+    def watch_endpoints(self) -> None:
+        """Asks for the endpoint list."""
+
+
+class NoHost:
+    """A driver alone, without other routers and without a source of the list."""
+
+    def request_taken(self, tenant: int) -> None:
+        """Does nothing."""
+
+    def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
+        """Does nothing."""
+
+    def watch_endpoints(self) -> None:
+        """Does nothing."""
+
+
 class RequestDriver:
     """The requests in flight of one router, at most `max_requests` of `max_request_bytes` in all.
 
-    `class_names` name the classes in the metrics, in the settings' order.
+    `class_names` name the classes in the metrics, in the settings' order; None: by their numbers.
     """
 
     def __init__(
@@ -40,8 +65,11 @@
         pools: ConnectionPools,
         max_requests: int,
         max_request_bytes: int,
+        *,
         class_names: list[str] | None = None,
+        host: DriverHost | None = None,
     ) -> None:
+        self.host = host or NoHost()
         self.balancer = balancer
         self.pools = pools
         self.max_requests = max_requests
@@ -50,21 +78,17 @@
         self.clock = system.clock_of(self.loop)
         if class_names is None:
             class_names = [str(number) for number in range(len(balancer.settings.classes))]
-        self.accounting = RequestAccounting(self.clock, class_names)
+        self.accounting = RequestAccounting(self.clock, class_names, pools.counts)
         self.metrics = self.accounting.metrics
-        self.counts = self.accounting.counts
+        self.counts = pools.counts
         self.requests: dict[str, InFlightRequest] = {}
         self.request_bytes = 0
-        self.loop_lag = LoopLag(self.loop, self.clock.now, self._loop_delayed)
         self.reserve = DelayReserve()
-        pools.callback_begins = self.loop_lag.callback_begins
-        pools.callback_ends = self.loop_lag.callback_ends
+        self.loop_lag = pools.loop_lag
+        self.loop_lag.report_to(self._loop_delayed)
         self.decisions = DecisionLoop(balancer, self.clock, self.counts, self._carry_out, self._give_up_by_id)
         self.attempts = AttemptRunner(self, self.decisions, pools, self.counts)
-        self.key_invalidations = KeyInvalidations(self.loop, self.decisions.handle)
-        self.watch_endpoints: Callable[[], None] = lambda: None
-        self.publish_gossip: Callable[[list[api.LatencyObservation]], None] = lambda observations: None
-        self.on_request_taken: Callable[[int], None] = lambda tenant: None
+        pools.key_invalidations.report_to(self.decisions.handle)
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> InFlightRequest | None:
@@ -88,7 +112,7 @@
         self.requests[request_id] = request
         self.request_bytes += size_bytes
         self.accounting.accepted(client_request)
-        self.on_request_taken(client_request.tenant)
+        self.host.request_taken(client_request.tenant)
         overdue_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
         request.overdue_timer = self.loop.call_later(overdue_in_ns / NS_PER_S, self.overdue, request)
         self.decisions.handle(_request_event(request))
@@ -168,9 +192,9 @@
                 fired = api.TimerFired(action.token)
                 self.loop.call_later(action.delay_ns / NS_PER_S, self.decisions.handle, fired)
             case api.PublishGossip():
-                self.publish_gossip(action.observations)
+                self.host.publish_gossip(action.observations)
             case api.WatchEndpoints():
-                self.watch_endpoints()
+                self.host.watch_endpoints()
             case api.LogLine():
                 log.info("%s", action.text)
 
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -178,7 +178,7 @@
             self.host.unknown_pushes += 1
             return
         names = None if keys is None else [text for one in keys if (text := text_of(one)) is not None]
-        self.host.keys_invalidated(self.pool.name, names)
+        self.host.key_invalidations.add(self.pool.name, names)
 
     def is_reusable(self) -> bool | None:
         """Whether an idle connection can carry an attempt; None: not now, and it is to stay."""
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from rainhitch.interface import EndpointUpdate, GossipIntervalElapsed
+from rainhitch.interface import EndpointUpdate, GossipIntervalElapsed, LatencyObservation
 from rainhitch.node.client_connections import ClientConnections
 from rainhitch.node.configuration import (
     Configuration,
@@ -25,10 +25,14 @@
 from rainhitch.node.shutdown import shutdown_schedule
 from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
+from rainhitch.system import System
 from rainhitch.telemetry.records import WORDS, Bad, Second
 
 if TYPE_CHECKING:
+    from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.gossip_transport import GossipTransport
+    from rainhitch.fleet.options import FleetOptions
+    from rainhitch.fleet.tenant_usage import TenantUsage
     from rainhitch.membership.etcd_source import EtcdSource
     from rainhitch.operator_config import Membership, OperatorConfig
 
@@ -38,7 +42,6 @@
 GOSSIP_INTERVAL_NS = 200_000_000
 GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
 SPARE_DESCRIPTORS = 24  # for all that is neither a client's nor a server's
-RESERVED_UPSTREAM_DESCRIPTORS = 16  # that servers' connections may want before clients have made room
 # The number of a router's life is its start in quarters of a second since 2020, 32 bits of it.
 LIFE_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
 LIFE_UNIT_NS = 250_000_000
@@ -79,43 +82,62 @@
         self.stopping = False
         settings = configuration.settings
         names = configuration.names
+        self.admin: AdminEndpointHandle | None = None
+        self.gossip: GossipTransport | None = None
+        self.etcd: EtcdSource | None = None
+        self.tenant_usage: TenantUsage | None = None
         self.pools = make_pools(configuration)
         buffer_bytes = buffer_share(configuration.memory_bytes)
         self.overload = OverloadController(
             settings, configuration.seed, None if operator is None else operator.storms.options()
         )
         self.balancer = Balancer(settings, configuration.seed, self.overload)
+        max_requests = configuration.ceilings.max_requests
         self.driver = RequestDriver(
-            self.balancer, self.pools, configuration.ceilings.max_requests, buffer_bytes, list(names.classes)
+            self.balancer, self.pools, max_requests, buffer_bytes, class_names=list(names.classes), host=self
         )
         self.driver.accounting.tenant_names.update((number, name) for name, number in names.tenants.items())
         _, max_clients = socket_caps(configuration.sockets)
-        self.clients = ClientConnections(self.driver, names, max_clients, buffer_bytes, self.overload)
-        self.clients.can_serve = self.can_serve
+        self.clients = ClientConnections(
+            self.driver, names, max_clients, buffer_bytes, can_serve=self.can_serve, overload=self.overload
+        )
         split_descriptors(configuration.sockets, self.pools, self.clients)
         origin_kind = settings.origin_kind if settings.cache_aside else -1
-        self.directory = EndpointDirectory(names, origin_kind, self.pools, self.driver.endpoints_updated)
+        self.directory = EndpointDirectory(names, origin_kind, self.pools, self._endpoints_updated)
         self.watch = DiscoveryWatch(
             configuration.discovery, self.directory, configuration.seed, settings.endpoints_polled
         )
-        self.etcd: EtcdSource | None = None
-        self.driver.watch_endpoints = self.watch.start
         if operator is not None:
             self._apply_operator_config(operator)
-        self.admin: AdminEndpointHandle | None = None
-        self.gossip: GossipTransport | None = None
         self.fleet_options = None if operator is None else operator.routers.options()
         self.random = Random(configuration.seed)
-        self.counts = self.driver.counts
-        self.pools.counts = self.counts
-        self.watch.counts = self.counts
 
     def _apply_operator_config(self, operator: "OperatorConfig") -> None:
         """Sets what the operator's file says, also whether etcd leads in place of discovery."""
         apply_operator_config(operator, self.clients, self.directory)
         if operator.membership.source == "etcd":
             self.etcd = make_etcd_source(operator.membership, self.directory, self.configuration)
-            self.driver.watch_endpoints = self.etcd.start
+
+    def watch_endpoints(self) -> None:
+        """Asks the source of the endpoint list for it."""
+        source = self.watch if self.etcd is None else self.etcd
+        source.start()
+
+    def publish_gossip(self, observations: list[LatencyObservation]) -> None:
+        """Tells the other routers, where there are some."""
+        if self.gossip is not None:
+            self.gossip.publish(observations)
+
+    def request_taken(self, tenant: int) -> None:
+        """Counts a tenant's request, where routers add up what tenants use."""
+        if self.tenant_usage is not None:
+            self.tenant_usage.add(tenant)
+
+    def _endpoints_updated(self, event: EndpointUpdate) -> None:
+        """Other routers' words are read by the servers of the list."""
+        if self.gossip is not None:
+            self.gossip.set_servers(list(self.directory.targets))
+        self.driver.endpoints_updated(event)
 
     def can_serve(self) -> bool:
         """Whether PING says yes.
@@ -152,37 +174,16 @@
 
     async def _join_fleet(self, peering: Peering) -> None:
         """Gossips with the other routers from now on; imported only where there are some."""
-        from rainhitch.fleet.gossip_exchange import GossipExchange
         from rainhitch.fleet.gossip_transport import GossipTransport, join
-        from rainhitch.fleet.options import FleetOptions
-
-        settings = self.configuration.settings
-        machine = self.pools.system
-        life = max(1, (machine.unix() - LIFE_EPOCH_UNIX_NS) // LIFE_UNIT_NS & LIFE_MASK)
-        exchange = GossipExchange(
-            peering.own_index,
-            len(peering.peers),
-            max(1, len(settings.tenants)),
-            life,
-            machine.now(),
-            seed=self.configuration.seed,
-            options=self.fleet_options or FleetOptions(),
-        )
-        gossip = GossipTransport(exchange, peering.peers, peering.broadcast, self.driver.decisions.handle)
-
-        def endpoints_updated(event: EndpointUpdate) -> None:
-            """Other routers' words are read by the servers of the list."""
-            gossip.set_servers(list(self.directory.targets))
-            self.driver.endpoints_updated(event)
 
+        exchange = make_gossip_exchange(self.configuration, peering, self.pools.system, self.fleet_options)
+        deliver = self.driver.decisions.handle
+        gossip = GossipTransport(exchange, peering.peers, peering.broadcast, deliver)
         if await join(peering.listen, gossip):
             self.gossip = gossip
-            self.driver.publish_gossip = gossip.publish
-            gossip.counts = self.counts
-            settings.gossip_interval_ns = GOSSIP_INTERVAL_NS
-            self.directory.on_update = endpoints_updated
-            if exchange.tenant_usage is not None:
-                self.driver.on_request_taken = exchange.tenant_usage.add
+            gossip.counts = self.pools.counts
+            self.configuration.settings.gossip_interval_ns = GOSSIP_INTERVAL_NS
+            self.tenant_usage = exchange.tenant_usage
             if exchange.quota_escrow is not None:
                 self.balancer.attempt_admission.fleet_read_allowance = exchange.quota_escrow.take
             self._end_gossip_interval()
@@ -199,14 +200,14 @@
         loop = asyncio.get_running_loop()
         machine = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
-        record = self.counts.cut(machine.unix() / NS_PER_S, machine.cpu())
+        record = self.pools.counts.cut(machine.unix() / NS_PER_S, machine.cpu())
         if record is not None:
             record.open = self.pools.open()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
             if self.watch.answered_at:
                 record.list_age = round(loop.time() - self.watch.answered_at, 2)
             write_record(record)
-        for bad in self.counts.cut_bad():
+        for bad in self.pools.counts.cut_bad():
             write_record(bad)
         loop.call_later(RECORD_INTERVAL_S, self._record)
 
@@ -281,7 +282,6 @@
         from rainhitch.node.resp3_cache_connection import Resp3Connection
 
         directory.cache_connection_class = Resp3Connection
-        pools.keys_invalidated = driver.key_invalidations.add
     clients.authenticator = read_authenticator(limits.user, limits.password_file)
 
 
@@ -308,13 +308,8 @@
 
 def split_descriptors(sockets: int, pools: ConnectionPools, clients: ClientConnections) -> None:
     """Splits the descriptors of this process between clients and servers."""
-    # Guards newcomers against a crowd that says little: what the servers' side does not use is the clients',
-    # but for what it may soon want, and both stay under what the process may hold.
-    shared = sockets - SPARE_DESCRIPTORS
     pools.max_open, clients.max_open = socket_caps(sockets)
-    pools.descriptors_left = lambda: shared - len(clients.open)
-    clients.extra_capacity = lambda: shared - RESERVED_UPSTREAM_DESCRIPTORS - pools.open()
-    clients.release_upstream = pools.close_surplus
+    pools.descriptors.shared = sockets - SPARE_DESCRIPTORS
 
 
 def split_between_processes(
@@ -326,6 +321,25 @@
     split_descriptors(each, pools, clients)
 
 
+def make_gossip_exchange(
+    configuration: Configuration, peering: Peering, machine: System, options: "FleetOptions | None"
+) -> "GossipExchange":
+    """What decides what is told to the other routers; imported only here, where there are some."""
+    from rainhitch.fleet.gossip_exchange import GossipExchange
+    from rainhitch.fleet.options import FleetOptions
+
+    life = max(1, (machine.unix() - LIFE_EPOCH_UNIX_NS) // LIFE_UNIT_NS & LIFE_MASK)
+    return GossipExchange(
+        peering.own_index,
+        len(peering.peers),
+        max(1, len(configuration.settings.tenants)),
+        life,
+        machine.now(),
+        seed=configuration.seed,
+        options=options or FleetOptions(),
+    )
+
+
 def make_etcd_source(
     membership: "Membership", directory: EndpointDirectory, configuration: Configuration
 ) -> "EtcdSource":
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -17,12 +17,13 @@
 import asyncio
 import logging
 from abc import abstractmethod
-from collections.abc import Callable
 from enum import Enum
 from typing import Protocol, cast
 
 from rainhitch.interface import Address, AttemptStatus
 from rainhitch.node.client_request import AttemptResult, ClientRequest, Exchange
+from rainhitch.node.key_invalidations import KeyInvalidations
+from rainhitch.node.loop_lag import LoopLag
 from rainhitch.node.relay import Relay
 from rainhitch.node.upstream_socket import UpstreamSocket
 from rainhitch.system import System
@@ -55,9 +56,8 @@
     connect_timeout_s: float
     attempts_written: int  # attempts written whole, since the start
     unknown_pushes: int  # RESP3 pushes of another kind than `invalidate`
-    callback_begins: Callable[[], None]  # called around each read, for the event loop's lag
-    callback_ends: Callable[[], None]
-    keys_invalidated: Callable[[str, list[bytes] | None], None]  # server, keys; None: all of its keys
+    loop_lag: LoopLag
+    key_invalidations: KeyInvalidations
 
 
 class OwningPool(Protocol):
@@ -261,7 +261,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Something has come."""
-        self.host.callback_begins()
+        self.host.loop_lag.callback_begins()
         if self.exchange is None:
             self.close()  # nothing was asked
             return
@@ -271,7 +271,7 @@
             # The outermost frame of a read: protects the router against an answer that no codec foresaw.
             log.exception("answer could not be handled server=%s", self.pool.name)
             self.fail_protocol()
-        self.host.callback_ends()
+        self.host.loop_lag.callback_ends()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is gone."""
--- a/rainhitch/program.py
+++ b/rainhitch/program.py
@@ -36,17 +36,15 @@
         """Has so many processes of this router share its descriptors."""
         split_between_processes(configuration.sockets, router.pools, router.clients, process_count)
 
-    endpoint = AdminEndpoint(
+    return AdminEndpoint(
         router.driver,
         router.clients,
         router.directory,
         f"{host}:{port}",
         divide_limits=divide_limits,
         upgrade_peer_seen=router.overload.upgrade_peer_seen,
+        describe_peers=None if router.gossip is None else router.gossip.describe,
     )
-    if router.gossip is not None:
-        endpoint.control.describe_peers = router.gossip.describe
-    return endpoint
 
 
 async def serve(configuration: Configuration, path: str | None, operator: "OperatorConfig | None") -> None:
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -35,7 +35,6 @@
     control = RouterControl(
         bench.driver, bench.clients, bench.directory, str(folder) if folder else None, "r"
     )
-    bench.clients.can_serve = lambda: bench.directory.can_serve and not bench.clients.draining
     server = AdminServer(control)
     try:
         yield await server.open("127.0.0.1", 0)
--- a/tests/fleet/test_wired.py
+++ b/tests/fleet/test_wired.py
@@ -51,7 +51,7 @@
         assert service.gossip is not None and service.gossip.transport is not None
         here = service.gossip.transport.get_extra_info("sockname")
         service.directory.apply(listing(2, entry("c1", "127.0.0.1:1"), whole=False))
-        service.driver.publish_gossip([api.LatencyObservation("c0", 900_000_000)])
+        service.publish_gossip([api.LatencyObservation("c0", 900_000_000)])
         (word,) = decode(friend.recv(512), names_by_hash(["c0"]))
         assert word.server == "c0" and word.elapsed_ns == pytest.approx(900_000_000, rel=0.06)
         for name in ("c0", "c1"):
--- a/tests/node/test_hostile.py
+++ b/tests/node/test_hostile.py
@@ -96,8 +96,8 @@
     """A crowd was turned away at half of the descriptors while a third of them was free."""
     async with router(sockets=2) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # who is idle makes room for nobody
-        bench.clients.extra_capacity = lambda: 4 - bench.pools.open()
-        bench.pools.descriptors_left = lambda: 4 - len(bench.clients.open)
+        bench.pools.descriptors.shared = 4
+        bench.pools.descriptors.reserved_upstream = 0
         many = [await bench.caller() for _ in range(4)]
         for one in many:
             one.send(b"PING")
@@ -118,7 +118,7 @@
     """Newcomers were turned away while half the connections to servers were idle."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 60.0)  # so that each request opens another
     async with router(sockets=3) as bench:
-        bench.clients.release_upstream = bench.pools.close_surplus
+        bench.pools.descriptors.shared = 6  # as many as both sides' caps, and no more for either
         for n in range(3):
             caller = await bench.caller()
             caller.get(name=b"i%d" % n)
--- a/tests/node/test_lag.py
+++ b/tests/node/test_lag.py
@@ -18,7 +18,8 @@
         self.now = 10**12
         self.soon: list[Callable[[], Any]] = []
         self.delays: list[int] = []
-        self.lag = LoopLag(cast(Any, self), lambda: self.now, self.delays.append)
+        self.lag = LoopLag(cast(Any, self), lambda: self.now)
+        self.lag.report_to(self.delays.append)
 
     def call_soon(self, callback: Callable[[], Any]) -> None:
         self.soon.append(callback)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -259,14 +259,14 @@
     pools = ConnectionPools(sockets, limits.connect_timeout_ns / 1e9, limits.keepalive_ns / 1e9)
     damper = OverloadController(settings, 1)
     driver = RequestDriver(Balancer(settings, 1, damper), pools, limits.max_requests, memory)
-    clients = ClientConnections(driver, names, sockets, memory, damper)
     directory = EndpointDirectory(names, 1, pools, driver.endpoints_updated)
-    clients.can_serve = lambda: directory.can_serve
+
+    def can_serve() -> bool:
+        return directory.can_serve and not clients.draining
+
+    clients = ClientConnections(driver, names, sockets, memory, can_serve=can_serve, overload=damper)
     if versions[1] == 3:
-        directory.cache_connection_class, pools.keys_invalidated = (
-            Resp3Connection,
-            driver.key_invalidations.add,
-        )
+        directory.cache_connection_class = Resp3Connection
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
     if entries is not None:
         listed = entries(*peers)
