--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -79,6 +79,13 @@
     NO_LOCAL_CONNECTION = "room"  # this router can open no more connections to servers
 
 
+# How a cache server came by its answer, as far as it tells; the numbers are the wire's.
+NOTE_NONE = 0
+NOTE_HIT = 1
+NOTE_MISS = 2  # it did not hold the key; where caches read the origin, it has read it there
+NOTE_MISS_PENDING = 3  # it did not hold the key either, and another request's read of it is under way
+
+
 class EndpointState(StrEnum):
     """What the endpoint list says of a server."""
 
@@ -111,7 +118,7 @@
         "all"  # who recognizes a repeat by its key: "all" servers, or those of its "zone" or "cell"
     )
     dedup_window_ns: int = 0  # for how long after the first attempt
-    priority_weight: float = 1.0  # the worth of an answer within the objective
+    priority_weight: float = 1.0  # the worth of an answer within the objective; no decision reads it
     late_weight: float = 0.0  # the fraction of that worth that a later answer has
     is_streamed: bool = False  # its answer is relayed as it comes
 
@@ -142,7 +149,8 @@
     )
     slow_start_initial_fraction: float = 1.0  # of its capacity that a server has when it starts
     slow_start_ns: int = 0  # from a server's start to its full capacity
-    slow_start_overload_factor: float = 1.0  # times its capacity at which a server that warms up collapses
+    # Times its capacity at which a server that warms up collapses; no decision reads it.
+    slow_start_overload_factor: float = 1.0
     slow_start_window_ns: int = 1_000_000_000  # over which that load is averaged
     gossip_interval_ns: int = 0  # between reports to the other routers; 0: none are sent
     migration_fraction: float = DEFAULT_MIGRATION_FRACTION  # below 0: keys move at once
@@ -188,7 +196,10 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A server's own report of its load, late and noisy; a field that it does not report is negative."""
+    """A server's own report of its load, late and noisy; a field that it does not report is negative.
+
+    Decisions read `in_flight`, `latency_ms` and `served_per_s`.
+    """
 
     in_flight: float = -1.0  # requests it holds
     queued: float = -1.0  # requests that wait there
@@ -208,7 +219,7 @@
     status: AttemptStatus
     request_finished: bool  # the client has its final answer
     elapsed_ns: int  # since the attempt started
-    note: int = 0  # what the server says of its answer; 2: it had to read the origin for it
+    answer_note: int = NOTE_NONE  # how the server came by its answer: one of NOTE_...
     load: LoadReport | None = None
     connection_reused: bool | None = None  # the connection had carried others before; None: not known
 
@@ -361,34 +372,36 @@
 class OverloadControl(Protocol):
     """What the decisions ask and report about retry storms, and about requests that share an idempotency key.
 
-    Its implementation is `overload/`. Times are monotonic, ns.
+    Its implementation is `overload/`. Times are monotonic.
     """
 
     period_ns: int  # at which `step` is to be called
 
-    def admit(self, now: int, request: Request, marked: bool) -> AdmissionDecision:
-        """Whether a request that has arrived is admitted; `marked`: it is over its tenant's quota."""
+    def admit(self, now_ns: int, request: Request, over_quota: bool) -> AdmissionDecision:
+        """Whether a request that has arrived is admitted; `over_quota`: it is beyond its tenant's."""
 
     def earlier_attempts(self, request: Request) -> list[tuple[int, Endpoint]]:
         """When (ns) and where attempts of other requests with the same key may have been executed."""
 
-    def take_retry_budget(self, now: int, again: bool) -> bool:
-        """Whether the retry budget allows an attempt; takes from it if so. `again`: an earlier one failed."""
+    def take_retry_budget(self, now_ns: int, is_retry: bool) -> bool:
+        """Whether the retry budget allows an attempt, and takes from it. `is_retry`: one failed before."""
 
-    def attempt_started(self, now: int, id: str, number: int, member: Endpoint, window: int) -> None:
-        """An attempt has started; its server recognizes a repeat for `window` ns."""
+    def attempt_started(
+        self, now_ns: int, request_id: str, number: int, endpoint: Endpoint, dedup_window_ns: int
+    ) -> None:
+        """An attempt has started; its server recognizes a repeat for `dedup_window_ns`."""
 
-    def attempt_finished(self, now: int, event: AttemptFinished) -> str:
+    def attempt_finished(self, now_ns: int, event: AttemptFinished) -> str:
         """An attempt has ended; returns the id of the queued request that may begin now, "" for none."""
 
-    def request_finished(self, now: int, id: str, served: bool, refused: bool) -> str:
+    def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
         """A request has ended here; returns the id of the queued request that may begin now, "" for none."""
 
-    def retry_after_ns(self, now: int, request: Request) -> int:
+    def retry_after_ns(self, now_ns: int, request: Request) -> int:
         """After how long a rejected request should come again; 0 where clients may not be told."""
 
-    def timer_delayed(self, late: int) -> None:
-        """The router's timer fired `late` ns after its time."""
+    def timer_delayed(self, delay_ns: int) -> None:
+        """The router's timer fired so long after its time."""
 
-    def step(self, now: int) -> str:
+    def step(self, now_ns: int) -> str:
         """Called once a period; returns a line to log, or ""."""
--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -197,7 +197,7 @@
                 status,
                 request.state is not REQUEST_OPEN,
                 elapsed_ns,
-                result.note,
+                result.answer_note,
                 connection_reused=reused,
             )
         )
--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -2,13 +2,13 @@
 
 import re
 
-from rainhitch.interface import AttemptStatus
+from rainhitch.interface import NOTE_HIT, NOTE_MISS, NOTE_MISS_PENDING, NOTE_NONE, AttemptStatus
 from rainhitch.node.client_request import AttemptResult, ClientRequest
 from rainhitch.node.relay import Relay
 from rainhitch.node.upstream_connection import OwningPool, UpstreamConnection
 from rainhitch.protocol import resp
 
-NOTES = {b"hit": 1, b"miss": 2, b"pending": 3}  # how a read went, and the number that stands for it
+NOTES = {b"hit": NOTE_HIT, b"miss": NOTE_MISS, b"pending": NOTE_MISS_PENDING}
 
 # The error lines of a cache server, each with a load report or nothing behind it. A report that can't be read
 # spoils nothing but itself, as long as it is text in one piece.
@@ -33,11 +33,11 @@
     if not isinstance(answer, list):
         return None
     value, note, _ = answer
-    number = 0 if note is None else NOTES.get(note)
-    if number is None or (value is None and number == NOTES[b"hit"]):
+    number = NOTE_NONE if note is None else NOTES.get(note)
+    if number is None or (value is None and number == NOTE_HIT):
         return None
     if value is None:
-        return AttemptResult(AttemptStatus.MISS, note=number)
+        return AttemptResult(AttemptStatus.MISS, answer_note=number)
     return AttemptResult(AttemptStatus.OK, value, number)
 
 
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from rainhitch.interface import AttemptStatus, Idempotency
+from rainhitch.interface import NOTE_NONE, AttemptStatus, Idempotency
 from rainhitch.node.errors import NodeError
 from rainhitch.settings import Names
 
@@ -59,7 +59,7 @@
 
     status: AttemptStatus
     value: object = b""  # bytes, or a value of RESP3
-    note: int = 0  # the cache server's note as a number, 0 for none
+    answer_note: int = NOTE_NONE  # how the server came by its answer: one of interface.NOTE_...
 
 
 @dataclass(slots=True, eq=False)
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -23,8 +23,11 @@
 NS_PER_MS = 1_000_000
 
 
-class RequestState(Enum):
-    """Where a request stands; see the module's docstring."""
+class InFlightState(Enum):
+    """Where a request stands with its client; see the module's docstring.
+
+    What it waits for is the decisions' to know: `policy/pending_request.py` `RequestState`.
+    """
 
     OPEN = "open"
     RELAYING = "relaying"
@@ -32,8 +35,8 @@
 
 
 # Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
-REQUEST_OPEN = RequestState.OPEN
-REQUEST_FINISHED = RequestState.FINISHED
+REQUEST_OPEN = InFlightState.OPEN
+REQUEST_FINISHED = InFlightState.FINISHED
 
 
 class ResponseSink(Protocol):
@@ -90,7 +93,7 @@
     sink: ResponseSink
     deadline_ns: int  # by when the router answers
     client_deadline_ns: int  # when its client stops waiting
-    state: RequestState = REQUEST_OPEN
+    state: InFlightState = REQUEST_OPEN
     attempts_started: int = 0
     attempt: Attempt | None = None
     overdue_timer: asyncio.TimerHandle | None = None
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -15,7 +15,7 @@
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.deadlines import ANSWER_DELIVERY_NS, DelayReserve, client_wait_ns
 from rainhitch.node.decision_loop import DecisionLoop
-from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, RequestState, ResponseSink
+from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, InFlightState, ResponseSink
 from rainhitch.node.loop_lag import HEARTBEAT_NS
 from rainhitch.node.relay import Relay, Source
 from rainhitch.node.request_accounting import RequestAccounting
@@ -217,7 +217,7 @@
 
     def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
         """Passes a long value on to the client as it arrives."""
-        request.state = RequestState.RELAYING
+        request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
         request.relay = relay
         request.sink.stream(relay)
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from rainhitch.interface import AttemptStatus
+from rainhitch.interface import NOTE_HIT, NOTE_NONE, AttemptStatus
 from rainhitch.node.cache_connection import NOTES, CacheConnection, result_of_error
 from rainhitch.node.client_request import AttemptResult
 from rainhitch.node.upstream_connection import OwningPool
@@ -35,11 +35,11 @@
         return None
     if isinstance(note, Map):
         note = note.get(b"note")
-    number = 0 if note is None else NOTES.get(text_of(note) or b"")
-    if number is None or (value is None and number == NOTES[b"hit"]):
+    number = NOTE_NONE if note is None else NOTES.get(text_of(note) or b"")
+    if number is None or (value is None and number == NOTE_HIT):
         return None
     if value is None:
-        return AttemptResult(AttemptStatus.MISS, note=number)
+        return AttemptResult(AttemptStatus.MISS, answer_note=number)
     if isinstance(value, bytes) or _is_served(encode(value, 2)):
         return AttemptResult(AttemptStatus.OK, value, number)
     return None
--- a/rainhitch/overload/concurrency_limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -18,9 +18,8 @@
 TOLERATED_BAD_FRACTION = 0.1  # of a period's ends
 MIN_ENDS_TO_JUDGE = 4  # in a period; with fewer the limit stays
 RAISE_FRACTION = 1 / 8  # of the limit, in a good period that used it
-PROBE_FRACTION = (
-    1 / 2
-)  # the same between a storm's start and its first cut, when the capacity is not yet known
+# The same between a storm's start and its first cut, when the capacity is not known yet and is searched for.
+SEARCH_FRACTION = 1 / 2
 INITIAL_FACTOR = 4.0  # a storm starts with this times the peak in flight of normal periods
 NORMAL_PERIODS_REMEMBERED = 32  # peaks of these set the limit that a storm starts with
 DEMAND_WINDOW_NS = NS_PER_S  # a kind of attempt counts as arriving for so long after its last arrival
@@ -72,7 +71,7 @@
         self.rejected = 0  # since the last judged period: above 0, the limit is in use
         self.cut_at_ns = 0
         self.adjusted_at_ns = 0
-        self.is_probing = True  # no cut yet in this storm
+        self.is_searching = True  # no cut yet in this storm
 
     @property
     def in_flight(self) -> int:
@@ -147,7 +146,7 @@
         self.limit = max(self.min_limit, INITIAL_FACTOR * max(self.normal_peaks, default=0))
         self.good_ends = 0
         self.bad_ends = 0
-        self.is_probing = True
+        self.is_searching = True
 
     def _adjust_in_storm(self, now_ns: int) -> None:
         """Cuts the limit by half the bad fraction (multiplicative decrease), or raises it."""
@@ -159,9 +158,9 @@
             in_use = min(self.limit, float(self.peak_in_flight))
             self.limit = max(self.min_limit, in_use * (1 - bad_fraction / 2))
             self.cut_at_ns = now_ns
-            self.is_probing = False
+            self.is_searching = False
         elif self.rejected:
-            fraction = PROBE_FRACTION if self.is_probing else RAISE_FRACTION
+            fraction = SEARCH_FRACTION if self.is_searching else RAISE_FRACTION
             self.limit += max(1.0, self.limit * fraction)
         self.good_ends = 0
         self.bad_ends = 0
--- a/rainhitch/policy/connection_health.py
+++ b/rainhitch/policy/connection_health.py
@@ -1,4 +1,4 @@
-"""Whether connections to one server work: ejection after a failure, backoff, and the attempt that probes it.
+"""Whether connections to one server work: ejection after a failure, backoff, and the attempt that ends it.
 
 States, by `consecutive_failures`: 0, the server is used; above, it is ejected, and after the backoff it gets
 one attempt at a time until it answers. `eject`, `end_backoff` and `readmit` are the transitions.
@@ -48,7 +48,7 @@
     def eject(self, now_ns: int, connect_timeout_ns: int, random: Random) -> int:
         """Counts a failure and starts the backoff; gives that, in ns.
 
-        It doubles with each failure in a row, and half of it is left to chance, so that routers don't probe a
+        It doubles with each failure in a row, and half of it is left to chance, so that routers don't try a
         server all at once.
         """
         if not self.consecutive_failures:
--- a/rainhitch/policy/no_overload_control.py
+++ b/rainhitch/policy/no_overload_control.py
@@ -10,12 +10,12 @@
 
     def __init__(self, settings: api.Settings) -> None:
         """Takes the settings that say after how long rejected clients are told to come again."""
-        self.retry_after = 0
+        self.told_retry_after_ns = 0
         if settings.retry_after_allowed:
             shortest_objective_ns = min(spec.latency_objective_ns for spec in settings.classes)
-            self.retry_after = min(shortest_objective_ns, settings.max_retry_after_ns)
+            self.told_retry_after_ns = min(shortest_objective_ns, settings.max_retry_after_ns)
 
-    def admit(self, now: int, request: api.Request, marked: bool) -> api.AdmissionDecision:
+    def admit(self, now_ns: int, request: api.Request, over_quota: bool) -> api.AdmissionDecision:
         """Admits."""
         return api.AdmissionDecision.ADMIT
 
@@ -23,28 +23,30 @@
         """Remembers none."""
         return []
 
-    def take_retry_budget(self, now: int, again: bool) -> bool:
+    def take_retry_budget(self, now_ns: int, is_retry: bool) -> bool:
         """Allows it."""
         return True
 
-    def attempt_started(self, now: int, id: str, number: int, member: api.Endpoint, window: int) -> None:
+    def attempt_started(
+        self, now_ns: int, request_id: str, number: int, endpoint: api.Endpoint, dedup_window_ns: int
+    ) -> None:
         """Does nothing."""
 
-    def attempt_finished(self, now: int, event: api.AttemptFinished) -> str:
+    def attempt_finished(self, now_ns: int, event: api.AttemptFinished) -> str:
         """Queues none, so none begins."""
         return ""
 
-    def request_finished(self, now: int, id: str, served: bool, refused: bool) -> str:
+    def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
         """Queues none, so none begins."""
         return ""
 
-    def retry_after_ns(self, now: int, request: api.Request) -> int:
+    def retry_after_ns(self, now_ns: int, request: api.Request) -> int:
         """The shortest latency objective, as far as the settings allow it."""
-        return self.retry_after
+        return self.told_retry_after_ns
 
-    def timer_delayed(self, late: int) -> None:
+    def timer_delayed(self, delay_ns: int) -> None:
         """Does nothing."""
 
-    def step(self, now: int) -> str:
+    def step(self, now_ns: int) -> str:
         """Logs nothing."""
         return ""
--- a/rainhitch/policy/read_tracking.py
+++ b/rainhitch/policy/read_tracking.py
@@ -8,8 +8,6 @@
 from rainhitch.policy.placement import SLOW_ANSWER_FRACTION
 from rainhitch.policy.request_coalescing import RequestCoalescing
 
-FETCHED = 2  # `AttemptFinished.note` of an answer that its server had to read from the origin
-
 
 class ReadTracking:
     """Reports attempts, answers and misses to migration, origin admission, coalescing and key memory."""
@@ -65,7 +63,7 @@
         held_at = self._held_at(pending, event.server)
         self.key_memory.record_read(key, self.context.now_ns, held_at, True)
         if pending.is_migrating:
-            self.migration.move_finished(event.note != FETCHED)
+            self.migration.move_finished(event.answer_note != api.NOTE_MISS)
         elif pending.at_previous_owner:
             self.migration.hit_at_previous_owner()
 
--- a/rainhitch/wirehost.py
+++ b/rainhitch/wirehost.py
@@ -116,7 +116,7 @@
         status=STATUS_BY_WORD[message["disposition"]],
         request_finished=bool(message.get("ended")),
         elapsed_ns=message["costTime"],
-        note=_int_or_zero(message, "remark"),
+        answer_note=_int_or_zero(message, "remark"),
         load=_read_load_report(message.get("feedback")),
     )
 
