--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -58,9 +58,7 @@
     """
 
     # When it arrived
-    OVERLOAD_CONTROL = (
-        "storm"  # in a retry storm, too much or too late; at any time, too many idempotency keys
-    )
+    OVERLOAD_CONTROL = "storm"  # in a retry storm, too much or too late; always, too many idempotency keys
     IDEMPOTENCY_KEY = "order"  # an earlier request of its key was not over in time, or may have been executed
     # On its way to the origin
     NO_TOKEN = "throttle"  # the origin's throttle is on: no token within its objective, or over its quota
@@ -114,9 +112,7 @@
     latency_objective_ns: int  # an answer within it has its full worth
     deadline_ns: int  # after its arrival; there is no answer later
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: str = (
-        "all"  # who recognizes a repeat by its key: "all" servers, or those of its "zone" or "cell"
-    )
+    dedup_scope: str = "all"  # who knows a repeat by its key: "all" servers, or those of its "zone" or "cell"
     dedup_window_ns: int = 0  # for how long after the first attempt
     priority_weight: float = 1.0  # the worth of an answer within the objective; no decision reads it
     late_weight: float = 0.0  # the fraction of that worth that a later answer has
@@ -144,13 +140,10 @@
     max_retry_after_ns: int = 0
     max_attempts: int = 1  # of one request
     connect_timeout_ns: int = 250_000_000
-    poll_within_ns: int = (
-        10_000_000_000  # the list is asked for again within this, after it was not to be had
-    )
+    poll_within_ns: int = 10_000_000_000  # after which a list that was not to be had is asked for again
     slow_start_initial_fraction: float = 1.0  # of its capacity that a server has when it starts
     slow_start_ns: int = 0  # from a server's start to its full capacity
-    # Times its capacity at which a server that warms up collapses; no decision reads it.
-    slow_start_overload_factor: float = 1.0
+    slow_start_overload_factor: float = 1.0  # at which a starting server collapses; no decision reads it
     slow_start_window_ns: int = 1_000_000_000  # over which that load is averaged
     gossip_interval_ns: int = 0  # between reports to the other routers; 0: none are sent
     migration_fraction: float = DEFAULT_MIGRATION_FRACTION  # below 0: keys move at once
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -324,7 +324,7 @@
 def make_gossip_exchange(
     configuration: Configuration, peering: Peering, machine: System, options: "FleetOptions | None"
 ) -> "GossipExchange":
-    """What decides what is told to the other routers; imported only here, where there are some."""
+    """What decides what this router publishes to the others; imported only here, where there are some."""
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
--- a/tests/fleet/test_gossip_in_decisions.py
+++ b/tests/fleet/test_gossip_in_decisions.py
@@ -11,10 +11,10 @@
     server = router.balancer.servers.servers["c0"]
     for _ in range(4):
         router.wait(2 * SECOND)
-        router.tell(api.GossipReceived([api.LatencyObservation("c0", SECOND)]))
+        router.handle(api.GossipReceived([api.LatencyObservation("c0", SECOND)]))
     assert server.range_share < 0.4 and server.latency.average_ns > SECOND / 4
     for _ in range(40):
-        router.tell(api.GossipReceived([api.LatencyObservation("c0", 20 * MILLI)]))
+        router.handle(api.GossipReceived([api.LatencyObservation("c0", 20 * MILLI)]))
     assert server.range_share == 1.0 and server.latency.average_ns < SECOND / 8
 
 
@@ -24,7 +24,7 @@
     assert origin is not None
     before = origin.latency.average_ns
     assert (
-        router.tell(
+        router.handle(
             api.GossipReceived(
                 [api.LatencyObservation("origin", 9 * SECOND), api.LatencyObservation("nobody", SECOND)]
             )
@@ -37,11 +37,11 @@
 def test_observations_are_published_once_and_only_where_there_are_other_routers() -> None:
     for every in (0, SECOND):
         router = Router(settings(gossip_interval_ns=every))
-        _, (first,) = router.ask("k")
+        _, (first,) = router.request("k")
         assert isinstance(first, api.StartAttempt)
         server = first.server
         router.now += 100 * MILLI
-        router.end(first, api.AttemptStatus.MISS)
+        router.end_attempt(first, api.AttemptStatus.MISS)
         router.balancer.servers.attempt_finished(
             api.AttemptFinished("x", 0, server, api.AttemptStatus.OK, True, 80 * MILLI)
         )
--- a/tests/fleet/test_peer_judgements.py
+++ b/tests/fleet/test_peer_judgements.py
@@ -74,7 +74,7 @@
             judgements.record_own(router.now, seen)
             server.latency.record_latency(router.now, 2 * SECOND, 100 * MILLI, 1)
         words = [api.LatencyObservation("c0", 20 * SECOND)]
-        router.tell(api.GossipReceived(judgements.bound(router.now, 1, words) if believed else words))
+        router.handle(api.GossipReceived(judgements.bound(router.now, 1, words) if believed else words))
     return server.latency.average_ns
 
 
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -94,11 +94,11 @@
     router = Router(options, [*members, api.Endpoint("origin", kind=kinds)])
     for cls, spec in enumerate(options.classes):
         write = spec.idempotency is not api.Idempotency.IDEMPOTENT
-        _, (send,) = router.ask(f"k{cls}", cls, write=write)
+        _, (send,) = router.request(f"k{cls}", cls, write=write)
         assert isinstance(send, api.StartAttempt) and (send.server == "origin") is write
-        assert router.end(send, api.AttemptStatus.OK) == []
-        name, (send,) = router.ask(f"j{cls}", cls, write=write)
-        router.end(send, api.AttemptStatus.RESET)
+        assert router.end_attempt(send, api.AttemptStatus.OK) == []
+        name, (send,) = router.request(f"j{cls}", cls, write=write)
+        router.end_attempt(send, api.AttemptStatus.RESET)
         router.wait(spec.deadline_ns)
         again = router.balancer.requests.get(name)
         assert again is None or again.attempts_started <= options.max_attempts
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -30,13 +30,13 @@
 def owners(listed: dict[str, float], keys: list[str]) -> list[str]:
     """Where the decisions themselves look for keys that they have not seen."""
     members = [api.Endpoint(uid, weight=weight) for uid, weight in listed.items()]
-    router = Router(members=[*members, api.Endpoint("origin", kind=ORIGIN_KIND)])
+    router = Router(endpoints=[*members, api.Endpoint("origin", kind=ORIGIN_KIND)])
     found = []
     for key in keys:
-        name, (send,) = router.ask(key)
+        name, (send,) = router.request(key)
         assert isinstance(send, api.StartAttempt)
         found.append(send.server)
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
         router.now += 50_000_000  # so that none is swamped
         del name
     return found
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -118,5 +118,5 @@
 def test_the_decisions_ask_again_in_time_however_many_calls_failed() -> None:
     router = Router(settings(endpoints_polled=True))
     for _ in range(8):
-        router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
+        router.handle(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
         assert api.WatchEndpoints() in router.wait(MAX_POLL_RETRY_NS)
--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -13,7 +13,7 @@
 def router_with_overload_control(**changes: object) -> tuple[Router, OverloadController]:
     options = settings(**changes)
     overload = OverloadController(options, 7)
-    return Router(options, damper=overload), overload
+    return Router(options, overload_control=overload), overload
 
 
 def storm(router: Router, overload: OverloadController) -> None:
@@ -23,9 +23,9 @@
             overload.connection_accepted(router.now, 200)
         for n in range(10):
             request = api.Request(f"s{router.now}.{n}", 0, router.now + SECOND, f"s{n}", is_client_retry=True)
-            for action in router.tell(request):
+            for action in router.handle(request):
                 if isinstance(action, api.StartAttempt):
-                    router.end(action, S.OK)
+                    router.end_attempt(action, S.OK)
         router.wait(PERIOD_NS)
     assert overload.storm_active
 
@@ -48,15 +48,15 @@
     router, overload = router_with_overload_control(retry_after_allowed=True, max_retry_after_ns=2 * SECOND)
     storm(router, overload)
     overload.concurrency_limit.limit = 3.0
-    assert not rejections(router.ask("a")[1]) and not rejections(router.ask("b")[1])
-    told = [rejections(router.ask(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
+    assert not rejections(router.request("a")[1]) and not rejections(router.request("b")[1])
+    told = [rejections(router.request(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
     assert all(0 < one <= 2 * SECOND for one in told) and len(set(told)) == 5
 
 
 def test_outside_a_storm_the_limit_rejects_nothing() -> None:
     router, overload = router_with_overload_control()
     overload.concurrency_limit.limit = 0.0
-    assert not any(rejections(router.ask(f"c{n}")[1]) for n in range(20))
+    assert not any(rejections(router.request(f"c{n}")[1]) for n in range(20))
 
 
 def test_in_a_storm_requests_too_late_to_be_answered_are_rejected_first() -> None:
@@ -64,18 +64,18 @@
     storm(router, overload)
     overload.service.answer_time_ns = 400.0 * MILLI
     overload.concurrency_limit.limit = 100.0
-    late = router.tell(api.Request("late", 0, router.now + 150 * MILLI, "k"))
+    late = router.handle(api.Request("late", 0, router.now + 150 * MILLI, "k"))
     assert rejections(late) and overload.rejections[RejectionCause.TOO_LATE] == 1
-    assert not rejections(router.tell(api.Request("timely", 0, router.now + 600 * MILLI, "k")))
+    assert not rejections(router.handle(api.Request("timely", 0, router.now + 600 * MILLI, "k")))
 
 
 def test_attempts_at_the_origin_do_not_count_towards_the_limit() -> None:
     """Misses that waited for a slow database filled the limit, and hits were refused."""
     router, overload = router_with_overload_control()
     for n in range(3):
-        _, (first,) = router.ask(f"m{n}")
+        _, (first,) = router.request(f"m{n}")
         assert overload.concurrency_limit.in_flight == 1
-        (second,) = router.end(first, S.MISS)
+        (second,) = router.end_attempt(first, S.MISS)
         assert isinstance(second, api.StartAttempt) and second.server == "origin"
     assert overload.concurrency_limit.in_flight == 0
 
@@ -84,7 +84,7 @@
     """Ends every attempt of a request so, until it has its answer."""
     number = 0
     while actions and isinstance(actions[0], api.StartAttempt):
-        actions = router.end(actions[0], status, number)
+        actions = router.end_attempt(actions[0], status, number)
         number += 1
     return actions
 
@@ -95,7 +95,7 @@
     overload.retry_budget.min_retries_per_s = 0.0
     answers = []
     for n in range(20):
-        answers += finish(router, router.ask(f"k{n}")[1], S.ERROR)
+        answers += finish(router, router.request(f"k{n}")[1], S.ERROR)
     assert len(answers) == 20 and overload.rejections[RejectionCause.RETRY_BUDGET] >= 15
 
 
@@ -103,20 +103,20 @@
 def test_without_damping_storms_are_detected_and_nothing_is_rejected(damping: bool) -> None:
     options = settings()
     overload = OverloadController(options, 7, OverloadOptions(damping=damping))
-    router = Router(options, damper=overload)
+    router = Router(options, overload_control=overload)
     storm(router, overload)
     overload.concurrency_limit.limit = 0.0
-    assert bool(rejections(router.ask("k")[1])) is damping
+    assert bool(rejections(router.request("k")[1])) is damping
 
 
 def test_nothing_is_kept_of_finished_requests() -> None:
     router, overload = router_with_overload_control()
     for n in range(50):
-        name, actions = router.ask(f"k{n}", cls=n % 2, write=bool(n % 2))
+        name, actions = router.request(f"k{n}", class_index=n % 2, write=bool(n % 2))
         if n % 3:
-            router.tell(api.ClientGone(name))
+            router.handle(api.ClientGone(name))
         finish(router, actions, S.ERROR)
     for action in router.wait(20 * SECOND):
         if isinstance(action, api.StartAttempt):
-            router.end(action, S.OK, router.balancer.requests[action.id].attempts_started - 1)
+            router.end_attempt(action, S.OK, router.balancer.requests[action.id].attempts_started - 1)
     assert not overload.requests and not overload.cache_attempts and overload.concurrency_limit.in_flight == 0
--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -17,13 +17,13 @@
 def storming(**changes: object) -> Router:
     """A balancer with overload control; class 1 is keyed and its repeats are dropped for WINDOW."""
     options = settings(**changes)
-    return Router(options, damper=OverloadController(options, 7))
+    return Router(options, overload_control=OverloadController(options, 7))
 
 
 def order(
     router: Router, name: str, key: str = "o1", cls: int = 1, live: int = 2 * SECOND
 ) -> list[api.Action]:
-    return router.tell(api.Request(name, cls, router.now + live, "k", True, 0, False, key))
+    return router.handle(api.Request(name, cls, router.now + live, "k", True, 0, False, key))
 
 
 def kinds(actions: list[api.Action]) -> list[str]:
@@ -35,10 +35,10 @@
     router = storming()
     (first,) = order(router, "a")
     assert kinds([first]) == ["StartAttempt a"]
-    router.tell(api.ClientGone("a"))
+    router.handle(api.ClientGone("a"))
     assert order(router, "b") == []
     router.wait(300 * MILLI)
-    assert kinds(router.end(first, S.OK)) == ["StartAttempt b"]
+    assert kinds(router.end_attempt(first, S.OK)) == ["StartAttempt b"]
 
 
 def test_only_one_of_several_retries_goes_at_a_time_in_the_order_they_came() -> None:
@@ -47,7 +47,7 @@
     for name in ("b", "c", "d"):
         assert order(router, name) == []
     for name in ("b", "c", "d"):
-        (send,) = router.end(send, S.OK)
+        (send,) = router.end_attempt(send, S.OK)
         assert kinds([send]) == [f"StartAttempt {name}"]
 
 
@@ -62,16 +62,16 @@
     """The first attempt ran into its time-out; by the retry's turn a repeat would be carried out again."""
     router = storming()
     (first,) = order(router, "a", live=2 * SECOND)
-    router.tell(api.ClientGone("a"))
+    router.handle(api.ClientGone("a"))
     assert order(router, "b") == []
     router.wait(WINDOW + MILLI)
-    assert kinds(router.end(first, S.TIMEOUT)) == ["Fail b"]
+    assert kinds(router.end_attempt(first, S.TIMEOUT)) == ["Fail b"]
 
 
 def test_a_later_retry_fails_as_long_as_a_client_may_still_come_again() -> None:
     router = storming()
     (first,) = order(router, "a")
-    router.end(first, S.OK)
+    router.end_attempt(first, S.OK)
     router.wait(WINDOW + MILLI)
     assert kinds(order(router, "b")) == ["Fail b"]
     router.wait(2 * SECOND)
@@ -81,8 +81,8 @@
 def test_an_attempt_that_never_ran_does_not_restrict_a_retry() -> None:
     router = storming()
     (first,) = order(router, "a")
-    router.tell(api.ClientGone("a"))
-    router.end(first, S.FULL)
+    router.handle(api.ClientGone("a"))
+    router.end_attempt(first, S.FULL)
     router.wait(WINDOW + MILLI)
     assert kinds(order(router, "b")) == ["StartAttempt b"]
 
@@ -93,12 +93,12 @@
     (first,) = order(router, "a", cls=3)
     assert isinstance(first, api.StartAttempt)
     zone = router.balancer.servers.servers[first.server].endpoint.zone
-    router.tell(api.ClientGone("a"))
+    router.handle(api.ClientGone("a"))
     order(router, "b", cls=3)
-    sent = router.end(first, S.RESET)
+    sent = router.end_attempt(first, S.RESET)
     while sent and isinstance(sent[0], api.StartAttempt):
         assert router.balancer.servers.servers[sent[0].server].endpoint.zone == zone
-        sent = router.end(sent[0], S.FULL, router.balancer.requests["b"].attempts_started - 1)
+        sent = router.end_attempt(sent[0], S.FULL, router.balancer.requests["b"].attempts_started - 1)
     assert kinds(sent) == ["Fail b"]
 
 
--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -13,24 +13,24 @@
     while servers were idle. Such a rejection has to leave latency and gossip alone, and the request goes on
     to the next server."""
     router = Router(settings(gossip_interval_ns=SECOND), fleet(6))
-    _, (send,) = router.ask("k")
+    _, (send,) = router.request("k")
     tried = set()
     for attempt in range(3):
         assert isinstance(send, api.StartAttempt)
         tried.add(send.server)
         before = router.balancer.servers.servers[send.server].latency.average_ns
-        (send,) = router.end(send, S.FULL, attempt, 2 * MILLI, reused=False)
+        (send,) = router.end_attempt(send, S.FULL, attempt, 2 * MILLI, reused=False)
         assert all(router.balancer.servers.servers[name].latency.average_ns <= before for name in tried)
     assert len(tried) == 3
-    router.end(send, S.OK, 3, 80 * MILLI)
+    router.end_attempt(send, S.OK, 3, 80 * MILLI)
     told = [one for one in router.wait(3 * SECOND) if isinstance(one, api.PublishGossip)]
     assert [seen.server for one in told for seen in one.observations] == [send.server]  # type: ignore[union-attr]
 
 
 def test_a_full_queue_is_load() -> None:
     router = Router()
-    _, (send,) = router.ask("k")
+    _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     before = router.balancer.servers.servers[send.server].latency.average_ns
-    router.end(send, S.FULL)
+    router.end_attempt(send, S.FULL)
     assert router.balancer.servers.servers[send.server].latency.average_ns > 3 / 2 * before
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -30,8 +30,8 @@
 
 
 def test_ranges_are_equal_and_blind_to_the_order_of_hearing() -> None:
-    one = Router(members=[api.Endpoint(name) for name in "abcd"])
-    other = Router(members=[api.Endpoint(name) for name in "cadb"])
+    one = Router(endpoints=[api.Endpoint(name) for name in "abcd"])
+    other = Router(endpoints=[api.Endpoint(name) for name in "cadb"])
     owners = [one.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert owners == [other.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
@@ -40,8 +40,8 @@
 def test_origin_draining_and_gone_members_own_no_range() -> None:
     members = fleet(4)
     members[1].state = api.EndpointState.DRAINING
-    router = Router(members=members)
-    router.tell(
+    router = Router(endpoints=members)
+    router.handle(
         api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c2", api.EndpointState.GONE)])
     )
     assert router.balancer.placement.ranges.names == ["c0", "c3"]
@@ -49,7 +49,7 @@
 
 def test_a_full_list_removes_whom_it_does_not_name() -> None:
     router = Router()
-    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FULL, fleet(2)))
+    router.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, fleet(2)))
     assert router.balancer.placement.ranges.names == ["c0", "c1"]
 
 
@@ -78,8 +78,8 @@
 
 def test_unthrottled_misses_go_on_to_the_origin_and_are_remembered() -> None:
     router = Router()
-    name = router.serve("k")
-    _, actions = router.ask("k")
+    name = router.fetch_and_store("k")
+    _, actions = router.request("k")
     assert sends(actions) == [name]
     assert not router.balancer.key_memory.likely_miss("k", router.now)
 
@@ -91,7 +91,7 @@
     assert throttle is not None
     asked, at_once = [], []
     for n in range(30):
-        name, actions = router.ask(f"new{n}")
+        name, actions = router.request(f"new{n}")
         asked.append(name)
         at_once += actions
     waiting = set(throttle.queue)
@@ -111,17 +111,17 @@
     assert throttle is not None
     throttle.refill(router.now)
     throttle.level = 3
-    _, (first,) = router.ask("x")
+    _, (first,) = router.request("x")
     level = throttle.level
-    (second,) = router.end(first, S.MISS)
+    (second,) = router.end_attempt(first, S.MISS)
     assert sends([second]) == ["origin"] and (level, throttle.level) == (2, 1)
 
 
 def test_lately_hit_keys_pass_a_throttle_that_is_on() -> None:
     router = Router()
-    name = router.serve("k")
+    name = router.fetch_and_store("k")
     router.throttle_on()
-    _, actions = router.ask("k")
+    _, actions = router.request("k")
     assert sends(actions) == [name]
 
 
@@ -137,7 +137,7 @@
     router = Router(settings(tenants=[api.Tenant(3.0), api.Tenant(3.0)]))
     router.throttle_on()
     for n in range(40):
-        _, actions = router.ask(f"n{n}", tenant=1)
+        _, actions = router.request(f"n{n}", tenant=1)
     assert [type(action) for action in actions] == [api.Reject]
 
 
@@ -206,8 +206,8 @@
 def test_an_origin_that_hangs_turns_the_throttle_on_before_any_outcome() -> None:
     router = Router()
     for n in range(5):
-        _, (first,) = router.ask(f"h{n}")
-        router.end(first, S.MISS)
+        _, (first,) = router.request(f"h{n}")
+        router.end_attempt(first, S.MISS)
     router.wait(3 * SECOND // 2)
     assert router.balancer.origin_admission.monitor.throttle is not None
 
@@ -215,26 +215,26 @@
 def test_one_read_a_key_is_out_and_who_waits_is_served_by_the_cache() -> None:
     """Guards against a flood of reads for one key."""
     router = Router()
-    _, (first,) = router.ask("hot")
-    (read,) = router.end(first, S.MISS)
-    name, actions = router.ask("hot")
+    _, (first,) = router.request("hot")
+    (read,) = router.end_attempt(first, S.MISS)
+    name, actions = router.request("hot")
     assert actions == []
-    (served,) = router.end(read, S.OK, 1)
+    (served,) = router.end_attempt(read, S.OK, 1)
     assert isinstance(served, api.StartAttempt) and isinstance(first, api.StartAttempt)
     assert (served.id, served.server) == (name, first.server)
 
 
 def test_who_waits_for_a_read_that_fails_takes_a_turn_and_none_outwaits_its_aim() -> None:
     router = Router()
-    _, (first,) = router.ask("hot")
-    (read,) = router.end(first, S.MISS)
-    second, _ = router.ask("hot")
-    third, _ = router.ask("hot")
-    actions = router.end(read, S.ERROR, 1)
+    _, (first,) = router.request("hot")
+    (read,) = router.end_attempt(first, S.MISS)
+    second, _ = router.request("hot")
+    third, _ = router.request("hot")
+    actions = router.end_attempt(read, S.ERROR, 1)
     assert [type(action) for action in actions] == [api.Reject, api.StartAttempt, api.StartAttempt]
-    (again,) = router.end(actions[1], S.MISS)
+    (again,) = router.end_attempt(actions[1], S.MISS)
     assert isinstance(again, api.StartAttempt) and (again.id, again.server) == (second, "origin")
-    assert router.end(actions[2], S.MISS) == []
+    assert router.end_attempt(actions[2], S.MISS) == []
     later = router.wait(2 * SECOND)
     assert [action.id for action in later if isinstance(action, api.Reject)] == [third]
 
@@ -245,24 +245,24 @@
 def test_full_answers_make_a_server_swamped_not_quick() -> None:
     """Guards against a storm of full answers: work spills once, to a calm server, or is refused."""
     router = Router()
-    home = router.balancer.servers.servers[router.serve("k")]
+    home = router.balancer.servers.servers[router.fetch_and_store("k")]
     for _ in range(12):
         home.record_answer(router.now, SECOND, int(router.balancer.context.shortest_objective_ns), 1, 1)
     home.in_flight, home.last_sent_at_ns = 1, router.now
-    _, actions = router.ask("k")
+    _, actions = router.request("k")
     assert sends(actions) and sends(actions) != [home.endpoint.server]
     for one in router.balancer.servers.servers.values():
         one.latency.average_ns, one.in_flight, one.last_sent_at_ns = float(5 * SECOND), 1, router.now
-    _, actions = router.ask("k")
+    _, actions = router.request("k")
     assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_a_second_full_answer_ends_the_request() -> None:
     router = Router()
-    _, (first,) = router.ask("k")
-    (second,) = router.end(first, S.FULL)
+    _, (first,) = router.request("k")
+    (second,) = router.end_attempt(first, S.FULL)
     assert sends([first]) != sends([second])
-    assert [type(action) for action in router.end(second, S.FULL, 1)] == [api.Reject]
+    assert [type(action) for action in router.end_attempt(second, S.FULL, 1)] == [api.Reject]
 
 
 def test_a_swamped_server_gets_a_trial_an_answer_time() -> None:
@@ -288,7 +288,7 @@
         for server in router.balancer.servers.servers.values():
             server.latency.average_ns = SECOND / 100
         router.balancer.servers.attempts.fleet_latency_ns = usual
-        (first,) = router.ask("k")[1]
+        (first,) = router.request("k")[1]
         assert isinstance(first, api.StartAttempt)
         waits.append(first.timeout_ns)
     assert waits == [SECOND // 4, 8 * SECOND // 10]
@@ -296,24 +296,24 @@
 
 def test_reports_show_what_other_routers_send() -> None:
     router = Router()
-    router.serve("k")
-    _, (send,) = router.ask("k")
-    router.end(send, S.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10))
+    router.fetch_and_store("k")
+    _, (send,) = router.request("k")
+    router.end_attempt(send, S.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10))
     one = router.balancer.servers.servers[sends([send])[0]]
     assert one.load.expected_ns(router.now) == pytest.approx(4.1e9)
     assert one.load.expected_ns(router.now + 2 * SECOND) == 0
-    assert sends(router.ask("k")[1]) != [one.endpoint.server]
+    assert sends(router.request("k")[1]) != [one.endpoint.server]
 
 
 def test_an_unreachable_server_is_left_alone_then_tried_once() -> None:
     router = Router()
-    _, (first,) = router.ask("k")
-    (second,) = router.end(first, S.CONNECT_FAILED)
+    _, (first,) = router.request("k")
+    (second,) = router.end_attempt(first, S.CONNECT_FAILED)
     assert sends([second]) != sends([first])
     name = sends([first])[0]
-    assert name not in [sends(router.ask("k")[1])[0] for _ in range(5)]
+    assert name not in [sends(router.request("k")[1])[0] for _ in range(5)]
     router.wait(SECOND)
-    tried = [sends(router.ask("k")[1])[0] for _ in range(5)]
+    tried = [sends(router.request("k")[1])[0] for _ in range(5)]
     assert tried.count(name) == 1
     assert any(
         re.fullmatch(rf"server ejected server={name} reason=connect_failed backoff_ms=\d+", line)
@@ -327,14 +327,14 @@
     fresh = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
     several = [Router() for _ in range(routers)]
     for router in several:
-        router.tell(fresh)
+        router.handle(fresh)
     sent, turn = [], 10 * SECOND
     for n in range(2000):
         router = several[n % routers]
         router.wait(START + n * turn // 2000 - router.now)
-        _, actions = router.ask(f"k{n}")
+        _, actions = router.request(f"k{n}")
         sent.append(sends(actions) == ["c1"])
-        router.end(actions[0], S.OK)
+        router.end_attempt(actions[0], S.OK)
     quarters = [sum(sent[n : n + 500]) for n in range(0, 2000, 500)]
     taken_up = [125 * (2 * n + 1) / 8 for n in range(4)]
     assert all(count < even + 25 for count, even in zip(quarters, taken_up, strict=True))
@@ -348,7 +348,7 @@
     """Six in ten servers new within 7 s left all the work to the others, as if they began from nothing."""
     for wait, taken in ((after, True), (after - 2, False)):
         router = Router(settings(slow_start_initial_fraction=0.3))
-        router.tell(
+        router.handle(
             api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
         )
         located = {f"k{n}": router.balancer.placement.ranges.locate(f"k{n}") for n in range(4000)}
@@ -357,13 +357,13 @@
         )
         if wait > 0:
             router.wait(int(wait * SECOND))
-            assert (sends(router.ask(key)[1]) == ["c1"]) is taken
+            assert (sends(router.request(key)[1]) == ["c1"]) is taken
 
 
 def test_a_server_listed_with_a_newer_start_is_cold_again() -> None:
     router = Router()
     for _ in range(2):
-        router.tell(
+        router.handle(
             api.EndpointUpdate(
                 api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=router.now - SECOND)]
             )
@@ -373,26 +373,26 @@
     owned = [key for key in map(str, range(40)) if router.candidates(key)[0].endpoint.server == "c1"]
     assert owned
     for key in owned:
-        _, actions = router.ask(key)
+        _, actions = router.request(key)
         assert sends(actions) == ["c1"]
-        router.end(actions[0], S.OK)
+        router.end_attempt(actions[0], S.OK)
 
 
 def test_a_server_that_was_away_for_long_is_taken_as_cold() -> None:
     router = Router()
-    _, (first,) = router.ask("k")
-    router.end(first, S.RESET)
+    _, (first,) = router.request("k")
+    router.end_attempt(first, S.RESET)
     router.wait(2 * SECOND)
-    _, actions = router.ask("k")
+    _, actions = router.request("k")
     assert sends(actions) == sends([first])
-    router.end(actions[0], S.OK)
+    router.end_attempt(actions[0], S.OK)
     assert router.balancer.servers.servers[sends([first])[0]].slow_start.started_at_ns == router.now
     assert router.log[-1].startswith("server answers again ")
 
 
 def test_what_joins_the_list_later_without_a_start_time_is_taken_as_cold() -> None:
     router = Router()
-    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c9")]))
+    router.handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c9")]))
     assert router.balancer.servers.servers["c9"].slow_start.started_at_ns == router.now
     assert router.balancer.servers.servers["c0"].slow_start.started_at_ns == 0
 
@@ -402,20 +402,20 @@
 
 @pytest.mark.parametrize("members", [[], fleet(0), [api.Endpoint("c0", api.EndpointState.DRAINING)]])
 def test_without_a_server_a_read_is_refused_at_once(members: list[api.Endpoint]) -> None:
-    _, actions = Router(members=members).ask()
+    _, actions = Router(endpoints=members).request()
     assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_without_an_origin_a_write_is_refused_at_once() -> None:
-    _, actions = Router(members=fleet(3, origin=False)).ask(cls=2, write=True)
+    _, actions = Router(endpoints=fleet(3, origin=False)).request(class_index=2, write=True)
     assert [type(action) for action in actions] == [api.Reject]
 
 
 def test_a_write_goes_to_the_origin_and_tries_again_while_its_aim_lasts() -> None:
     router = Router()
-    _, (first,) = router.ask(cls=2, write=True)
+    _, (first,) = router.request(class_index=2, write=True)
     assert sends([first]) == ["origin"]
-    assert router.end(first, S.FULL) == []
+    assert router.end_attempt(first, S.FULL) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
 
 
@@ -431,8 +431,8 @@
     )
     reads: list[api.Action] = []
     for n in range(8):
-        _, (first,) = router.ask(f"k{n}")
-        reads += router.end(first, S.MISS)
+        _, (first,) = router.request(f"k{n}")
+        reads += router.end_attempt(first, S.MISS)
     assert [type(one) for one in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
 
 
@@ -442,23 +442,23 @@
     origin = router.balancer.servers.origin
     assert origin is not None
     origin.latency.average_ns, origin.last_sent_at_ns = 3.0 * SECOND, router.now
-    assert [type(action) for action in router.ask(cls=2, write=True)[1]] == [api.Reject]
+    assert [type(action) for action in router.request(class_index=2, write=True)[1]] == [api.Reject]
     router.wait(3 * SECOND)
-    assert sends(router.ask(cls=2, write=True)[1]) == ["origin"]
+    assert sends(router.request(class_index=2, write=True)[1]) == ["origin"]
 
 
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
     router = Router()
-    _, (first,) = router.ask(cls=2, write=True)
+    _, (first,) = router.request(class_index=2, write=True)
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "no time-out of our own cuts it off"
-    assert [type(action) for action in router.end(first, S.ERROR)] == [api.Fail]
+    assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
 
 
 def test_a_keyed_request_is_sent_again_only_within_its_window() -> None:
     router = Router()
-    _, (first,) = router.ask(cls=1, write=True)
+    _, (first,) = router.request(class_index=1, write=True)
     router.wait(SECOND // 2)
-    assert router.end(first, S.ERROR) == []
+    assert router.end_attempt(first, S.ERROR) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
     router = Router(
         settings(
@@ -467,17 +467,17 @@
             ]
         )
     )
-    _, (first,) = router.ask(write=True)
+    _, (first,) = router.request(write=True)
     router.wait(SECOND // 2)
-    assert [type(action) for action in router.end(first, S.ERROR)] == [api.Fail]
+    assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
 
 
 @pytest.mark.parametrize(("cls", "same"), [(3, "zone"), (4, "cell")])
 def test_a_keyed_request_stays_in_its_group(cls: int, same: str) -> None:
     for n in range(20):
         router = Router(settings(cache_aside=False), fleet(6, origin=False))
-        _, (first,) = router.ask(f"k{n}", cls)
-        for action in router.end(first, S.ERROR):
+        _, (first,) = router.request(f"k{n}", cls)
+        for action in router.end_attempt(first, S.ERROR):
             if isinstance(action, api.StartAttempt):
                 one, two = (router.balancer.servers.servers[name].endpoint for name in sends([first, action]))
                 assert getattr(one, same) == getattr(two, same)
@@ -487,26 +487,26 @@
 
 def test_attempts_are_bounded() -> None:
     router = Router(settings(max_attempts=2))
-    _, (send,) = router.ask("k")
-    (send,) = router.end(send, S.CONNECT_FAILED)
-    assert [type(action) for action in router.end(send, S.CONNECT_FAILED, 1)] == [api.Reject]
+    _, (send,) = router.request("k")
+    (send,) = router.end_attempt(send, S.CONNECT_FAILED)
+    assert [type(action) for action in router.end_attempt(send, S.CONNECT_FAILED, 1)] == [api.Reject]
 
 
 def test_an_origin_read_runs_until_the_client_gives_up() -> None:
     """Guards against an origin slower than an aim, at which reads given up would fill no cache."""
     router = Router(settings(classes=[api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]))
-    _, (first,) = router.ask("k")
-    (read,) = router.end(first, S.MISS)
+    _, (first,) = router.request("k")
+    (read,) = router.end_attempt(first, S.MISS)
     assert isinstance(first, api.StartAttempt) and isinstance(read, api.StartAttempt)
     assert (first.timeout_ns, read.timeout_ns) == (SECOND, 2 * SECOND)
 
 
 def test_neighbours_that_fail_together_are_passed_by() -> None:
-    router = Router(members=fleet(6))
+    router = Router(endpoints=fleet(6))
     owner, *rest = router.candidates("k")
     for one in [owner, *rest[:2]]:  # slow with nothing of ours out, and a trial is out at each
         one.latency.average_ns, one.latency.uncrowded_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
-    assert sends(router.ask("k")[1]) == [rest[2].endpoint.server]
+    assert sends(router.request("k")[1]) == [rest[2].endpoint.server]
 
 
 def test_a_trial_that_is_out_stays_one() -> None:
@@ -534,9 +534,9 @@
     router = Router()
     owner = router.candidates("k")[0]
     owner.latency.average_ns, owner.latency.uncrowded_ns = 4.0 * SECOND, SECOND / 10
-    _, (trial,) = router.ask("k")
+    _, (trial,) = router.request("k")
     assert sends([trial]) == [owner.endpoint.server] and owner.is_probing
-    router.end(trial, S.MISS)
+    router.end_attempt(trial, S.MISS)
     assert owner.latency.average_ns < 2.1 * SECOND
 
 
@@ -549,78 +549,78 @@
 
 def test_never_two_attempts_are_out() -> None:
     router = Router()
-    name, (first,) = router.ask("k")
+    name, (first,) = router.request("k")
     router.balancer._proceed(router.balancer.requests[name])
-    assert router.tell(api.TimerFired("any")) == [] and router.balancer.requests[name].attempts_started == 1
+    assert router.handle(api.TimerFired("any")) == [] and router.balancer.requests[name].attempts_started == 1
     assert sends([first])
 
 
 def test_an_early_alarm_does_not_stop_the_timers() -> None:
     router = Router()
-    _, (first,) = router.ask("k")
-    router.end(first, S.MISS)  # its origin read is out
-    waits, none = router.ask("k")  # waits for that read
+    _, (first,) = router.request("k")
+    router.end_attempt(first, S.MISS)  # its origin read is out
+    waits, none = router.request("k")  # waits for that read
     assert none == []
-    when, token = router.alarms.pop()
+    when, token = router.timers.pop()
     router.now = when - 300
-    router.tell(api.TimerFired(token))
+    router.handle(api.TimerFired(token))
     answers = router.wait(SECOND)
     assert [one.id for one in answers if isinstance(one, api.Reject)] == [waits]
 
 
 def test_an_alarm_that_never_came_is_asked_for_anew() -> None:
     router = Router()
-    router.ask("k")
-    router.alarms.clear()
+    router.request("k")
+    router.timers.clear()
     router.now += SECOND
-    router.tell(api.ClientGone("nobody"))
-    assert min(router.alarms)[0] > router.now
+    router.handle(api.ClientGone("nobody"))
+    assert min(router.timers)[0] > router.now
 
 
 def test_withdrawn_and_late_news_of_ended_requests_are_passed_over() -> None:
     router = Router()
-    name, (first,) = router.ask("k")
-    assert router.tell(api.ClientGone(name)) == []
-    assert router.tell(api.ClientGone(name)) == []
-    assert router.end(first, S.MISS) == []
+    name, (first,) = router.request("k")
+    assert router.handle(api.ClientGone(name)) == []
+    assert router.handle(api.ClientGone(name)) == []
+    assert router.end_attempt(first, S.MISS) == []
     assert router.balancer.requests == {}
 
 
 def test_a_stream_that_has_begun_is_left_to_the_client() -> None:
     spec = api.RequestClass(SECOND, 2 * SECOND, is_streamed=True)
     router = Router(settings(classes=[spec]))
-    name, (first,) = router.ask("k")
+    name, (first,) = router.request("k")
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0
     assert router.advance() == []
     assert router.wait(10 * SECOND) == []
-    assert router.tell(api.AttemptFinished(name, 0, first.server, S.RESET, True, 9 * SECOND)) == []
+    assert router.handle(api.AttemptFinished(name, 0, first.server, S.RESET, True, 9 * SECOND)) == []
     assert router.balancer.requests == {}
 
 
 def test_a_request_without_a_key_is_placed_and_never_throttled() -> None:
     router = Router()
     router.throttle_on()
-    _, actions = router.ask(None)
+    _, actions = router.request(None)
     assert sends(actions)
 
 
 def test_through_mode_takes_a_key_not_lately_sent_as_a_likely_miss() -> None:
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     assert router.balancer.key_memory.likely_miss("k", router.now)
-    _, (first,) = router.ask("k")
+    _, (first,) = router.request("k")
     assert not router.balancer.key_memory.likely_miss("k", router.now)
-    router.end(first, S.OK)
+    router.end_attempt(first, S.OK)
     for n in range(20):
-        _, (send,) = router.ask(f"t{n}")
-        router.end(send, S.ERROR)
+        _, (send,) = router.request(f"t{n}")
+        router.end_attempt(send, S.ERROR)
     router.wait(SECOND)
     assert router.balancer.origin_admission.monitor.throttle is not None
 
 
 def test_refusals_tell_when_to_come_back_only_where_clients_are_told() -> None:
     told = Router(settings(retry_after_allowed=True, max_retry_after_ns=SECOND // 2), [])
-    assert told.ask()[1] == [api.Reject("r1", SECOND // 2)]
-    assert Router(members=[]).ask()[1] == [api.Reject("r1", 0)]
+    assert told.request()[1] == [api.Reject("r1", SECOND // 2)]
+    assert Router(endpoints=[]).request()[1] == [api.Reject("r1", 0)]
 
 
 # The list on request
@@ -630,19 +630,19 @@
     router = Router(settings(endpoints_polled=True))
     asked = 0
     for _ in range(4):
-        router.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
+        router.handle(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
         actions = router.wait(10 * SECOND)
         asked += sum(isinstance(action, api.WatchEndpoints) for action in actions)
     assert asked == 4
-    router.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, []))
+    router.handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, []))
     assert router.wait(60 * SECOND) == []
 
 
 def test_a_restart_asks_at_once_and_keeps_the_restored_list() -> None:
     router = Router(settings(endpoints_polled=True), [])
-    actions = router.tell(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
+    actions = router.handle(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
     assert actions == [api.WatchEndpoints()]
-    assert sends(router.ask()[1])
+    assert sends(router.request()[1])
 
 
 def test_time_that_passes_with_no_event_brings_about_nothing_by_itself() -> None:
@@ -654,23 +654,23 @@
 def test_one_broken_connection_marks_no_server_that_has_just_answered() -> None:
     """Where connections broke now and then, each break put a server aside for a third of a second."""
     router = Router()
-    owner = router.serve("k")
+    owner = router.fetch_and_store("k")
     server = router.balancer.servers.servers[owner]
-    _, (send,) = router.ask("k")
-    router.end(send, S.RESET)
+    _, (send,) = router.request("k")
+    router.end_attempt(send, S.RESET)
     assert server.connection.consecutive_failures < 1 and not router.log
-    _, (send,) = router.ask("k")
+    _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt) and send.server == owner
-    router.end(send, S.RESET)
+    router.end_attempt(send, S.RESET)
     assert server.connection.consecutive_failures > 0  # the second in a row
 
 
 def test_a_server_that_has_not_answered_lately_is_marked_by_the_first_break() -> None:
     router = Router()
-    owner = router.serve("k")
+    owner = router.fetch_and_store("k")
     router.wait(SECOND)
-    _, (send,) = router.ask("k")
-    router.end(send, S.CONNECT_FAILED)
+    _, (send,) = router.request("k")
+    router.end_attempt(send, S.CONNECT_FAILED)
     assert router.balancer.servers.servers[owner].connection.consecutive_failures == 1
 
 
@@ -678,15 +678,15 @@
     """Seed 109 of the short days: a repeat that was decided in time was written after its window, behind a
     connection that came up late. What a hold-up between the decision and the write may take is kept."""
     router = Router()
-    _, (first,) = router.ask(cls=1)
+    _, (first,) = router.request(class_index=1)
     assert isinstance(first, api.StartAttempt) and first.write_within_ns == 0
     router.wait(SECOND // 2)
-    (second,) = router.end(first, S.RESET)
+    (second,) = router.end_attempt(first, S.RESET)
     assert isinstance(second, api.StartAttempt)
     assert (
         second.write_within_ns
         == router.balancer.settings.classes[1].dedup_window_ns - SECOND // 2 - WINDOW_RESERVE_NS
     )
-    _, (read,) = router.ask("other")
-    (again,) = router.end(read, S.RESET)
+    _, (read,) = router.request("other")
+    (again,) = router.end_attempt(read, S.RESET)
     assert isinstance(again, api.StartAttempt) and again.write_within_ns == 0
--- a/tests/policy/test_found.py
+++ b/tests/policy/test_found.py
@@ -14,14 +14,14 @@
     router = Router()
     for one in router.balancer.servers.servers.values():
         one.range_share = 3 / 4  # slow lately
-    _, (send,) = router.ask("k")
+    _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     assert send.timeout_ns == 2 * SECOND
 
 
 def quick(router: Router) -> list[str]:
     """Keys that one quick server holds, among many."""
-    held = {f"q{n}": router.serve(f"q{n}") for n in range(24)}
+    held = {f"q{n}": router.fetch_and_store(f"q{n}") for n in range(24)}
     for one in router.balancer.servers.servers.values():
         one.latency.average_ns, one.latency.uncrowded_ns, one.range_share = 20.0 * MILLI, 20.0 * MILLI, 1.0
     return [key for key in held if held[key] == held["q0"] == router.candidates(key)[0].endpoint.server]
@@ -30,11 +30,11 @@
 def test_a_first_attempt_waits_for_some_answer_times_and_the_next_for_as_long_as_it_may() -> None:
     """Connections that fell silent cost the whole deadline, 660 ms where 13 are usual."""
     router = Router()
-    _, (send,) = router.ask(quick(router)[0])
+    _, (send,) = router.request(quick(router)[0])
     assert isinstance(send, api.StartAttempt)
     assert send.timeout_ns == SECOND // 4
     router.now += send.timeout_ns
-    (again,) = router.end(send, api.AttemptStatus.TIMEOUT, elapsed=send.timeout_ns)
+    (again,) = router.end_attempt(send, api.AttemptStatus.TIMEOUT, elapsed=send.timeout_ns)
     assert isinstance(again, api.StartAttempt) and again.server != send.server
     assert again.timeout_ns == 2 * SECOND - send.timeout_ns
 
@@ -43,9 +43,9 @@
     """Each was learnt as an answer of 660 ms, and the server's range refused until trials had undone it."""
     router = Router()
     first, second, third = quick(router)[:3]
-    _, (lost,) = router.ask(first)
+    _, (lost,) = router.request(first)
     router.now += 10 * MILLI
-    _, (later,) = router.ask(second)
+    _, (later,) = router.request(second)
     assert (
         isinstance(lost, api.StartAttempt)
         and isinstance(later, api.StartAttempt)
@@ -53,27 +53,27 @@
     )
     server = router.balancer.servers.servers[lost.server]
     router.now += 20 * MILLI
-    router.end(later, api.AttemptStatus.OK, elapsed=20 * MILLI)
+    router.end_attempt(later, api.AttemptStatus.OK, elapsed=20 * MILLI)
     before = server.latency.average_ns
     router.now += SECOND
-    router.end(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND + 30 * MILLI)
+    router.end_attempt(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND + 30 * MILLI)
     assert server.latency.average_ns == before and server.range_share == 1.0
-    _, (lost,) = router.ask(third)
+    _, (lost,) = router.request(third)
     assert isinstance(lost, api.StartAttempt) and lost.server == later.server
     router.now += SECOND
-    router.end(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND)
+    router.end_attempt(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND)
     assert server.latency.average_ns > 2 * before  # nothing sent later was answered
 
 
 def test_no_attempt_is_made_that_no_server_could_answer_in_time() -> None:
     """After a time-out at the deadline another attempt went out, and its end after 0.2 ms was learnt."""
     router = Router()
-    router.serve("k")
+    router.fetch_and_store("k")
     for one in router.balancer.servers.servers.values():
         one.latency.uncrowded_ns = 20.0 * MILLI
-    _, (send,) = router.ask("k")
+    _, (send,) = router.request("k")
     router.now += 2 * SECOND - MILLI
-    (answer,) = router.end(send, api.AttemptStatus.TIMEOUT, elapsed=2 * SECOND - MILLI)
+    (answer,) = router.end_attempt(send, api.AttemptStatus.TIMEOUT, elapsed=2 * SECOND - MILLI)
     assert isinstance(answer, api.Reject)
 
 
@@ -97,14 +97,14 @@
 
 
 def test_a_hot_key_is_sent_to_several_servers_and_others_keep_theirs() -> None:
-    router = Router(members=fleet(8))
+    router = Router(endpoints=fleet(8))
     used: dict[str, set[str]] = {}
     for n in range(120):
         key = f"k{n // 2}" if n % 2 else "hot"
-        _, (send,) = router.ask(key)
+        _, (send,) = router.request(key)
         assert isinstance(send, api.StartAttempt)
         used.setdefault(key, set()).add(send.server)
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
         router.wait(SECOND // 20)
     assert 5 <= len(used.pop("hot")) <= 8
     assert all(len(servers) == 1 for servers in used.values())
@@ -112,7 +112,7 @@
 
 def test_the_far_end_of_a_range_passes_to_the_next_while_its_server_answers_slowly() -> None:
     """Full size: each of 400 routers gave a slow server one trial an answer time, which was everything."""
-    router = Router(members=fleet(4))
+    router = Router(endpoints=fleet(4))
     keys = [f"k{n}" for n in range(400)]
     owned = [key for key in keys if router.candidates(key)[0].endpoint.server == "c1"]
     slow = router.balancer.servers.servers["c1"]
@@ -122,11 +122,11 @@
     assert slow.range_share == 9 / 16
     kept = 0
     for key in owned:
-        _, (send,) = router.ask(key)
+        _, (send,) = router.request(key)
         assert isinstance(send, api.StartAttempt)
         kept += send.server == "c1"
         assert send.server in ("c1", "c2")
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
         slow.range_share = 9 / 16
     assert abs(kept / len(owned) - 9 / 16) < 0.1
     for _ in range(16):
@@ -136,34 +136,34 @@
 
 def test_a_server_that_warms_up_gets_no_work_of_others() -> None:
     """Malabar's deploys: work that left other servers came on top of a cold server's own range."""
-    router = Router(members=[*fleet(3), api.Endpoint("c3", started_at_ns=START - SECOND)])
+    router = Router(endpoints=[*fleet(3), api.Endpoint("c3", started_at_ns=START - SECOND)])
     router.wait(7 * SECOND)
     owned = 0
     for n in range(300):
         first = router.candidates(f"k{n}")[0]
         first.range_share = 1.0 if first.endpoint.server == "c3" else 0.0
-        _, actions = router.ask(f"k{n}")
+        _, actions = router.request(f"k{n}")
         send = actions[0]
         if isinstance(send, api.StartAttempt) and send.server == "c3":
             owned += 1
             assert first.endpoint.server == "c3"
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
         router.wait(SECOND // 200)
     assert owned > 5
 
 
 def test_hot_keys_that_a_warming_server_takes_up_do_not_push_it_over() -> None:
     """Kaohsiung in a release: two hot keys moved to a cold server, 95 of its 124 requests in two seconds."""
-    router = Router(members=[*fleet(7), api.Endpoint("c7", started_at_ns=START - SECOND)])
+    router = Router(endpoints=[*fleet(7), api.Endpoint("c7", started_at_ns=START - SECOND)])
     router.wait(8 * SECOND)
     mine = [key for key in map(str, range(900)) if router.candidates(key)[0].endpoint.server == "c7"]
     mine = [key for key in mine if router.balancer.placement.ranges.locate(key)[1] < 0.8][:4]  # taken up
     sent = 0
     for n in range(400):
-        _, (send,) = router.ask(mine[n % 4] if n % 2 else f"other{n}")
+        _, (send,) = router.request(mine[n % 4] if n % 2 else f"other{n}")
         assert isinstance(send, api.StartAttempt)
         sent += send.server == "c7"
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
         router.wait(SECOND // 400)
     assert 0 < sent < 400 / 8
 
@@ -171,8 +171,8 @@
 def test_a_read_that_a_cache_could_not_fetch_is_not_sent_to_another() -> None:
     """Kochi with a slow origin: each failed fetch was tried again at a second cache."""
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
-    name, (send,) = router.ask("k")
-    assert router.end(send, api.AttemptStatus.ERROR) == [api.Reject(name)]
+    name, (send,) = router.request("k")
+    assert router.end_attempt(send, api.AttemptStatus.ERROR) == [api.Reject(name)]
 
 
 def test_a_small_machine_bears_a_small_part_of_its_range() -> None:
@@ -181,10 +181,10 @@
     router = Router(settings(cache_aside=False), members)
     counts = {one.server: 0 for one in members}
     for n in range(1200):
-        _, (send,) = router.ask(f"k{n}")
+        _, (send,) = router.request(f"k{n}")
         assert isinstance(send, api.StartAttempt)
         counts[send.server] += 1
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
     assert abs(counts["c1"] / counts["c4"] - 0.5 / (8 / 6)) < 0.1
     assert counts["c1"] + counts["c2"] == pytest.approx(2 * counts["c4"], rel=0.15)
 
@@ -193,44 +193,44 @@
 def test_equal_weights_of_any_size_leave_the_ranges_equal(weight: float) -> None:
     router = Router(settings(cache_aside=False), [api.Endpoint(f"c{n}", weight=weight) for n in range(4)])
     for n in range(200):
-        _, (send,) = router.ask(f"k{n}")
+        _, (send,) = router.request(f"k{n}")
         assert isinstance(send, api.StartAttempt)
         assert weight == 0 or send.server == router.candidates(f"k{n}")[0].endpoint.server
-        router.end(send, api.AttemptStatus.OK)
+        router.end_attempt(send, api.AttemptStatus.OK)
 
 
 def test_while_most_connects_are_refused_a_router_keeps_to_the_connections_it_has() -> None:
     """Vedi at full size: 417 routers, and each server takes 105 connections; 66% of attempts got none."""
-    router = Router(members=fleet(20))
+    router = Router(endpoints=fleet(20))
     taken = {f"c{n}" for n in range(0, 20, 4)}
     refused: list[int] = []
     for n in range(120):
-        _, actions = router.ask(f"k{n}")
+        _, actions = router.request(f"k{n}")
         refused.append(0)
         for attempt in range(4):
             (send,) = actions
             if not isinstance(send, api.StartAttempt):
                 break
             if send.server in taken:
-                router.end(send, api.AttemptStatus.OK, attempt)
+                router.end_attempt(send, api.AttemptStatus.OK, attempt)
                 break
             refused[-1] += 1
-            actions = router.end(send, api.AttemptStatus.CONNECT_FAILED, attempt, MILLI)
+            actions = router.end_attempt(send, api.AttemptStatus.CONNECT_FAILED, attempt, MILLI)
         router.wait(SECOND // 2)
     assert sum(refused[:40]) >= 6
     assert sum(refused[40:]) == 0
 
 
 def test_a_few_dead_servers_do_not_look_like_full_tables() -> None:
-    router = Router(members=fleet(20))
+    router = Router(endpoints=fleet(20))
     for n in range(200):
-        _, (send,) = router.ask(f"k{n}")
+        _, (send,) = router.request(f"k{n}")
         assert isinstance(send, api.StartAttempt)
         dead = send.server in ("c3", "c7", "c11")
-        for again in router.end(
+        for again in router.end_attempt(
             send, api.AttemptStatus.CONNECT_FAILED if dead else api.AttemptStatus.OK, 0, MILLI
         ):
-            router.end(again, api.AttemptStatus.OK, 1)
+            router.end_attempt(again, api.AttemptStatus.OK, 1)
         assert router.balancer.servers.attempts.refused_connects <= 1 / 2
         router.wait(SECOND // 10)
 
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -20,7 +20,7 @@
     every = 200 * MILLI
     router = Router(settings(gossip_interval_ns=every, router_count=60))
     assert router.balancer.servers.routers_to_account_for() == 60
-    router.tell(api.GossipReceived([api.LatencyObservation("c0", 10 * MILLI)]))
+    router.handle(api.GossipReceived([api.LatencyObservation("c0", 10 * MILLI)]))
     router.balancer.context.now_ns = router.now + intervals * every
     assert router.balancer.servers.routers_to_account_for() == routers_to_account_for
 
@@ -29,12 +29,12 @@
     """A router that gossips, with one attempt in flight at a server known to answer in 100 ms, which goes on
     answering what was sent earlier if `goes_on`."""
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=60), fleet(2))
-    router.tell(api.GossipReceived([api.LatencyObservation(f"c{n}", SECOND // 10) for n in (0, 1)]))
-    _, (send,) = router.ask("k")
+    router.handle(api.GossipReceived([api.LatencyObservation(f"c{n}", SECOND // 10) for n in (0, 1)]))
+    _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     router.wait(50 * MILLI)
     if goes_on:
-        router.tell(api.AttemptFinished("before", 0, send.server, S.OK, True, 110 * MILLI))
+        router.handle(api.AttemptFinished("before", 0, send.server, S.OK, True, 110 * MILLI))
     return router, send, router.balancer.servers.servers[send.server]
 
 
@@ -53,7 +53,7 @@
     assert ages_published(router.wait(100 * MILLI), send.server) == [] and server.latency.average_ns == before
     told = ages_published(router.wait(1500 * MILLI), send.server)
     assert told and max(told) > SECOND and server.latency.average_ns > 2 * before
-    router.end(send, S.OK, 0, 1650 * MILLI)
+    router.end_attempt(send, S.OK, 0, 1650 * MILLI)
     assert ages_published(router.wait(3 * SECOND), send.server) == []
     assert not router.balancer.servers.gossip.in_flight
 
@@ -79,7 +79,7 @@
     attempt must tell nothing of it."""
     router, send, server = router_with_late_attempt()
     router.wait(50 * MILLI)
-    router.tell(api.AttemptFinished("x", 0, send.server, S.OK, True, 20 * MILLI))
+    router.handle(api.AttemptFinished("x", 0, send.server, S.OK, True, 20 * MILLI))
     router.wait(400 * MILLI)
     assert (
         ages_published(router.wait(1500 * MILLI), send.server) == []
@@ -110,18 +110,18 @@
     )
     names = [f"c{n}" for n in range(3)]
     gossip = api.GossipReceived([api.LatencyObservation(name, SECOND // 10) for name in names])
-    router.tell(gossip)
-    name, (send,) = router.ask("k", cls, write)
+    router.handle(gossip)
+    name, (send,) = router.request("k", cls, write)
     assert isinstance(send, api.StartAttempt)
     stops = []
     for _ in range(6):
         stops += [one for one in router.wait(200 * MILLI) if isinstance(one, api.CancelAttempt)]
         assert not stops, "no proof yet that its server has answered what was sent much later"
-    router.tell(gossip)
+    router.handle(gossip)
     stops += [one for one in router.wait(300 * MILLI) if isinstance(one, api.CancelAttempt)]
     assert bool(stops) is ends and all(one == api.CancelAttempt(name, 0) for one in stops)
     if ends:
-        (again,) = router.end(send, S.TIMEOUT, 0, 1500 * MILLI)
+        (again,) = router.end_attempt(send, S.TIMEOUT, 0, 1500 * MILLI)
         assert isinstance(again, api.StartAttempt) and again.server != send.server
 
 
@@ -134,9 +134,9 @@
     router.wait(600 * MILLI)
     server.latency.average_ns, server.latency.uncrowded_ns = SECOND / 10, SECOND / 10
     for _ in range(6):
-        router.tell(api.GossipReceived([api.LatencyObservation(send.server, SECOND // 10, is_in_flight)]))
+        router.handle(api.GossipReceived([api.LatencyObservation(send.server, SECOND // 10, is_in_flight)]))
         router.wait(200 * MILLI)
     assert (server.latency.average_ns > SECOND / 5) is is_in_flight
     overloaded = server.latency.average_ns
-    router.end(send, S.TIMEOUT, 0, 1800 * MILLI)
+    router.end_attempt(send, S.TIMEOUT, 0, 1800 * MILLI)
     assert (server.latency.average_ns > overloaded) is is_in_flight, "nor is its time-out one"
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -61,7 +61,7 @@
             else:
                 self.caches.setdefault(member.server, OrderedDict())
         for number in range(len(self.routers)) if to is None else to:
-            self.routers[number].tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(members)))
+            self.routers[number].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(members)))
 
     def join(self, name: str, to: Iterable[int] | None = None) -> None:
         self.tell(api.Endpoint(name), to=to)
@@ -78,7 +78,7 @@
     def read(self, number: int, key: str) -> list[str]:
         """Plays one read to its end; gives whom it was sent to."""
         router = self.routers[number]
-        name, actions = router.ask(key)
+        name, actions = router.request(key)
         sent: list[str] = []
         missed: list[str] = []
         while actions and isinstance(actions[0], api.StartAttempt):
@@ -101,7 +101,7 @@
                     self.caches[server].move_to_end(key)
                 self.asked.append((router.now, server, "hit" if held is not None else "miss"))
             closed = status is S.OK
-            actions = router.tell(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
+            actions = router.handle(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
         return sent
 
     def _store(self, server: str, key: str) -> None:
@@ -345,7 +345,7 @@
         elif what == "late" and name not in world.listed:
             world.join(name, to=[0])
             world.run(0.5, 100, keys)
-            world.routers[1].tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint(name)]))
+            world.routers[1].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint(name)]))
         elif what == "join" and name not in world.listed:
             world.join(name)
         for n in range(60):
--- a/tests/policy/test_server.py
+++ b/tests/policy/test_server.py
@@ -25,12 +25,12 @@
     probes = 0
     for _ in range(300):
         router.wait(200 * MILLI)
-        router.tell(api.GossipReceived([api.LatencyObservation("c0", 2 * SECOND)]))
-        _, actions = router.ask("k")
+        router.handle(api.GossipReceived([api.LatencyObservation("c0", 2 * SECOND)]))
+        _, actions = router.request("k")
         for send in actions:
             if isinstance(send, api.StartAttempt):
                 probes += 1
                 router.now += 1
                 server.is_probing = False
-                router.tell(api.AttemptFinished(send.id, 0, send.server, S.ABANDONED, False, 1))
+                router.handle(api.AttemptFinished(send.id, 0, send.server, S.ABANDONED, False, 1))
     assert (20 if routers == 1 else 1) <= probes <= (60 if routers == 1 else 10)
--- a/tests/policy/test_sums.py
+++ b/tests/policy/test_sums.py
@@ -21,7 +21,7 @@
     for n in range(rate * seconds):
         router.wait(SECOND // rate)
         if told is not None:
-            router.tell(api.TrafficFractions(told, SECOND))
+            router.handle(api.TrafficFractions(told, SECOND))
         beyond += router.balancer.tenant_quotas.is_over_quota(api.Request(str(n), 0, 0, "k", tenant=1))
     return beyond / (rate * seconds)
 
@@ -55,7 +55,7 @@
 
 def test_a_told_part_ends() -> None:
     router = of_two()
-    router.tell(api.TrafficFractions([1.0, 1.0], SECOND))
+    router.handle(api.TrafficFractions([1.0, 1.0], SECOND))
     router.wait(2 * SECOND)
     assert marked(router, int(QUOTA), 10, None) > 0.5
 
@@ -66,8 +66,8 @@
     router = Router(settings(), fleet(6))
     before = {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()}
     for n in range(20):
-        _, (send,) = router.ask(f"k{n}")
-        (refused,) = router.end(send, S.NO_LOCAL_CONNECTION, 0, 1)
+        _, (send,) = router.request(f"k{n}")
+        (refused,) = router.end_attempt(send, S.NO_LOCAL_CONNECTION, 0, 1)
         assert refused == api.Reject(send.id, refused.retry_after_ns)  # type: ignore[union-attr]
         assert refused.reason == "room"
     assert {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()} == before
@@ -79,8 +79,8 @@
 
 def test_a_write_waits_for_room_while_its_aim_lasts() -> None:
     router = Router(settings(), fleet(6))
-    _, (send,) = router.ask("k", 1, write=True)
-    assert router.end(send, S.NO_LOCAL_CONNECTION, 0, 1) == []
+    _, (send,) = router.request("k", 1, write=True)
+    assert router.end_attempt(send, S.NO_LOCAL_CONNECTION, 0, 1) == []
     assert [type(one) for one in router.wait(200 * MILLI)] == [api.StartAttempt]
 
 
@@ -95,9 +95,9 @@
     router.balancer.attempt_admission.fleet_read_allowance = allowance
     how = []
     for n in range(3):
-        _, (send,) = router.ask(f"k{n}")
-        how.append(router.end(send, S.MISS)[0])
+        _, (send,) = router.request(f"k{n}")
+        how.append(router.end_attempt(send, S.MISS)[0])
     assert isinstance(how[0], api.StartAttempt)
     assert [one.reason for one in how[1:] if isinstance(one, api.Reject)] == ["total", "total"]
-    name, (send,) = router.ask("w", 1, write=True)
+    name, (send,) = router.request("w", 1, write=True)
     assert isinstance(send, api.StartAttempt) and send.id == name, "orders are not in it"
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -80,16 +80,16 @@
     """Fails what goes to zone 1, as a link that is cut does; gives how many attempts it took."""
     failed = 0
     for n in range(200):
-        _, actions = router.ask(f"key{n}")
+        _, actions = router.request(f"key{n}")
         for attempt in range(4):
             sent = [one for one in actions if isinstance(one, api.StartAttempt)]
             if not sent:
                 break
             if router.balancer.servers.servers[sent[0].server].endpoint.zone == 0:
-                router.end(sent[0], S.OK, attempt)
+                router.end_attempt(sent[0], S.OK, attempt)
                 break
             failed += 1
-            actions = router.end(sent[0], S.CONNECT_FAILED, attempt, 250 * MILLI)
+            actions = router.end_attempt(sent[0], S.CONNECT_FAILED, attempt, 250 * MILLI)
     return failed
 
 
@@ -107,10 +107,10 @@
     cut_off(router)
     router.wait(2 * SECOND)
     for n in range(99):
-        _, (send, *_) = router.ask(f"after{n}")
+        _, (send, *_) = router.request(f"after{n}")
         assert isinstance(send, api.StartAttempt)
         home = router.balancer.servers.servers[send.server].endpoint.zone
-        router.end(send, S.OK, 0, 10 * MILLI, reused=reused)
+        router.end_attempt(send, S.OK, 0, 10 * MILLI, reused=reused)
         if home == 1:
             return send
     raise AssertionError("the zone was never tried again")
@@ -135,4 +135,4 @@
     first = zone_comes_back(router, reused=True)
     assert router.balancer.servers.servers[first.server].slow_start.started_at_ns == 0
     assert len(router.balancer.servers.ejected_servers()) <= FAILED_SERVERS_TO_EJECT_ZONE
-    assert isinstance(router.ask("later")[1][0], api.StartAttempt)
+    assert isinstance(router.request("later")[1][0], api.StartAttempt)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,16 +1,19 @@
-"""Small helpers of the tests: settings, events and a router driven step by step."""
+"""A router's decisions driven step by step, with settings and servers for it. No sockets, no real time."""
 
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
 from rainhitch.policy.server_registry import Server
 
-SECOND = 1_000_000_000
-MILLI = 1_000_000
+SECOND = 1_000_000_000  # ns
+MILLI = 1_000_000  # ns
 ORIGIN_KIND = 9
-START = 100 * SECOND
+START = 100 * SECOND  # a router's clock at its start, ns
+SEED = 7
+FAILED_READS_TO_THROTTLE = 6  # in one second
 
 
 def settings(**changes: object) -> api.Settings:
+    """Settings with a class of each kind of idempotency and dedup scope, with the given fields changed."""
     values: dict[str, object] = {
         "classes": [
             api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND, late_weight=0.5),
@@ -32,30 +35,31 @@
 
 
 def fleet(count: int = 4, origin: bool = True) -> list[api.Endpoint]:
-    members = [api.Endpoint(f"c{n}", zone=n % 2, cell=n % 3) for n in range(count)]
-    return members + ([api.Endpoint("origin", kind=ORIGIN_KIND)] if origin else [])
+    """So many cache servers, c0 and up, over two zones and three cells; and the origin, if wanted."""
+    servers = [api.Endpoint(f"c{number}", zone=number % 2, cell=number % 3) for number in range(count)]
+    return servers + ([api.Endpoint("origin", kind=ORIGIN_KIND)] if origin else [])
 
 
 class Router:
-    """A balancer with its own clock; alarms come when they are due."""
+    """A balancer with a clock of its own, `now` in ns; its timers fire when they are due."""
 
     def __init__(
         self,
         options: api.Settings | None = None,
-        members: list[api.Endpoint] | None = None,
-        damper: api.OverloadControl | None = None,
+        endpoints: list[api.Endpoint] | None = None,
+        overload_control: api.OverloadControl | None = None,
     ) -> None:
-        self.balancer = Balancer(options or settings(), 7, damper)
+        self.balancer = Balancer(options or settings(), SEED, overload_control)
         self.now = START
-        self.alarms: list[tuple[int, str]] = []
-        self.round_at = START + self.balancer.settings.gossip_interval_ns  # when the next period is over
+        self.timers: list[tuple[int, str]] = []  # when, ns; token
+        self.gossip_due_at = START + self.balancer.settings.gossip_interval_ns
         self.log: list[str] = []
-        self.count = 0
-        listed = fleet() if members is None else members
-        self.tell(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, listed))
+        self.request_count = 0
+        listed = fleet() if endpoints is None else endpoints
+        self.handle(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, listed))
 
-    def tell(self, event: api.Event) -> list[api.Action]:
-        """Plays an event; gives the actions that concern requests or the list."""
+    def handle(self, event: api.Event) -> list[api.Action]:
+        """Handles an event now; gives the actions on requests and the list. Timers and log lines are kept."""
         return self._carry_out(self.balancer.handle(self.now, event))
 
     def advance(self) -> list[api.Action]:
@@ -66,76 +70,92 @@
         actions: list[api.Action] = []
         for action in taken:
             if isinstance(action, api.SetTimer):
-                self.alarms.append((self.now + action.delay_ns, action.token))
+                self.timers.append((self.now + action.delay_ns, action.token))
             elif isinstance(action, api.LogLine):
                 self.log.append(action.text)
             else:
                 actions.append(action)
         return actions
 
-    def wait(self, delay: int) -> list[api.Action]:
-        """Lets time pass, with every alarm on the way, and each period between routers where they tell."""
-        end, actions = self.now + delay, []
-        every = self.balancer.settings.gossip_interval_ns
+    def wait(self, delay_ns: int) -> list[api.Action]:
+        """Lets time pass; timers fire on the way, and gossip intervals end where there is gossip."""
+        end = self.now + delay_ns
+        actions: list[api.Action] = []
+        gossip_interval_ns = self.balancer.settings.gossip_interval_ns
         while True:
-            due = [(at, token) for at, token in self.alarms if at <= end]
-            if every and self.round_at <= end:
-                due.append((self.round_at, ""))
+            due = [(at, token) for at, token in self.timers if at <= end]
+            if gossip_interval_ns and self.gossip_due_at <= end:
+                due.append((self.gossip_due_at, ""))
             if not due:
                 break
-            alarm = min(due)
-            self.now = max(self.now, alarm[0])
-            if alarm[1]:
-                self.alarms.remove(alarm)
-                actions += self.tell(api.TimerFired(alarm[1]))
+            timer = min(due)
+            at, token = timer
+            self.now = max(self.now, at)
+            if token:
+                self.timers.remove(timer)
+                actions += self.handle(api.TimerFired(token))
             else:
-                self.round_at += every
-                actions += self.tell(api.GossipIntervalElapsed())
+                self.gossip_due_at += gossip_interval_ns
+                actions += self.handle(api.GossipIntervalElapsed())
         self.now = end
         return actions
 
-    def ask(
-        self, key: str | None = "k", cls: int = 0, write: bool = False, tenant: int = 0
+    def request(
+        self, key: str | None = "k", class_index: int = 0, write: bool = False, tenant: int = 0
     ) -> tuple[str, list[api.Action]]:
-        self.count += 1
-        name = f"r{self.count}"
-        deadline = self.now + self.balancer.settings.classes[cls].deadline_ns
-        return name, self.tell(api.Request(name, cls, deadline, key, write, tenant))
-
-    def end(
+        """Receives a request with the longest deadline of its class; gives its id and the actions."""
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        deadline_ns = self.now + self.balancer.settings.classes[class_index].deadline_ns
+        event = api.Request(request_id, class_index, deadline_ns, key, write, tenant)
+        return request_id, self.handle(event)
+
+    def end_attempt(
         self,
-        send: api.Action,
+        started: api.Action,
         status: api.AttemptStatus,
         attempt: int = 0,
         elapsed: int = 10 * MILLI,
         load: api.LoadReport | None = None,
         reused: bool | None = None,
     ) -> list[api.Action]:
-        """Ends the attempt that this Send began."""
-        assert isinstance(send, api.StartAttempt)
-        closed = status is api.AttemptStatus.OK
-        told = api.AttemptFinished(
-            send.id, attempt, send.server, status, closed, elapsed, load=load, connection_reused=reused
+        """Ends the attempt that this StartAttempt began, after `elapsed` ns; gives the actions.
+
+        `attempt` is its number in the request, `load` the server's report, `reused` whether its connection
+        had carried others.
+        """
+        assert isinstance(started, api.StartAttempt)
+        is_answered = status is api.AttemptStatus.OK
+        event = api.AttemptFinished(
+            started.id,
+            attempt,
+            started.server,
+            status,
+            is_answered,
+            elapsed,
+            load=load,
+            connection_reused=reused,
         )
-        return self.tell(told)
+        return self.handle(event)
 
     def candidates(self, key: str) -> list[Server]:
+        """The servers of a key's range: its owner, and who stands in for it, in their order."""
         balancer = self.balancer
         return [balancer.servers.servers[name] for name in balancer.placement.ranges.locate(key)[2]]
 
-    def serve(self, key: str) -> str:
-        """Lets a key be fetched and stored; gives the server that holds it."""
-        _, (first,) = self.ask(key)
-        (second,) = self.end(first, api.AttemptStatus.MISS)
-        self.end(second, api.AttemptStatus.OK, 1)
+    def fetch_and_store(self, key: str) -> str:
+        """Lets a key be read from the origin and stored; gives the server that holds it now."""
+        _, (first,) = self.request(key)
+        (second,) = self.end_attempt(first, api.AttemptStatus.MISS)
+        self.end_attempt(second, api.AttemptStatus.OK, 1)
         assert isinstance(first, api.StartAttempt)
         return first.server
 
     def throttle_on(self) -> None:
-        """Makes the origin fail until the monitor acts."""
-        for n in range(6):
-            _, (first,) = self.ask(f"on{n}")
-            (second,) = self.end(first, api.AttemptStatus.MISS)
-            self.end(second, api.AttemptStatus.FULL, 1)
+        """Makes the origin fail until its throttle is on."""
+        for number in range(FAILED_READS_TO_THROTTLE):
+            _, (first,) = self.request(f"on{number}")
+            (second,) = self.end_attempt(first, api.AttemptStatus.MISS)
+            self.end_attempt(second, api.AttemptStatus.FULL, 1)
         self.wait(SECOND)
         assert self.balancer.origin_admission.monitor.throttle is not None
