--- a/benchmarks/resp3.py
+++ b/benchmarks/resp3.py
@@ -19,7 +19,10 @@
 
 import hiredis
 
-from rainhitch.protocol import resp, resp3
+from rainhitch.protocol import resp
+from rainhitch.protocol.resp3_reader import MAX_MESSAGE_BYTES, Resp3Reader
+from rainhitch.protocol.resp3_types import Map, Push
+from rainhitch.protocol.resp3_writer import encode
 
 SEEDS: list[bytes] = [
     b"*3\r\n$5\r\nhello\r\n$3\r\nhit\r\n$-1\r\n",
@@ -46,7 +49,7 @@
     b"\0",
     b"*1\r\n" * 3,
 ]
-MOST_KEPT = resp3.MOST_FRAME + (1 << 17)
+MOST_KEPT = MAX_MESSAGE_BYTES + (1 << 17)
 
 
 def mutate(random: Random) -> bytes:
@@ -72,15 +75,15 @@
     FramingError."""
     random, fine = Random(seed), 0
     for _ in range(count):
-        text, reader = mutate(random), resp3.Reader(long=random.random() < 0.5)
+        text, reader = mutate(random), Resp3Reader(relays_long_values=random.random() < 0.5)
         at = steps = 0
         try:
             while at < len(text):
                 piece = text[at : at + random.randint(1, 20)]
                 at += len(piece)
                 reader.feed(piece)
-                while reader.next() is not resp.WAITING:
-                    reader.body()
+                while reader.next() is not resp.NEED_DATA:
+                    reader.read_body()
                     steps += 1
                     if steps > 4 * len(text) + 16:
                         raise AssertionError(f"no end: {text!r}")
@@ -107,8 +110,12 @@
 def codec_costs() -> None:
     value = b"v" * 400
     two = b"*3\r\n$400\r\n" + value + b"\r\n$3\r\nhit\r\n$-1\r\n"
-    three = resp3.encode([value, resp3.Map(((b"note", b"hit"),))], 3)
-    frames, own, other = resp.Frames(answers=True), resp3.Reader(long=True), hiredis.Reader()
+    three = encode([value, Map(((b"note", b"hit"),))], 3)
+    frames, own, other = (
+        resp.Resp2Reader(reads_replies=True),
+        Resp3Reader(relays_long_values=True),
+        hiredis.Reader(),
+    )
 
     def plain() -> None:
         frames.feed(two)
@@ -127,7 +134,7 @@
         f"an answer of 400 bytes: plain path of RESP2 {costs[0]:.1f} us, RESP3 by hiredis {costs[1]:.1f} us ",
         end="",
     )
-    print(f"(without bounds), by protocol/resp3.py {costs[2]:.1f} us")
+    print(f"(without bounds), by protocol/resp3_reader.py {costs[2]:.1f} us")
 
 
 def cpu() -> float:
@@ -174,7 +181,7 @@
         memory = bench.driver.balancer.key_memory
         for n in range(10_000):
             memory.remember(f"k{n}", 1, "c0")
-        texts = [resp3.encode(resp3.Push((b"invalidate", [b"k%d" % n])), 3) for n in range(10_000)]
+        texts = [encode(Push((b"invalidate", [b"k%d" % n])), 3) for n in range(10_000)]
         line, begun = bench.cache.lines[0], cpu()
         for n in range(count):
             line.write(texts[n % 10_000])
--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -46,7 +46,7 @@
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
-        self.frames: resp.Stream = resp.Frames(answers=True)
+        self.frames: resp.ReplyReader = resp.Resp2Reader(reads_replies=True)
 
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
         """The command as the client sent it, with another info list."""
@@ -63,24 +63,24 @@
         except resp.FramingError:
             self.fail_protocol()
             return
-        if answer is not resp.WAITING:
+        if answer is not resp.NEED_DATA:
             self._end(answer)
 
     def next_answer(self) -> object:
         """The active attempt's answer, once it is whole; what there is of a long value goes on."""
         answer = self.frames.next() if self.relay is None else self._pass_on(self.relay)
-        if isinstance(answer, resp.Long):
-            self.start_relay(answer.size)
-            answer = resp.WAITING if self.relay is None else self._pass_on(self.relay)
+        if isinstance(answer, resp.LongValue):
+            self.start_relay(answer.size_bytes)
+            answer = resp.NEED_DATA if self.relay is None else self._pass_on(self.relay)
         return answer
 
     def _pass_on(self, relay: Relay) -> object:
         """Passes on what has come of a long value; gives what stands behind it, once that is here."""
-        piece = self.frames.body()
+        piece = self.frames.read_body()
         if piece:
             relay.feed(piece)
         # Guards against a client that has left meanwhile: then this connection is closed.
-        return resp.WAITING if self.frames.body_left or self.relay is None else self.frames.next()
+        return resp.NEED_DATA if self.frames.body_bytes_left or self.relay is None else self.frames.next()
 
     def _end(self, answer: object) -> None:
         if self.relay is not None and isinstance(answer, list):
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -54,14 +54,14 @@
             self.put(answer)
         else:
             self.host.events.count(ClientEvent.BAD_COMMAND)
-            self.put(resp.error("unknown command"))
+            self.put(resp.error_reply("unknown command"))
         return False
 
     def put(self, answer: bytes) -> None:
         """Appends an answer that is ready."""
         self.responses.put(answer, self.session.version)
 
-    def reject_rest(self, frames: resp.Frames) -> bytes:
+    def reject_rest(self, frames: resp.Resp2Reader) -> bytes:
         """The answers to commands that were read and not handled: they are rejected.
 
         They do not cross the end of the connection, and nothing of them has begun.
@@ -70,7 +70,7 @@
         with contextlib.suppress(resp.FramingError):
             while isinstance(parts := frames.next(), list):
                 self.host.count_rejected_command(parts)
-                answers.append(resp.refused(0))
+                answers.append(resp.busy_reply(0))
         frames.buffer.clear()
         return b"".join(answers)
 
@@ -79,7 +79,7 @@
             client_request = parse_client_request(parts, self.host.names)
         except ClientRequestError as problem:
             self.host.events.count(ClientEvent.BAD_COMMAND)
-            self.put(resp.error(str(problem)))
+            self.put(resp.error_reply(str(problem)))
             return
         client_request.wait_ms = max(1, client_request.wait_ms - unread_ms)
         client_request.unread_ms = unread_ms
@@ -91,7 +91,7 @@
         except Exception:
             # Protects the connection's other commands: this one alone fails.
             log.exception("request could not be accepted id=%s", client_request.id.decode())
-            slot.fill(resp.FAILED)
+            slot.fill(resp.FAILED_REPLY)
             return
         is_answered = slot.answer is not None or slot.relay is not None
         slot.request = None if is_answered else request
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -91,7 +91,7 @@
         self.state = CONNECTION_OPEN
         self.close_reason: CloseReason | None = None
         self.transport: asyncio.Transport | None = None
-        self.frames = resp.Frames()
+        self.frames = resp.Resp2Reader()
         self.session = Session(host.next_connection_id(), host.authenticator, host.can_serve)
         self.responses = ResponseQueue(self, host)
         self.commands = ClientCommands(host, self.session, self.responses)
@@ -234,7 +234,7 @@
                 if responses.write_buffer_full or len(responses.slots) >= MAX_PIPELINED_COMMANDS:
                     break
                 parts = self.frames.next()
-                if parts is resp.WAITING:
+                if parts is resp.NEED_DATA:
                     break
                 handled += 1
                 self.command_count += 1
@@ -255,7 +255,7 @@
         self.note_close_reason(reason)
         self.host.events.count(ClientEvent.ENDED_ON_ERROR)
         self._read_no_more()
-        self.commands.put(resp.error(problem))
+        self.commands.put(resp.error_reply(problem))
 
     def finish(self) -> None:
         """Reads no more: what has been read is answered, then all is closed."""
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -128,7 +128,7 @@
         retry_after_ns = 0
         if self.overload is not None:
             retry_after_ns = self.overload.connection_rejected(self.system.now())
-        return resp.refused(-(-retry_after_ns // NS_PER_MS))  # rounded up
+        return resp.busy_reply(-(-retry_after_ns // NS_PER_MS))  # rounded up
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
         """Counts the command of a client that had no room."""
--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -19,7 +19,7 @@
 from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.node.endpoint_list import EndpointListError
 from rainhitch.node.polling import POLLED_TIMES, PUSHED_TIMES, PollCall, PollSchedule
-from rainhitch.protocol.http1 import Answer, Http, HttpError
+from rainhitch.protocol.http1 import HttpClientCodec, HttpError, HttpResponse
 from rainhitch.telemetry.counts import Counts
 
 LIST_PATH = "/api/targets"
@@ -46,7 +46,7 @@
     return type(problem).__name__
 
 
-async def answer_within(patience_s: float, asking: Coroutine[Any, Any, Answer]) -> Answer:
+async def answer_within(patience_s: float, asking: Coroutine[Any, Any, HttpResponse]) -> HttpResponse:
     """The answer of `asking`; raises TimeoutError where none has come after `patience_s`.
 
     Guards against a late event loop, whose timers run before its sockets are read: a call would fail though
@@ -68,9 +68,9 @@
     """One connection to discovery, which carries one call at a time."""
 
     def __init__(self, host: str) -> None:
-        self.http = Http(host, MAX_LIST_BYTES)
+        self.http = HttpClientCodec(host, MAX_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[Answer] | None = None
+        self.answer: asyncio.Future[HttpResponse] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is open."""
@@ -95,7 +95,7 @@
         if self.answer is not None and not self.answer.done():
             self.answer.set_exception(ConnectionResetError("discovery closed the connection"))
 
-    async def get(self, target: str) -> Answer:
+    async def get(self, target: str) -> HttpResponse:
         """The answer to a GET; raises HttpError, or ConnectionResetError where the connection is closed."""
         if self.transport is None:
             raise ConnectionResetError("discovery closed the connection")
@@ -229,7 +229,7 @@
             raise HttpError(f"status {answer.status}")
         self.directory.apply(orjson.loads(bytes(answer.body)))
 
-    async def _get(self, target: str) -> Answer:
+    async def _get(self, target: str) -> HttpResponse:
         connection = await self._connected()
         return await connection.get(target)
 
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -5,11 +5,11 @@
 from rainhitch.interface import AttemptStatus
 from rainhitch.node.client_request import AttemptResult, ClientRequest
 from rainhitch.node.upstream_connection import OwningPool, UpstreamConnection
-from rainhitch.protocol.http1 import Answer, Http, HttpError
-from rainhitch.protocol.resp import MOST_LONG, MOST_VALUE
+from rainhitch.protocol.http1 import HttpClientCodec, HttpError, HttpResponse
+from rainhitch.protocol.resp import MAX_RELAYED_VALUE_BYTES, MAX_VALUE_BYTES
 
 
-def result_of_answer(answer: Answer) -> AttemptResult | None:
+def result_of_answer(answer: HttpResponse) -> AttemptResult | None:
     """What the origin's answer says; None for one that it does not give.
 
     A 503 or 504 proves that the request never ran only where the origin itself says so.
@@ -26,7 +26,9 @@
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
-        self.http = Http(f"{pool.address[0]}:{pool.address[1]}", MOST_VALUE, MOST_LONG)
+        self.http = HttpClientCodec(
+            f"{pool.address[0]}:{pool.address[1]}", MAX_VALUE_BYTES, MAX_RELAYED_VALUE_BYTES
+        )
 
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
         """GET for a read, PUT for a write; id and info list are headers."""
@@ -42,8 +44,8 @@
         except HttpError:
             self.fail_protocol()
             return
-        if self.http.answer.long:
-            self._pass_on(self.http.answer.long)
+        if self.http.response.long_body_bytes:
+            self._pass_on(self.http.response.long_body_bytes)
             if self.relay is None:
                 return  # nobody wants it, or its client has left meanwhile: this connection is closed
         if answer is not None:
@@ -56,7 +58,7 @@
     def _pass_on(self, size_bytes: int) -> None:
         if self.relay is None:
             self.start_relay(size_bytes)
-        piece = self.http.piece()
+        piece = self.http.read_body()
         if piece and self.relay is not None:
             self.relay.feed(piece)
 
--- a/rainhitch/node/read_flow.py
+++ b/rainhitch/node/read_flow.py
@@ -15,7 +15,7 @@
     __slots__ = ("buffered_bytes", "frames", "limits", "paused", "responses", "turn_over", "unread_age")
 
     def __init__(
-        self, limits: BufferLimits, frames: resp.Frames, responses: ResponseQueue, unread_age: UnreadAge
+        self, limits: BufferLimits, frames: resp.Resp2Reader, responses: ResponseQueue, unread_age: UnreadAge
     ) -> None:
         self.limits = limits
         self.frames = frames
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -39,7 +39,7 @@
     def __init__(self, host: RejectingHost, transport: asyncio.Transport) -> None:
         self.host = host
         self.transport = transport
-        self.frames = resp.Frames()
+        self.frames = resp.Resp2Reader()
         transport.write(host.rejection())
         transport.write_eof()
         self.linger_timer = host.loop.call_later(LINGER_S, transport.abort)
@@ -54,7 +54,7 @@
             parts = None
         if isinstance(parts, list) and not self.transport.is_closing():
             self.host.count_rejected_command(parts)
-        if parts is not resp.WAITING:
+        if parts is not resp.NEED_DATA:
             self.transport.close()
 
     def drain_now(self) -> None:
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -1,6 +1,6 @@
 """A long value on its way from a server's connection to a client's, a piece at a time.
 
-Theory. An answer up to resp.MOST_VALUE is read whole before any of it goes on, so that one that is spoilt
+Theory. An answer up to MAX_VALUE_BYTES is read whole before any of it goes on, so that one that is spoilt
 costs an attempt and no more. A longer one is not kept: it goes on as it arrives, and from its first byte on
 there is no other attempt. So the last byte is held back until what stands behind the value has been found
 good, and until then a client can tell that it has not got the whole.
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -73,13 +73,13 @@
         request_id = client_request.id.decode()
         if request_id in self.requests:
             self.accounting.id_in_use(client_request)
-            sink.fill(resp.error("this id is in use"))
+            sink.fill(resp.error_reply("this id is in use"))
             return None
         size_bytes = client_request.size_bytes()
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
             self.accounting.no_room(client_request)
-            sink.fill(resp.refused(0))  # it has not begun, so that a retry is harmless
+            sink.fill(resp.busy_reply(0))  # it has not begun, so that a retry is harmless
             return None
         now = self.clock.now()
         class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
@@ -139,7 +139,7 @@
         end of a graceful shutdown. The decisions are told as if its client had left: nothing more is owed.
         """
         if request.is_open():
-            self._answer(request, resp.FAILED, self.metrics.failed, "failed:overdue")
+            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, "failed:overdue")
             self.decisions.handle(api.ClientGone(request.id))
             self.forget_if_over(request)
 
@@ -188,15 +188,15 @@
             return
         if isinstance(action, api.Reject):
             retry_after_ms = -(-action.retry_after_ns // NS_PER_MS)  # rounded up
-            answer = resp.refused(retry_after_ms)
+            answer = resp.busy_reply(retry_after_ms)
             self._answer(request, answer, self.metrics.rejected, f"refused:{action.reason}")
         else:
-            self._answer(request, resp.FAILED, self.metrics.failed, f"failed:{action.reason}")
+            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, f"failed:{action.reason}")
         self.forget_if_over(request)
 
     def served(self, request: InFlightRequest, value: object) -> None:
         """Answers the client with the value of an attempt."""
-        answer = resp.bulk(value) if isinstance(value, bytes) else request.sink.form(value)
+        answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
         self._answer(request, answer, self.metrics.served, "served")
 
     def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -14,7 +14,9 @@
 from rainhitch.node.client_request import AttemptResult
 from rainhitch.node.upstream_connection import OwningPool
 from rainhitch.protocol import resp
-from rainhitch.protocol.resp3 import Error, Map, Push, Reader, encode, text_of
+from rainhitch.protocol.resp3_reader import Resp3Reader
+from rainhitch.protocol.resp3_types import ErrorReply, Map, Push, text_of
+from rainhitch.protocol.resp3_writer import encode
 
 HELLO = resp.command(b"HELLO", b"3")
 
@@ -25,7 +27,7 @@
     The last two come as strings or in a map. None for an answer that no command of ours can have, or whose
     value has no form that a client of RESP2 takes for served.
     """
-    if isinstance(answer, Error):
+    if isinstance(answer, ErrorReply):
         return result_of_error(answer.text)
     if not isinstance(answer, list) or len(answer) not in (2, 3):
         return None
@@ -58,7 +60,7 @@
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
         self.version = 2
-        self.reader = Reader(long=True)
+        self.reader = Resp3Reader(relays_long_values=True)
         self.greeting_timer: asyncio.TimerHandle | None = None  # while HELLO is not answered
 
     def connected(self) -> None:
@@ -102,16 +104,16 @@
         except resp.FramingError:
             self._fail_greeting(AttemptStatus.CONNECT_FAILED)
             return
-        if answer is resp.WAITING:
+        if answer is resp.NEED_DATA:
             return
-        error = result_of_error(answer.text) if isinstance(answer, Error) else None
+        error = result_of_error(answer.text) if isinstance(answer, ErrorReply) else None
         if isinstance(answer, Map) and answer.get(b"proto") == 3:
             self.version = 3
             self.frames = self.reader
         elif error is not None and error.status is AttemptStatus.FULL:
             self._fail_greeting(AttemptStatus.FULL)
             return
-        elif isinstance(answer, Error) and self.reader.idle():
+        elif isinstance(answer, ErrorReply) and self.reader.idle():
             self.pool.known_protocol = 2
         else:
             self._fail_greeting(AttemptStatus.CONNECT_FAILED)
@@ -170,7 +172,7 @@
                 self._pushed(more)
         except resp.FramingError:
             return False
-        return more is resp.WAITING and (self.reader.idle() or self.reader.in_push())
+        return more is resp.NEED_DATA and (self.reader.idle() or self.reader.in_push())
 
     def _pushed(self, push: Push) -> None:
         keys = push.items[1] if len(push.items) == 2 else 0
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -78,7 +78,7 @@
     def keep(self, slot: ResponseSlot, answer: bytes) -> bytes:
         """The answer to hold until its turn comes. Guards memory: where there is no room it is an error."""
         if len(answer) > SMALL_ANSWER_BYTES and not self.has_room(slot, len(answer)):
-            return resp.FAILED
+            return resp.FAILED_REPLY
         return answer
 
     def has_room(self, slot: ResponseSlot, size_bytes: int) -> bool:
@@ -101,7 +101,7 @@
         while self.slots and not self.write_buffer_full and self.transport is not None:
             slot = self.slots[0]
             if slot.relay is not None and slot.relay.is_broken() and not slot.relay.head_written:
-                slot.answer = resp.FAILED
+                slot.answer = resp.FAILED_REPLY
                 slot.relay = None
             if slot.relay is not None:
                 is_whole = self._pass_on(slot.relay, b"".join(ready))
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -58,14 +58,14 @@
 
     def form(self, value: object) -> bytes:
         """Encodes a RESP3 value in the client's protocol version."""
-        from rainhitch.protocol.resp3 import encode  # only where a server speaks RESP3
+        from rainhitch.protocol.resp3_writer import encode  # only where a server speaks RESP3
 
         return encode(value, self.version)
 
     def stream(self, relay: Relay) -> None:
         """Takes a long value, which is passed on as it arrives once its turn has come."""
         if not self.queue.has_room(self, READ_PIECE_BYTES):
-            self.fill(resp.FAILED)
+            self.fill(resp.FAILED_REPLY)
             relay.leave()
             return
         self.relay = relay
--- a/rainhitch/protocol/etcd.py
+++ b/rainhitch/protocol/etcd.py
@@ -1,16 +1,20 @@
-"""The messages of etcd's v3 gRPC API that a membership needs, as published (packages etcdserverpb, mvccpb).
+"""The messages of etcd's v3 gRPC API that membership needs, as published (packages etcdserverpb, mvccpb).
 
-Built at run time from this table with protobuf's own descriptors, so that nothing is generated. Field
-numbers are those of rpc.proto and kv.proto; what is left out is skipped when read. Each class is an
-ordinary protobuf message; `path` gives a method's, `/etcdserverpb.KV/Range` and the like.
+They are built at run time from a table of fields, with protobuf's own descriptors, so that nothing is
+generated. Field numbers are those of rpc.proto and kv.proto; fields that are left out are skipped when read.
+Each class is an ordinary protobuf message.
+
+The rehearsal kit's fake of etcd shares this module with the router, as both would share the published .proto
+files: it holds names and numbers, no behaviour. A wrong number would not be noticed between the two;
+`tests/membership/test_stand_in.py` therefore reads the fake with an independent client.
 """
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
 Field = descriptor_pb2.FieldDescriptorProto
-KINDS = {
+FIELD_TYPES = {
     "int64": Field.TYPE_INT64,
     "uint64": Field.TYPE_UINT64,
     "bool": Field.TYPE_BOOL,
@@ -18,8 +22,7 @@
     "string": Field.TYPE_STRING,
     "enum": Field.TYPE_INT32,  # same on the wire, and open to values that are not known here
 }
-# message: its fields as "kind name=number"; * repeated, ?group a member of the oneof of that name
-TABLE: dict[str, str] = {
+FIELDS: dict[str, str] = {
     "KeyValue": "bytes key=1, int64 create_revision=2, int64 mod_revision=3, int64 version=4, bytes value=5, "
     "int64 lease=6",
     "Event": "enum type=1, KeyValue kv=2, KeyValue prev_kv=3",
@@ -61,22 +64,47 @@
     "AuthenticateRequest": "string name=1, string password=2",
     "AuthenticateResponse": "ResponseHeader header=1, string token=2",
 }
-# method: what is asked, what is answered, whether requests and answers stream
-METHODS: dict[str, tuple[str, str, bool]] = {
-    "KV/Range": ("RangeRequest", "RangeResponse", False),
-    "KV/Put": ("PutRequest", "PutResponse", False),
-    "KV/DeleteRange": ("DeleteRangeRequest", "DeleteRangeResponse", False),
-    "KV/Txn": ("TxnRequest", "TxnResponse", False),
-    "KV/Compact": ("CompactionRequest", "CompactionResponse", False),
-    "Watch/Watch": ("WatchRequest", "WatchResponse", True),
-    "Lease/LeaseGrant": ("LeaseGrantRequest", "LeaseGrantResponse", False),
-    "Lease/LeaseRevoke": ("LeaseRevokeRequest", "LeaseRevokeResponse", False),
-    "Lease/LeaseKeepAlive": ("LeaseKeepAliveRequest", "LeaseKeepAliveResponse", True),
-    "Auth/Authenticate": ("AuthenticateRequest", "AuthenticateResponse", False),
+"""Fields of each message, as "type name=number". type* is repeated, type?group a member of that oneof."""
+
+
+class Method(NamedTuple):
+    """A method of the API: the names of its messages, and whether both directions are streams."""
+
+    request: str
+    response: str
+    is_streaming: bool
+
+
+METHODS: dict[str, Method] = {
+    "KV/Range": Method("RangeRequest", "RangeResponse", False),
+    "KV/Put": Method("PutRequest", "PutResponse", False),
+    "KV/DeleteRange": Method("DeleteRangeRequest", "DeleteRangeResponse", False),
+    "KV/Txn": Method("TxnRequest", "TxnResponse", False),
+    "KV/Compact": Method("CompactionRequest", "CompactionResponse", False),
+    "Watch/Watch": Method("WatchRequest", "WatchResponse", True),
+    "Lease/LeaseGrant": Method("LeaseGrantRequest", "LeaseGrantResponse", False),
+    "Lease/LeaseRevoke": Method("LeaseRevokeRequest", "LeaseRevokeResponse", False),
+    "Lease/LeaseKeepAlive": Method("LeaseKeepAliveRequest", "LeaseKeepAliveResponse", True),
+    "Auth/Authenticate": Method("AuthenticateRequest", "AuthenticateResponse", False),
 }
-PUT, DELETE = 0, 1  # kinds of Event
-EQUAL, GREATER, LESS, NOT_EQUAL = range(4)  # results of Compare
-VERSION, CREATE, MOD, VALUE, LEASE = range(5)  # targets of Compare
+# Types of Event.
+PUT = 0
+DELETE = 1
+
+# Results of Compare.
+EQUAL = 0
+GREATER = 1
+LESS = 2
+NOT_EQUAL = 3
+
+# Targets of Compare.
+VERSION = 0
+CREATE = 1
+MOD = 2
+VALUE = 3
+LEASE = 4
+
+# Texts of etcd's errors.
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 FUTURE = "etcdserver: mvcc: required revision is a future revision"
 NO_LEADER = "etcdserver: no leader"
@@ -86,49 +114,61 @@
 NO_PERMISSION = "etcdserver: permission denied"
 
 
-def _build() -> dict[str, Any]:
-    """The message classes by name."""
+def _build_messages() -> dict[str, Any]:
+    """Returns the message classes by name."""
     file = descriptor_pb2.FileDescriptorProto(
         name="rainhitch/etcd.proto", package="rainhitch.etcd", syntax="proto3"
     )
-    for name, fields in TABLE.items():
-        message, groups = file.message_type.add(name=name), list[str]()
-        for told in filter(None, (one.strip() for one in fields.split(","))):
-            kind, _, rest = told.partition(" ")
-            field_name, _, number = rest.partition("=")
-            kind, _, group = kind.partition("?")
-            field = message.field.add(name=field_name, number=int(number), label=Field.LABEL_OPTIONAL)
-            if kind.endswith("*"):
-                kind, field.label = kind[:-1], Field.LABEL_REPEATED
-            if kind in KINDS:
-                field.type = KINDS[kind]
-            else:
-                field.type, field.type_name = Field.TYPE_MESSAGE, f".rainhitch.etcd.{kind}"
-            if group:
-                if group not in groups:
-                    groups.append(group)
-                    message.oneof_decl.add(name=group)
-                field.oneof_index = groups.index(group)
+    for name, fields in FIELDS.items():
+        descriptor = file.message_type.add(name=name)
+        for field_text in fields.split(","):
+            if field_text.strip():
+                _add_field(descriptor, field_text.strip())
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
-    found = (pool.FindMessageTypeByName(f"rainhitch.etcd.{name}") for name in TABLE)
-    return {one.name: message_factory.GetMessageClass(one) for one in found}
+    descriptors = (pool.FindMessageTypeByName(f"rainhitch.etcd.{name}") for name in FIELDS)
+    return {found.name: message_factory.GetMessageClass(found) for found in descriptors}
+
+
+def _add_field(descriptor: descriptor_pb2.DescriptorProto, field_text: str) -> None:
+    """Adds a field of FIELDS to its message."""
+    type_text, _, rest = field_text.partition(" ")
+    field_name, _, number = rest.partition("=")
+    type_name, _, oneof = type_text.partition("?")
+    field = descriptor.field.add(name=field_name, number=int(number), label=Field.LABEL_OPTIONAL)
+    if type_name.endswith("*"):
+        type_name = type_name[:-1]
+        field.label = Field.LABEL_REPEATED
+    if type_name in FIELD_TYPES:
+        field.type = FIELD_TYPES[type_name]
+    else:
+        field.type = Field.TYPE_MESSAGE
+        field.type_name = f".rainhitch.etcd.{type_name}"
+    if not oneof:
+        return
+    known = [declared.name for declared in descriptor.oneof_decl]
+    if oneof not in known:
+        known.append(oneof)
+        descriptor.oneof_decl.add(name=oneof)
+    field.oneof_index = known.index(oneof)
 
 
-MESSAGES = _build()
+MESSAGES = _build_messages()
 
 
-def message(kind: str, **fields: Any) -> Any:
-    """A message of this kind."""
-    return MESSAGES[kind](**fields)
+def message(name: str, /, **fields: Any) -> Any:
+    """Returns a new message of this name with these fields."""
+    return MESSAGES[name](**fields)
 
 
 def path(method: str) -> str:
-    """What stands in the request's path for a method."""
+    """Returns the path of a request for a method of METHODS."""
     return f"/etcdserverpb.{method}"
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The end of the range that holds all keys with this prefix."""
-    bare = prefix.rstrip(b"\xff")
-    return bare[:-1] + bytes([bare[-1] + 1]) if bare else b"\0"
+    """Returns the end of the range that holds all keys with this prefix."""
+    last_kept = prefix.rstrip(b"\xff")
+    if not last_kept:
+        return b"\0"  # etcd's form of "to the end of all keys"
+    return last_kept[:-1] + bytes([last_kept[-1] + 1])
--- a/rainhitch/protocol/resp.py
+++ b/rainhitch/protocol/resp.py
@@ -1,170 +1,239 @@
-"""RESP2 as the router reads and writes it."""
+"""RESP2 as the router reads and writes it, and what both versions' readers share.
+
+The rehearsal kit's fakes and clients share nothing of this module.
+"""
 
 from dataclasses import dataclass
-from typing import Protocol
+from enum import Enum
+from typing import Final, Protocol
 
 import hiredis
 
-MOST_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value
-MOST_LONG = 4 << 20  # bytes of a value that is passed on as it comes
-MOST_LINE = 1024
-MOST_HEAD = 16  # bytes of a line that tells a length
-MOST_ITEMS = 8
-PLAIN = 4096  # bytes of a value that may be read in the plain way
-MOST_FRAME = 5 * MOST_VALUE  # a write has four large parts at the most
-ANSWER_ITEMS = 3  # the value, how it went, the load report
-WAITING = object()  # no whole value has come yet
-FAILED = b"-ERR failed\r\n"
+from rainhitch.protocol.errors import FramingError as FramingError
+
+MAX_VALUE_BYTES = 64 * 1024
+"""Longest key, id, info list or value that is read whole."""
+
+MAX_RELAYED_VALUE_BYTES = 4 << 20
+"""Longest value that is passed on piece by piece, as it comes."""
+
+MAX_MESSAGE_BYTES = 5 * MAX_VALUE_BYTES
+"""Longest command or reply that is read whole: a write has four large parts at most."""
+
+MAX_ERROR_LINE_BYTES = 1024
+MAX_LENGTH_LINE_BYTES = 16
+MAX_ARRAY_ITEMS = 8
+
+FAST_PATH_MAX_BYTES = 4096
+"""Longest message that is tried by `Resp2Reader._read_simple` first."""
+
+REPLY_ITEMS = 3
+"""Items of a cache server's reply: the value, how the read went, the load report."""
+
+FAILED_REPLY = b"-ERR failed\r\n"
+
+
+class ReadState(Enum):
+    """What a reader gives in place of a message."""
+
+    NEED_DATA = "need data"
+
+
+NEED_DATA: Final = ReadState.NEED_DATA
+"""No whole message has come yet. A module constant, since a read through the class is slow in Python 3.11."""
 
 
 @dataclass(slots=True)
-class Long:
-    """An answer has begun whose value has more than MOST_VALUE bytes: it is read piece by piece."""
+class LongValue:
+    """A reply has begun whose value has more than MAX_VALUE_BYTES: it is read piece by piece."""
 
-    size: int
+    size_bytes: int
 
 
-class Stream(Protocol):
-    """What cuts a server's stream into answers, in either protocol."""
+class ReplyReader(Protocol):
+    """What cuts a server's stream into replies, in either version of the protocol."""
 
     buffer: bytearray
-    body_left: int
+    body_bytes_left: int
 
     def feed(self, data: bytes) -> None:
         """Takes in what came."""
 
     def next(self) -> object:
-        """The next answer, WAITING, or Long."""
+        """Returns the next reply, NEED_DATA, or LongValue.
 
-    def body(self) -> bytes:
-        """What has come of a long value and was not given yet."""
+        Raises:
+            FramingError: What came is no reply; the stream is of no further use.
+        """
 
+    def read_body(self) -> bytes:
+        """Returns what has come of a long value and was not returned yet."""
 
-class FramingError(ValueError):
-    """What came is no RESP2, or not what may come here: the stream is of no further use."""
 
-
-def bulk(value: bytes) -> bytes:
+def bulk_string(value: bytes) -> bytes:
+    """Encodes a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def command(*parts: bytes) -> bytes:
-    return b"*%d\r\n%b" % (len(parts), b"".join(map(bulk, parts)))
+    """Encodes a command: an array of bulk strings."""
+    return b"*%d\r\n%b" % (len(parts), b"".join(map(bulk_string, parts)))
 
 
-def error(text: str) -> bytes:
+def error_reply(text: str) -> bytes:
+    """Encodes an error that says nothing of whether the request was executed."""
     return f"-ERR {text}\r\n".encode()
 
 
-def refused(milliseconds: int) -> bytes:
-    return b"-BUSY %d\r\n" % milliseconds if milliseconds > 0 else b"-BUSY\r\n"
+def busy_reply(retry_after_ms: int) -> bytes:
+    """Encodes the rejection of a request that was not executed; with a positive time, when to come again."""
+    return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
+
 
+def _length(digits: bytes, max_value: int) -> int:
+    """Reads an announced length or count.
 
-def _length(line: bytes, most: int) -> int:
-    if not line.isdigit() or (line[:1] == b"0" and line != b"0") or int(line) > most:
+    Raises:
+        FramingError: It is no plain decimal number, or over `max_value`.
+    """
+    if not digits.isdigit() or (digits[:1] == b"0" and digits != b"0") or int(digits) > max_value:
         raise FramingError("invalid or oversized length")
-    return int(line)
+    return int(digits)
 
 
-class Frames:
-    """Cuts a stream into whole commands or, at the other side, answers: an array of strings, or an error
-    line. Guards against lengths that lie, on the line that tells them: hiredis makes room for what a header
-    announces and does not look at what ends a string, so it gets whole, measured values only."""
+class Resp2Reader:
+    """Cuts a stream into whole commands or, with `reads_replies`, a cache server's replies.
 
-    __slots__ = ("answers", "at", "body_left", "buffer", "missing", "reader")
+    A command is an array of bulk strings, a reply an array of REPLY_ITEMS of them or an error line.
 
-    def __init__(self, answers: bool = False) -> None:
+    Guards against lengths that lie, on the line that announces them: hiredis makes room for what a header
+    announces and does not look at what ends a string, so it gets whole, measured messages only.
+    """
+
+    __slots__ = (
+        "_measured_bytes",
+        "_missing_values",
+        "_parser",
+        "body_bytes_left",
+        "buffer",
+        "reads_replies",
+    )
+
+    def __init__(self, reads_replies: bool = False) -> None:
         self.buffer = bytearray()
-        self.answers = answers
-        self.at, self.missing = 0, 1  # how far it is measured, and how many values that lacks
-        self.body_left = 0  # bytes of a long value that are still to come
-        self.reader = hiredis.Reader()
+        self.reads_replies = reads_replies
+        self._measured_bytes = 0  # of the message at the buffer's start, how much was found well formed
+        self._missing_values = 1  # how many values are to be measured behind that
+        self.body_bytes_left = 0  # of a long value, still to come
+        self._parser = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
+        """Takes in what came."""
         self.buffer += data
 
     def next(self) -> object:
-        """The next command or answer as a list, an error line as bytes, WAITING, or Long; then body() gives
-        the value's pieces, and once it has given all, this gives the rest: a list with None for the value."""
-        if not self.at and 0 < len(self.buffer) < PLAIN and (parts := self._plain()):
-            return parts
-        while self.missing:
-            if not self._measure():
-                return Long(self.body_left) if self.body_left else WAITING
-            if self.at > MOST_FRAME:
+        """Returns the next message: a command or reply as a list, an error line as bytes.
+
+        NEED_DATA if none is whole. LongValue if the value of a reply is long: then read_body() gives its
+        pieces and, once it has given all, this gives the rest: a list with None for the value.
+
+        Raises:
+            FramingError: What came is no such message; the stream is of no further use.
+        """
+        if not self._measured_bytes and 0 < len(self.buffer) < FAST_PATH_MAX_BYTES:
+            parts = self._read_simple()
+            if parts:
+                return parts
+        while self._missing_values:
+            if not self._measure_value():
+                return LongValue(self.body_bytes_left) if self.body_bytes_left else NEED_DATA
+            if self._measured_bytes > MAX_MESSAGE_BYTES:
                 raise FramingError("too large")
-        whole = bytes(self.buffer[: self.at])
-        del self.buffer[: self.at]
-        self.at, self.missing = 0, 1
-        if whole[:1] == b"-":
-            return whole[1:-2]
-        self.reader.feed(whole)
-        return self.reader.gets()
-
-    def body(self) -> bytes:
-        """What has come of a long value and was not given yet."""
-        piece = bytes(self.buffer[: self.body_left])
+        message = bytes(self.buffer[: self._measured_bytes])
+        del self.buffer[: self._measured_bytes]
+        self._measured_bytes = 0
+        self._missing_values = 1
+        if message[:1] == b"-":
+            return message[1:-2]
+        self._parser.feed(message)
+        return self._parser.gets()
+
+    def read_body(self) -> bytes:
+        """Returns what has come of a long value and was not returned yet."""
+        piece = bytes(self.buffer[: self.body_bytes_left])
         del self.buffer[: len(piece)]
-        self.body_left -= len(piece)
-        if piece and not self.body_left:
-            # What stands behind the value is read as an answer without one; its line end is the value's.
-            self.buffer[:0] = b"*%d\r\n$-1" % ANSWER_ITEMS
+        self.body_bytes_left -= len(piece)
+        if piece and not self.body_bytes_left:
+            # What stands behind the value is read as a reply without one; its line end is the value's.
+            self.buffer[:0] = b"*%d\r\n$-1" % REPLY_ITEMS
         return piece
 
-    def _plain(self) -> list[bytes | None] | None:
-        """The one value that has come, whole and with nothing behind it, if it is as simple as most are. Each
-        head must be what is written for the string behind it, so that this is how it reads in any case."""
+    def _read_simple(self) -> list[bytes | None] | None:
+        """Returns the one message in the buffer, if it is whole, with nothing behind it, and simple.
+
+        Most are. Each length must be that of the line behind it, so that any parser would read it so. None
+        where it is not so: then the message is measured.
+        """
         lines = bytes(self.buffer).split(b"\r\n")
-        many = ANSWER_ITEMS if self.answers else (len(lines) - 2) // 2
-        if lines.pop() != b"" or not 0 < many <= MOST_ITEMS or lines[0] != b"*%d" % many:
+        item_count = REPLY_ITEMS if self.reads_replies else (len(lines) - 2) // 2
+        if lines.pop() != b"" or not 0 < item_count <= MAX_ARRAY_ITEMS or lines[0] != b"*%d" % item_count:
             return None
         parts: list[bytes | None] = []
-        heads = iter(lines[1:])
-        for head in heads:
-            if head == b"$-1" and self.answers:
+        rest = iter(lines[1:])
+        for length_line in rest:
+            if length_line == b"$-1" and self.reads_replies:
                 parts.append(None)
                 continue
-            part = next(heads, None)
-            if part is None or head != b"$%d" % len(part):
+            part = next(rest, None)
+            if part is None or length_line != b"$%d" % len(part):
                 return None
             parts.append(part)
-        if len(parts) != many:
+        if len(parts) != item_count:
             return None
         self.buffer.clear()
         return parts
 
-    def _measure(self) -> bool:
-        """Steps over the head of an array, a string in it, or an error line; whether it was there."""
-        buffer, at = self.buffer, self.at
-        if at >= len(buffer):
+    def _measure_value(self) -> bool:
+        """Steps over the head of an array, a string in it, or an error line; returns whether it was there."""
+        buffer = self.buffer
+        start = self._measured_bytes
+        if start >= len(buffer):
             return False
-        kind = bytes(buffer[at : at + 1])
-        line = kind == b"-" and self.answers and not at
-        if not line and kind != (b"$" if at else b"*"):
+        kind = bytes(buffer[start : start + 1])
+        is_error_line = kind == b"-" and self.reads_replies and not start
+        if not is_error_line and kind != (b"$" if start else b"*"):
             raise FramingError("expected an array of bulk strings")
-        most = MOST_LINE if line else MOST_HEAD
-        end = buffer.find(b"\r\n", at, at + most)
-        if end < 0:
-            if len(buffer) - at >= most:
+        max_line_bytes = MAX_ERROR_LINE_BYTES if is_error_line else MAX_LENGTH_LINE_BYTES
+        line_end = buffer.find(b"\r\n", start, start + max_line_bytes)
+        if line_end < 0:
+            if len(buffer) - start >= max_line_bytes:
                 raise FramingError("line too long")
             return False
-        told, end = bytes(buffer[at + 1 : end]), end + 2
+        announced = bytes(buffer[start + 1 : line_end])
+        end = line_end + 2
         if kind == b"*":
-            count = _length(told, MOST_ITEMS)
-            if self.answers and count != ANSWER_ITEMS:
+            item_count = _length(announced, MAX_ARRAY_ITEMS)
+            if self.reads_replies and item_count != REPLY_ITEMS:
                 raise FramingError("no answer has so many parts")
-            self.missing += count
-        elif not line and not (self.answers and told == b"-1"):
-            first = self.answers and self.missing == ANSWER_ITEMS
-            size = _length(told, MOST_LONG if first else MOST_VALUE)
-            if size > MOST_VALUE:
-                del buffer[:end]
-                self.at, self.missing, self.body_left = 0, 1, size
+            self._missing_values += item_count
+        elif not is_error_line and not (self.reads_replies and announced == b"-1"):
+            is_reply_value = self.reads_replies and self._missing_values == REPLY_ITEMS
+            size_bytes = _length(announced, MAX_RELAYED_VALUE_BYTES if is_reply_value else MAX_VALUE_BYTES)
+            if size_bytes > MAX_VALUE_BYTES:
+                self._begin_long_value(end, size_bytes)
                 return False
-            if len(buffer) < end + size + 2:
+            if len(buffer) < end + size_bytes + 2:
                 return False
-            if buffer[end + size : end + size + 2] != b"\r\n":
+            if buffer[end + size_bytes : end + size_bytes + 2] != b"\r\n":
                 raise FramingError("string longer than announced")
-            end += size + 2
-        self.at, self.missing = end, self.missing - 1
+            end += size_bytes + 2
+        self._measured_bytes = end
+        self._missing_values -= 1
         return True
+
+    def _begin_long_value(self, head_bytes: int, size_bytes: int) -> None:
+        """Drops what stands before a long value; read_body() gives the value next."""
+        del self.buffer[:head_bytes]
+        self._measured_bytes = 0
+        self._missing_values = 1
+        self.body_bytes_left = size_bytes
--- a/tests/node/test_long.py
+++ b/tests/node/test_long.py
@@ -217,7 +217,7 @@
         assert sum(isinstance(one, Exception) for one in answers) == 1
 
 
-@pytest.mark.parametrize("size", [resp.MOST_LONG + 1, 3 << 30])
+@pytest.mark.parametrize("size", [resp.MAX_RELAYED_VALUE_BYTES + 1, 3 << 30])
 async def test_a_value_that_says_to_be_huge_is_spoilt(size: int) -> None:
     async with router(lambda asked, line: b"*3\r\n$%d\r\n" % size + VALUE) as bench:
         caller = await bench.caller()
@@ -229,15 +229,15 @@
 def test_any_chunking_gives_the_same_value(cuts: list[int], note: bytes) -> None:
     value = VALUE[:70_000]
     text = b"*3\r\n$70000\r\n%b\r\n$%d\r\n%b\r\n$-1\r\n" % (value, len(note), note)
-    frames, got, told = resp.Frames(answers=True), b"", None
+    frames, got, told = resp.Resp2Reader(reads_replies=True), b"", None
     edges = [0, *sorted(cut for cut in cuts if cut < len(text)), len(text)]
     begun = False
     for start, end in itertools.pairwise(edges):
         frames.feed(text[start:end])
         if not begun:
-            begun = isinstance(frames.next(), resp.Long)
+            begun = isinstance(frames.next(), resp.LongValue)
         if begun:
-            got += frames.body()
-            if not frames.body_left:
+            got += frames.read_body()
+            if not frames.body_bytes_left:
                 told = frames.next()
     assert got == value and told == [None, note, None] and not frames.buffer
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -287,7 +287,7 @@
     from rainhitch.node import client_connections
 
     monkeypatch.setattr(client_connections, "UNREAD_ANSWERS_LIMIT_S", 0.2)
-    async with router(lambda asked, line: hit(bytes(resp.MOST_VALUE))) as bench:
+    async with router(lambda asked, line: hit(bytes(resp.MAX_VALUE_BYTES))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400):
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -14,8 +14,10 @@
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.resp3_cache_connection import Resp3Connection
 from rainhitch.overload.controller import OverloadController
-from rainhitch.protocol import resp3
 from rainhitch.protocol.resp import FramingError, command
+from rainhitch.protocol.resp3_reader import Resp3Reader
+from rainhitch.protocol.resp3_types import Map
+from rainhitch.protocol.resp3_writer import encode
 from rainhitch.settings import read_ceilings, read_names, read_settings
 
 PATIENCE = 20.0  # s; every wait of these tests is on an event, and this long at the most
@@ -113,7 +115,7 @@
 
 def dressed(answer: bytes) -> bytes:
     """A plain answer as a server of RESP3 gives it, how the read went in a map; others as they are."""
-    reader = resp3.Reader()
+    reader = Resp3Reader()
     reader.feed(answer)
     try:
         told = reader.next()
@@ -122,13 +124,13 @@
     if not isinstance(told, list) or len(told) != 3 or not reader.idle():
         return answer
     value, note, report = told
-    return resp3.encode([value, resp3.Map(((b"note", note), (b"load", report)))], 3)
+    return encode([value, Map(((b"note", note), (b"load", report)))], 3)
 
 
 class Cache3(Cache):
     """A cache server that speaks RESP3 where it is greeted so; the greetings are not among what it got."""
 
-    greeting = resp3.encode(resp3.Map(((b"server", b"cache"), (b"proto", 3))), 3)
+    greeting = encode(Map(((b"server", b"cache"), (b"proto", 3))), 3)
 
     def __init__(self, answer: Callable[[Any, asyncio.StreamWriter], bytes | None]) -> None:
         super().__init__(lambda asked, line: (told := answer(asked, line)) and dressed(told))
--- a/tests/resp3/test_codec.py
+++ b/tests/resp3/test_codec.py
@@ -10,8 +10,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainhitch.protocol.resp import WAITING, FramingError, Long
-from rainhitch.protocol.resp3 import Big, Error, Items, Map, Push, Reader, Simple, Verbatim, encode
+from rainhitch.protocol.resp import NEED_DATA, FramingError, LongValue
+from rainhitch.protocol.resp3_reader import Resp3Reader
+from rainhitch.protocol.resp3_types import (
+    BigNumber,
+    ErrorReply,
+    Map,
+    Push,
+    Set,
+    SimpleString,
+    VerbatimString,
+)
+from rainhitch.protocol.resp3_writer import encode
 
 LINES = st.binary(max_size=12).filter(lambda one: b"\r" not in one and b"\n" not in one)
 SCALARS = st.one_of(
@@ -20,17 +30,17 @@
     st.binary(max_size=40),
     st.integers(-(2**63), 2**63 - 1),
     st.floats(),
-    LINES.map(Simple),
-    st.binary(max_size=20).map(Error),
-    st.builds(Verbatim, st.sampled_from([b"txt", b"mkd"]), st.binary(max_size=20)),
-    st.integers(-(10**40), 10**40).map(Big),
+    LINES.map(SimpleString),
+    st.binary(max_size=20).map(ErrorReply),
+    st.builds(VerbatimString, st.sampled_from([b"txt", b"mkd"]), st.binary(max_size=20)),
+    st.integers(-(10**40), 10**40).map(BigNumber),
 )
 
 
 def aggregates(inner: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
     pairs = st.lists(st.tuples(inner, inner), max_size=3)
     items = st.lists(inner, max_size=4)
-    return st.one_of(items, pairs.map(lambda one: Map(tuple(one))), items.map(lambda one: Items(tuple(one))))
+    return st.one_of(items, pairs.map(lambda one: Map(tuple(one))), items.map(lambda one: Set(tuple(one))))
 
 
 VALUES = st.recursive(SCALARS, aggregates, max_leaves=12)
@@ -39,10 +49,10 @@
 
 def read(text: bytes, **more: Any) -> list[object]:
     """All values of a text that comes at once."""
-    reader = Reader(**more)
+    reader = Resp3Reader(**more)
     reader.feed(text)
-    found = []
-    while (value := reader.next()) is not WAITING:
+    found: list[object] = []
+    while (value := reader.next()) is not NEED_DATA:
         found.append(value)
     return found
 
@@ -55,11 +65,11 @@
 @given(st.lists(FRAMES, max_size=3), st.lists(st.integers(0, 400), max_size=6))
 def test_what_is_written_is_read_again_however_it_is_cut(values: list[Any], cuts: list[int]) -> None:
     text = b"".join(encode(one, 3) for one in values)
-    reader, found = Reader(), []
+    reader, found = Resp3Reader(), []
     edges = [0, *sorted(cut for cut in cuts if cut < len(text)), len(text)]
     for begin, end in zip(edges, edges[1:], strict=False):  # noqa: RUF007
         reader.feed(text[begin:end])
-        while (value := reader.next()) is not WAITING:
+        while (value := reader.next()) is not NEED_DATA:
             found.append(value)
     assert len(found) == len(values) and all(map(same, found, values))
     assert reader.idle()
@@ -68,13 +78,13 @@
 def plain(value: Any) -> Any:
     """A value as hiredis has it."""
     match value:
-        case Error(text):
+        case ErrorReply(text):
             return f"error {text!r}"
-        case Simple(text) | Verbatim(_, text):
+        case SimpleString(text) | VerbatimString(_, text):
             return text
-        case Big(number):
+        case BigNumber(number):
             return b"%d" % number
-        case Items(items) | Push(items):
+        case Set(items) | Push(items):
             return [plain(one) for one in items]
         case Map(pairs):
             return [[plain(key), plain(value)] for key, value in pairs]
@@ -103,7 +113,7 @@
         told = reader.gets()
     except (hiredis.ProtocolError, TypeError, UnicodeDecodeError):
         return  # deeper than it goes, a map whose key is a list, a blob error, which it does not know
-    if "Error(" in repr(value) or "Map(" in repr(value):
+    if "ErrorReply(" in repr(value) or "Map(" in repr(value):
         return  # errors come in a class of its own, and a key that a map has twice but once
     assert same(of_hiredis(told), plain(value))
 
@@ -114,8 +124,8 @@
         (b"$?\r\n;4\r\nHell\r\n;5\r\no wor\r\n;1\r\nd\r\n;0\r\n", b"Hello word"),
         (b"$?\r\n;0\r\n", b""),
         (b"*?\r\n:1\r\n:2\r\n.\r\n", [1, 2]),
-        (b"~?\r\n+a\r\n.\r\n", Items((Simple(b"a"),))),
-        (b"%?\r\n+a\r\n:1\r\n.\r\n", Map(((Simple(b"a"), 1),))),
+        (b"~?\r\n+a\r\n.\r\n", Set((SimpleString(b"a"),))),
+        (b"%?\r\n+a\r\n:1\r\n.\r\n", Map(((SimpleString(b"a"), 1),))),
         (b"*2\r\n*?\r\n.\r\n_\r\n", [[], None]),
         (b"|1\r\n+ttl\r\n:3600\r\n*1\r\n:1\r\n", [1]),
         (b"*2\r\n:1\r\n|1\r\n+a\r\n*1\r\n:9\r\n:2\r\n", [1, 2]),
@@ -124,20 +134,20 @@
         (b",10\r\n", 10.0),
         (b"$-1\r\n", None),
         (b"*-1\r\n", None),
-        (b"=15\r\ntxt:Some string\r\n", Verbatim(b"txt", b"Some string")),
-        (b"!21\r\nSYNTAX invalid syntax\r\n", Error(b"SYNTAX invalid syntax")),
+        (b"=15\r\ntxt:Some string\r\n", VerbatimString(b"txt", b"Some string")),
+        (b"!21\r\nSYNTAX invalid syntax\r\n", ErrorReply(b"SYNTAX invalid syntax")),
         (
             b"(3492890328409238509324850943850943825024385\r\n",
-            Big(3492890328409238509324850943850943825024385),
+            BigNumber(3492890328409238509324850943850943825024385),
         ),
     ],
 )
 def test_each_form_of_the_specification_is_read(text: bytes, value: object) -> None:
     assert read(text) == [value]
-    reader = Reader()
+    reader = Resp3Reader()
     for n in range(len(text) - 1):
         reader.feed(text[n : n + 1])
-        assert reader.next() is WAITING
+        assert reader.next() is NEED_DATA
     reader.feed(text[-1:])
     assert reader.next() == value and reader.idle()
 
@@ -184,16 +194,16 @@
 
 
 def test_a_depth_of_ten_thousand_is_refused_and_costs_next_to_nothing() -> None:
-    reader = Reader()
+    reader = Resp3Reader()
     reader.feed(b"*1\r\n" * 10_000)
     with pytest.raises(FramingError, match="deep"):
         reader.next()
 
 
 def test_what_is_announced_takes_no_memory_before_it_comes() -> None:
-    reader = Reader()
+    reader = Resp3Reader()
     reader.feed(b"*4000\r\n")
-    assert reader.next() is WAITING and len(reader.buffer) < 16
+    assert reader.next() is NEED_DATA and len(reader.buffer) < 16
     with pytest.raises(FramingError):
         read(
             b"*8\r\n"
@@ -212,7 +222,7 @@
         text = b"*%d\r\n" % size + b":1\r\n" * size + b"$%d\r\n" % (16 * size) + b"x" * (16 * size) + b"\r\n"
         best = math.inf
         for _ in range(3):
-            reader, begun = Reader(), time.process_time()
+            reader, begun = Resp3Reader(), time.process_time()
             for n in range(len(text)):
                 reader.feed(text[n : n + 1])
                 reader.next()
@@ -239,16 +249,16 @@
     size = 70_000
     text = b"*3\r\n$%d\r\n" % size + b"v" * size + b"\r\n+hit\r\n_\r\n"
     for step in (1 << 20, 1000, 17):
-        reader, got, begun, told = Reader(long=True), b"", False, None
+        reader, got, begun, told = Resp3Reader(relays_long_values=True), b"", False, None
         for n in range(0, len(text), step):
             reader.feed(text[n : n + step])
             if not begun:
-                begun = isinstance(reader.next(), Long)
+                begun = isinstance(reader.next(), LongValue)
             if begun:
-                got += reader.body()
-                if not reader.body_left:
+                got += reader.read_body()
+                if not reader.body_bytes_left:
                     told = reader.next()
-        assert got == b"v" * size and told == [None, Simple(b"hit"), None] and reader.idle()
+        assert got == b"v" * size and told == [None, SimpleString(b"hit"), None] and reader.idle()
     with pytest.raises(FramingError):
         read(text)  # where nobody asked for it
 
--- a/tests/resp3/test_nodes.py
+++ b/tests/resp3/test_nodes.py
@@ -7,8 +7,8 @@
 from peers import PATIENCE, Cache, Cache3, entry, hit, router, soon
 
 from rainhitch.node import connection_pool
-from rainhitch.protocol import resp3
-from rainhitch.protocol.resp3 import Big, Map, Push, Verbatim, encode
+from rainhitch.protocol.resp3_types import BigNumber, ErrorReply, Map, Push, SimpleString, VerbatimString
+from rainhitch.protocol.resp3_writer import encode
 
 ONCE = b"c=once,t=acme,d=9000"
 INVALIDATE = encode(Push((b"invalidate", [b"k", b"other"])), 3)
@@ -172,9 +172,9 @@
 
 RICH: list[tuple[Any, Any, Any]] = [
     # what the server has, how a client of protocol 2 gets it, and of 3
-    (Verbatim(b"txt", b"soup"), b"soup", b"soup"),
+    (VerbatimString(b"txt", b"soup"), b"soup", b"soup"),
     (1.5, b"1.5", 1.5),
-    (Big(10**30), b"1" + b"0" * 30, b"1" + b"0" * 30),
+    (BigNumber(10**30), b"1" + b"0" * 30, b"1" + b"0" * 30),
     (Map(((b"soup", 3),)), [b"soup", 3], {b"soup": 3}),
     ([b"a", None], [b"a", None], [b"a", None]),
 ]
@@ -190,7 +190,7 @@
             assert await caller.answer() == form
 
 
-@pytest.mark.parametrize("value", [True, 7, resp3.Simple(b"v"), [1], [], [[b"v"]], resp3.Error(b"x")])
+@pytest.mark.parametrize("value", [True, 7, SimpleString(b"v"), [1], [], [[b"v"]], ErrorReply(b"x")])
 async def test_a_value_that_protocol_2_can_not_serve_is_a_failed_attempt_in_both(value: Any) -> None:
     for version in (2, 3):
         async with router(versions=(version, 3)) as bench:
--- a/tests/resp3/test_session.py
+++ b/tests/resp3/test_session.py
@@ -6,8 +6,9 @@
 from hypothesis import strategies as st
 
 from rainhitch.node.session import HANDLERS, Authenticator, Session
-from rainhitch.protocol.resp import WAITING
-from rainhitch.protocol.resp3 import Error, Map, Reader, Simple, text_of
+from rainhitch.protocol.resp import NEED_DATA
+from rainhitch.protocol.resp3_reader import Resp3Reader
+from rainhitch.protocol.resp3_types import ErrorReply, Map, SimpleString, text_of
 
 
 def session(password: bytes = b"", ready: bool = True) -> Session:
@@ -18,10 +19,10 @@
     """The answer as a client reads it: whole, and nothing behind it."""
     text = one.command(list(words))
     assert text is not None
-    reader = Reader()
+    reader = Resp3Reader()
     reader.feed(text)
     told = reader.next()
-    assert told is not WAITING and reader.idle()
+    assert told is not NEED_DATA and reader.idle()
     return told
 
 
@@ -61,7 +62,7 @@
 ) -> None:
     one = session()
     told = ask(one, *words)
-    assert isinstance(told, Error) and told.text.startswith(why)
+    assert isinstance(told, ErrorReply) and told.text.startswith(why)
     assert one.version == 2 and one.name == b""
 
 
@@ -73,13 +74,13 @@
         (b"CLIENT", b"SETNAME", b"x"),
         (b"SELECT", b"0"),
     ):
-        assert ask(one, *words) == Simple(b"OK")
+        assert ask(one, *words) == SimpleString(b"OK")
     assert ask(one, b"CLIENT", b"ID") == 7
-    assert ask(one, b"PING") == Simple(b"PONG") and ask(one, b"PING", b"hi") == b"hi"
+    assert ask(one, b"PING") == SimpleString(b"PONG") and ask(one, b"PING", b"hi") == b"hi"
     assert ask(one, b"ECHO", b"hi") == b"hi"
     assert ask(one, b"COMMAND") == [] and ask(one, b"COMMAND", b"COUNT") == 0
     ask(one, b"HELLO", b"3")
-    assert ask(one, b"RESET") == Simple(b"RESET") and one.version == 2
+    assert ask(one, b"RESET") == SimpleString(b"RESET") and one.version == 2
     assert ask(one, b"CLIENT", b"GETNAME") is None
 
 
@@ -87,23 +88,23 @@
     one = session(b"secret")
     for name in HANDLERS:
         if name not in (b"HELLO", b"AUTH"):
-            assert ask(one, name) == Error(b"NOAUTH Authentication required.")
+            assert ask(one, name) == ErrorReply(b"NOAUTH Authentication required.")
     told = ask(one, b"HELLO", b"3")
-    assert isinstance(told, Error) and told.text.startswith(b"NOAUTH HELLO") and one.version == 2
+    assert isinstance(told, ErrorReply) and told.text.startswith(b"NOAUTH HELLO") and one.version == 2
     wrong = ((b"AUTH", b"no"), (b"AUTH", b"other", b"secret"), (b"HELLO", b"3", b"AUTH", b"tablet", b"no"))
     for words in wrong:
         told = ask(one, *words)
-        assert isinstance(told, Error) and told.text.startswith(b"WRONGPASS") and not one.authenticated
+        assert isinstance(told, ErrorReply) and told.text.startswith(b"WRONGPASS") and not one.authenticated
     assert isinstance(ask(one, b"HELLO", b"3", b"AUTH", b"tablet", b"secret"), Map)
-    assert ask(one, b"PING") == Simple(b"PONG")
+    assert ask(one, b"PING") == SimpleString(b"PONG")
     ask(one, b"RESET")
-    assert ask(one, b"PING") == Error(b"NOAUTH Authentication required.")
-    assert ask(one, b"AUTH", b"secret") == Simple(b"OK")  # of the one user there is
+    assert ask(one, b"PING") == ErrorReply(b"NOAUTH Authentication required.")
+    assert ask(one, b"AUTH", b"secret") == SimpleString(b"OK")  # of the one user there is
 
 
 def test_ping_tells_whether_the_router_can_serve() -> None:
     told = ask(session(ready=False), b"PING", b"x")
-    assert isinstance(told, Error) and told.text.startswith(b"LOADING")
+    assert isinstance(told, ErrorReply) and told.text.startswith(b"LOADING")
 
 
 @given(st.sampled_from(sorted(HANDLERS)), st.lists(st.binary(max_size=12), max_size=7), st.booleans())
