--- a/rainhitch/__main__.py
+++ b/rainhitch/__main__.py
@@ -4,14 +4,15 @@
 
 
 def main() -> int:
-    """Runs the router, or a subcommand; gives the exit code."""
-    if len(sys.argv) > 1:
+    """Runs the router, or a subcommand; returns the exit code."""
+    arguments = sys.argv[1:]
+    if arguments:
         from rainhitch.cli import run
 
-        return run(sys.argv[1:])
-    from rainhitch.program import main as serve
+        return run(arguments)
+    from rainhitch.program import main as run_router
 
-    return serve()
+    return run_router()
 
 
 if __name__ == "__main__":
--- a/rainhitch/cli/__init__.py
+++ b/rainhitch/cli/__init__.py
@@ -1,60 +1,78 @@
-"""The command line: subcommands, each loaded only when it is called."""
+"""The command line: subcommands, each loaded only when it is called.
+
+A subcommand's module has `add_arguments(parser)`, a frozen dataclass of its arguments that one function reads
+from argparse's namespace, and `run(namespace)`, which returns one of `rainhitch.cli.exit_codes`.
+"""
 
 import argparse
 import importlib
 import os
 import sys
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from rainhitch import __version__
+from rainhitch.cli.errors import InputError
+from rainhitch.cli.exit_codes import BAD_INPUT, SUCCESS
+from rainhitch.cli.output import print_error
 
-# name: the module that holds `fill(parser)` and `run(arguments) -> exit code`, and what it is for
-COMMANDS = {
-    "rehearse": ("rainhitch.cli.rehearse", "play a day with real routers in a world of stand-ins"),
-    "explore": ("rainhitch.cli.explore", "draw days in virtual time, and keep those that break something"),
-    "members": (
-        "rainhitch.cli.members",
-        "the list of servers in etcd: show it, watch it, drain, retire, restore, put",
-    ),
-    "fleet": ("rainhitch.cli.fleet", "what each router believes of the others and shares, side by side"),
-    "logs": ("rainhitch.cli.logs", "add up what a fleet's routers wrote down, or follow one request"),
-    "schema": ("rainhitch.cli.schema", "the JSON Schema of a file that operators write"),
-    "plan": ("rainhitch.cli.plan", "what a change of the list would move and cost, told ahead"),
-}
 
+class Subcommand(NamedTuple):
+    """A subcommand: its module, and what the help says of it."""
 
-BAD_INPUT, INTERRUPTED = 2, 130  # exit codes
+    module: str
+    help_text: str
 
 
-def bad(line: str) -> int:
-    """Says in a line what is wrong with the input; gives the exit code."""
-    print(f"rainhitch: {line}", file=sys.stderr)
-    return BAD_INPUT
+SUBCOMMANDS = {
+    "rehearse": Subcommand(
+        "rainhitch.cli.rehearse", "run a scenario with real routers and fakes of the systems around them"
+    ),
+    "explore": Subcommand(
+        "rainhitch.cli.explore", "run drawn scenarios in virtual time, and keep those that break something"
+    ),
+    "members": Subcommand(
+        "rainhitch.cli.members",
+        "the list of servers in etcd: show it, watch it, drain, retire, restore, put",
+    ),
+    "fleet": Subcommand(
+        "rainhitch.cli.fleet", "what each router believes of the others and shares with them, side by side"
+    ),
+    "logs": Subcommand("rainhitch.cli.logs", "add up the logs of a fleet's routers, or follow one request"),
+    "schema": Subcommand("rainhitch.cli.schema", "the JSON Schema of a file that operators write"),
+    "plan": Subcommand("rainhitch.cli.plan", "forecast what a change of the list would move and cost"),
+}
 
 
-def run(words: Sequence[str]) -> int:
-    """Runs what the words say; gives the exit code."""
+def run(arguments: Sequence[str]) -> int:
+    """Runs the subcommand that the arguments name; returns the exit code."""
     parser = argparse.ArgumentParser(
         prog="rainhitch",
         description="A router in front of cache servers that share one slow origin. "
         "Without arguments it is the router, configured by BALANCER_CONFIG.",
     )
     parser.add_argument("--version", action="version", version=f"rainhitch {__version__}")
-    commands = parser.add_subparsers(dest="command", metavar="COMMAND")
-    for name, (module, help_text) in COMMANDS.items():
-        under = commands.add_parser(name, help=help_text, add_help=name != words[0])
-        if name == words[0]:
-            under = commands.choices[name]
-            under.add_argument("-h", "--help", action="help", help="show this help")
-            importlib.import_module(module).fill(under)
-    told = parser.parse_args(words)
-    if told.command is None:
+    subparsers = parser.add_subparsers(dest="command", metavar="COMMAND")
+    for name, subcommand in SUBCOMMANDS.items():
+        is_called = name == arguments[0]
+        subparser = subparsers.add_parser(name, help=subcommand.help_text, add_help=not is_called)
+        if is_called:
+            subparser.add_argument("-h", "--help", action="help", help="show this help")
+            importlib.import_module(subcommand.module).add_arguments(subparser)
+    namespace = parser.parse_args(arguments)
+    if namespace.command is None:
         parser.print_help()
-        return 2
+        return BAD_INPUT
+    module = importlib.import_module(SUBCOMMANDS[namespace.command].module)
     try:
-        code = int(importlib.import_module(COMMANDS[told.command][0]).run(told))
+        exit_code = int(module.run(namespace))
         sys.stdout.flush()
-        return code
+    except InputError as problem:
+        for line in problem.lines:
+            print_error(line)
+        return BAD_INPUT
     except BrokenPipeError:
-        os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())  # who read it has read enough
-        return 0
+        # The reader of the output has read enough. Without this the interpreter's own flush at its end fails.
+        os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
+        return SUCCESS
+    return exit_code
--- a/rainhitch/cli/explore.py
+++ b/rainhitch/cli/explore.py
@@ -1,102 +1,167 @@
-"""`rainhitch explore`: draws days, plays them in virtual time, and keeps those that break something."""
+"""`rainhitch explore`: draws scenarios, runs them in virtual time, and keeps those that break something."""
 
 import argparse
 import os
-import sys
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
-from rainhitch.cli import bad
+from rainhitch.cli.errors import InputError, requires_rehearsal_extra
+from rainhitch.cli.exit_codes import FAILURE, SUCCESS
+from rainhitch.cli.output import draw_progress, shows_progress
 
+if TYPE_CHECKING:
+    from rainhitch.rehearsal.explore.explorer import Tally
+    from rainhitch.rehearsal.explore.findings import Case, Result
 
-def fill(parser: argparse.ArgumentParser) -> None:
+MIN_ELAPSED_S = 1e-9
+"""Least time that a rate is taken over: guards against a division by zero at the start."""
+
+S_PER_HOUR = 3600
+
+
+@dataclass(frozen=True, slots=True)
+class ExploreArguments:
+    """The arguments of `rainhitch explore`."""
+
+    max_days: int
+    """0: no bound."""
+
+    max_minutes: float
+    """0: no bound."""
+
+    process_count: int
+    seed: int
+    corpus_folder: Path | None
+    findings_folder: Path
+    makes_small: bool
+    replayed_file: Path | None
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the subcommand's arguments."""
     parser.description = (
-        "Draws whole scenarios, plays them in virtual time in many processes at once, and keeps each day "
-        "that breaks a rule, crashes, does not end or does not come back, as the smallest scenario file "
+        "Draws whole scenarios, runs them in virtual time in many processes at once, and keeps each run "
+        "that breaks a rule, crashes, does not end or does not recover, as the smallest scenario file "
         "that does so. "
         "Exit codes: 0 nothing was found, 1 something was, 2 bad input."
     )
-    parser.add_argument("--days", type=int, default=0, help="so many days (0: no bound)")
+    parser.add_argument("--days", type=int, default=0, help="run so many scenarios (0: no bound)")
     parser.add_argument("--minutes", type=float, default=0.0, help="for so long (0: no bound)")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes at once (all cores)")
-    parser.add_argument("--seed", type=int, default=1, help="what the days are drawn from (1)")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the random numbers (1)")
     parser.add_argument("--from", dest="corpus", metavar="DIR", type=Path, help="begin with these cases")
     parser.add_argument(
         "--keep", metavar="DIR", type=Path, default=Path("found"), help="where findings go (found)"
     )
     parser.add_argument("--as-drawn", action="store_true", help="keep findings without making them small")
-    parser.add_argument("--play", metavar="FILE", type=Path, help="play one kept case, and say what is wrong")
+    parser.add_argument("--play", metavar="FILE", type=Path, help="run one kept case, and say what is wrong")
+
+
+def parse_arguments(namespace: argparse.Namespace) -> ExploreArguments:
+    """Reads the arguments."""
+    return ExploreArguments(
+        max_days=namespace.days,
+        max_minutes=namespace.minutes,
+        process_count=namespace.jobs,
+        seed=namespace.seed,
+        corpus_folder=namespace.corpus,
+        findings_folder=namespace.keep,
+        makes_small=not namespace.as_drawn,
+        replayed_file=namespace.play,
+    )
 
 
-def run(told: argparse.Namespace) -> int:
-    try:
-        return _run(told)
-    except ModuleNotFoundError as problem:
-        return bad(f"{problem.name} is missing: install rainhitch[rehearsal]")
+def run(namespace: argparse.Namespace) -> int:
+    """Runs one kept case, or explores; returns FAILURE where something was found."""
+    with requires_rehearsal_extra():
+        return _run(parse_arguments(namespace))
 
 
-def _run(told: argparse.Namespace) -> int:
+def _run(arguments: ExploreArguments) -> int:
     from rainhitch.rehearsal.explore import corpus
-    from rainhitch.rehearsal.explore.findings import Case
 
     cases: list[Case] = []
     try:
-        if told.play is not None:
-            return _play(corpus.read(told.play))
-        if told.corpus is not None:
-            cases = corpus.read_all(told.corpus)
+        if arguments.replayed_file is not None:
+            return _replay(corpus.read(arguments.replayed_file))
+        if arguments.corpus_folder is not None:
+            cases = corpus.read_all(arguments.corpus_folder)
     except corpus.CorpusError as problem:
-        return bad(str(problem))
-    for name, least in (("days", 0), ("minutes", 0), ("jobs", 1)):
-        if getattr(told, name) < least:
-            return bad(f"--{name} {getattr(told, name):g}: allowed is {least} or more")
-    if not told.days and not told.minutes:
-        return bad("--days or --minutes: how long is it to explore?")
-    if told.keep.exists() and not told.keep.is_dir():
-        return bad(f"--keep {told.keep}: not a folder")
-    return _explore(told, cases)
-
-
-def _play(one: Any) -> int:
+        raise InputError(str(problem)) from None
+    _check(arguments)
+    return _explore(arguments, cases)
+
+
+def _check(arguments: ExploreArguments) -> None:
+    """Raises InputError for a value that is not allowed."""
+    bounds = (
+        ("--days", arguments.max_days, 0),
+        ("--minutes", arguments.max_minutes, 0),
+        ("--jobs", arguments.process_count, 1),
+    )
+    for option, value, min_value in bounds:
+        if value < min_value:
+            raise InputError(f"{option} {value:g}: allowed is {min_value} or more")
+    if not arguments.max_days and not arguments.max_minutes:
+        raise InputError("--days or --minutes: how long is it to explore?")
+    if arguments.findings_folder.exists() and not arguments.findings_folder.is_dir():
+        raise InputError(f"--keep {arguments.findings_folder}: not a folder")
+
+
+def _replay(case: "Case") -> int:
     from rainhitch.rehearsal.explore.findings import examine
 
-    result = examine(one)
+    result = examine(case)
     print(f"service {result.service:.4f}")
     for line in result.detail:
         print(line)
-    return 1 if result.kinds else 0
+    return FAILURE if result.kinds else SUCCESS
 
 
-def _explore(told: argparse.Namespace, cases: list[Any]) -> int:
+def _explore(arguments: ExploreArguments, cases: "list[Case]") -> int:
     from rainhitch.rehearsal.explore import corpus
-    from rainhitch.rehearsal.explore.explorer import Explorer, Tally, on_interrupt
-    from rainhitch.rehearsal.explore.findings import Result
+    from rainhitch.rehearsal.explore.explorer import Explorer, on_interrupt
 
-    shown = sys.stderr.isatty()
+    has_progress = shows_progress()
 
-    def found(result: Result) -> None:
-        path = corpus.keep(told.keep, result)
+    def keep_finding(result: "Result") -> None:
+        """Writes a finding as a scenario file."""
+        path = corpus.keep(arguments.findings_folder, result)
         print(f"{path}: {result.detail[0]}", flush=True)
 
-    def tell(tally: Tally) -> None:
-        if shown:
-            rate = tally.days / max(tally.seconds, 1e-9) * 3600
-            line = f"{tally.days} days, {rate:.0f} an hour, {len(tally.words)} states, "
-            line += f"{len(tally.kinds)} kinds"
-            print(f"\r\x1b[K{line}", end="", file=sys.stderr, flush=True)
-
-    explorer = Explorer(told.seed, told.jobs, cases, found, tell, not told.as_drawn)
+    def show_progress(tally: "Tally") -> None:
+        """Draws the progress on a terminal."""
+        if has_progress:
+            days_per_hour = tally.days / max(tally.seconds, MIN_ELAPSED_S) * S_PER_HOUR
+            draw_progress(
+                f"{tally.days} days, {days_per_hour:.0f} an hour, {len(tally.words)} states, "
+                f"{len(tally.kinds)} kinds"
+            )
+
+    explorer = Explorer(
+        arguments.seed,
+        arguments.process_count,
+        cases,
+        keep_finding,
+        show_progress,
+        arguments.makes_small,
+    )
     with on_interrupt(explorer.stop):
-        tally = explorer.run(told.days, told.minutes * 60)
-    if shown:
-        print("\r\x1b[K", end="", file=sys.stderr)
-    hours = tally.seconds / 3600
+        tally = explorer.run(arguments.max_days, arguments.max_minutes * 60)
+    if has_progress:
+        draw_progress("")
+    _print_summary(tally)
+    return FAILURE if tally.kinds else SUCCESS
+
+
+def _print_summary(tally: "Tally") -> None:
+    hours = tally.seconds / S_PER_HOUR
     print(
         f"{tally.days} days in {tally.seconds:.0f} s ({tally.days / hours:.0f} an hour, "
         f"{tally.virtual_s / tally.seconds:.1f} virtual seconds a second), "
         f"{len(tally.words)} states reached, "
         f"{len(tally.kinds)} kinds of findings, {tally.died} processes died"
     )
-    for kind, count in sorted(tally.kinds.items(), key=lambda one: -one[1]):
+    for kind, count in sorted(tally.kinds.items(), key=lambda item: -item[1]):
         print(f"{count:6}  {kind}")
-    return 1 if tally.kinds else 0
--- a/rainhitch/cli/fleet.py
+++ b/rainhitch/cli/fleet.py
@@ -1,63 +1,101 @@
-"""`rainhitch fleet`: what routers believe of one another, asked at their second addresses."""
+"""`rainhitch fleet`: what routers believe of one another, asked at their admin endpoints."""
 
 import argparse
 import asyncio
+from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-from rainhitch.cli import bad
+from rainhitch.cli.errors import InputError
+from rainhitch.cli.exit_codes import FAILURE, SUCCESS
+from rainhitch.cli.output import print_json
 
 Json = dict[str, Any]
-PATIENCE = 2.0  # s for one router's answer
-MOST = 1 << 16  # bytes of an answer
-AT_ONCE = 32
-INCOMPLETE = 1
 
+REPLY_TIMEOUT_S = 2.0
+MAX_REPLY_BYTES = 1 << 16
+MAX_CONCURRENT_REQUESTS = 32
+MAX_PORT = 65535
 
-def fill(parser: argparse.ArgumentParser) -> None:
-    under = parser.add_subparsers(dest="what", required=True, metavar="WHAT")
-    one = under.add_parser(
+QUOTA_FIELDS = ("now", "needs", "lent")
+"""Fields of `holds`, the router's part of the shared quota, in the order of the table's columns."""
+
+
+@dataclass(frozen=True, slots=True)
+class AdminAddress:
+    """A router's admin endpoint: as it was given, and what it says."""
+
+    text: str
+    host: str
+    port: int
+
+
+@dataclass(frozen=True, slots=True)
+class FleetStatusArguments:
+    """The arguments of `rainhitch fleet status`."""
+
+    addresses: tuple[AdminAddress, ...]
+    as_json: bool
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the subcommand's arguments."""
+    actions = parser.add_subparsers(dest="what", required=True, metavar="WHAT")
+    status = actions.add_parser(
         "status",
-        help="members, customers' parts and holdings as each router has them",
+        help="dead routers, traffic fractions and quota of each router, as it has them",
         description="Exit codes: 0 all answered, 1 some did not, 2 bad input.",
     )
-    one.add_argument("addresses", nargs="+", metavar="ADDRESS", help="a router's second address: host:port")
-    one.add_argument("--json", action="store_true", help="as JSON")
-
-
-def run(told: argparse.Namespace) -> int:
-    addresses = []
-    for text in told.addresses:
-        host, _, port = text.rpartition(":")
-        if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-            return bad(f"{text!r}: allowed is host:port")
-        addresses.append((host, int(port)))
-    answers = asyncio.run(ask_all(addresses))
-    rows = dict(zip(told.addresses, answers, strict=True))
-    if told.json:
-        print(orjson.dumps(rows, option=orjson.OPT_INDENT_2).decode())
+    status.add_argument(
+        "addresses", nargs="+", metavar="ADDRESS", help="a router's admin endpoint: host:port"
+    )
+    status.add_argument("--json", action="store_true", help="as JSON")
+
+
+def parse_arguments(namespace: argparse.Namespace) -> FleetStatusArguments:
+    """Reads the arguments; raises InputError for an address that is none."""
+    addresses = tuple(_parse_address(text) for text in namespace.addresses)
+    return FleetStatusArguments(addresses, namespace.json)
+
+
+def _parse_address(text: str) -> AdminAddress:
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise InputError(f"{text!r}: allowed is host:port")
+    return AdminAddress(text, host, int(port))
+
+
+def run(namespace: argparse.Namespace) -> int:
+    """Asks the routers and prints what they reply; returns FAILURE where some did not answer."""
+    arguments = parse_arguments(namespace)
+    replies = asyncio.run(ask_all([(address.host, address.port) for address in arguments.addresses]))
+    given = [address.text for address in arguments.addresses]
+    reply_by_address = dict(zip(given, replies, strict=True))
+    if arguments.as_json:
+        print_json(reply_by_address)
     else:
-        show(rows)
-    return INCOMPLETE if any("error" in one for one in answers) else 0
+        _print_table(reply_by_address)
+    return FAILURE if any("error" in reply for reply in replies) else SUCCESS
 
 
 async def ask_all(addresses: list[tuple[str, int]]) -> list[Json]:
-    """Each router's word, in the order of the addresses; an object with `error` for one that gave none."""
-    free = asyncio.Semaphore(AT_ONCE)
+    """Returns each router's reply, in the order of the addresses; `ask` has what stands for none."""
+    free = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-    async def one(address: tuple[str, int]) -> Json:
+    async def ask_one(address: tuple[str, int]) -> Json:
+        """Asks one router once there is room."""
         async with free:
             return await ask(*address)
 
-    return list(await asyncio.gather(*(one(address) for address in addresses)))
+    return list(await asyncio.gather(*(ask_one(address) for address in addresses)))
 
 
 async def ask(host: str, port: int) -> Json:
-    """One router's word."""
+    """Returns one router's reply to `routers`; an object with `error` where it gave none."""
     try:
-        async with asyncio.timeout(PATIENCE):
-            reader, writer = await asyncio.open_connection(host, port, limit=MOST)
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(host, port, limit=MAX_REPLY_BYTES)
             try:
                 writer.write(b"routers\n")
                 line = await reader.readline()
@@ -67,32 +105,37 @@
         return {"error": "no answer"}
     except (OSError, ValueError) as problem:
         return {"error": str(problem) or type(problem).__name__}
-    yes, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
+    status, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
     try:
-        made = orjson.loads(rest)
+        reply = orjson.loads(rest)
     except orjson.JSONDecodeError:
         return {"error": rest or "no answer"}
-    return made if yes == "OK" and isinstance(made, dict) else {"error": rest}
+    return reply if status == "OK" and isinstance(reply, dict) else {"error": rest}
 
 
-def show(rows: dict[str, Json]) -> None:
+def _print_table(reply_by_address: dict[str, Json]) -> None:
     print(f"{'router':<24}{'heard':>6}{'gone':>14}{'holds':>9}{'needs':>9}{'lent':>9}    parts of customers")
-    for address, told in rows.items():
-        if "error" in told:
-            print(f"{address:<24}{told['error']}")
-            continue
-        holds = told.get("holds", {})
-        figures = [f"{holds[name]:.1f}" if name in holds else "-" for name in ("now", "needs", "lent")]
-        gone = ",".join(map(str, told["gone"])) or "none" if "gone" in told else "-"
-        parts = " ".join(f"{one:.3f}" for one in told.get("parts", [])) or "-"
-        who = f"{told['me']} {address}"
-        columns = f"{told.get('heard', '-'):>6}{gone:>14}" + "".join(f"{one:>9}" for one in figures)
-        print(f"{who:<24}{columns}    {parts}")
-    views = {tuple(one["gone"]) for one in rows.values() if "gone" in one}
+    for address, reply in reply_by_address.items():
+        if "error" in reply:
+            print(f"{address:<24}{reply['error']}")
+        else:
+            _print_router(address, reply)
+    views = {tuple(reply["gone"]) for reply in reply_by_address.values() if "gone" in reply}
     if len(views) > 1:
         print(f"routers differ on who is gone: {len(views)} views")
-    holds = [one["holds"] for one in rows.values() if "holds" in one]
-    if holds:
-        print(
-            f"held by these together {sum(one['now'] for one in holds):.1f} of {holds[0]['of']:.1f} a second"
-        )
+    quotas = [reply["holds"] for reply in reply_by_address.values() if "holds" in reply]
+    if quotas:
+        held_per_s = sum(quota["now"] for quota in quotas)
+        print(f"held by these together {held_per_s:.1f} of {quotas[0]['of']:.1f} a second")
+
+
+def _print_router(address: str, reply: Json) -> None:
+    quota = reply.get("holds", {})
+    quota_texts = [f"{quota[name]:.1f}" if name in quota else "-" for name in QUOTA_FIELDS]
+    gone = "-"
+    if "gone" in reply:
+        gone = ",".join(map(str, reply["gone"])) or "none"
+    fractions = " ".join(f"{fraction:.3f}" for fraction in reply.get("parts", [])) or "-"
+    router = f"{reply['me']} {address}"
+    columns = f"{reply.get('heard', '-'):>6}{gone:>14}" + "".join(f"{text:>9}" for text in quota_texts)
+    print(f"{router:<24}{columns}    {fractions}")
--- a/rainhitch/cli/rehearse.py
+++ b/rainhitch/cli/rehearse.py
@@ -1,194 +1,170 @@
-"""`rainhitch rehearse`: plays scenarios, proves the judge, makes reports anew from records."""
+"""`rainhitch rehearse`: runs scenarios, proves the checker, makes reports anew from records."""
 
 import argparse
 import asyncio
 import contextlib
-import shutil
 import signal
-import sys
 from collections.abc import Coroutine
 from pathlib import Path
-from typing import Any
-
-from rainhitch.cli import BAD_INPUT, INTERRUPTED, bad, virtual
+from typing import TYPE_CHECKING, Any
+
+from rainhitch.cli.errors import InputError, requires_rehearsal_extra
+from rainhitch.cli.exit_codes import INTERRUPTED, SUCCESS
+from rainhitch.cli.output import print_error
+from rainhitch.cli.rehearse_arguments import (
+    RehearseArguments,
+    RehearseMode,
+    parse_arguments,
+)
+from rainhitch.cli.rehearse_arguments import add_arguments as add_arguments
+from rainhitch.cli.rehearse_output import erase_progress, progress_callback, show_report
+from rainhitch.cli.rehearse_virtual import compare_traces, run_scenario_in_virtual_time
 from rainhitch.toml_schema import TableError
 
-MOST_REAL = 64  # routers as processes: their datagrams take a socket for each pair of them
+if TYPE_CHECKING:
+    from rainhitch.rehearsal.scenario import Scenario
+
 Json = dict[str, Any]
 
+MAX_ROUTER_PROCESSES = 64
+"""Their datagrams take a socket for each pair of them; more run in virtual time only."""
+
+PLAIN_ROUTER = "plain"
+"""Word for the kit's simple router, in place of a command that starts one."""
 
-def fill(parser: argparse.ArgumentParser) -> None:
-    parser.description = (
-        "Plays a day on this machine: real router processes, stand-ins for the world around them, "
-        "faults on cue, and a judge. "
-        "Exit codes: 0 all held, 1 a rule was broken or an expectation failed, 2 bad input, 3 void."
-    )
-    parser.add_argument("target", nargs="*", metavar="NAME|FILE.toml|report DIR|compare TRACE TRACE")
-    parser.add_argument("--list", action="store_true", help="the shipped scenarios")
-    parser.add_argument("--prove", action="store_true", help="show that the judge sees each broken rule")
-    parser.add_argument("--seed", type=int, default=1, help="what the day is drawn from (1)")
-    parser.add_argument("--routers", type=int, help="how many routers, in place of the scenario's")
-    parser.add_argument(
-        "--router", metavar="COMMAND", help="what starts a router; `plain` is the kit's yardstick"
-    )
-    parser.add_argument("--json", metavar="FILE", type=Path, help="write the whole report there")
-    parser.add_argument("--records", metavar="DIR", type=Path, help="keep the ledgers there")
-    parser.add_argument(
-        "--repeat", metavar="K", type=int, default=1, help="play it K times, and tell the spread"
-    )
-    virtual.fill(parser)
-
-
-def run(told: argparse.Namespace) -> int:
+
+def run(namespace: argparse.Namespace) -> int:
+    """Does what the arguments say; returns the report's exit code where a scenario is run."""
     try:
-        return _run(told)
+        with requires_rehearsal_extra():
+            return _run(parse_arguments(namespace))
     except TableError as problem:
-        for line in problem.lines:
-            print(f"rainhitch: {line}", file=sys.stderr)
-        return BAD_INPUT
-    except ModuleNotFoundError as problem:
-        print(f"rainhitch: {problem.name} is missing: install rainhitch[rehearsal]", file=sys.stderr)
-        return BAD_INPUT
+        raise InputError(*problem.lines) from None
+
+
+def _run(arguments: RehearseArguments) -> int:
+    match arguments.mode:
+        case RehearseMode.LIST_SCENARIOS:
+            return _list_scenarios()
+        case RehearseMode.PROVE_CHECKER:
+            return _run_interruptible(_prove_checker(arguments.seed))
+        case RehearseMode.REPORT:
+            return _report(Path(arguments.targets[0]), arguments.report_file)
+        case RehearseMode.COMPARE_TRACES:
+            return compare_traces(Path(arguments.targets[0]), Path(arguments.targets[1]))
+        case RehearseMode.RUN_VIRTUAL:
+            return run_scenario_in_virtual_time(arguments)
+        case RehearseMode.RUN:
+            return _run_scenario(arguments)
+
+
+def _list_scenarios() -> int:
+    from rainhitch.rehearsal import scenario
 
+    for name, path in scenario.shipped().items():
+        print(f"{name:28} {scenario.read_scenario(path).about}")
+    return SUCCESS
 
-def _run(told: argparse.Namespace) -> int:
-    from rainhitch.rehearsal import scenario
 
-    if told.list:
-        for name, path in scenario.shipped().items():
-            print(f"{name:28} {scenario.read_scenario(path).about}")
-        return 0
-    if told.prove:
-        return _interruptible(_prove(told.seed))
-    if told.target[:1] == ["report"] and len(told.target) == 2:
-        return _report(told)
-    if told.target[:1] == ["compare"] and len(told.target) == 3:
-        return virtual.compare(*map(Path, told.target[1:]))
-    if len(told.target) != 1:
-        return bad("one scenario is wanted: NAME, FILE.toml, or `report DIR`; --list names the shipped ones")
-    if told.repeat < 1:
-        return bad(f"--repeat {told.repeat}: allowed is 1 or more")
-    if told.virtual or virtual.asked(told):
-        return virtual.play_day(told, _progress, _show)
-    return _play(told)
-
-
-def _report(told: argparse.Namespace) -> int:
+def _report(records_folder: Path, report_file: Path | None) -> int:
     from rainhitch.rehearsal import report
 
     try:
-        made = report.from_records(Path(told.target[1]))
+        made = report.from_records(records_folder)
     except report.RecordsError as problem:
-        return bad(str(problem))
-    _show(made, told.json)
+        raise InputError(str(problem)) from None
+    show_report(made, report_file)
     return int(made["exit"])
 
 
-def _play(told: argparse.Namespace) -> int:
+def _run_scenario(arguments: RehearseArguments) -> int:
     from rainhitch.rehearsal import runner, scenario
     from rainhitch.rehearsal.router_process import RehearsalError, parse_command
 
-    path = scenario.find(told.target[0])
-    changes = {} if told.routers is None else {"fleet.routers": told.routers}
+    path = scenario.find(arguments.targets[0])
+    changes: dict[str, object] = {}
+    if arguments.router_count is not None:
+        changes["fleet.routers"] = arguments.router_count
     day = scenario.read_scenario(path, changes)
+    for written in (arguments.report_file, arguments.records_folder):
+        if written is not None and not written.absolute().parent.is_dir():
+            raise InputError(f"{written}: its folder does not exist")
+    if day.fleet.routers > MAX_ROUTER_PROCESSES:
+        raise InputError(
+            f"fleet.routers = {day.fleet.routers}: more than {MAX_ROUTER_PROCESSES} play with --virtual"
+        )
     try:
-        for file in [told.json, told.records]:
-            if file is not None:
-                _writable(file)
-        if day.fleet.routers > MOST_REAL:
-            many = f"fleet.routers = {day.fleet.routers}"
-            raise RehearsalError(f"{many}: more than {MOST_REAL} play with --virtual")
-        words = runner.rainhitch_command()
-        if told.router is not None:
-            words = runner.plain_router_command() if told.router == "plain" else parse_command(told.router)
-        return _interruptible(_repeat(told, day, path.stem, words))
+        command = runner.rainhitch_command()
+        if arguments.router_command == PLAIN_ROUTER:
+            command = runner.plain_router_command()
+        elif arguments.router_command is not None:
+            command = parse_command(arguments.router_command)
+        return _run_interruptible(_run_repeatedly(arguments, day, path.stem, command))
     except RehearsalError as problem:
-        return bad(str(problem))
-
-
-def _writable(file: Path) -> None:
-    from rainhitch.rehearsal.router_process import RehearsalError
-
-    if not file.absolute().parent.is_dir():
-        raise RehearsalError(f"{file}: its folder does not exist")
+        raise InputError(str(problem)) from None
 
 
-def _interruptible(what: Coroutine[Any, Any, int]) -> int:
+def _run_interruptible(exit_code: Coroutine[Any, Any, int]) -> int:
     """Runs it; Ctrl-C and SIGTERM end it in good order, with all that it started."""
 
-    async def whole() -> int:
-        task = asyncio.ensure_future(what)
-        for one in (signal.SIGINT, signal.SIGTERM):
-            asyncio.get_running_loop().add_signal_handler(one, task.cancel)
+    async def run_until_signal() -> int:
+        """Cancels it with the first signal."""
+        task = asyncio.ensure_future(exit_code)
+        for number in (signal.SIGINT, signal.SIGTERM):
+            asyncio.get_running_loop().add_signal_handler(number, task.cancel)
         with contextlib.suppress(asyncio.CancelledError):
             return await task
-        print("rainhitch: interrupted; all that was started has ended", file=sys.stderr)
+        print_error("interrupted; all that was started has ended")
         return INTERRUPTED
 
-    return asyncio.run(whole())
+    return asyncio.run(run_until_signal())
 
 
-async def _repeat(told: argparse.Namespace, day: Any, name: str, words: list[str]) -> int:
+async def _run_repeatedly(
+    arguments: RehearseArguments, day: "Scenario", name: str, command: list[str]
+) -> int:
     from rainhitch.rehearsal import report, runner
 
-    made: list[Json] = []
-    for number in range(told.repeat):
-        records = told.records
-        if records is not None and told.repeat > 1:
-            records = records / str(number + 1)
-        made.append(await runner.run_scenario(day, name, told.seed, words, _progress(day), records))
-        if sys.stderr.isatty():
-            print("\r\x1b[K", end="", file=sys.stderr)
-        if told.repeat > 1:
-            one = made[-1]
-            print(f"{number + 1}: service {one['service']:.4f} score {one['score']:.4f} rules {one['rules']}")
-    if told.repeat == 1:
-        _show(made[0], told.json)
+    is_repeated = arguments.repeat_count > 1
+    reports: list[Json] = []
+    for number in range(1, arguments.repeat_count + 1):
+        records_folder = arguments.records_folder
+        if records_folder is not None and is_repeated:
+            records_folder = records_folder / str(number)
+        made = await runner.run_scenario(
+            day, name, arguments.seed, command, progress_callback(day), records_folder
+        )
+        reports.append(made)
+        erase_progress()
+        if is_repeated:
+            print(f"{number}: service {made['service']:.4f} score {made['score']:.4f} rules {made['rules']}")
+    if is_repeated:
+        services = [made["service"] for made in reports]
+        spread = max(services) - min(services)
+        print(f"spread of service over {arguments.repeat_count} plays: {spread:.4f}")
+        if arguments.report_file is not None:
+            rows = b",".join(report.as_json(made) for made in reports)
+            arguments.report_file.write_bytes(b"[" + rows + b"]\n")
     else:
-        services = [one["service"] for one in made]
-        print(f"spread of service over {told.repeat} plays: {max(services) - min(services):.4f}")
-        if told.json is not None:
-            told.json.write_bytes(b"[" + b",".join(report.as_json(one) for one in made) + b"]\n")
-    return max(int(one["exit"]) for one in made)
+        show_report(reports[0], arguments.report_file)
+    return max(int(made["exit"]) for made in reports)
 
 
-def _progress(day: Any) -> Any:
-    """A line that tells how far the day is and what acts, on a terminal."""
-    shown = sys.stderr.isatty()
-
-    def tell(at: float, row: Json) -> None:
-        if shown:
-            acting = ", ".join(one.kind for one in day.faults if one.at_s <= at <= one.until_s)
-            crashes = f"  crashed: {row['crashes']}" if row["crashes"] else ""
-            when = f"{max(at, 0):4.1f} of {day.day.length_s:g} s" if at >= 0 else "prelude"
-            print(f"\r\x1b[K{when}  {acting}{crashes}", end="", file=sys.stderr, flush=True)
-
-    return tell
-
-
-def _show(made: Json, file: Path | None) -> None:
-    from rainhitch.rehearsal import report
-
-    width = min(120, shutil.get_terminal_size((100, 24)).columns)
-    print(report.as_text(made, width, sys.stdout.isatty()), end="")
-    if file is not None:
-        file.write_bytes(report.as_json(made))
-
-
-async def _prove(seed: int) -> int:
-    from rainhitch.rehearsal import runner
+async def _prove_checker(seed: int) -> int:
+    from rainhitch.rehearsal import report, runner
     from rainhitch.rehearsal.plain_router import MODES
 
-    def say(mode: str, wrong: str, made: Json) -> None:
-        seen = next((one["what"] for one in made["breaches"]), "no breach")
-        late = " (void: the rig ran late)" if made["exit"] == 3 else ""
+    def print_mode(mode: str, wrong: str, made: Json) -> None:
+        """Prints what the checker made of one faulty router; `wrong` says where it erred."""
+        seen = next((breach["what"] for breach in made["breaches"]), "no breach")
+        late = " (void: the rig ran late)" if made["exit"] == report.VOID else ""
         print(f"{'WRONG' if wrong else 'ok':6}{mode:18}{wrong or seen}{late}", flush=True)
 
-    code = await runner.prove_checker(list(MODES), say, seed)
-    held = {
-        0: "each is caught by its own rule, and no good one is accused",
-        1: "the judge is wrong",
-        3: "void",
+    exit_code = await runner.prove_checker(list(MODES), print_mode, seed)
+    summaries = {
+        report.HELD: "each is caught by its own rule, and no good one is accused",
+        report.BROKEN: "the judge is wrong",
+        report.VOID: "void",
     }
-    print(held[code])
-    return code
+    print(summaries[exit_code])
+    return exit_code
--- a/rainhitch/cli/schema.py
+++ b/rainhitch/cli/schema.py
@@ -1,26 +1,51 @@
 """`rainhitch schema`: the JSON Schema of a file that operators write, for editors."""
 
 import argparse
+from dataclasses import dataclass
+from enum import Enum
 
+from rainhitch.cli.exit_codes import SUCCESS
+from rainhitch.cli.output import print_json
 
-def fill(parser: argparse.ArgumentParser) -> None:
+
+class FileKind(Enum):
+    """The files that have a schema."""
+
+    OPERATOR = "operator"
+    SCENARIO = "scenario"
+
+
+@dataclass(frozen=True, slots=True)
+class SchemaArguments:
+    """The arguments of `rainhitch schema`."""
+
+    kind: FileKind
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the subcommand's arguments."""
     parser.description = "Prints the JSON Schema of the operator's file, or of a scenario of the kit."
-    parser.add_argument("kind", choices=("operator", "scenario"))
+    parser.add_argument("kind", choices=tuple(kind.value for kind in FileKind))
+
 
+def parse_arguments(namespace: argparse.Namespace) -> SchemaArguments:
+    """Reads the arguments."""
+    return SchemaArguments(FileKind(namespace.kind))
 
-def run(told: argparse.Namespace) -> int:
-    import orjson
 
+def run(namespace: argparse.Namespace) -> int:
+    """Prints the schema."""
     from rainhitch import toml_schema
 
-    if told.kind == "operator":
+    arguments = parse_arguments(namespace)
+    if arguments.kind is FileKind.OPERATOR:
         from rainhitch.operator_config import OperatorConfig
 
         # The title stays as editors know it.
-        made = toml_schema.schema(OperatorConfig) | {"title": "Operator"}
+        schema = toml_schema.schema(OperatorConfig) | {"title": "Operator"}
     else:
         from rainhitch.rehearsal.scenario import Scenario
 
-        made = toml_schema.schema(Scenario)
-    print(orjson.dumps(made, option=orjson.OPT_INDENT_2).decode())
-    return 0
+        schema = toml_schema.schema(Scenario)
+    print_json(schema)
+    return SUCCESS
