--- a/tests/resp3/test_codec.py
+++ b/tests/protocol/test_resp3.py
@@ -1,4 +1,4 @@
-"""RESP3 without sockets: any value, any chunking, hiredis beside it, frames that lie, and the bounds."""
+"""RESP3 without sockets: any value, cut anywhere; hiredis beside it; malformed messages; the bounds."""
 
 import contextlib
 import math
@@ -38,6 +38,7 @@
 
 
 def aggregates(inner: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
+    """Arrays, maps and sets of the inner values."""
     pairs = st.lists(st.tuples(inner, inner), max_size=3)
     items = st.lists(inner, max_size=4)
     return st.one_of(items, pairs.map(lambda one: Map(tuple(one))), items.map(lambda one: Set(tuple(one))))
@@ -63,9 +64,13 @@
 
 
 @given(st.lists(FRAMES, max_size=3), st.lists(st.integers(0, 400), max_size=6))
-def test_what_is_written_is_read_again_however_it_is_cut(values: list[Any], cuts: list[int]) -> None:
+def test_reading_returns_the_written_values_however_the_stream_is_cut(
+    values: list[Any], cuts: list[int]
+) -> None:
+    """A message may come in any pieces."""
     text = b"".join(encode(one, 3) for one in values)
-    reader, found = Resp3Reader(), []
+    reader = Resp3Reader()
+    found: list[object] = []
     edges = [0, *sorted(cut for cut in cuts if cut < len(text)), len(text)]
     for begin, end in zip(edges, edges[1:], strict=False):  # noqa: RUF007
         reader.feed(text[begin:end])
@@ -93,29 +98,31 @@
     return value
 
 
-def of_hiredis(value: Any) -> Any:
+def from_hiredis(value: Any) -> Any:
+    """What hiredis read, in the form of `plain`."""
     if isinstance(value, hiredis.HiredisError):
         return f"error {str(value).encode('latin-1')!r}"
     if isinstance(value, dict):
-        return [[of_hiredis(key), of_hiredis(one)] for key, one in value.items()]
+        return [[from_hiredis(key), from_hiredis(one)] for key, one in value.items()]
     if isinstance(value, list | tuple | set):
-        return [of_hiredis(one) for one in value]
+        return [from_hiredis(one) for one in value]
     return value
 
 
 @settings(max_examples=300)
 @given(VALUES)
-def test_hiredis_reads_the_same(value: Any) -> None:
+def test_hiredis_reads_the_same_values(value: Any) -> None:
+    """An independent reader takes what is written for the same values."""
     text = encode(value, 3)
     reader = hiredis.Reader()
     try:
         reader.feed(text)
-        told = reader.gets()
+        read_back = reader.gets()
     except (hiredis.ProtocolError, TypeError, UnicodeDecodeError):
         return  # deeper than it goes, a map whose key is a list, a blob error, which it does not know
     if "ErrorReply(" in repr(value) or "Map(" in repr(value):
         return  # errors come in a class of its own, and a key that a map has twice but once
-    assert same(of_hiredis(told), plain(value))
+    assert same(from_hiredis(read_back), plain(value))
 
 
 @pytest.mark.parametrize(
@@ -142,7 +149,8 @@
         ),
     ],
 )
-def test_each_form_of_the_specification_is_read(text: bytes, value: object) -> None:
+def test_every_form_of_the_specification_is_read(text: bytes, value: object) -> None:
+    """At once, and byte by byte, where nothing is returned before the last byte."""
     assert read(text) == [value]
     reader = Resp3Reader()
     for n in range(len(text) - 1):
@@ -188,19 +196,22 @@
         b"|1\r\n+a\r\n+b\r\n" * 3000,
     ],
 )
-def test_what_lies_or_never_ends_is_told_at_once(text: bytes) -> None:
+def test_malformed_or_oversized_input_raises_at_once(text: bytes) -> None:
+    """Not only when what was announced has come."""
     with pytest.raises(FramingError):
         read(text)
 
 
-def test_a_depth_of_ten_thousand_is_refused_and_costs_next_to_nothing() -> None:
+def test_nesting_beyond_the_bound_is_rejected() -> None:
+    """Ten thousand levels would exhaust the stack of a recursive reader."""
     reader = Resp3Reader()
     reader.feed(b"*1\r\n" * 10_000)
     with pytest.raises(FramingError, match="deep"):
         reader.next()
 
 
-def test_what_is_announced_takes_no_memory_before_it_comes() -> None:
+def test_announced_sizes_take_no_memory_before_the_bytes_come() -> None:
+    """A short header must not make the router reserve what it announces."""
     reader = Resp3Reader()
     reader.feed(b"*4000\r\n")
     assert reader.next() is NEED_DATA and len(reader.buffer) < 16
@@ -215,14 +226,16 @@
         )
 
 
-def test_a_dribble_costs_linear_time() -> None:
+def test_input_byte_by_byte_costs_linear_time() -> None:
     """A line searched from its beginning at each byte costs the square of its length."""
 
     def cost(size: int) -> float:
+        """CPU seconds to read a message of this size byte by byte, the best of three."""
         text = b"*%d\r\n" % size + b":1\r\n" * size + b"$%d\r\n" % (16 * size) + b"x" * (16 * size) + b"\r\n"
         best = math.inf
         for _ in range(3):
-            reader, begun = Resp3Reader(), time.process_time()
+            reader = Resp3Reader()
+            begun = time.process_time()
             for n in range(len(text)):
                 reader.feed(text[n : n + 1])
                 reader.next()
@@ -234,22 +247,27 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=20)
-def test_mutated_frames_neither_crash_nor_hang_nor_pass_the_bounds(seed: int) -> None:
+def test_mutated_messages_neither_crash_nor_hang_nor_exceed_the_bounds(seed: int) -> None:
     """A fixed, seeded share of what benchmarks/resp3.py runs: 200 frames for each example."""
     assert resp3_fuzz(seed, 200) == 200
 
 
 def resp3_fuzz(seed: int, count: int) -> int:
+    """How many mutated messages ended in values, in waiting, or in a FramingError."""
     from benchmarks.resp3 import fuzz
 
     return fuzz(seed, count)
 
 
-def test_a_long_value_is_read_by_pieces() -> None:
+def test_a_long_value_is_read_in_pieces_where_that_was_asked_for() -> None:
+    """Elsewhere it is over the bound."""
     size = 70_000
     text = b"*3\r\n$%d\r\n" % size + b"v" * size + b"\r\n+hit\r\n_\r\n"
     for step in (1 << 20, 1000, 17):
-        reader, got, begun, told = Resp3Reader(relays_long_values=True), b"", False, None
+        reader = Resp3Reader(relays_long_values=True)
+        got = b""
+        begun = False
+        rest: object = None
         for n in range(0, len(text), step):
             reader.feed(text[n : n + step])
             if not begun:
@@ -257,15 +275,17 @@
             if begun:
                 got += reader.read_body()
                 if not reader.body_bytes_left:
-                    told = reader.next()
-        assert got == b"v" * size and told == [None, SimpleString(b"hit"), None] and reader.idle()
+                    rest = reader.next()
+        assert got == b"v" * size and rest == [None, SimpleString(b"hit"), None] and reader.idle()
     with pytest.raises(FramingError):
         read(text)  # where nobody asked for it
 
 
 @given(VALUES)
-def test_in_protocol_2_only_forms_of_it_are_written(value: Any) -> None:
-    reader, text = hiredis.Reader(), encode(value, 2)
+def test_version_2_holds_no_types_of_version_3(value: Any) -> None:
+    """A client of version 2 can read every value."""
+    reader = hiredis.Reader()
+    text = encode(value, 2)
     assert not set(b"_#,(=%~>!|") & {line[0] for line in _heads(text)}
     reader.feed(text)
     with contextlib.suppress(hiredis.ProtocolError, UnicodeDecodeError):
@@ -274,7 +294,8 @@
 
 def _heads(text: bytes) -> list[bytes]:
     """The lines of a text in protocol 2 that say what comes, without the bytes of strings."""
-    heads, at = [], 0
+    heads: list[bytes] = []
+    at = 0
     while at < len(text):
         end = text.index(b"\r\n", at)
         heads.append(text[at:end])
--- a/tests/resp3/test_nodes.py
+++ b/tests/resp3/test_cache_servers.py
@@ -1,4 +1,4 @@
-"""Cache servers that speak RESP3, or may: greetings, pushes and richer values, over loopback sockets."""
+"""Cache servers that speak RESP3, or may: greetings, pushes, values of its types; over loopback sockets."""
 
 import asyncio
 from typing import Any
@@ -16,14 +16,17 @@
 
 
 @pytest.fixture(autouse=True)
-def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection may be used again at once after an answer."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
 
-async def test_a_server_that_refuses_hello_speaks_resp2_and_is_greeted_once() -> None:
+async def test_a_server_that_rejects_hello_speaks_resp2_and_is_greeted_once() -> None:
+    """It is greeted again once its process has started anew."""
     greetings: list[Any] = []
 
     def script(asked: Any, line: asyncio.StreamWriter) -> bytes:
+        """The answer to a command."""
         if asked[0] == b"HELLO":
             greetings.append(asked)
             return b"-ERR unknown command\r\n"
@@ -63,7 +66,8 @@
         (b"%3000\r\n", "BUSY"),
     ],
 )
-async def test_a_server_that_speaks_neither_was_never_asked(greeting: bytes, answer: str) -> None:
+async def test_a_server_without_a_valid_greeting_gets_no_request(greeting: bytes, answer: str) -> None:
+    """So that its request was never executed, and may be rejected."""
     async with router(versions=(2, 3), dialTimeout=100_000_000) as bench:
         bench.cache.greeting = greeting  # type: ignore[attr-defined]
         caller = await bench.caller()
@@ -75,7 +79,8 @@
 
 @pytest.mark.parametrize("push", [INVALIDATE, UNKNOWN, INVALIDATE * 300, b"|1\r\n+a\r\n:1\r\n" + INVALIDATE])
 @pytest.mark.parametrize("step", [1 << 20, 1])
-async def test_pushes_round_a_reply_are_no_reply(push: bytes, step: int) -> None:
+async def test_pushes_before_and_behind_a_reply_are_no_reply(push: bytes, step: int) -> None:
+    """Nor do they close the connection."""
     answer = encode([b"v", b"hit", None], 3)
     texts = [push + answer, answer + push, push + answer + push]
     if step == 1:
@@ -84,6 +89,7 @@
     async with router(versions=(2, 3)) as bench:
 
         async def dribble(line: asyncio.StreamWriter, text: bytes) -> None:
+            """Writes a text in steps."""
             for n in range(0, len(text), step):
                 line.write(text[n : n + step])
                 await asyncio.sleep(0.0005 if step == 1 else 0)
@@ -91,6 +97,7 @@
         tasks: list[asyncio.Task[None]] = []
 
         def script(asked: Any, line: asyncio.StreamWriter) -> None:
+            """The answer to a command."""
             text = texts[len(tasks) % len(texts)] if texts else answer
             tasks.append(asyncio.create_task(dribble(line, text)))
 
@@ -106,7 +113,8 @@
             assert bench.pools.unknown_pushes > 0
 
 
-async def test_an_invalidated_key_is_a_likely_miss_from_then_on() -> None:
+async def test_an_invalidated_key_is_forgotten_for_the_server_that_said_so() -> None:
+    """The router does not look for it there any more."""
     async with router(versions=(2, 3)) as bench:
         caller = await bench.caller()
         caller.get()
@@ -125,7 +133,8 @@
 @pytest.mark.parametrize(
     "noise", [b"+late\r\n", encode([b"v", b"hit", None], 3), b"\0", b">1\r\n:1\r\n", b"*0\r\n"]
 )
-async def test_what_is_no_push_ends_an_idle_connection(noise: bytes) -> None:
+async def test_anything_but_a_push_closes_an_idle_connection(noise: bytes) -> None:
+    """It would be taken for the answer to the next request."""
     async with router(versions=(2, 3)) as bench:
         caller = await bench.caller()
         caller.get()
@@ -134,7 +143,8 @@
         await soon(lambda: bench.cache.ended == 1)
 
 
-async def test_half_a_push_keeps_its_connection_out_of_use_and_open() -> None:
+async def test_a_connection_with_half_a_push_is_kept_open_but_not_used() -> None:
+    """Until the rest of the push has come."""
     async with router(versions=(2, 3)) as bench:
         caller = await bench.caller()
         caller.get()
@@ -150,6 +160,7 @@
 
 
 async def test_a_flood_of_pushes_does_not_starve_replies() -> None:
+    """Requests are answered while a server sends pushes without end."""
     async with router(versions=(2, 3)) as bench:
         caller = await bench.caller()
         caller.get()
@@ -157,6 +168,7 @@
         flooding = True
 
         async def flood() -> None:
+            """Writes pushes until the flag is taken away."""
             while flooding:
                 bench.cache.lines[0].write(INVALIDATE * 200)
                 await bench.cache.lines[0].drain()
@@ -181,7 +193,8 @@
 
 
 @pytest.mark.parametrize(("value", "two", "three"), RICH)
-async def test_richer_values_have_the_form_of_the_clients_protocol(value: Any, two: Any, three: Any) -> None:
+async def test_values_have_the_form_of_the_clients_version(value: Any, two: Any, three: Any) -> None:
+    """A RESP3 value is served to clients of both versions."""
     async with router(versions=(2, 3)) as bench:
         bench.cache.answer = lambda asked, line: encode([value, Map(((b"note", b"hit"),))], 3)
         for version, form in ((2, two), (3, three)):
@@ -191,7 +204,8 @@
 
 
 @pytest.mark.parametrize("value", [True, 7, SimpleString(b"v"), [1], [], [[b"v"]], ErrorReply(b"x")])
-async def test_a_value_that_protocol_2_can_not_serve_is_a_failed_attempt_in_both(value: Any) -> None:
+async def test_a_value_without_a_form_in_version_2_fails_in_both(value: Any) -> None:
+    """So that what is served does not depend on the client."""
     for version in (2, 3):
         async with router(versions=(version, 3)) as bench:
             bench.cache.answer = lambda asked, line: encode([value, b"hit", None], 3)
@@ -212,7 +226,8 @@
         b"_\r\n",
     ],
 )
-async def test_a_spoilt_answer_may_have_run_and_ends_the_connection(text: bytes) -> None:
+async def test_a_malformed_reply_may_have_been_executed_and_closes_the_connection(text: bytes) -> None:
+    """The request fails, and is not repeated elsewhere."""
     async with router(versions=(3, 3)) as bench:
         bench.cache.answer = lambda asked, line: text
         caller = await bench.caller()
@@ -221,7 +236,8 @@
         await soon(lambda: not bench.pools.open())
 
 
-async def test_an_answer_is_in_the_protocol_of_when_its_command_was_taken() -> None:
+async def test_an_answer_has_the_version_that_held_when_its_command_was_read() -> None:
+    """HELLO changes what follows it, not what is in flight."""
     held: list[asyncio.StreamWriter] = []
     async with router(versions=(2, 3)) as bench:
         bench.cache.answer = lambda asked, line: held.append(line)
@@ -234,25 +250,27 @@
         await soon(lambda: len(held) == 3)
         for line in reversed(held):
             line.write(encode([1.5, b"hit", None], 3))
-        told = [await caller.answer() for _ in range(5)]
-        assert told[0] == b"1.5" and told[2] == 1.5 and told[4] == b"1.5"
-        assert told[1][b"proto"] == 3 and told[3][told[3].index(b"proto") + 1] == 2
+        answers = [await caller.answer() for _ in range(5)]
+        assert answers[0] == b"1.5" and answers[2] == 1.5 and answers[4] == b"1.5"
+        assert answers[1][b"proto"] == 3 and answers[3][answers[3].index(b"proto") + 1] == 2
 
 
 @pytest.mark.parametrize("client", [2, 3])
 @pytest.mark.parametrize("first", [2, 3])
-async def test_a_server_that_dies_in_its_reply_and_one_of_the_other_protocol_after_it(
+async def test_a_server_lost_in_its_reply_is_replaced_by_one_of_the_other_version(
     client: int, first: int
 ) -> None:
     """One final answer, in the client's protocol."""
     asked: list[str] = []
 
     def dying(words: Any, line: asyncio.StreamWriter) -> None:
+        """Breaks off in the middle of a reply."""
         asked.append("first")
         line.write(b"*3\r\n$5\r\nhal")
         line.transport.abort()
 
     def whole(words: Any, line: asyncio.StreamWriter) -> bytes:
+        """Answers, in RESP2."""
         asked.append("second")
         return b"-ERR unknown command\r\n" if words[0] == b"HELLO" else hit(b"whole")
 
@@ -269,8 +287,8 @@
         served = 0
         for n in range(12):
             caller.get(b"key%d" % n, b"d%d" % n)
-            told = await caller.answer()
-            served += told == b"whole"
-            assert told in (b"whole", b"from origin") or str(told).startswith("BUSY")
+            answer = await caller.answer()
+            served += answer == b"whole"
+            assert answer in (b"whole", b"from origin") or str(answer).startswith("BUSY")
         assert served and {"first", "second"} <= set(asked)
     await second.stop()
--- a/tests/resp3/test_libraries.py
+++ b/tests/resp3/test_client_libraries.py
@@ -14,17 +14,20 @@
 
 
 def served(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
+    """A cache server's answer: a value, a miss for `cold`, none for `slow`."""
     if asked[1] == b"slow":
         return None
     return MISS if asked[1] == b"cold" else hit(b"of " + asked[1])
 
 
 async def redis_py(bench: Bench, protocol: int, **more: Any) -> Any:
+    """A client of redis-py with its defaults."""
     return redis.asyncio.Redis(host="127.0.0.1", port=bench.port, protocol=protocol, **more)
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-async def test_redis_py_connects_asks_pipelines_and_comes_back(protocol: int) -> None:
+async def test_redis_py_connects_requests_pipelines_and_reconnects(protocol: int) -> None:
+    """All that an ordinary client does, in both versions."""
     async with router(served) as bench:
         client = await redis_py(bench, protocol)
         assert await client.ping()
@@ -45,7 +48,8 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-async def test_redis_py_gives_up_after_its_own_time(protocol: int) -> None:
+async def test_redis_py_reconnects_after_its_own_timeout(protocol: int) -> None:
+    """Its late answer must not be taken for the next one."""
     from redis.asyncio.retry import Retry
     from redis.backoff import NoBackoff
 
@@ -58,7 +62,8 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-async def test_redis_py_names_its_password(protocol: int) -> None:
+async def test_redis_py_authenticates(protocol: int) -> None:
+    """A wrong user or password is an authentication error."""
     async with router(served) as bench:
         bench.clients.authenticator = Authenticator(b"tablet", b"secret")
         for user, password in (("tablet", "wrong"), ("nobody", "secret")):
@@ -80,7 +85,8 @@
             assert await client.ping() == b"PONG"
 
             def get(n: int) -> Any:
+                """A read of a key by its number."""
                 words = (f"k{n}", f"r{n}", INFO)
-                return client.create_request(b"C.GET", *words, callback=lambda told, **_: told)
+                return client.create_request(b"C.GET", *words, callback=lambda answer, **_: answer)
 
             assert await asyncio.gather(*(get(n) for n in range(5))) == [b"of k%d" % n for n in range(5)]
--- a/tests/resp3/test_session.py
+++ b/tests/resp3/test_session.py
@@ -12,6 +12,7 @@
 
 
 def session(password: bytes = b"", ready: bool = True) -> Session:
+    """A session with the user `tablet`, of a router that is ready or not."""
     return Session(7, Authenticator(b"tablet", password), lambda: ready)
 
 
@@ -21,16 +22,17 @@
     assert text is not None
     reader = Resp3Reader()
     reader.feed(text)
-    told = reader.next()
-    assert told is not NEED_DATA and reader.idle()
-    return told
+    answer = reader.next()
+    assert answer is not NEED_DATA and reader.idle()
+    return answer
 
 
-def test_hello_tells_what_clients_read_in_either_protocol() -> None:
+def test_hello_describes_the_router_in_either_version() -> None:
+    """A map in version 3, a flat array in version 2."""
     one = session()
-    told = ask(one, b"HELLO", b"3", b"SETNAME", b"t1")
-    assert isinstance(told, Map) and told.get(b"proto") == 3 and told.get(b"server") == b"rainhitch"
-    assert told.get(b"id") == 7 and told.get(b"modules") == []
+    answer = ask(one, b"HELLO", b"3", b"SETNAME", b"t1")
+    assert isinstance(answer, Map) and answer.get(b"proto") == 3 and answer.get(b"server") == b"rainhitch"
+    assert answer.get(b"id") == 7 and answer.get(b"modules") == []
     flat = ask(one, b"hello", b"2")
     assert isinstance(flat, list) and flat[flat.index(b"proto") + 1] == 2 and len(flat) == 14
     assert ask(one, b"CLIENT", b"GETNAME") == b"t1"
@@ -57,16 +59,16 @@
         ((b"AUTH", b"x"), b"ERR AUTH called without"),
     ],
 )
-def test_what_can_not_be_done_gets_its_error_and_changes_nothing(
-    words: tuple[bytes, ...], why: bytes
-) -> None:
+def test_an_invalid_command_gets_its_error_and_changes_nothing(words: tuple[bytes, ...], why: bytes) -> None:
+    """Version and name of the connection stay."""
     one = session()
-    told = ask(one, *words)
-    assert isinstance(told, ErrorReply) and told.text.startswith(why)
+    answer = ask(one, *words)
+    assert isinstance(answer, ErrorReply) and answer.text.startswith(why)
     assert one.version == 2 and one.name == b""
 
 
-def test_what_libraries_ask_at_connect() -> None:
+def test_commands_that_libraries_send_at_connect_are_answered() -> None:
+    """As their defaults want it."""
     one = session()
     for words in (
         (b"CLIENT", b"SETINFO", b"LIB-NAME", b"redis-py"),
@@ -84,17 +86,20 @@
     assert ask(one, b"CLIENT", b"GETNAME") is None
 
 
-def test_with_a_password_nothing_else_is_answered_before_it() -> None:
+def test_no_command_is_served_before_the_password() -> None:
+    """HELLO and AUTH excepted, which may carry it."""
     one = session(b"secret")
     for name in HANDLERS:
         if name not in (b"HELLO", b"AUTH"):
             assert ask(one, name) == ErrorReply(b"NOAUTH Authentication required.")
-    told = ask(one, b"HELLO", b"3")
-    assert isinstance(told, ErrorReply) and told.text.startswith(b"NOAUTH HELLO") and one.version == 2
+    answer = ask(one, b"HELLO", b"3")
+    assert isinstance(answer, ErrorReply) and answer.text.startswith(b"NOAUTH HELLO") and one.version == 2
     wrong = ((b"AUTH", b"no"), (b"AUTH", b"other", b"secret"), (b"HELLO", b"3", b"AUTH", b"tablet", b"no"))
     for words in wrong:
-        told = ask(one, *words)
-        assert isinstance(told, ErrorReply) and told.text.startswith(b"WRONGPASS") and not one.authenticated
+        answer = ask(one, *words)
+        assert (
+            isinstance(answer, ErrorReply) and answer.text.startswith(b"WRONGPASS") and not one.authenticated
+        )
     assert isinstance(ask(one, b"HELLO", b"3", b"AUTH", b"tablet", b"secret"), Map)
     assert ask(one, b"PING") == SimpleString(b"PONG")
     ask(one, b"RESET")
@@ -102,15 +107,15 @@
     assert ask(one, b"AUTH", b"secret") == SimpleString(b"OK")  # of the one user there is
 
 
-def test_ping_tells_whether_the_router_can_serve() -> None:
-    told = ask(session(ready=False), b"PING", b"x")
-    assert isinstance(told, ErrorReply) and told.text.startswith(b"LOADING")
+def test_ping_is_an_error_while_the_router_can_not_serve() -> None:
+    """Health checks use it."""
+    answer = ask(session(ready=False), b"PING", b"x")
+    assert isinstance(answer, ErrorReply) and answer.text.startswith(b"LOADING")
 
 
 @given(st.sampled_from(sorted(HANDLERS)), st.lists(st.binary(max_size=12), max_size=7), st.booleans())
-def test_any_words_get_one_whole_answer_that_clients_can_read(
-    name: bytes, rest: list[bytes], locked: bool
-) -> None:
+def test_any_arguments_get_exactly_one_readable_answer(name: bytes, rest: list[bytes], locked: bool) -> None:
+    """No arguments break the stream of answers."""
     one = session(b"secret" if locked else b"")
     text = one.command([name, *rest])
     assert text is not None
--- a/tests/wire/test_wirehost.py
+++ b/tests/wire/test_wirehost.py
@@ -22,7 +22,8 @@
 Json = dict[str, Any]
 
 
-def play(lines: list[str]) -> subprocess.CompletedProcess[str]:
+def run_wirehost(lines: list[str]) -> subprocess.CompletedProcess[str]:
+    """Runs the adapter on these lines of input to its end."""
     return subprocess.run(
         [sys.executable, "-m", "rainhitch.wirehost"],
         input="".join(f"{line}\n" for line in lines),
@@ -32,14 +33,17 @@
 
 
 def batch(clock: int, *messages: Json) -> str:
+    """A line of input: a time in ns and messages."""
     return json.dumps({"clock": clock, "msgs": messages})
 
 
 def up(instance: int, info: Any = INFO) -> Json:
+    """Starts an instance with these settings."""
     return {"t": "UP", "i": instance, "nonce64": 5, "info": info}
 
 
 def listed(instance: int, count: int = 3) -> Json:
+    """The endpoint list of an instance: cache servers s0, s1, ... and the origin o."""
     elements: list[Json] = [{"stageState": "SERVING", "server": f"s{n}", "since": None} for n in range(count)]
     elements.append(
         {"stageState": "SERVING", "server": "o", "machine": 1, "hall": 0, "stripe": 0, "units": 1}
@@ -48,11 +52,13 @@
 
 
 def item(instance: int, name: str, key: str = "k", clock: int = SECOND) -> Json:
+    """A request, valid for 2 s."""
     fields = {"msgId": name, "cls": 0, "validUntil": clock + 2 * SECOND, "targetKey": key, "mutates": None}
     return {"t": "WORK_ITEM", "i": instance, "owner": None, **fields}
 
 
 def done(instance: int, send: Json, number: int, how: str) -> Json:
+    """The outcome of an attempt that a DISPATCH started."""
     fields = {"msgId": send["msgId"], "sendNo": number, "server": send["server"], "disposition": how}
     feedback = {"outstanding": 2, "recent_ms": 12.5, "throughput": 9, "x0": 0.4, "utilization": None}
     return {
@@ -66,26 +72,30 @@
 
 
 def replies(result: subprocess.CompletedProcess[str]) -> list[list[Json]]:
+    """The actions of each line of output."""
     return [json.loads(line)["output"] for line in result.stdout.splitlines()]
 
 
-def test_an_empty_batch_and_the_end_of_input() -> None:
-    result = play([batch(1)])
+def test_an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_process() -> None:
+    """With exit code 0 and nothing on standard error."""
+    result = run_wirehost([batch(1)])
     assert (result.returncode, result.stdout, result.stderr) == (0, '{"output":[]}\n', "")
-    assert play([]).returncode == 0
+    assert run_wirehost([]).returncode == 0
 
 
-def test_a_request_is_sent_on_the_wire() -> None:
-    result = play([batch(SECOND, up(0), listed(0), item(0, "a"))])
+def test_a_request_is_dispatched_to_a_cache_server() -> None:
+    """Once."""
+    result = run_wirehost([batch(SECOND, up(0), listed(0), item(0, "a"))])
     sends = [action for action in replies(result)[0] if action["t"] == "DISPATCH"]
     assert len(sends) == 1 and sends[0]["msgId"] == "a" and sends[0]["server"] in {"s0", "s1", "s2"}
     assert result.stderr == ""
 
 
-def test_outcomes_reports_and_every_other_event_are_read() -> None:
-    first = replies(play([batch(SECOND, up(0), listed(0), item(0, "a"))]))[0]
+def test_every_kind_of_event_is_read() -> None:
+    """After a miss the request goes to the origin."""
+    first = replies(run_wirehost([batch(SECOND, up(0), listed(0), item(0, "a"))]))[0]
     (send,) = [action for action in first if action["t"] == "DISPATCH"]
-    result = play(
+    result = run_wirehost(
         [
             batch(SECOND, up(0), listed(0), item(0, "a")),
             batch(SECOND + 5, done(0, send, 0, "lookup_miss"), {"t": "FIRED", "i": 0, "nonce": "due"}),
@@ -121,22 +131,25 @@
         ('{"clock":1,"msgs":[7]}', "line 1: msgs[0]"),
     ],
 )
-def test_a_line_that_is_no_batch_ends_the_process_plainly(line: str, names: str) -> None:
-    result = play([line])
+def test_a_line_that_is_no_batch_ends_the_process_with_one_line(line: str, names: str) -> None:
+    """It says which line, and what is wrong with it."""
+    result = run_wirehost([line])
     assert result.returncode == 2 and result.stdout == ""
     assert result.stderr.startswith(names) and result.stderr.count("\n") == 1
 
 
 def test_a_message_that_lacks_a_field_is_named() -> None:
+    """With line, place and field."""
     lacking = item(0, "a")
     del lacking["validUntil"]
-    result = play([batch(SECOND, up(0), listed(0)), batch(SECOND, lacking)])
+    result = run_wirehost([batch(SECOND, up(0), listed(0)), batch(SECOND, lacking)])
     assert result.returncode == 2
     assert result.stderr == "line 2: msgs[0] lacks a field or has a bad one: 'validUntil'\n"
 
 
-def test_unknown_events_and_instances_that_are_not_up_are_skipped() -> None:
-    result = play([batch(SECOND, up(0), listed(0), {"t": "NEWS", "i": 0}, item(4, "a"))])
+def test_unknown_events_and_instances_that_are_not_up_are_logged_and_skipped() -> None:
+    """The rest of the batch is handled."""
+    result = run_wirehost([batch(SECOND, up(0), listed(0), {"t": "NEWS", "i": 0}, item(4, "a"))])
     assert result.returncode == 0
     assert "unknown event 'NEWS'" in result.stderr and "instance 4, which is not up" in result.stderr
     assert not [action for action in replies(result)[0] if action["i"] == 4]
@@ -157,35 +170,40 @@
     ],
 )
 def test_bad_settings_are_named_and_end_that_instance_only(change: Json, names: str) -> None:
-    result = play([batch(SECOND, up(0, {**INFO, **change}), up(1), listed(1), item(1, "a"))])
+    """Other instances of the process go on."""
+    result = run_wirehost([batch(SECOND, up(0, {**INFO, **change}), up(1), listed(1), item(1, "a"))])
     output = replies(result)[0]
     assert result.returncode == 0 and output[0]["t"] == "DIE" and output[0]["i"] == 0
     assert names in output[0]["msg"]
     assert [action["i"] for action in output if action["t"] == "DISPATCH"] == [1]
 
 
-def test_an_exception_in_the_decisions_is_told_with_its_text() -> None:
+def test_an_exception_in_the_decisions_ends_the_instance_with_its_text() -> None:
+    """The traceback goes to standard error; the process goes on."""
     wrong = item(0, "a")
     wrong["cls"] = 7
-    result = play([batch(SECOND, up(0), listed(0), wrong)])
+    result = run_wirehost([batch(SECOND, up(0), listed(0), wrong)])
     (fault,) = [action for action in replies(result)[0] if action["t"] == "DIE"]
     assert fault["msg"].startswith("IndexError") and "Traceback" in result.stderr
     assert result.returncode == 0
 
 
-def test_one_process_and_several_give_the_same_actions() -> None:
+def test_instances_in_one_process_do_not_influence_one_another() -> None:
+    """Three in one process act as each does in a process of its own."""
     dice = random.Random(3)
     script: list[list[Json]] = [[up(i) for i in range(3)] + [listed(i) for i in range(3)]]
     for n in range(60):
         script.append([item(dice.randrange(3), f"r{n}", f"k{dice.randrange(9)}", (n + 2) * SECOND // 50)])
     together: dict[int, list[Json]] = {i: [] for i in range(3)}
     apart: dict[int, list[Json]] = {i: [] for i in range(3)}
-    whole = play([batch(SECOND + n * SECOND // 50, *messages) for n, messages in enumerate(script)])
+    whole = run_wirehost([batch(SECOND + n * SECOND // 50, *messages) for n, messages in enumerate(script)])
     for output in replies(whole):
         for action in output:
             together[action["i"]].append(action)
     for i in range(3):
         own = [[one for one in messages if one["i"] == i] for messages in script]
-        for output in replies(play([batch(SECOND + n * SECOND // 50, *ones) for n, ones in enumerate(own)])):
+        for output in replies(
+            run_wirehost([batch(SECOND + n * SECOND // 50, *ones) for n, ones in enumerate(own)])
+        ):
             apart[i] += output
     assert together == apart and all(together.values())
