--- a/rainhitch/cli/plan.py
+++ b/rainhitch/cli/plan.py
@@ -94,7 +94,7 @@
     parser.add_argument("--rate", type=float, default=150.0, help="reads a second (150)")
     parser.add_argument("--steady", type=float, default=20.0, help="reads of the database a second (20)")
     parser.add_argument(
-        "--share", type=float, help="fraction of those for keys that move (the operator's, or 0.5)"
+        "--share", type=float, help="fraction of those for keys that move (the operator's, or 0.25)"
     )
     parser.add_argument("--json", action="store_true", help="print JSON")
 
