--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -41,7 +41,7 @@
 
     def answer(self) -> bytes:
         """The answer to a newcomer without room: nothing of it was begun, so that a retry is harmless."""
-        return resp.refused(-(-self.retry_after_ns() // NS_PER_MS))  # rounded up
+        return resp.busy_reply(-(-self.retry_after_ns() // NS_PER_MS))  # rounded up
 
     def add(self, connection: "RejectedConnection") -> None:
         """Counts a connection; only a few are kept, out of the spare descriptors."""
@@ -61,7 +61,7 @@
     def __init__(self, owner: RejectedConnections, transport: asyncio.Transport) -> None:
         self.owner = owner
         self.transport = transport
-        self.frames = resp.Frames()
+        self.frames = resp.Resp2Reader()
         transport.write(owner.answer())
         transport.write_eof()
         self.linger_timer = owner.loop.call_later(LINGER_S, transport.abort)
@@ -76,7 +76,7 @@
             parts = None
         if isinstance(parts, list) and not self.transport.is_closing():
             self.owner.count_command(parts)
-        if parts is not resp.WAITING:
+        if parts is not resp.NEED_DATA:
             self.transport.close()
 
     def drain_now(self) -> None:
