--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,7 +23,8 @@
 import orjson
 
 from benchmarks.refusals import command, cpu
-from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.cache_node import CacheNode
+from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
 from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
 from rainhitch.rehearsal.router_process import hold_port, resident_memory, router_settings
@@ -42,7 +43,14 @@
         self.port = self.held.getsockname()[1]
         self.day = read_scenario(shipped()["quiet"])
         self.day.fleet.warm_s, self.day.traffic.quota_rps = 0.1, 1e9
-        spec = CacheNodeSpec(cores=64, slots=10_000, table=10_000, memory=10_000, warm_s=0.1, cold_from=1.0)
+        spec = CacheNodeSpec(
+            cores=64,
+            slots=10_000,
+            connection_limit=10_000,
+            memory_keys=10_000,
+            warm_up_s=0.1,
+            cold_capacity_fraction=1.0,
+        )
         self.nodes = {f"n{n}": CacheNode(f"n{n}", spec, 1, lambda id: 100.0) for n in range(NODES)}
         self.keys = [f"key{n}" for n in range(400)]
         for node in self.nodes.values():
@@ -71,7 +79,7 @@
             "discovery": self.agent.endpoint,
             "seed": "1",
             "limits": {"memory_mb": 2048, "sockets": 4096},
-            "known": self.agent.whole(),
+            "known": self.agent.whole_list(),
             "settings": router_settings(self.day, 0),
         }
         path, operator = self.folder / "config.json", self.folder / "operator.toml"
@@ -111,7 +119,7 @@
 
     def last_byte(self, uid: str, since: int) -> int:
         """When the first byte of the last new request came to a node after an instant; 0 for never."""
-        return max((row.first for row in self.nodes[uid].rows if row.first > since), default=0)
+        return max((row.first for row in self.nodes[uid].attempts if row.first > since), default=0)
 
     async def stop(self) -> None:
         self.asking = False
@@ -160,7 +168,7 @@
         else:
             fleet.agent.push(fleet.entry(uid, "Ready"))
         for node in fleet.nodes.values():
-            node.rows.clear()
+            node.attempts.clear()
         await asyncio.sleep(0.25)
     return times, sum(one > 1000 for one in times)
 
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -18,7 +18,8 @@
 
 import orjson
 
-from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.cache_node import CacheNode
+from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
 from rainhitch.rehearsal.router_process import hold_port, resident_memory, router_settings
 from rainhitch.rehearsal.scenario import read_scenario, shipped
@@ -70,7 +71,10 @@
     big = 10**9  # nothing is beyond a share
     day.traffic.quota_rps = float(big)
     node = CacheNode(
-        "n0", CacheNodeSpec(cores=256, slots=10_000, table=10_000, memory=KEYS), 1, lambda id: 100.0
+        "n0",
+        CacheNodeSpec(cores=256, slots=10_000, connection_limit=10_000, memory_keys=KEYS),
+        1,
+        lambda id: 100.0,
     )
     for number in range(KEYS):
         node.store(f"key{number}")
@@ -92,7 +96,7 @@
         "discovery": agent.endpoint,
         "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": min(hard, 4 * told.idle + 1024)},
-        "known": agent.whole(),
+        "known": agent.whole_list(),
         "settings": router_settings(day, 0),
     }
     with tempfile.TemporaryDirectory() as folder:
--- a/rainhitch/rehearsal/fakes/__init__.py
+++ b/rainhitch/rehearsal/fakes/__init__.py
@@ -1,6 +1,17 @@
-"""The stand-ins for what surrounds a router, importable one by one: nodes, database, discovery, links,
-datagrams.
+"""Fakes of the systems around a router: cache nodes, the order database, discovery, etcd, datagrams, clients.
 
-Each runs on the loop of whoever starts it. `python -m rainhitch.rehearsal.fakes ROLE` hosts one part of a
-day in a process of its own, as the kit does.
+Each runs on the event loop of whoever starts it. `python -m rainhitch.rehearsal.fakes ROLE FOLDER` hosts some
+of them in a process of its own, as the rehearsal's environment does.
+
+    link, http_server           what the fakes listen with, and the network faults
+    cache_node*                 cache nodes: model (no I/O), work, connections, life cycle
+    database, discovery         the order database; the endpoint list over HTTP
+    etcd_*                      the endpoint list in etcd: store, watches, service, cluster
+    datagrams                   what routers send one another
+    client_script, client_connection, clients
+    worker, worker_messages, *_worker, worker_roles     the processes that host them
+
+What the fakes read and write is their own: they share no codec with the router, so that neither hides a
+mistake of the other. The two exceptions are the parsers hiredis and httptools, which are not ours and which
+tests with raw bytes try as well, and the table of etcd's field numbers (see `etcd_service`).
 """
--- a/rainhitch/rehearsal/fakes/cache_node_model.py
+++ b/rainhitch/rehearsal/fakes/cache_node_model.py
@@ -1,185 +1,246 @@
-"""What a cache node can do, without sockets or clocks: cores shared by what is in work, a queue, a cold
-start.
+"""What a fake cache node can do: processor sharing on its cores, a queue, a cold start, a memory of keys.
 
-Work is microseconds on a core of speed 1. With n requests in work on c cores each gets min(1, c / n) of a
-core's speed, times the part of its capacity that a node which warms up has by then.
+Decisions without I/O: the caller passes the time. Work is microseconds on a core of speed 1. With n requests
+in work on c cores each gets min(1, c / n) of a core's speed, times the fraction of its capacity that a node
+which warms up has by then. The same module holds what the fake database decides: which writes are repeats,
+and when it is overloaded.
 """
 
 import heapq
 from collections import OrderedDict, deque
+from typing import NamedTuple
 
-SLACK = 1.25  # chance may send a cold node so much more than its budget
-DROPS_FOR = 5_000_000_000  # ns for which a repeat of an order key is dropped
+COLD_LOAD_TOLERANCE_FACTOR = 1.25  # by chance a cold node may be sent so much more than its budget
+IDEMPOTENCY_WINDOW_NS = 5_000_000_000  # for which a write with the same idempotency key is dropped
+NANOSECONDS_PER_MICROSECOND = 1000
+NANOSECONDS_PER_SECOND = 1e9
+TIMER_MARGIN_NS = 1000  # added to a timer, so that it does not fire before the work is done
+DONE_TOLERANCE_US = 0.5  # of work that may be left for a request to be finished
+NOT_COLD_NS = -1
+OVERHEAD = ""  # the name of work that nobody waits for
+NO_PART = -1
+
+
+class RunningWork(NamedTuple):
+    """One request in work; ordered by when it is finished, then by when it was begun."""
+
+    finishes_at_work_us: float  # once each request in work has had this much work since the start
+    number: int
+    name: str
+
+
+class QueuedWork(NamedTuple):
+    """One request that waits for a slot."""
+
+    name: str
+    work_us: float
 
 
 class CacheNodeModel:
-    """One node's cores, slots and waiting room. Times are nanoseconds."""
-
-    def __init__(self, cores: int, speed: float, slots: int, queue: int) -> None:
-        self.cores, self.speed, self.slots, self.queue = cores, speed, slots, queue
-        self.cold_from, self.warm_ns, self.cold_at = 1.0, 1, -1
-        self.done = 0.0  # work that each request in work has had since the start
-        self.at = 0
-        self.running: list[tuple[float, int, str]] = []  # finishes when `done` gets there
-        self.waiting: deque[tuple[str, float]] = deque()
-        self.count = 0
-
-    def start_cold(self, now: int, cold_from: float, warm_ns: int) -> None:
-        """Begins anew with part of the capacity, which grows evenly to the whole."""
-        self.cold_from, self.warm_ns, self.cold_at = cold_from, max(1, warm_ns), now
-        self.running, self.at = [], now
-        self.waiting.clear()
-
-    def factor(self, now: int) -> float:
-        """The part of its capacity that it has."""
-        if self.cold_at < 0 or now >= self.cold_at + self.warm_ns:
+    """One node's cores, slots and queue. Times are nanoseconds on any clock that does not go back."""
+
+    def __init__(self, cores: int, speed_factor: float, slots: int, queue_length: int) -> None:
+        self.cores = cores
+        self.speed_factor = speed_factor
+        self.slots = slots
+        self.queue_length = queue_length
+        self._cold_fraction = 1.0
+        self._warm_up_ns = 1
+        self._cold_since_ns = NOT_COLD_NS
+        self._done_us = 0.0  # work that each request in work has had since the start
+        self._now_ns = 0  # until when `_done_us` counts
+        self._running: list[RunningWork] = []  # a heap
+        self._queue: deque[QueuedWork] = deque()
+        self._begun_count = 0
+
+    def start_cold(self, now_ns: int, cold_fraction: float, warm_up_ns: int) -> None:
+        """Begins anew with a fraction of the capacity, which grows evenly to the whole."""
+        self._cold_fraction = cold_fraction
+        self._warm_up_ns = max(1, warm_up_ns)
+        self._cold_since_ns = now_ns
+        self._now_ns = now_ns
+        self._running = []
+        self._queue.clear()
+
+    def capacity_fraction(self, now_ns: int) -> float:
+        """The fraction of its capacity that the node has: under 1 while it warms up."""
+        if self._cold_since_ns < 0 or now_ns >= self._cold_since_ns + self._warm_up_ns:
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * (now - self.cold_at) / self.warm_ns
-
-    def capacity(self, now: int) -> float:
-        """Work a microsecond, in microseconds: cores that it is worth now."""
-        return self.cores * self.speed * self.factor(now)
-
-    def _rate(self, now: int) -> float:
-        return self.speed * self.factor(now) * min(1.0, self.cores / max(1, len(self.running)))
-
-    def _advance(self, now: int) -> None:
-        if now > self.at:
-            self.done += (now - self.at) / 1000 * self._rate((self.at + now) // 2)
-            self.at = now
-
-    def _begin(self, name: str, work: float) -> None:
-        self.count += 1
-        heapq.heappush(self.running, (self.done + work, self.count, name))
-
-    def offer(self, now: int, name: str, work: float) -> bool:
-        """Takes a request into work or the queue; False: turned away."""
-        self._advance(now)
-        if len(self.running) < self.slots:
-            self._begin(name, work)
-        elif len(self.waiting) < self.queue:
-            self.waiting.append((name, work))
+        return (
+            self._cold_fraction
+            + (1 - self._cold_fraction) * (now_ns - self._cold_since_ns) / self._warm_up_ns
+        )
+
+    def capacity_cores(self, now_ns: int) -> float:
+        """How many cores of speed 1 the node is worth now: us of work that it does a microsecond."""
+        return self.cores * self.speed_factor * self.capacity_fraction(now_ns)
+
+    def _work_rate(self, now_ns: int) -> float:
+        """Microseconds of work that each request in work gets a microsecond."""
+        core_share = min(1.0, self.cores / max(1, len(self._running)))
+        return self.speed_factor * self.capacity_fraction(now_ns) * core_share
+
+    def _advance(self, now_ns: int) -> None:
+        if now_ns > self._now_ns:
+            middle_ns = (self._now_ns + now_ns) // 2
+            elapsed_us = (now_ns - self._now_ns) / NANOSECONDS_PER_MICROSECOND
+            self._done_us += elapsed_us * self._work_rate(middle_ns)
+            self._now_ns = now_ns
+
+    def _begin(self, name: str, work_us: float) -> None:
+        self._begun_count += 1
+        heapq.heappush(self._running, RunningWork(self._done_us + work_us, self._begun_count, name))
+
+    def offer(self, now_ns: int, name: str, work_us: float) -> bool:
+        """Takes a request into work or the queue; False where both are full."""
+        self._advance(now_ns)
+        if len(self._running) < self.slots:
+            self._begin(name, work_us)
+        elif len(self._queue) < self.queue_length:
+            self._queue.append(QueuedWork(name, work_us))
         else:
             return False
         return True
 
-    def burden(self, now: int, work: float) -> None:
-        """Work that nobody waits for: a handshake, a probe."""
-        self._advance(now)
-        self._begin("", work)
+    def add_overhead(self, now_ns: int, work_us: float) -> None:
+        """Work that nobody waits for: a handshake, a health check."""
+        self._advance(now_ns)
+        self._begin(OVERHEAD, work_us)
 
-    def due(self, now: int) -> int | None:
-        """In how many nanoseconds the next request is finished, as things stand; None if there is none."""
-        if not self.running:
+    def next_finish_in_ns(self, now_ns: int) -> int | None:
+        """In how many ns the next request is finished, as things stand; None where nothing is in work."""
+        if not self._running:
             return None
-        left = (self.running[0][0] - self.done) / self._rate(now)
-        return max(0, int(left * 1000) - (now - self.at)) + 1000
-
-    def finish(self, now: int) -> list[str]:
-        """The requests that are finished by now; those that wait take their place."""
-        self._advance(now)
-        ended = []
-        while self.running and self.running[0][0] <= self.done + 0.5:
-            name = heapq.heappop(self.running)[2]
-            if name:
-                ended.append(name)
-        while self.waiting and len(self.running) < self.slots:
-            self._begin(*self.waiting.popleft())
-        return ended
+        left_us = (self._running[0].finishes_at_work_us - self._done_us) / self._work_rate(now_ns)
+        elapsed_ns = now_ns - self._now_ns
+        return max(0, int(left_us * NANOSECONDS_PER_MICROSECOND) - elapsed_ns) + TIMER_MARGIN_NS
+
+    def take_finished(self, now_ns: int) -> list[str]:
+        """The requests that are finished by now, in that order; queued ones take their slots."""
+        self._advance(now_ns)
+        finished = []
+        while self._running and self._running[0].finishes_at_work_us <= self._done_us + DONE_TOLERANCE_US:
+            name = heapq.heappop(self._running).name
+            if name != OVERHEAD:
+                finished.append(name)
+        while self._queue and len(self._running) < self.slots:
+            self._begin(*self._queue.popleft())
+        return finished
 
     def withdraw(self, name: str) -> bool:
-        """Takes out a request that waits; one in work goes on."""
-        for one in self.waiting:
-            if one[0] == name:
-                self.waiting.remove(one)
+        """Takes a request out of the queue; False for one that is not in it: what is in work goes on."""
+        for queued in self._queue:
+            if queued.name == name:
+                self._queue.remove(queued)
                 return True
         return False
 
 
-class Budget:
-    """Rule 4 at one node: what a cold one is sent within a window, against what it can do."""
+class ColdLoadLimit:
+    """How much work a cold node bears within a window of time; beyond that it collapses."""
 
-    def __init__(self, multiple: float, window_ns: int) -> None:
-        self.multiple, self.window = multiple, window_ns
-        self.sent: deque[tuple[int, float]] = deque()
-        self.total = 0.0
+    def __init__(self, capacity_factor: float, window_ns: int) -> None:
+        self.capacity_factor = (
+            capacity_factor  # the work it bears, as a multiple of what it can do in the window
+        )
+        self.window_ns = window_ns
+        self._received: deque[tuple[int, float]] = deque()  # when, and microseconds of work
+        self._total_us = 0.0
 
-    def over(self, now: int, work: float, capacity: float) -> bool:
+    def exceeded(self, now_ns: int, work_us: float, capacity_cores: float) -> bool:
         """Counts work that was sent; whether the window holds more than the node bears."""
-        self.sent.append((now, work))
-        self.total += work
-        while self.sent[0][0] <= now - self.window:
-            self.total -= self.sent.popleft()[1]
-        return self.total > self.multiple * capacity * self.window / 1000 * SLACK
+        self._received.append((now_ns, work_us))
+        self._total_us += work_us
+        while self._received[0][0] <= now_ns - self.window_ns:
+            self._total_us -= self._received.popleft()[1]
+        budget_us = self.capacity_factor * capacity_cores * self.window_ns / NANOSECONDS_PER_MICROSECOND
+        return self._total_us > budget_us * COLD_LOAD_TOLERANCE_FACTOR
 
 
-class Memory:
-    """The keys that a node holds; the least lately used goes first."""
+class KeyMemory:
+    """The keys that a node holds; the least recently used one is evicted first."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.keys: OrderedDict[str, None] = OrderedDict()
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self._keys: OrderedDict[str, None] = OrderedDict()
 
     def hit(self, key: str) -> bool:
-        if key in self.keys:
-            self.keys.move_to_end(key)
+        """Whether the node holds the key, which is then the most recently used."""
+        if key in self._keys:
+            self._keys.move_to_end(key)
             return True
         return False
 
     def store(self, key: str) -> None:
-        self.keys[key] = None
-        self.keys.move_to_end(key)
-        if len(self.keys) > self.most:
-            self.keys.popitem(last=False)
-
-    def void(self, key: str) -> bool:
-        """Drops a key; whether it was there."""
-        if key not in self.keys:
+        """Holds a key from now on, as the most recently used."""
+        self._keys[key] = None
+        self._keys.move_to_end(key)
+        if len(self._keys) > self.capacity:
+            self._keys.popitem(last=False)
+
+    def invalidate(self, key: str) -> bool:
+        """Drops a key; whether it was held."""
+        if key not in self._keys:
             return False
-        del self.keys[key]
+        del self._keys[key]
         return True
 
 
-class Repeats:
-    """Order keys carried out lately: a repeat within the window is dropped."""
+class IdempotencyWindow:
+    """The idempotency keys of writes carried out within a window of time: a repeat of one is dropped."""
 
-    def __init__(self, window_ns: int = DROPS_FOR) -> None:
-        self.window = window_ns
-        self.seen: OrderedDict[str, int] = OrderedDict()
+    def __init__(self, window_ns: int = IDEMPOTENCY_WINDOW_NS) -> None:
+        self.window_ns = window_ns
+        self._carried_out_at_ns: OrderedDict[str, int] = OrderedDict()  # oldest first
 
-    def first(self, now: int, order: str) -> bool:
-        """Whether this order is new; notes it if so."""
-        while self.seen and next(iter(self.seen.values())) <= now - self.window:
-            self.seen.popitem(last=False)
-        if order in self.seen:
+    def is_first(self, now_ns: int, idempotency_key: str) -> bool:
+        """Whether no write with this key was carried out within the window; counts this one if so."""
+        carried_out = self._carried_out_at_ns
+        while carried_out and next(iter(carried_out.values())) <= now_ns - self.window_ns:
+            carried_out.popitem(last=False)
+        if idempotency_key in carried_out:
             return False
-        self.seen[order] = now
+        carried_out[idempotency_key] = now_ns
         return True
 
 
-class Overload:
-    """When the database stops: sent many times its capacity for a time. Looked at in tenths of that time."""
+class LoadPart(NamedTuple):
+    """One part of the detector's window: how many requests came, and how many could be served."""
+
+    number: int
+    received: float
+    capacity: float
+
+
+class OverloadDetector:
+    """Whether the database was sent a multiple of its capacity for a whole window, seen in tenths of it."""
 
     PARTS = 10
 
-    def __init__(self, multiple: float, after_ns: int) -> None:
-        self.multiple, self.part = multiple, max(1, after_ns // self.PARTS)
-        self.counts: deque[tuple[int, float, float]] = deque(maxlen=self.PARTS)  # part, sent, could do
-        self.current = -1
-
-    def stops(self, now: int, per_second: float) -> bool:
-        """Counts a request; whether the time until now was beyond what it bears."""
-        number = now // self.part
-        while self.current < number:
-            first = self.current < 0 or number - self.current > self.PARTS
-            self.current = number if first else self.current + 1
-            self.counts.append((self.current, 0.0, per_second * self.part / 1e9))
-        part, sent, able = self.counts[-1]
-        self.counts[-1] = (part, sent + 1, max(able, per_second * self.part / 1e9))
-        if len(self.counts) < self.PARTS or self.counts[0][0] <= number - self.PARTS - 1:
+    def __init__(self, capacity_factor: float, window_ns: int) -> None:
+        self.capacity_factor = capacity_factor
+        self._part_ns = max(1, window_ns // self.PARTS)
+        self._parts: deque[LoadPart] = deque(maxlen=self.PARTS)
+        self._current = NO_PART
+
+    def is_overloaded(self, now_ns: int, capacity_per_s: float) -> bool:
+        """Counts a request; whether the window that ends now held more than the database bears."""
+        number = now_ns // self._part_ns
+        part_capacity = capacity_per_s * self._part_ns / NANOSECONDS_PER_SECOND
+        while self._current < number:
+            starts_anew = self._current < 0 or number - self._current > self.PARTS
+            self._current = number if starts_anew else self._current + 1
+            self._parts.append(LoadPart(self._current, 0.0, part_capacity))
+        last = self._parts[-1]
+        self._parts[-1] = LoadPart(last.number, last.received + 1, max(last.capacity, part_capacity))
+        is_whole = len(self._parts) == self.PARTS and self._parts[0].number > number - self.PARTS - 1
+        if not is_whole:
             return False
-        return sum(one[1] for one in self.counts) > self.multiple * sum(one[2] for one in self.counts)
+        received = sum(part.received for part in self._parts)
+        capacity = sum(part.capacity for part in self._parts)
+        return received > self.capacity_factor * capacity
 
     def reset(self) -> None:
-        self.counts.clear()
-        self.current = -1
+        """Forgets what was counted."""
+        self._parts.clear()
+        self._current = NO_PART
--- a/rainhitch/rehearsal/fakes/cache_node_worker.py
+++ b/rainhitch/rehearsal/fakes/cache_node_worker.py
@@ -1,116 +1,133 @@
-"""The cache nodes of one room, as a part of a day."""
+"""The worker of the cache nodes of one zone."""
 
 import asyncio
 from collections.abc import Callable
 from pathlib import Path
 
-import orjson
+from rainhitch.rehearsal.fakes import worker_messages as messages
+from rainhitch.rehearsal.fakes.cache_node import CacheNode
+from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec
+from rainhitch.rehearsal.fakes.worker import Worker
+from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
 
-from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
-from rainhitch.rehearsal.fakes.worker import Json, Worker
-
-KEPT_MISSES = 1 << 14
+MOST_MISSES = 1 << 14  # request ids that are remembered until the database answers
 
 
 class CacheNodeWorker(Worker):
-    """The cache nodes of one room."""
-
-    def __init__(self, folder: Path, told: Json, room: int) -> None:
-        super().__init__(folder, told)
-        fleet, traffic = self.scenario["fleet"], self.scenario["traffic"]
-        self.work = {one["id"]: float(ask["work_us"]) for ask in self.plan["asks"] for one in ask["tries"]}
-        self.misses: dict[str, list[CacheNode]] = {}
-        self.nodes: dict[str, CacheNode] = {}
-        for one in self.plan["nodes"]:
-            if one["room"] != self.plan["rooms"][room]:
-                continue
-            spec = CacheNodeSpec(
-                one["cores"],
-                one["speed"],
-                one["slots"],
-                one["queue"],
-                one["table"],
-                fleet["memory_keys"],
-                one["connection_us"],
-                one["probe_us"],
-                fleet["keepalive_s"],
-                fleet["cold_from"],
-                fleet["warm_s"],
-                fleet["tip_multiple"],
-                fleet["tip_s"],
-                fleet["error_rate"],
-                traffic["value_bytes"],
-            )
-            self.nodes[one["uid"]] = CacheNode(
-                one["uid"], spec, len(self.plan["routers"]), self.work_of, self.missed, self.fell
-            )
-            self.nodes[one["uid"]].resp3 = "resp3" in one
-            if "joins" in one:
-                self.nodes[one["uid"]].kill()  # until it joins
-
-    def work_of(self, id: str) -> float:
-        return self.work.get(id, 0.0)
-
-    def missed(self, id: str, node: CacheNode) -> None:
-        self.misses.setdefault(id, []).append(node)
-        if len(self.misses) > KEPT_MISSES:
-            del self.misses[next(iter(self.misses))]
-
-    def fell(self, node: CacheNode) -> None:
-        self.tell({"fell": node.uid})
+    """Hosts the cache nodes of one zone."""
+
+    def __init__(self, folder: Path, inputs: Json, zone: int) -> None:
+        super().__init__(folder, inputs)
+        self._work_us = {
+            attempt["id"]: float(request["work_us"])
+            for request in self.plan["asks"]
+            for attempt in request["tries"]
+        }
+        self._missed_by_request: dict[str, list[CacheNode]] = {}  # oldest first
+        self._nodes: dict[str, CacheNode] = {}
+        for row in self.plan["nodes"]:
+            if row["room"] == self.plan["rooms"][zone]:
+                self._nodes[row["uid"]] = self._make_node(row)
+
+    def _make_node(self, row: Json) -> CacheNode:
+        """A node as the plan and the scenario have it."""
+        fleet = self.scenario["fleet"]
+        spec = CacheNodeSpec(
+            cores=row["cores"],
+            speed_factor=row["speed"],
+            slots=row["slots"],
+            queue_length=row["queue"],
+            connection_limit=row["table"],
+            memory_keys=fleet["memory_keys"],
+            connection_work_us=row["connection_us"],
+            probe_work_us=row["probe_us"],
+            keepalive_s=fleet["keepalive_s"],
+            cold_capacity_fraction=fleet["cold_from"],
+            warm_up_s=fleet["warm_s"],
+            collapse_factor=fleet["tip_multiple"],
+            collapse_window_s=fleet["tip_s"],
+            error_fraction=fleet["error_rate"],
+            value_bytes=self.scenario["traffic"]["value_bytes"],
+        )
+        routers = len(self.plan["routers"])
+        node = CacheNode(
+            row["uid"], spec, routers, self._work_of, on_miss=self._missed, on_collapse=self._collapsed
+        )
+        node.speaks_resp3 = "resp3" in row
+        if "joins" in row:
+            node.kill()  # until it joins
+        return node
+
+    def _work_of(self, request_id: str) -> float:
+        return self._work_us.get(request_id, 0.0)
+
+    def _missed(self, request_id: str, node: CacheNode) -> None:
+        self._missed_by_request.setdefault(request_id, []).append(node)
+        if len(self._missed_by_request) > MOST_MISSES:
+            del self._missed_by_request[next(iter(self._missed_by_request))]
+
+    def _collapsed(self, node: CacheNode) -> None:
+        self.send_to_workers(messages.NodeCollapsed(node.uid).to_row())
 
     def ready(self) -> Json:
-        return {"nodes": {uid: node.endpoints for uid, node in self.nodes.items()}}
+        """The nodes' addresses."""
+        return messages.node_addresses({uid: node.endpoints for uid, node in self._nodes.items()})
 
-    def heed(self, message: Json) -> None:
-        if "bus" in message:
-            self.spawn(self.listen(message["bus"]))
+    def handle(self, message: messages.EnvironmentMessage) -> None:
+        """The bus is there."""
+        if isinstance(message, messages.JoinBus):
+            self.spawn(self._follow_bus(message.bus_path))
 
-    async def listen(self, path: str) -> None:
+    async def _follow_bus(self, path: str) -> None:
+        """Keeps the nodes' copies as the database says."""
         reader, self.bus = await asyncio.open_unix_connection(path)
         while line := await reader.readline():
-            message = orjson.loads(line)
-            for node in self.misses.get(message["id"], []) if "store" in message else []:
-                node.store(message["store"])
-            for node in self.nodes.values() if "void" in message else []:
-                node.void(message["void"])
-
-    def cue(self, cue: Json) -> None:
-        if cue["who"] == "node" and cue["name"] in self.nodes:
-            node = self.nodes[cue["name"]]
-            if cue["what"] in ("spoil", "unspoil"):
-                node.spoils = cue["share"] if cue["what"] == "spoil" else 0.0
-            elif cue["what"] != "start" or not node.falls:  # one that was pushed over stays down
-                acts = {"kill": node.kill, "start": node.start, "drain": node.drain}
-                acts |= {"retire": node.retire, "upgrade": node.upgrade}
-                acts[cue["what"]]()
-        elif cue["who"] == "link" and cue["name"][1] in self.nodes:
-            link = self.nodes[cue["name"][1]].links[cue["name"][0]]
-            of_link: dict[str, Callable[[], None]] = {
-                "silent": lambda: link.set_silent(True),
-                "heal": lambda: link.set_silent(False),
-                "reset": link.reset,
-                "delay": lambda: setattr(link, "delay", cue.get("delay", 0) / 1e6),
-                "undelay": lambda: setattr(link, "delay", 0.0),
+            match messages.bus_message(messages.from_line(line)):
+                case messages.KeyStored(key, request_id):
+                    for node in self._missed_by_request.get(request_id, []):
+                        node.store(key)
+                case messages.KeyInvalidated(key):
+                    for node in self._nodes.values():
+                        node.invalidate(key)
+
+    def act(self, action: FaultAction) -> None:
+        """A fault acts on a node, or on a link to one."""
+        if action.target is FaultTarget.NODE and action.name in self._nodes:
+            self._act_on_node(self._nodes[action.name], action)
+        elif action.target is FaultTarget.LINK and action.name[1] in self._nodes:
+            router, uid = action.name
+            self._act_on_link(self._nodes[uid], router, action)
+
+    def _act_on_node(self, node: CacheNode, action: FaultAction) -> None:
+        if action.action == "spoil":
+            node.work.corrupt_fraction = action.fraction
+        elif action.action == "unspoil":
+            node.work.corrupt_fraction = 0.0
+        elif action.action != "start" or not node.statistics.collapsed_at_ns:  # who collapsed stays down
+            acts = {
+                "kill": node.kill,
+                "start": node.start,
+                "drain": node.drain,
+                "retire": node.retire,
+                "upgrade": node.upgrade,
             }
-            of_link[cue["what"]]()
+            acts[action.action]()
+
+    def _act_on_link(self, node: CacheNode, router: int, action: FaultAction) -> None:
+        link = node.links[router]
+        acts: dict[str, Callable[[], None]] = {
+            "silent": lambda: link.set_silent(True),
+            "heal": lambda: link.set_silent(False),
+            "reset": link.reset,
+            "delay": lambda: link.set_delay(action.delay_s),
+            "undelay": lambda: link.set_delay(0.0),
+        }
+        acts[action.action]()
 
-    def ledger(self) -> Json:
-        nodes = self.nodes.values()
+    def record(self) -> Json:
+        """The record of the nodes."""
+        nodes = self._nodes.values()
         return {
-            "attempts": [row.row() for node in nodes for row in node.rows],
-            "nodes": [
-                {
-                    "uid": node.uid,
-                    "falls": node.falls,
-                    "starts": node.starts,
-                    "connections": node.connections,
-                    "turned_away": node.turned_away,
-                    "probes": node.probes,
-                    "syntax": node.syntax,
-                    "burdens": node.burdens,
-                    "tables": node.tables,
-                }
-                for node in nodes
-            ],
+            "attempts": [attempt.to_row() for node in nodes for attempt in node.attempts],
+            "nodes": [node.statistics_row() for node in nodes],
         }
--- a/rainhitch/rehearsal/fakes/client_worker.py
+++ b/rainhitch/rehearsal/fakes/client_worker.py
@@ -1,35 +1,46 @@
-"""The clients of one room, as a part of a day."""
+"""The worker of the clients of one zone."""
 
 from pathlib import Path
 
+from rainhitch.rehearsal.fakes import worker_messages as messages
 from rainhitch.rehearsal.fakes.clients import ClientPopulation
-from rainhitch.rehearsal.fakes.worker import Json, Worker
+from rainhitch.rehearsal.fakes.worker import Worker
+from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
 
 
 class ClientWorker(Worker):
-    """The clients of one room."""
-
-    def __init__(self, folder: Path, told: Json, room: int) -> None:
-        super().__init__(folder, told)
-        addresses = [(host, int(port)) for host, port in told["addresses"]]
-        self.crowd = ClientPopulation(room, self.plan, self.scenario, addresses)
-
-    def begin(self, zero: int) -> None:
-        super().begin(zero)
-        self.spawn(self.play())
-
-    async def play(self) -> None:
-        await self.crowd.play(self.zero)
-        self.say({"over": True})
-
-    def heed(self, message: Json) -> None:
-        if "router" in message:
-            self.crowd.up[message["router"]] = message["up"]
-
-    def cue(self, cue: Json) -> None:
-        if cue["who"] == "clients":
-            self.crowd.resp3 = cue["share"]
-
-    def ledger(self) -> Json:
-        crowd = self.crowd
-        return {"sent": crowd.rows(), "extras": crowd.extras, "opened": crowd.opened, "lates": crowd.lates}
+    """Hosts the clients of one zone; `inputs` has the routers' addresses too."""
+
+    def __init__(self, folder: Path, inputs: Json, zone: int) -> None:
+        super().__init__(folder, inputs)
+        addresses = [(host, int(port)) for host, port in inputs["addresses"]]
+        self._population = ClientPopulation(zone, self.plan, self.scenario, addresses)
+
+    def start_run(self, zero_ns: int) -> None:
+        """Begins the run: the clients send what the plan says."""
+        super().start_run(zero_ns)
+        self.spawn(self._play())
+
+    async def _play(self) -> None:
+        await self._population.play(self.zero_ns)
+        self.send(messages.clients_done_row())
+
+    def handle(self, message: messages.EnvironmentMessage) -> None:
+        """The load balancer in front of the routers takes one to be up or down."""
+        if isinstance(message, messages.RouterSeen):
+            self._population.load_balancer.up[message.router] = message.up
+
+    def act(self, action: FaultAction) -> None:
+        """A fraction of the clients speaks RESP3 from now on, on new connections."""
+        if action.target is FaultTarget.CLIENTS:
+            self._population.resp3_fraction = action.fraction
+
+    def record(self) -> Json:
+        """The record of the clients."""
+        population = self._population
+        return {
+            "sent": population.rows(),
+            "extras": population.extra_answers,
+            "opened": population.opened_count,
+            "lates": population.lateness_ns,
+        }
--- a/rainhitch/rehearsal/fakes/database.py
+++ b/rainhitch/rehearsal/fakes/database.py
@@ -1,42 +1,62 @@
-"""The order database on sockets: HTTP/1.1, few workers, a queue, repeats dropped by order key, a stop
-when pressed.
+"""The fake order database: HTTP/1.1, few workers, a queue, one write per idempotency key, overload stops.
 
 database = Database(DatabaseSpec(workers=2, time_ms=5), routers=1)
-database.endpoints[0]; database.slow(4.0); database.stop(); database.go()
-database.rows               # the ledger: one Fetch for each request whose last byte came
+database.endpoints[0]; database.slow(4.0); database.stop(); database.start()
+database.requests           # the record: one DatabaseRequest for each request whose last byte came
 """
 
 import asyncio
 import math
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from enum import StrEnum
 from urllib.parse import unquote
 from zlib import crc32
 
 from rainhitch import system
-from rainhitch.rehearsal.fakes.cache_node_model import Overload, Repeats
+from rainhitch.rehearsal.fakes.cache_node_model import IdempotencyWindow, OverloadDetector
 from rainhitch.rehearsal.fakes.http_server import HttpRequest, HttpServerConnection
-from rainhitch.rehearsal.fakes.link import LedgerRow, Link
+from rainhitch.rehearsal.fakes.link import Link, ReceivedRequest
 
-WRITE_TIMES = 1.5  # a write takes so many times a read
-LONGEST = 5  # times the mean that one may take
+WRITE_TIME_FACTOR = 1.5  # how much longer than a read a write takes
+LONGEST_TIME_FACTOR = 5  # of the mean time, over which none takes
+MILLISECONDS_PER_SECOND = 1000
+NANOSECONDS_PER_SECOND = 1e9
+CHECKSUM_VALUES = 2**32
+NORMAL_TIME_FACTOR = 1.0
 
 
 @dataclass(slots=True)
 class DatabaseSpec:
+    """What the database is like; the fields are the scenario's table `database`, and the size of a value."""
+
     workers: int = 9
-    time_ms: float = 120.0
+    time_ms: float = 120.0  # mean of a read
     queue: int = 60
-    stop_multiple: float = 2.5
-    stop_after_s: float = 3.0
-    stop_s: float = 5.0
+    stop_multiple: float = 2.5  # it stops under this multiple of what it can do
+    stop_after_s: float = 3.0  # for this long
+    stop_s: float = 5.0  # and is down for this long
     value_bytes: int = 64
 
 
+class DatabaseOutcome(StrEnum):
+    """How the database ended a request; the values are the record's."""
+
+    PENDING = ""
+    SERVED = "served"
+    BUSY = "busy"
+    RESET = "reset"
+
+
 @dataclass(slots=True, eq=False)
-class Fetch(LedgerRow):
-    """One request as the database saw it; times are monotonic ns, of when the router sent it."""
+class DatabaseRequest(ReceivedRequest):
+    """One request as the database received it; the fields are the record's columns.
+
+    Times are monotonic ns: `first` and `last` of when the router sent its first and last byte, `ended` of
+    when the answer was written, `closed` of when the router closed the connection; 0 for never. `order` is
+    the idempotency key. `executed`: a write that was carried out, not dropped as a repeat.
+    """
 
     router: int
     connection: int
@@ -46,146 +66,182 @@
     info: str
     first: int
     last: int
-    outcome: str = ""  # served, busy, reset; "" while none was given
+    outcome: DatabaseOutcome = DatabaseOutcome.PENDING
     ended: int = 0
     closed: int = 0
     order: str = ""
-    executed: bool = False  # a write that was carried out, not dropped as a repeat
-    wire: "DatabaseConnection | None" = None
+    executed: bool = False
+    received_on: "DatabaseConnection | None" = None
+
+    @property
+    def still_wanted(self) -> bool:
+        """Whether the connection that it came on is open."""
+        return self.received_on is not None and not self.received_on.closed_at_ns
 
 
 class DatabaseConnection(HttpServerConnection):
     """A router's connection to the database."""
 
-    def __init__(self, link: Link, database: "Database") -> None:
+    def __init__(self, link: Link, number: int, take: Callable[[DatabaseRequest], None]) -> None:
         super().__init__(link)
-        self.database = database
-        database.connections += 1
-        self.number = database.connections
-
-    def asked(self, request: HttpRequest) -> None:
-        told = request.headers
-        fetch = Fetch(
-            self.link.router,
-            self.number,
-            told.get("x-call-id", ""),
-            unquote(request.target[1:], encoding="latin-1"),
-            request.method == "PUT",
-            told.get("x-call-info", ""),
-            request.first,
-            request.last,
-            wire=self,
+        self.number = number
+        self._take = take
+
+    def request_received(self, request: HttpRequest) -> None:
+        """Notes a request and passes it on."""
+        info = request.headers.get("x-call-info", "")
+        fields = dict(field.partition("=")[::2] for field in info.split(","))
+        is_write = request.method == "PUT"
+        self._take(
+            DatabaseRequest(
+                router=self.link.router,
+                connection=self.number,
+                id=request.headers.get("x-call-id", ""),
+                key=unquote(request.target[1:], encoding="latin-1"),
+                write=is_write,
+                info=info,
+                first=request.first_byte_ns,
+                last=request.last_byte_ns,
+                order=fields.get("k", "") if is_write else "",
+                received_on=self,
+            )
         )
-        fields = dict(one.partition("=")[::2] for one in fetch.info.split(","))
-        fetch.order = fields.get("k", "") if fetch.write else ""
-        self.database.take(fetch)
 
 
-@dataclass(eq=False)
 class Database:
-    """The one store that all share."""
-
-    spec: DatabaseSpec
-    routers: int
-    stored: Callable[[str, str], None] = lambda key, id: None  # a read was answered to who still waits
-    voided: Callable[[str], None] = lambda key: None  # a write was carried out
-    rows: list[Fetch] = field(default_factory=list)
-    links: list[Link] = field(init=False)
-
-    def __post_init__(self) -> None:
-        self.links = [Link(n, lambda link: DatabaseConnection(link, self)) for n in range(self.routers)]
-        self.overload = Overload(self.spec.stop_multiple, int(self.spec.stop_after_s * 1e9))
-        self.repeats = Repeats()
-        self.waiting: deque[Fetch] = deque()
-        self.working = self.connections = 0
-        self.factor, self.stopped, self.life = 1.0, False, 0
-        self.free = False  # it answers at once and at no cost, as in a prelude
-        self.stops: list[tuple[int, bool]] = []  # when, and whether it was pressed
-        self.factors: list[tuple[int, float]] = [(system.now(), 1.0)]
+    """The one store behind all cache nodes.
+
+    Attributes:
+        requests: the record of the requests.
+        on_stored: called with (key, request id) for a read that was answered to a router that still waits.
+        on_written: called with the key of a write that was carried out.
+        is_free: it answers at once and at no cost, as before a run begins.
+        stops: when it stopped (monotonic ns), and whether because of overload.
+        time_factors: since when (monotonic ns) a read takes so many times the usual.
+    """
+
+    def __init__(
+        self,
+        spec: DatabaseSpec,
+        routers: int,
+        on_stored: Callable[[str, str], None] = lambda key, request_id: None,
+        on_written: Callable[[str], None] = lambda key: None,
+    ) -> None:
+        """Listens at once, for each of so many routers at an address of its own."""
+        self.spec = spec
+        self.on_stored = on_stored
+        self.on_written = on_written
+        self.requests: list[DatabaseRequest] = []
+        self.is_free = False
+        self.stopped = False
+        self.time_factor = NORMAL_TIME_FACTOR
+        self.stops: list[tuple[int, bool]] = []
+        self.time_factors: list[tuple[int, float]] = []
+        self._connection_count = 0
+        self._working = 0
+        self._queue: deque[DatabaseRequest] = deque()
+        self._run = 0  # counts the stops: what an earlier run had in work is lost
+        self._overload = OverloadDetector(spec.stop_multiple, int(spec.stop_after_s * NANOSECONDS_PER_SECOND))
+        self._idempotency = IdempotencyWindow()
+        self.links = [Link(n, self._connect) for n in range(routers)]
+        self.time_factors.append((system.now(), self.time_factor))
+
+    def _connect(self, link: Link) -> DatabaseConnection:
+        self._connection_count += 1
+        return DatabaseConnection(link, self._connection_count, self.take)
 
     @property
     def endpoints(self) -> list[str]:
+        """The addresses for the routers, as HOST:PORT."""
         return [link.endpoint for link in self.links]
 
     @property
-    def per_second(self) -> float:
-        """Reads a second that it can do now."""
-        return self.spec.workers / (self.spec.time_ms / 1000) / self.factor
+    def reads_per_s(self) -> float:
+        """How many reads a second it can do now."""
+        return self.spec.workers / (self.spec.time_ms / MILLISECONDS_PER_SECOND) / self.time_factor
 
-    def take(self, fetch: Fetch) -> None:
-        self.rows.append(fetch)
+    def take(self, request: DatabaseRequest) -> None:
+        """Takes a request into work or the queue, rejects it, or stops under it."""
+        self.requests.append(request)
         if self.stopped:
-            self._reset(fetch)
-            return
-        if self.free:
-            self._finish(fetch, self.life)
-            return
-        if self.overload.stops(system.now(), self.per_second):
-            self._reset(fetch)
-            self.stop(pressed=True)
-            asyncio.get_running_loop().call_later(self.spec.stop_s, self.go)
-        elif self.working < self.spec.workers:
-            self._begin(fetch)
-        elif len(self.waiting) < self.spec.queue:
-            self.waiting.append(fetch)
+            self._reset(request)
+        elif self.is_free:
+            self._finish(request, self._run)
+        elif self._overload.is_overloaded(system.now(), self.reads_per_s):
+            self._reset(request)
+            self.stop(overloaded=True)
+            asyncio.get_running_loop().call_later(self.spec.stop_s, self.start)
+        elif self._working < self.spec.workers:
+            self._begin(request)
+        elif len(self._queue) < self.spec.queue:
+            self._queue.append(request)
         else:
-            self._end(fetch, "busy")
-            if fetch.wire is not None:
-                fetch.wire.answer(503, b"", "X-Rejected: 1")
-
-    def _reset(self, fetch: Fetch) -> None:
-        self._end(fetch, "reset")
-        if fetch.wire is not None:
-            fetch.wire.reset()
-
-    def _end(self, fetch: Fetch, outcome: str) -> None:
-        fetch.outcome, fetch.ended = outcome, system.now()
-
-    def _begin(self, fetch: Fetch) -> None:
-        self.working += 1
-        chance = (crc32(fetch.id.encode()) + 1) / (2**32 + 1)
-        took = min(-math.log(chance), LONGEST) * self.spec.time_ms / 1000 * self.factor
-        took *= WRITE_TIMES if fetch.write else 1.0
-        asyncio.get_running_loop().call_later(took, self._finish, fetch, self.life)
-
-    def _finish(self, fetch: Fetch, life: int) -> None:
-        if life != self.life:
+            self._end(request, DatabaseOutcome.BUSY)
+            if request.received_on is not None:
+                request.received_on.respond(503, b"", "X-Rejected: 1")
+
+    def _reset(self, request: DatabaseRequest) -> None:
+        self._end(request, DatabaseOutcome.RESET)
+        if request.received_on is not None:
+            request.received_on.reset()
+
+    def _end(self, request: DatabaseRequest, outcome: DatabaseOutcome) -> None:
+        request.outcome = outcome
+        request.ended = system.now()
+
+    def _begin(self, request: DatabaseRequest) -> None:
+        self._working += 1
+        # Exponential times, drawn from the request's id: the same in each run of a plan.
+        chance = (crc32(request.id.encode()) + 1) / (CHECKSUM_VALUES + 1)
+        mean_s = min(-math.log(chance), LONGEST_TIME_FACTOR) * self.spec.time_ms / MILLISECONDS_PER_SECOND
+        took_s = mean_s * self.time_factor
+        if request.write:
+            took_s *= WRITE_TIME_FACTOR
+        asyncio.get_running_loop().call_later(took_s, self._finish, request, self._run)
+
+    def _finish(self, request: DatabaseRequest, run: int) -> None:
+        """Carries out and answers a request that was begun in the run with this number."""
+        if run != self._run:
             return  # it stopped meanwhile
-        self.working -= not self.free
-        now = system.now()
-        if fetch.write:
-            fetch.executed = not fetch.order or self.repeats.first(now, fetch.order)
-            if fetch.executed:
-                self.voided(fetch.key)
-        elif fetch.wire is not None and not fetch.wire.closed_at:
-            self.stored(fetch.key, fetch.id)
-        self._end(fetch, "served")
-        if fetch.wire is not None:
-            value = f"{fetch.id}:{fetch.key}:database:".encode().ljust(self.spec.value_bytes, b".")
-            fetch.wire.answer(200, value)
-        if self.waiting:
-            self._begin(self.waiting.popleft())
-
-    def slow(self, factor: float) -> None:
-        """So many times slower than usual; 1 for as usual."""
-        self.factor = factor
-        self.factors.append((system.now(), factor))
-
-    def stop(self, pressed: bool = False) -> None:
+        if not self.is_free:
+            self._working -= 1
+        if request.write:
+            request.executed = not request.order or self._idempotency.is_first(system.now(), request.order)
+            if request.executed:
+                self.on_written(request.key)
+        elif request.still_wanted:
+            self.on_stored(request.key, request.id)
+        self._end(request, DatabaseOutcome.SERVED)
+        if request.received_on is not None:
+            value = f"{request.id}:{request.key}:database:".encode().ljust(self.spec.value_bytes, b".")
+            request.received_on.respond(200, value)
+        if self._queue:
+            self._begin(self._queue.popleft())
+
+    def slow(self, time_factor: float) -> None:
+        """Takes so many times as long as usual from now on; 1 for as usual."""
+        self.time_factor = time_factor
+        self.time_factors.append((system.now(), time_factor))
+
+    def stop(self, overloaded: bool = False) -> None:
         """Stops: what is in work is lost, connections are reset, and so is all that comes."""
-        self.stops.append((system.now(), pressed))
-        self.stopped, self.life, self.working = True, self.life + 1, 0
-        self.waiting.clear()
-        self.overload.reset()
+        self.stops.append((system.now(), overloaded))
+        self.stopped = True
+        self._run += 1
+        self._working = 0
+        self._queue.clear()
+        self._overload.reset()
         for link in self.links:
             link.set_up(False)
 
-    def go(self) -> None:
+    def start(self) -> None:
+        """Serves again after a stop."""
         self.stopped = False
         for link in self.links:
             link.set_up(True)
 
     def close(self) -> None:
-        self.life += 1
+        """Ends the database and gives its addresses back."""
+        self._run += 1
         for link in self.links:
             link.close()
--- a/rainhitch/rehearsal/fakes/datagrams.py
+++ b/rainhitch/rehearsal/fakes/datagrams.py
@@ -1,85 +1,118 @@
-"""The datagrams between routers: each router sees the others under addresses of its own; late or lost on
-the way.
-"""
+"""The datagrams between routers, with faults: each router has the others under addresses of its own."""
 
 import asyncio
 import socket
+from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
-MOST_BYTES = 256
+HOST = "127.0.0.1"
+LARGEST_BYTES = 256  # a larger datagram is lost
+READ_BYTES = 4096
+
+
+@dataclass
+class DatagramFaults:
+    """What happens to datagrams beside the usual delay and loss."""
+
+    extra_delay_s: float = 0.0
+    loss_fraction: float = 0.0
+    duplicate_fraction: float = 0.0
+    reorder_delay_s: float = 0.0  # further delay at most, drawn for each
+    isolated: set[int] = field(default_factory=set)  # routers that are cut off from the others
+    one_way: bool = False  # only what isolated routers send is lost
+
+    def cuts(self, source: int, target: int) -> bool:
+        """Whether a partition stands between two routers."""
+        if (source in self.isolated) == (target in self.isolated):
+            return False
+        return source in self.isolated or not self.one_way
 
 
 class DatagramRelay:
-    """Carries what router i sends to its address for j on to j, from j's address for i."""
-
-    def __init__(self, routers: int, seed: int, delay_s: tuple[float, float], loss: float) -> None:
-        self.routers, self.delay, self.loss = routers, delay_s, loss
-        self.random = Random(f"{seed}/datagrams")
-        self.loop = asyncio.get_running_loop()
-        self.more = 0.0  # s of further delay
-        self.lost = 0.0  # part that is lost beside the usual
-        self.doubled = 0.0  # part that comes twice
-        self.shuffled = 0.0  # s of further delay at most, drawn for each
-        self.apart: set[int] = set()  # routers that are cut off from the others
-        self.oneway = False  # only what these send is lost
-        self.sent = self.delivered = self.dropped = self.bytes = 0
-        self.targets: dict[int, tuple[str, int]] = {}  # where each router listens for them
-        # sockets[i][j]: what i knows as j's address; the last is for all
-        self.sockets = [[self._socket() for _ in range(routers + 1)] for _ in range(routers)]
-        for i, row in enumerate(self.sockets):
-            for j, one in enumerate(row):
-                self.loop.add_reader(one, self._read, one, i, j)
+    """Carries what router i sends to its address for j on to j, from j's address for i.
+
+    Attributes:
+        faults: what happens to datagrams on the way.
+        targets: where each router listens; a datagram for one that is not here is gone.
+    """
+
+    def __init__(self, routers: int, seed: int, delay_s: tuple[float, float], loss_fraction: float) -> None:
+        self.faults = DatagramFaults()
+        self.targets: dict[int, tuple[str, int]] = {}
+        self.sent = 0
+        self.delivered = 0
+        self.dropped = 0
+        self.delivered_bytes = 0
+        self._routers = routers
+        self._delay_s = delay_s
+        self._loss_fraction = loss_fraction
+        self._random = Random(f"{seed}/datagrams")
+        self._loop = asyncio.get_running_loop()
+        # _sockets[i][j]: what i has as j's address; the last is for all
+        self._sockets = [[self._socket() for _ in range(routers + 1)] for _ in range(routers)]
+        for source, row in enumerate(self._sockets):
+            for target, one in enumerate(row):
+                self._loop.add_reader(one, self._read, one, source, target)
 
     def _socket(self) -> Any:
-        virtual = getattr(self.loop, "datagram_socket", None)
+        virtual = getattr(self._loop, "datagram_socket", None)
         if virtual is not None:
             return virtual()
         one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         one.setblocking(False)
-        one.bind(("127.0.0.1", 0))
+        one.bind((HOST, 0))
         return one
 
     def addresses(self, router: int) -> list[str]:
-        """The addresses of all routers as this one is told them; the last is for all of them."""
-        return ["{}:{}".format(*one.getsockname()) for one in self.sockets[router]]
+        """The addresses of all routers as this one has them, HOST:PORT; the last is for all of them."""
+        return ["{}:{}".format(*one.getsockname()) for one in self._sockets[router]]
+
+    def to_row(self) -> dict[str, int]:
+        """The counts as the record has them."""
+        return {"sent": self.sent, "delivered": self.delivered, "bytes": self.delivered_bytes}
 
-    def _read(self, one: Any, source: int, to: int) -> None:
+    def _read(self, one: Any, source: int, target: int) -> None:
         try:
-            data, _ = one.recvfrom(4096)
+            data, _ = one.recvfrom(READ_BYTES)
         except OSError:
             return
-        for target in range(self.routers) if to == self.routers else [to]:
-            if target != source:
-                self._carry(data, source, target)
+        is_for_all = target == self._routers
+        for receiver in range(self._routers) if is_for_all else [target]:
+            if receiver != source:
+                self._carry(data, source, receiver)
 
     def _carry(self, data: bytes, source: int, target: int) -> None:
+        """Loses, delays or duplicates a datagram. The order of the draws is part of what a seed gives."""
+        faults = self.faults
         self.sent += 1
-        apart = (source in self.apart) != (target in self.apart) and (source in self.apart or not self.oneway)
-        chance, late = self.random.random(), self.random.uniform(*self.delay)
-        if len(data) > MOST_BYTES or apart or chance < max(self.loss, self.lost):
+        chance = self._random.random()
+        delay_s = self._random.uniform(*self._delay_s)
+        lost = chance < max(self._loss_fraction, faults.loss_fraction)
+        if lost or len(data) > LARGEST_BYTES or faults.cuts(source, target):
             self.dropped += 1
             return
-        if self.shuffled:
-            late += self.random.uniform(0, self.shuffled)
-        self.loop.call_later(late + self.more, self._deliver, data, source, target)
-        if self.doubled and self.random.random() < self.doubled:
-            self.loop.call_later(2 * late + self.more, self._deliver, data, source, target)
+        if faults.reorder_delay_s:
+            delay_s += self._random.uniform(0, faults.reorder_delay_s)
+        self._loop.call_later(delay_s + faults.extra_delay_s, self._deliver, data, source, target)
+        if faults.duplicate_fraction and self._random.random() < faults.duplicate_fraction:
+            self._loop.call_later(2 * delay_s + faults.extra_delay_s, self._deliver, data, source, target)
 
     def _deliver(self, data: bytes, source: int, target: int) -> None:
         address = self.targets.get(target)
         if address is None:
             return
         try:
-            self.sockets[target][source].sendto(data, address)
+            self._sockets[target][source].sendto(data, address)
         except OSError:
             self.dropped += 1
             return
         self.delivered += 1
-        self.bytes += len(data)
+        self.delivered_bytes += len(data)
 
     def close(self) -> None:
-        for row in self.sockets:
+        """Closes all sockets."""
+        for row in self._sockets:
             for one in row:
-                self.loop.remove_reader(one)
+                self._loop.remove_reader(one)
                 one.close()
--- a/rainhitch/rehearsal/fakes/http_server.py
+++ b/rainhitch/rehearsal/fakes/http_server.py
@@ -1,4 +1,8 @@
-"""The server's side of HTTP/1.1 on a link: whole requests in, answers out. For the database and discovery."""
+"""The server's side of HTTP/1.1 on a link: whole requests in, responses out. For the database and discovery.
+
+It reads with httptools directly, and not with `rainhitch.protocol.http1`, so that a mistake of the router in
+what it writes is not read with the same mistake. httptools itself is common to both.
+"""
 
 from dataclasses import dataclass, field
 
@@ -6,58 +10,68 @@
 
 from rainhitch.rehearsal.fakes.link import Link, LinkConnection
 
+REASON = "X"  # the phrase after the status; routers must not read it
+
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One whole request; header names in lower case; `first` and `last` are when its bytes were sent."""
+    """One whole request; header names in lower case; times are when its bytes were sent (monotonic ns)."""
 
     method: str = ""
     target: str = ""
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    first: int = 0
-    last: int = 0
+    first_byte_ns: int = 0
+    last_byte_ns: int = 0
 
 
 class HttpServerConnection(LinkConnection):
-    """A connection that speaks HTTP/1.1. Subclasses answer `asked`; methods that begin with on_ are the
-    parser's.
+    """A connection that speaks HTTP/1.1. Subclasses answer in `request_received`.
+
+    Methods whose names begin with on_ are called by the parser.
     """
 
     def __init__(self, link: Link) -> None:
         super().__init__(link)
-        self.parser = httptools.HttpRequestParser(self)
-        self.request = HttpRequest()
-        self.at = 0
+        self._parser = httptools.HttpRequestParser(self)
+        self._request = HttpRequest()
+        self._sent_at_ns = 0  # when the data that is read now was sent
 
-    def asked(self, request: HttpRequest) -> None:
+    def request_received(self, request: HttpRequest) -> None:
         """A whole request has come."""
         raise NotImplementedError
 
-    def answer(self, status: int, body: bytes = b"", *headers: str) -> None:
-        lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
+    def respond(self, status: int, body: bytes = b"", *headers: str) -> None:
+        """Writes a response; `headers` are whole lines."""
+        lines = [f"HTTP/1.1 {status} {REASON}", f"Content-Length: {len(body)}", *headers, "", ""]
         self.send("\r\n".join(lines).encode() + body)
 
-    def arrived(self, data: bytes, at: int) -> None:
-        self.at = at
-        if not self.request.first:
-            self.request.first = at
+    def received(self, data: bytes, sent_at_ns: int) -> None:
+        """Reads data; what is no HTTP/1.1 request ends the connection."""
+        self._sent_at_ns = sent_at_ns
+        if not self._request.first_byte_ns:
+            self._request.first_byte_ns = sent_at_ns
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.close()
 
     def on_url(self, url: bytes) -> None:
-        self.request.target += url.decode("latin-1")
+        """A part of the request's target."""
+        self._request.target += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
+        """One header."""
+        self._request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        self.request.body += body
+        """A part of the body."""
+        self._request.body += body
 
     def on_message_complete(self) -> None:
-        self.request.method = self.parser.get_method().decode()
-        self.request.last = self.at
-        done, self.request = self.request, HttpRequest()
-        self.asked(done)
+        """The request is whole."""
+        request = self._request
+        request.method = self._parser.get_method().decode()
+        request.last_byte_ns = self._sent_at_ns
+        self._request = HttpRequest()
+        self.request_received(request)
--- a/rainhitch/rehearsal/fakes/shared_services_worker.py
+++ b/rainhitch/rehearsal/fakes/shared_services_worker.py
@@ -1,232 +1,238 @@
-"""The order database, discovery, and the datagrams between routers, as a part of a day."""
+"""The worker of what all zones share: the order database, discovery or etcd, datagrams between routers."""
 
 import asyncio
 from collections.abc import Callable
 from pathlib import Path
 
-import orjson
-
 from rainhitch import system
-from rainhitch.rehearsal.fakes.database import Database, DatabaseSpec
+from rainhitch.rehearsal.fakes import worker_messages as messages
+from rainhitch.rehearsal.fakes.database import NORMAL_TIME_FACTOR, Database, DatabaseSpec
 from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
-from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
-from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
-from rainhitch.rehearsal.fakes.worker import Json, Worker
-
-PREFIX = "/rainhitch/members/"
-
+from rainhitch.rehearsal.fakes.discovery import GONE, DiscoveryAgent
+from rainhitch.rehearsal.fakes.etcd_endpoint_list import EtcdEndpointList
+from rainhitch.rehearsal.fakes.worker import Worker, seconds_until
+from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
 
-class EtcdList:
-    """The list in a stand-in for etcd. Each router has a member of its own, so that it is known what was
-    told to whom, and a prefix of its own, since endpoints differ from router to router."""
-
-    def __init__(self, routers: int) -> None:
-        self.world = EtcdCluster(routers)
-        self.world.entry_sent, self.world.list_read = self._sent, self._read
-        self.rows: list[Json] = []
-
-    async def start(self, agents: list[DiscoveryAgent]) -> list[str]:
-        await self.world.start()
-        for agent in agents:
-            for entry in agent.entries.values():
-                self.push(agent.router, entry)
-        return self.world.endpoints
-
-    @staticmethod
-    def key(router: int, uid: str) -> bytes:
-        return f"{PREFIX}{router}/{uid}".encode()
-
-    def push(self, router: int, entry: Json) -> None:
-        key = self.key(router, entry["uid"])
-        if entry["state"] == "Gone":
-            self.world.store.delete(key)
-        else:
-            self.world.store.put(key, orjson.dumps(entry))
-
-    def _sent(self, member: int, key: bytes, there: bool) -> None:
-        number, _, uid = key.decode().removeprefix(PREFIX).partition("/")
-        if not uid or int(number) != member:
-            return
-        version = self.world.store.at(key, self.world.store.revision)
-        state = orjson.loads(version.value)["state"] if there and version and version.value else "Gone"
-        row = {"router": member, "at": system.now(), "node": uid, "state": state, "whole": False}
-        self.rows.append(row)
-
-    def _read(self, member: int, begin: bytes, keys: list[bytes]) -> None:
-        if begin != self.key(member, ""):
-            return
-        for key in keys:
-            self._sent(member, key, True)
-        named = [key.decode().rpartition("/")[2] for key in keys]
-        row = {"router": member, "at": system.now(), "node": "", "state": "whole", "whole": True}
-        self.rows.append({**row, "named": named})
-
-    def cue(self, cue: Json) -> None:
-        """A fault acts."""
-        world, what = self.world, cue["what"]
-        if what == "drop":
-            world.drop()
-        elif what == "compact":
-            if (
-                world.store.compacted_revision < world.store.revision
-            ):  # else nothing has changed since the last time
-                world.store.compact(world.store.revision)
-            world.drop()
-        elif what in ("silent", "speak"):
-            world.silent = what == "silent"
-        elif what in ("away", "back"):
-            world.refuse = what == "away"
-            world.drop()
-        else:
-            world.delay_s = cue.get("delay", 0) / 1e6 if what == "delay" else 0.0
+READY = "Ready"
+DATABASE_UID = "database"
+POD_GROUP = 0
+FREE_UNTIL_S = 0.1  # before the plan's time 0: until then the database answers at once and at no cost
+NANOSECONDS_PER_MILLISECOND = 1_000_000
+MICROSECONDS_PER_MILLISECOND = 1000
+MILLISECONDS_PER_SECOND = 1000
+STARTED_LONG_AGO_US = 0
 
 
 class SharedServicesWorker(Worker):
-    """The order database, discovery, and the datagrams between routers."""
-
-    def __init__(self, folder: Path, told: Json) -> None:
-        super().__init__(folder, told)
-        routers, scenario = len(self.plan["routers"]), self.scenario
-        spec = DatabaseSpec(**scenario["database"], value_bytes=scenario["traffic"]["value_bytes"])
-        self.database = Database(spec, routers, self.stored, self.voided)
-        delay = tuple(one / 1000 for one in scenario["messages"]["delay_ms"])
-        seed = self.plan["seed"]
-        self.datagrams = DatagramRelay(routers, seed, (delay[0], delay[1]), scenario["messages"]["loss"])
-        self.agents: list[DiscoveryAgent] = []
-        self.etcd = EtcdList(routers) if scenario["discovery"]["source"] == "etcd" else None
-        self.endpoints: dict[str, list[str]] = {}
-        self.rooms: list[asyncio.StreamWriter] = []
-        self.unix = 0  # ms: the wall clock at the plan's 0
-
-    def entry(self, router: int, uid: str, state: str, boot_us: int) -> Json:
-        node = next(one for one in self.plan["nodes"] if one["uid"] == uid)
+    """Hosts the database, discovery (or etcd in its place) and the relay of datagrams; listens on the bus."""
+
+    def __init__(self, folder: Path, inputs: Json) -> None:
+        super().__init__(folder, inputs)
+        scenario = self.scenario
+        routers = len(self.plan["routers"])
+        database = DatabaseSpec(**scenario["database"], value_bytes=scenario["traffic"]["value_bytes"])
+        self._database = Database(database, routers, self._key_stored, self._key_written)
+        first_ms, last_ms = scenario["messages"]["delay_ms"]
+        self._datagrams = DatagramRelay(
+            routers,
+            self.plan["seed"],
+            (first_ms / MILLISECONDS_PER_SECOND, last_ms / MILLISECONDS_PER_SECOND),
+            scenario["messages"]["loss"],
+        )
+        self._agents: list[DiscoveryAgent] = []
+        self._etcd = EtcdEndpointList(routers) if scenario["discovery"]["source"] == "etcd" else None
+        self._endpoints: dict[str, list[str]] = {}  # by uid, for each router one
+        self._capacity_hints: dict[str, float] = {}  # by uid
+        self._bus_writers: list[asyncio.StreamWriter] = []
+        self._unix_zero_ms = 0  # the wall clock at the plan's time 0
+        self._bus_server: asyncio.AbstractServer | None = None  # kept: it is closed with its last reference
+
+    # the endpoint list
+
+    def _entry(self, router: int, uid: str, state: str, started_at_us: int) -> Json:
+        """A cache node's entry in the form of discovery's API, as one router is to see it."""
+        node = next(row for row in self.plan["nodes"] if row["uid"] == uid)
+        started_at_ms = 0
+        if started_at_us != STARTED_LONG_AGO_US:
+            started_at_ms = self._unix_zero_ms + started_at_us // MICROSECONDS_PER_MILLISECOND
         return {
             "uid": uid,
-            "endpoint": self.endpoints[uid][router],
+            "endpoint": self._endpoints[uid][router],
             "az": node["room"],
             "model": node["class"],
-            "pod_group": 0,
+            "pod_group": POD_GROUP,
             "state": state,
-            "capacity_hint": self.weights[uid],
-            "boot_ms": self.unix + boot_us // 1000 if boot_us else 0,
+            "capacity_hint": self._capacity_hints[uid],
+            "boot_ms": started_at_ms,
         }
 
-    def heed(self, message: Json) -> None:
-        if "nodes" in message:
-            self.endpoints = message["nodes"]
-            size = {one["uid"]: one["cores"] * self.nominal(one["class"]) for one in self.plan["nodes"]}
-            mean = sum(size.values()) / len(size)
-            self.weights = {uid: round(one / mean, 3) for uid, one in size.items()}
-            for router in range(len(self.plan["routers"])):
-                self.agents.append(DiscoveryAgent(router, self.listed(router)))
-            self.spawn(self.host(message["bus"]))
-        elif "listens" in message:
-            listens = message["listens"].items()
-            self.datagrams.targets = {int(n): (host, int(port)) for n, (host, port) in listens}
-
-    def nominal(self, name: str) -> float:
-        """The speed of a core that the list's hint goes by: the middle of the class's range."""
-        low, high = next(one["speed"] for one in self.scenario["fleet"]["nodes"] if one["name"] == name)
+    def _first_list(self, router: int) -> list[Json]:
+        """The entries at the begin of the run: the nodes but for those that join later, and the database."""
+        uids = [row["uid"] for row in self.plan["nodes"] if "joins" not in row]
+        nodes = [self._entry(router, uid, READY, STARTED_LONG_AGO_US) for uid in uids]
+        database = {
+            "uid": DATABASE_UID,
+            "endpoint": self._database.endpoints[router],
+            "az": self.plan["rooms"][0],
+            "model": DATABASE_UID,
+            "pod_group": POD_GROUP,
+            "state": READY,
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
+        return [*nodes, database]
+
+    def _nominal_speed(self, node_class: str) -> float:
+        """The speed of a core that the list's hints go by: the middle of the class's range."""
+        classes = self.scenario["fleet"]["nodes"]
+        low, high = next(row["speed"] for row in classes if row["name"] == node_class)
         return float(low + high) / 2
 
-    def listed(self, router: int) -> list[Json]:
-        there = [one["uid"] for one in self.plan["nodes"] if "joins" not in one]
-        rows = [self.entry(router, uid, "Ready", 0) for uid in there]
-        base = {"az": self.plan["rooms"][0], "model": "database", "pod_group": 0, "state": "Ready"}
-        endpoint = self.database.endpoints[router]
-        row = {"uid": "database", "endpoint": endpoint, **base, "capacity_hint": 1.0, "boot_ms": 0}
-        return [*rows, row]
-
-    async def host(self, path: str) -> None:
-        self.server = await asyncio.start_unix_server(self.joined, path)  # closed with the last reference
-        lists = [{"agent": agent.endpoint, "known": agent.whole()} for agent in self.agents]
-        if self.etcd is not None:
-            for one in lists:
-                one["etcd"] = ""
-            for number, endpoint in enumerate(await self.etcd.start(self.agents)):
-                lists[number]["etcd"] = endpoint
-        peers = [self.datagrams.addresses(agent.router) for agent in self.agents]
-        self.say({"lists": {"agents": lists, "peers": peers}})
-
-    async def joined(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.rooms.append(writer)
-        while line := await reader.readline():
-            message = orjson.loads(line)
-            if "fell" in message:
-                low, high = self.scenario["discovery"]["notice_s"]
-                self.loop.call_later((low + high) / 2, self.gone, message["fell"])
-
-    def gone(self, uid: str) -> None:
-        for agent in self.agents:
-            self.push(agent.router, self.entry(agent.router, uid, "Gone", 0))
-
-    def push(self, router: int, entry: Json) -> None:
-        """A change reaches a router's source."""
-        if self.etcd is not None:
-            self.etcd.push(router, entry)
+    def _set_capacity_hints(self) -> None:
+        """Each node's nominal capacity, as a multiple of the nodes' mean."""
+        capacities = {
+            row["uid"]: row["cores"] * self._nominal_speed(row["class"]) for row in self.plan["nodes"]
+        }
+        mean = sum(capacities.values()) / len(capacities)
+        self._capacity_hints = {uid: round(one / mean, 3) for uid, one in capacities.items()}
+
+    def _push(self, router: int, entry: Json) -> None:
+        """A change reaches a router's source of the list."""
+        if self._etcd is not None:
+            self._etcd.push(router, entry)
         else:
-            self.agents[router].push(entry)
+            self._agents[router].push(entry)
+
+    def _push_planned(self, row: Json) -> None:
+        """A change of the plan reaches a router's source."""
+        self._push(row["router"], self._entry(row["router"], row["node"], row["state"], row["boot"]))
 
-    def all_rooms(self, message: Json) -> None:
-        line = orjson.dumps(message) + b"\n"
-        for writer in self.rooms:
+    def _push_gone(self, uid: str) -> None:
+        """All sources have noticed that a node is gone."""
+        for agent in self._agents:
+            self._push(agent.router, self._entry(agent.router, uid, GONE, STARTED_LONG_AGO_US))
+
+    # messages
+
+    def handle(self, message: messages.EnvironmentMessage) -> None:
+        """The nodes listen, or the routers."""
+        if isinstance(message, messages.NodesListening):
+            self._endpoints = message.endpoints
+            self._set_capacity_hints()
+            for router in range(len(self.plan["routers"])):
+                self._agents.append(DiscoveryAgent(router, self._first_list(router)))
+            self.spawn(self._serve(message.bus_path))
+        elif isinstance(message, messages.RoutersListening):
+            self._datagrams.targets = message.addresses
+
+    async def _serve(self, bus_path: str) -> None:
+        """Listens on the bus, starts the sources of the list, and sends the environment their addresses."""
+        self._bus_server = await asyncio.start_unix_server(self._follow_bus, bus_path)
+        lists = [agent.whole_list() for agent in self._agents]
+        etcd_endpoints: list[str | None] = [None] * len(self._agents)
+        if self._etcd is not None:
+            etcd_endpoints = [*await self._etcd.start(self._agents)]
+        sources = [
+            messages.RouterSources(agent.endpoint, known, etcd, self._datagrams.addresses(agent.router))
+            for agent, known, etcd in zip(self._agents, lists, etcd_endpoints, strict=True)
+        ]
+        self.send(messages.sources_row(sources))
+
+    async def _follow_bus(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Notices after a while that a node has collapsed."""
+        self._bus_writers.append(writer)
+        while line := await reader.readline():
+            message = messages.bus_message(messages.from_line(line))
+            if isinstance(message, messages.NodeCollapsed):
+                earliest_s, latest_s = self.scenario["discovery"]["notice_s"]
+                self.loop.call_later((earliest_s + latest_s) / 2, self._push_gone, message.uid)
+
+    def _send_to_nodes(self, row: Json) -> None:
+        line = messages.to_line(row)
+        for writer in self._bus_writers:
             writer.write(line)
 
-    def stored(self, key: str, id: str) -> None:
-        self.all_rooms({"store": key, "id": id})
-
-    def voided(self, key: str) -> None:
-        self.all_rooms({"void": key, "id": ""})
-
-    def begin(self, zero: int) -> None:
-        super().begin(zero)
-        now = system.now()
-        self.unix = system.running().unix() // 1_000_000 + (zero - now) // 1_000_000
-        self.database.free = True
-        self.loop.call_later(max(0.0, (zero - now) / 1e9 - 0.1), setattr, self.database, "free", False)
-        for one in self.plan["changes"]:
-            self.loop.call_later(max(0.0, (zero + one["at"] * 1000 - now) / 1e9), self.change, one)
-
-    def change(self, one: Json) -> None:
-        entry = self.entry(one["router"], one["node"], one["state"], one["boot"])
-        self.push(one["router"], entry)
-
-    def cue(self, cue: Json) -> None:
-        datagrams, what = self.datagrams, cue["what"]
-        if cue["who"] == "database":
-            database = self.database
-            acts: dict[str, Callable[[], None]] = {
-                "slow": lambda: database.slow(cue["factor"]),
-                "quick": lambda: database.slow(1.0),
-                "stop": database.stop,
-                "go": database.go,
-            }
-            acts[what]()
-        elif cue["who"] == "etcd" and self.etcd is not None:
-            self.etcd.cue(cue)
-        elif cue["who"] == "list" and what in ("silent", "speak"):
-            for agent in self.agents:
-                agent.silence(what == "silent")
-        elif cue["who"] == "messages":
-            if what in ("cut", "heal"):
-                datagrams.apart = set(cue["name"]) if what == "cut" else set()
-                datagrams.oneway = what == "cut" and cue.get("oneway", False)
-            elif what in ("lose", "keep"):
-                datagrams.lost = cue["share"] if what == "lose" else 0.0
-            elif what in ("double", "single"):
-                datagrams.doubled = cue["share"] if what == "double" else 0.0
-            elif what in ("shuffle", "order"):
-                datagrams.shuffled = cue["delay"] / 1e6 if what == "shuffle" else 0.0
-            else:
-                datagrams.more = cue["delay"] / 1e6 if what == "delay" else 0.0
-
-    def ledger(self) -> Json:
-        grams = self.datagrams
+    def _key_stored(self, key: str, request_id: str) -> None:
+        self._send_to_nodes(messages.KeyStored(key, request_id).to_row())
+
+    def _key_written(self, key: str) -> None:
+        self._send_to_nodes(messages.KeyInvalidated(key).to_row())
+
+    def start_run(self, zero_ns: int) -> None:
+        """Begins the run: the database is free until shortly before it, and the list changes as planned."""
+        super().start_run(zero_ns)
+        now_ns = system.now()
+        unix_now_ms = system.running().unix() // NANOSECONDS_PER_MILLISECOND
+        self._unix_zero_ms = unix_now_ms + (zero_ns - now_ns) // NANOSECONDS_PER_MILLISECOND
+        self._database.is_free = True
+        free_for_s = max(0.0, (zero_ns - now_ns) / 1e9 - FREE_UNTIL_S)
+        self.loop.call_later(free_for_s, self._end_free_answers)
+        for row in self.plan["changes"]:
+            self.loop.call_later(seconds_until(self.plan_time_ns(row["at"]), now_ns), self._push_planned, row)
+
+    def _end_free_answers(self) -> None:
+        self._database.is_free = False
+
+    # faults
+
+    def act(self, action: FaultAction) -> None:
+        """A fault acts on the database, on etcd, on discovery or on the datagrams."""
+        match action.target:
+            case FaultTarget.DATABASE:
+                self._act_on_database(action)
+            case FaultTarget.ETCD if self._etcd is not None:
+                self._etcd.act(action)
+            case FaultTarget.DISCOVERY if action.action in ("silent", "speak"):
+                for agent in self._agents:  # the other actions on discovery are changes in the plan
+                    agent.set_silent(action.action == "silent")
+            case FaultTarget.DATAGRAMS:
+                self._act_on_datagrams(action)
+
+    def _act_on_database(self, action: FaultAction) -> None:
+        database = self._database
+        acts: dict[str, Callable[[], None]] = {
+            "slow": lambda: database.slow(action.factor),
+            "quick": lambda: database.slow(NORMAL_TIME_FACTOR),
+            "stop": database.stop,
+            "go": database.start,
+        }
+        acts[action.action]()
+
+    def _act_on_datagrams(self, action: FaultAction) -> None:
+        faults = self._datagrams.faults
+        match action.action:
+            case "cut":
+                faults.isolated = set(action.name)
+                faults.one_way = action.one_way
+            case "heal":
+                faults.isolated = set()
+                faults.one_way = False
+            case "lose":
+                faults.loss_fraction = action.fraction
+            case "keep":
+                faults.loss_fraction = 0.0
+            case "double":
+                faults.duplicate_fraction = action.fraction
+            case "single":
+                faults.duplicate_fraction = 0.0
+            case "shuffle":
+                faults.reorder_delay_s = action.delay_s
+            case "order":
+                faults.reorder_delay_s = 0.0
+            case "delay":
+                faults.extra_delay_s = action.delay_s
+            case _:
+                faults.extra_delay_s = 0.0
+
+    def record(self) -> Json:
+        """The record of the database, of what routers were sent of the list, and of the datagrams."""
+        list_rows = [row for agent in self._agents for row in agent.rows]
+        if self._etcd is not None:
+            list_rows += self._etcd.rows
         return {
-            "fetches": [row.row() for row in self.database.rows],
-            "told": [row for agent in self.agents for row in agent.rows]
-            + ([] if self.etcd is None else self.etcd.rows),
-            "stops": self.database.stops,
-            "factors": self.database.factors,
-            "messages": {"sent": grams.sent, "delivered": grams.delivered, "bytes": grams.bytes},
+            "fetches": [request.to_row() for request in self._database.requests],
+            "told": list_rows,
+            "stops": self._database.stops,
+            "factors": self._database.time_factors,
+            "messages": self._datagrams.to_row(),
         }
--- a/rainhitch/rehearsal/fakes/worker.py
+++ b/rainhitch/rehearsal/fakes/worker.py
@@ -1,4 +1,4 @@
-"""What every part of a day's world does in its process: heed the stage, act on cues, keep a ledger."""
+"""A worker hosts some of the fakes: it follows the environment, acts on faults, and keeps a record."""
 
 import asyncio
 import os
@@ -11,111 +11,150 @@
 import orjson
 
 from rainhitch import system
+from rainhitch.rehearsal.fakes import worker_messages as messages
+from rainhitch.rehearsal.fakes.worker_messages import FaultAction, Json
 
-Json = dict[str, Any]
-TICK = 0.02  # s between looks at the loop's own lateness
-STALL = 0.01  # s beyond which one is noted
+STALL_CHECK_INTERVAL_S = 0.02
+SHORTEST_STALL_S = 0.01  # that is noted
+LONGEST_LINE_BYTES = 1 << 24  # of the environment's messages
+NANOSECONDS_PER_SECOND = 1e9
+NANOSECONDS_PER_MICROSECOND = 1000
 
 
 class Writer(Protocol):
-    """What takes bytes for the other parts."""
+    """What takes bytes for the other workers."""
 
-    def write(self, data: bytes) -> None: ...
+    def write(self, data: bytes) -> None:
+        """Sends them."""
 
 
-def to_stage(message: Json) -> None:
-    """A word to the stage, where it runs in another process."""
-    sys.stdout.buffer.write(orjson.dumps(message) + b"\n")
+def write_to_environment(row: Json) -> None:
+    """Sends a message to the environment where that runs in another process."""
+    sys.stdout.buffer.write(messages.to_line(row))
     sys.stdout.buffer.flush()
 
 
 def end_process(problem: BaseException) -> None:
-    """Ends this process, which the stage reports."""
+    """Ends this process with the problem's traceback, which the environment reports."""
     traceback.print_exception(problem)
     sys.stderr.flush()
     os._exit(1)
 
 
-class Worker:
-    """What all parts do: heed the stage, act on cues, note their own lateness, keep a ledger."""
+def seconds_until(at_ns: int, now_ns: int) -> float:
+    """How long it is until a time; 0 for one that is over."""
+    return max(0.0, (at_ns - now_ns) / NANOSECONDS_PER_SECOND)
+
 
-    def __init__(self, folder: Path, told: Json) -> None:
-        self.folder, self.plan, self.scenario = folder, told["plan"], told["scenario"]
+class Worker:
+    """What all workers do. Subclasses host fakes and override what they need.
+
+    Attributes:
+        plan: the plan of the run, as plan.json has it.
+        scenario: the scenario, as plan.json has it.
+        zero_ns: the monotonic time of the plan's time 0, once the run has begun.
+        bus: where messages to the other workers go.
+        send: takes messages to the environment.
+        on_failure: takes the exception that a task of the worker has ended with.
+    """
+
+    def __init__(self, folder: Path, inputs: Json) -> None:
+        self.folder = folder
+        self.plan: Json = inputs["plan"]
+        self.scenario: Json = inputs["scenario"]
         self.loop = asyncio.get_running_loop()
-        self.stalls: list[tuple[int, int]] = []  # monotonic ns: since when, until when
-        self.done = asyncio.Event()
-        self.zero = 0
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.zero_ns = 0
         self.bus: Writer | None = None
-        self.say: Callable[[Json], None] = to_stage
-        self.failed: Callable[[BaseException], None] = end_process
-
-    def spawn(self, what: Coroutine[Any, Any, None]) -> None:
-        """Runs beside the rest. Guards the day against a part that goes on without a piece of itself: an
-        exception ends the day."""
-        task = self.loop.create_task(what)
-        self.tasks.add(task)
-        task.add_done_callback(self._spawned)
-
-    def _spawned(self, task: asyncio.Task[None]) -> None:
-        self.tasks.discard(task)
-        problem = None if task.cancelled() else task.exception()
-        if problem is not None:
-            self.failed(problem)
+        self.send: Callable[[Json], None] = write_to_environment
+        self.on_failure: Callable[[BaseException], None] = end_process
+        self._stalls: list[tuple[int, int]] = []  # monotonic ns: from when until when the loop stood still
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    # for subclasses
 
     def ready(self) -> Json:
-        """What the stage is told once this part stands."""
+        """What the environment needs to know once this worker is ready."""
         return {}
 
-    def heed(self, message: Json) -> None:
-        """A line of the stage that is not for all parts."""
+    def handle(self, message: messages.EnvironmentMessage) -> None:
+        """A message of the environment that is not for all workers."""
 
-    def cue(self, cue: Json) -> None:
-        """A fault acts."""
+    def act(self, action: FaultAction) -> None:
+        """A fault acts; on something of this worker, or on something else."""
 
-    def ledger(self) -> Json:
+    def record(self) -> Json:
+        """What this worker's fakes have recorded, as the record's file has it."""
         return {}
 
-    def begin(self, zero: int) -> None:
-        """The plan's instant 0, in monotonic ns."""
-        self.zero = zero
-        now = system.now()
-        for cue in self.plan["cues"]:
-            after = max(0.0, (zero + cue["at"] * 1000 - now) / 1e9)
-            self.loop.call_later(after, self.cue, cue)
+    def start_run(self, zero_ns: int) -> None:
+        """Begins the run; `zero_ns` is the monotonic time of the plan's time 0."""
+        self.zero_ns = zero_ns
+        now_ns = system.now()
+        for row in self.plan["cues"]:
+            action = FaultAction.from_row(row)
+            self.loop.call_later(seconds_until(self.plan_time_ns(action.at_us), now_ns), self.act, action)
 
-    async def tick(self) -> None:
-        while True:
-            before = system.now()
-            await asyncio.sleep(TICK)
-            late = system.now() - before - int(TICK * 1e9)
-            if late > STALL * 1e9:
-                self.stalls.append((before, before + int(TICK * 1e9) + late))
+    # for all
+
+    def plan_time_ns(self, at_us: int) -> int:
+        """A time of the plan as monotonic ns."""
+        return self.zero_ns + at_us * NANOSECONDS_PER_MICROSECOND
+
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a task of this worker.
+
+        A task's exception ends the run. Without that the run went on without a piece of its fakes, and its
+        report blamed the routers.
+        """
+        task = self.loop.create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._task_done)
+
+    def _task_done(self, task: asyncio.Task[None]) -> None:
+        self._tasks.discard(task)
+        problem = None if task.cancelled() else task.exception()
+        if problem is not None:
+            self.on_failure(problem)
 
     async def run(self) -> None:
-        reader = asyncio.StreamReader(limit=1 << 24)
+        """Follows the environment's messages on standard input until the run is over or the input ends."""
+        reader = asyncio.StreamReader(limit=LONGEST_LINE_BYTES)
         await self.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-        ticker = self.loop.create_task(self.tick())
-        self.say({"ready": self.ready()})
+        stall_check = self.loop.create_task(self._note_stalls())
+        self.send(messages.ready_row(self.ready()))
         while line := await reader.readline():
-            if self.told(orjson.loads(line)):
+            if self.handle_row(messages.from_line(line)):
                 break
-        ticker.cancel()
-
-    def told(self, message: Json) -> bool:
-        """Does as the stage says; True: this part's day is over."""
-        if "zero" in message:
-            self.begin(message["zero"])
-        elif "end" in message:
-            rows = {**self.ledger(), "stalls": self.stalls}
-            (self.folder / message["end"]).write_bytes(orjson.dumps(rows))
-            self.say({"ended": True})
-            return True
-        else:
-            self.heed(message)
+        stall_check.cancel()
+
+    async def _note_stalls(self) -> None:
+        interval_ns = int(STALL_CHECK_INTERVAL_S * NANOSECONDS_PER_SECOND)
+        while True:
+            before_ns = system.now()
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
+            late_ns = system.now() - before_ns - interval_ns
+            if late_ns > SHORTEST_STALL_S * NANOSECONDS_PER_SECOND:
+                self._stalls.append((before_ns, before_ns + interval_ns + late_ns))
+
+    def handle_row(self, row: Json) -> bool:
+        """Follows a message of the environment; whether the run is over for this worker."""
+        message = messages.environment_message(row)
+        match message:
+            case messages.StartRun(zero_ns):
+                self.start_run(zero_ns)
+            case messages.EndRun(record_file):
+                self._write_record(record_file)
+                self.send(messages.ended_row())
+                return True
+            case _:
+                self.handle(message)
         return False
 
-    def tell(self, message: Json) -> None:
-        """To the other parts, over the bus."""
+    def _write_record(self, file: str) -> None:
+        rows = {**self.record(), "stalls": self._stalls}
+        (self.folder / file).write_bytes(orjson.dumps(rows))
+
+    def send_to_workers(self, row: Json) -> None:
+        """Sends a message over the bus."""
         if self.bus is not None:
-            self.bus.write(orjson.dumps(message) + b"\n")
+            self.bus.write(messages.to_line(row))
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -53,12 +53,12 @@
             self.part = ClientWorker(self.folder, told, int(number))
         else:
             self.part = SharedServicesWorker(self.folder, told)
-        self.part.say, self.part.failed = self.words.put_nowait, self.stage.failed
+        self.part.send, self.part.on_failure = self.words.put_nowait, self.stage.failed
         self.words.put_nowait({"ready": self.part.ready()})
 
     def say(self, message: Json) -> None:
         assert self.part is not None
-        self.part.told(message)
+        self.part.handle_row(message)
 
     async def hear(self, key: str, within: float = 60.0) -> Any:
         try:
--- a/tests/rehearsal/test_cache_node_model.py
+++ b/tests/rehearsal/test_cache_node_model.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 
 from rainhitch.rehearsal.fakes.cache_node_model import (
-    DROPS_FOR,
-    Budget,
+    IDEMPOTENCY_WINDOW_NS,
     CacheNodeModel,
-    Memory,
-    Overload,
-    Repeats,
+    ColdLoadLimit,
+    IdempotencyWindow,
+    KeyMemory,
+    OverloadDetector,
 )
 
 MILLI = 1_000_000
@@ -19,9 +19,9 @@
 def drive(machine: CacheNodeModel, until: int, now: int = 0) -> dict[str, int]:
     """Lets time pass; gives when each request was finished."""
     ended = {}
-    while (due := machine.due(now)) is not None and now + due <= until:
+    while (due := machine.next_finish_in_ns(now)) is not None and now + due <= until:
         now += due
-        for name in machine.finish(now):
+        for name in machine.take_finished(now):
             ended[name] = now
     return ended
 
@@ -57,7 +57,7 @@
 def test_a_cold_node_has_part_of_its_capacity_and_all_of_it_when_warm() -> None:
     machine = CacheNodeModel(4, 1.0, 8, 0)
     machine.start_cold(0, 0.25, 8 * SECOND)
-    assert [machine.capacity(at * SECOND) for at in (0, 4, 8, 20)] == [1.0, 2.5, 4.0, 4.0]
+    assert [machine.capacity_cores(at * SECOND) for at in (0, 4, 8, 20)] == [1.0, 2.5, 4.0, 4.0]
     assert machine.offer(0, "a", 100_000)
     assert 300 * MILLI < drive(machine, SECOND)["a"] <= 401 * MILLI
 
@@ -74,7 +74,7 @@
     for number, (at, work) in enumerate(sorted(arrivals)):
         ended |= drive(machine, at * MILLI, now)
         now = max(now, at * MILLI)
-        for name in machine.finish(now):
+        for name in machine.take_finished(now):
             ended[name] = now
         assert machine.offer(now, str(number), work * 1000)
         due[str(number)] = now + work * MILLI
@@ -88,35 +88,37 @@
 
 @given(st.floats(1.0, 5.0), st.floats(0.5, 8.0))
 def test_a_budget_holds_a_window_and_a_little_more(multiple: float, capacity: float) -> None:
-    budget = Budget(multiple, SECOND)
+    budget = ColdLoadLimit(multiple, SECOND)
     whole = multiple * capacity * 1_000_000 * 1.25  # a quarter for chance
-    assert not budget.over(0, whole * 0.5, capacity)
-    assert not budget.over(SECOND // 2, whole * 0.49, capacity)
-    assert budget.over(SECOND // 2, whole * 0.02, capacity)
-    assert not budget.over(SECOND * 2, whole * 0.9, capacity)  # the window has passed
+    assert not budget.exceeded(0, whole * 0.5, capacity)
+    assert not budget.exceeded(SECOND // 2, whole * 0.49, capacity)
+    assert budget.exceeded(SECOND // 2, whole * 0.02, capacity)
+    assert not budget.exceeded(SECOND * 2, whole * 0.9, capacity)  # the window has passed
 
 
 @given(st.lists(st.integers(0, 20), max_size=200), st.integers(1, 8))
 def test_memory_is_the_least_lately_used(asked: list[int], most: int) -> None:
-    memory, model = Memory(most), list[str]()
+    memory, model = KeyMemory(most), list[str]()
     for key in map(str, asked):
         assert memory.hit(key) == (key in model)
         model = [one for one in model if one != key] + [key]
         memory.store(key)
         model = model[-most:]
-    memory.void("3")
+    memory.invalidate("3")
     assert not memory.hit("3")
 
 
 def test_a_repeat_is_dropped_for_its_window_from_the_first() -> None:
-    repeats = Repeats()
-    assert repeats.first(0, "a") and not repeats.first(DROPS_FOR - 1, "a")
-    assert repeats.first(DROPS_FOR, "a") and repeats.first(DROPS_FOR, "b")
+    repeats = IdempotencyWindow()
+    assert repeats.is_first(0, "a") and not repeats.is_first(IDEMPOTENCY_WINDOW_NS - 1, "a")
+    assert repeats.is_first(IDEMPOTENCY_WINDOW_NS, "a") and repeats.is_first(IDEMPOTENCY_WINDOW_NS, "b")
 
 
 def pressed(rate: float, seconds: float, per_second: float = 20.0) -> bool:
-    overload = Overload(2.5, 3 * SECOND)
-    return any(overload.stops(int(n / rate * SECOND), per_second) for n in range(1, int(rate * seconds)))
+    overload = OverloadDetector(2.5, 3 * SECOND)
+    return any(
+        overload.is_overloaded(int(n / rate * SECOND), per_second) for n in range(1, int(rate * seconds))
+    )
 
 
 def test_the_database_stops_when_sent_more_than_its_multiple_for_the_whole_time() -> None:
@@ -125,6 +127,6 @@
 
 
 def test_a_burst_long_past_does_not_count() -> None:
-    overload = Overload(2.5, 3 * SECOND)
-    assert not any(overload.stops(n * SECOND // 100, 20.0) for n in range(150))
-    assert not any(overload.stops(60 * SECOND + n * SECOND // 10, 20.0) for n in range(60))
+    overload = OverloadDetector(2.5, 3 * SECOND)
+    assert not any(overload.is_overloaded(n * SECOND // 100, 20.0) for n in range(150))
+    assert not any(overload.is_overloaded(60 * SECOND + n * SECOND // 10, 20.0) for n in range(60))
--- a/tests/rehearsal/test_clients.py
+++ b/tests/rehearsal/test_clients.py
@@ -9,7 +9,9 @@
 import orjson
 from peers import PATIENCE, Cache, soon
 
-from rainhitch.rehearsal.fakes.clients import ClientPopulation, SentTry
+from rainhitch.rehearsal.fakes.client_connection import SentAttempt
+from rainhitch.rehearsal.fakes.client_script import ANY_ROUTER, scripted_requests
+from rainhitch.rehearsal.fakes.clients import ClientPopulation
 from rainhitch.rehearsal.scenario import Scenario
 
 Json = dict[str, Any]
@@ -64,14 +66,14 @@
 
 
 def kinds(crowd: ClientPopulation) -> list[str]:
-    return [one.kind for one in crowd.sent]
+    return [one.kind for one in crowd.attempts]
 
 
 async def test_a_request_is_sent_when_it_is_due_and_reuses_the_connection_that_is_idle() -> None:
     async with played([lambda asked, line: served(asked)], [ask(0), ask(100)]) as (crowd, (router,)):
-        assert kinds(crowd) == ["served", "served"] and all(one.own for one in crowd.sent)
-        assert len(router.lines) == 1 and [one.reused for one in crowd.sent] == [False, True]
-        assert all(0 <= one.sent - one.due < 10**9 for one in crowd.sent)
+        assert kinds(crowd) == ["served", "served"] and all(one.own for one in crowd.attempts)
+        assert len(router.lines) == 1 and [one.reused for one in crowd.attempts] == [False, True]
+        assert all(0 <= one.sent - one.due < 10**9 for one in crowd.attempts)
         name, key, id, info = router.got[0]
         assert (name, key, id) == (b"C.GET", b"k", b"0.0.0")
         assert dict(one.split(b"=") for one in info.split(b","))[b"d"] == b"400"
@@ -97,7 +99,7 @@
 async def test_who_reconnects_opens_a_new_connection_though_one_is_idle() -> None:
     asks = [ask(0), {**ask(100), "fresh": True}]
     async with played([lambda asked, line: served(asked)], asks) as (crowd, (router,)):
-        assert len(router.lines) == 2 and not crowd.sent[1].reused
+        assert len(router.lines) == 2 and not crowd.attempts[1].reused
 
 
 async def test_a_write_carries_its_value_and_its_order_key_and_a_retry_the_same_key_under_a_new_id() -> None:
@@ -116,7 +118,7 @@
     for honours in (True, False):
         one = {**ask(0, tries=2, wait=2000), "honours": honours}
         async with played([lambda asked, line: b"-BUSY 300\r\n"], [one]) as (crowd, _):
-            first, second = crowd.sent
+            first, second = crowd.attempts
             assert first.detail == "BUSY 300" and kinds(crowd) == ["refused", "refused"]
             assert (second.due - first.answered >= 290_000_000) == honours
 
@@ -125,14 +127,14 @@
     fails: list[Answer] = [lambda asked, line: b"-ERR failed\r\n"]
     for order, writes in (("keyed", 2), ("unsafe", 1)):
         async with played(fails, [ask(0, tries=2), ask(50, tries=2, cls=3)], order) as (crowd, _):
-            assert [one.ask for one in crowd.sent].count(0) == 2
-            assert [one.ask for one in crowd.sent].count(1) == writes
+            assert [one.ask for one in crowd.attempts].count(0) == 2
+            assert [one.ask for one in crowd.attempts].count(1) == writes
 
 
 async def test_a_second_answer_is_in_the_ledger_though_nobody_asked_for_it() -> None:
     async with played([lambda asked, line: served(asked) * 2], [ask(0), ask(100)]) as (crowd, _):
         assert kinds(crowd) == ["served", "served"]
-        assert [one["id"] for one in crowd.extras] == ["0.0.0", "100.0.0"]
+        assert [one["id"] for one in crowd.extra_answers] == ["0.0.0", "100.0.0"]
 
 
 async def test_an_answer_after_the_client_gave_up_is_in_the_ledger_with_its_time() -> None:
@@ -143,14 +145,17 @@
         late.append(asked)
 
     async with played([answer], [ask(0, wait=200)]) as (crowd, _):
-        await soon(lambda: crowd.sent[0].answered)
-        assert crowd.sent[0].answered - crowd.sent[0].sent > 300_000_000 and crowd.sent[0].wait == 200_000_000
+        await soon(lambda: crowd.attempts[0].answered)
+        assert (
+            crowd.attempts[0].answered - crowd.attempts[0].sent > 300_000_000
+            and crowd.attempts[0].wait == 200_000_000
+        )
 
 
 async def test_who_is_impatient_closes_and_is_noted_as_gone() -> None:
     async with played([lambda asked, line: None], [ask(0, leaves_us=50_000)]) as (crowd, (router,)):
         await soon(lambda: router.ended == 1)
-        assert crowd.sent[0].left and not crowd.sent[0].answered
+        assert crowd.attempts[0].left and not crowd.attempts[0].answered
 
 
 async def test_a_request_that_crosses_a_close_between_requests_is_sent_once_more() -> None:
@@ -165,8 +170,8 @@
     met: list[bytes] = []
     async with played([answer], [ask(0), ask(100)]) as (crowd, _):
         assert met == [b"0.0.0", b"100.0.0", b"100.0.0"]
-        assert kinds(crowd) == ["served", "served"] and len(crowd.sent[1].earlier) == 1
-        assert crowd.sent[1].earlier[0]["connection"] != crowd.sent[1].connection
+        assert kinds(crowd) == ["served", "served"] and len(crowd.attempts[1].earlier) == 1
+        assert crowd.attempts[1].earlier[0]["connection"] != crowd.attempts[1].connection
 
 
 async def test_a_first_request_whose_connection_ends_is_not_sent_again_and_told_as_ended() -> None:
@@ -174,11 +179,11 @@
         line.transport.abort()
 
     async with played([cut], [ask(0)]) as (crowd, (router,)):
-        assert kinds(crowd) == ["ended"] and len(router.got) == 1 and crowd.sent[0].ended
+        assert kinds(crowd) == ["ended"] and len(router.got) == 1 and crowd.attempts[0].ended
 
 
 @contextlib.asynccontextmanager
-async def ended_before(said: bytes) -> AsyncIterator[SentTry]:
+async def ended_before(said: bytes) -> AsyncIterator[SentAttempt]:
     """A try on a connection that the router ended, with these last words, before the client wrote."""
 
     async def end(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -188,11 +193,11 @@
     server = await asyncio.start_server(end, "127.0.0.1", 0)
     async with played([lambda asked, line: served(asked)], []) as (crowd, _):
         crowd.addresses = [server.sockets[0].getsockname()]
-        line = await crowd._line(-1, fresh=True)
+        line = await crowd.connect(ANY_ROUTER, is_new=True)
         assert line is not None
         await soon(lambda: line.transport is None)
-        sent, over = SentTry(0, 0, "x", wait=10**9), asyncio.Event()
-        line.ask(sent, b"...", over.set)
+        sent, over = SentAttempt(0, 0, "x", wait=10**9), asyncio.Event()
+        line.send(sent, b"...", over.set)
         assert over.is_set()
         yield sent
     server.close()
@@ -210,27 +215,28 @@
 
 async def test_a_value_of_another_request_is_not_the_clients_own() -> None:
     async with played([lambda asked, line: b"$7\r\nother:k\r\n"], [ask(0)]) as (crowd, _):
-        assert kinds(crowd) == ["served"] and not crowd.sent[0].own
+        assert kinds(crowd) == ["served"] and not crowd.attempts[0].own
 
 
 async def test_the_front_keeps_to_the_room_and_leaves_a_router_that_it_knows_is_down() -> None:
     routers: list[Answer] = [lambda asked, line: served(asked)] * 4  # the first and the fourth in this room
     async with played(routers, [], connections="kept") as (crowd, _):
-        assert {crowd._front() for _ in range(8)} == {0, 3}
-        crowd.up[0] = False
-        assert {crowd._front() for _ in range(4)} == {3}
-        crowd.up[3] = False
-        assert {crowd._front() for _ in range(8)} == {1, 2}
-        crowd.up = [False] * 4
-        assert crowd._front() == -1
+        assert {crowd.load_balancer.next_router() for _ in range(8)} == {0, 3}
+        crowd.load_balancer.up[0] = False
+        assert {crowd.load_balancer.next_router() for _ in range(4)} == {3}
+        crowd.load_balancer.up[3] = False
+        assert {crowd.load_balancer.next_router() for _ in range(8)} == {1, 2}
+        crowd.load_balancer.up = [False] * 4
+        assert crowd.load_balancer.next_router() is None
 
 
 async def test_a_surge_goes_to_its_router_and_no_router_at_all_is_unreachable() -> None:
     routers: list[Answer] = [lambda asked, line: served(asked)] * 2
     async with played(routers, [ask(0, router=1)]) as (crowd, both):
-        assert [len(one.got) for one in both] == [0, 1] and crowd.sent[0].router == 1
-        crowd.up = [False, False]
-        sent = SentTry(0, 0, "x", wait=10**9)
-        one = ask(0)
-        await crowd._try(one, crowd.scenario["classes"][0], one["tries"][0], sent)
+        assert [len(one.got) for one in both] == [0, 1] and crowd.attempts[0].router == 1
+        crowd.load_balancer.up = [False, False]
+        sent = SentAttempt(0, 0, "x", wait=10**9)
+        scenario: Json = orjson.loads(orjson.dumps(Scenario("a", "b")))
+        request = scripted_requests({"asks": [ask(0)]}, scenario, zone=0)[0]
+        await crowd.run_attempt(request, request.attempts[0], sent)
         assert sent.kind == "unreachable" and not sent.sent
--- a/tests/rehearsal/test_fakes.py
+++ b/tests/rehearsal/test_fakes.py
@@ -12,7 +12,8 @@
 import pytest
 from peers import PATIENCE, soon
 
-from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
+from rainhitch.rehearsal.fakes.cache_node import CacheNode
+from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec
 from rainhitch.rehearsal.fakes.database import Database, DatabaseSpec
 from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
@@ -60,7 +61,7 @@
 
 @contextlib.asynccontextmanager
 async def node(works: float = 1000.0, routers: int = 2, **changes: Any) -> AsyncIterator[CacheNode]:
-    one = CacheNode("n0", CacheNodeSpec(**{"memory": 4, **changes}), routers, lambda id: works)
+    one = CacheNode("n0", CacheNodeSpec(**{"memory_keys": 4, **changes}), routers, lambda id: works)
     try:
         yield one
     finally:
@@ -92,11 +93,11 @@
         line.get(id="i2")
         got = await line.read()
         assert got.startswith(b"*3\r\n$64\r\ni2:k:n0:") and got.endswith(b"$3\r\nhit\r\n$-1\r\n")
-        one.void("k")
+        one.invalidate("k")
         line.get(id="i3")
         assert b"miss" in await line.read()
-        assert [row.row()["outcome"] for row in one.rows] == ["miss", "served", "miss"]
-        assert all(row.ended >= row.last >= row.first > 0 for row in one.rows)
+        assert [row.to_row()["outcome"] for row in one.attempts] == ["miss", "served", "miss"]
+        assert all(row.ended >= row.last >= row.first > 0 for row in one.attempts)
 
 
 async def test_commands_behind_one_another_are_answered_in_their_order() -> None:
@@ -118,16 +119,16 @@
         await asyncio.sleep(0.1)
         line.send("$2\r\ni1\r\n$4\r\nd=90\r\n")
         assert b"miss" in await line.read()
-        assert one.rows[0].last - one.rows[0].first > 80_000_000
+        assert one.attempts[0].last - one.attempts[0].first > 80_000_000
 
 
 async def test_what_no_client_sent_in_this_form_is_answered_syntax_and_counted() -> None:
     async with node() as one:
         line = await dial(one.endpoints[0])
         line.send("*1\r\n$5\r\nC.GET\r\n")
-        assert await line.read() == b"-SYNTAX\r\n" and one.syntax == 1
+        assert await line.read() == b"-SYNTAX\r\n" and one.statistics.syntax_errors == 1
         line.send("*1\r\n$4\r\nPING\r\n")
-        assert await line.read() == b"+PONG\r\n" and one.probes == 1
+        assert await line.read() == b"+PONG\r\n" and one.statistics.probes == 1
 
 
 async def test_a_killed_node_resets_what_is_open_and_refuses_what_is_new() -> None:
@@ -135,12 +136,12 @@
         one.store("k")
         line = await dial(one.endpoints[0])
         line.get()
-        await soon(lambda: one.rows)
+        await soon(lambda: one.attempts)
         one.kill()
         assert await line.read() == b"RESET"
         with pytest.raises(ConnectionRefusedError):
             await dial(one.endpoints[0])
-        assert one.rows[0].outcome == "reset" and one.rows[0].ended
+        assert one.attempts[0].outcome == "reset" and one.attempts[0].ended
 
 
 async def test_a_node_that_starts_again_has_its_address_no_memory_and_part_of_its_capacity() -> None:
@@ -152,7 +153,7 @@
         line = await dial(one.endpoints[0])
         line.get()
         assert b"miss" in await line.read() and one.endpoints == before
-        assert one.machine.factor(time.monotonic_ns()) < 0.5 and one.rows[-1].cold
+        assert one.work.model.capacity_fraction(time.monotonic_ns()) < 0.5 and one.attempts[-1].cold
 
 
 async def test_a_draining_node_finishes_its_work_and_turns_away_what_is_new() -> None:
@@ -160,7 +161,7 @@
         one.store("k")
         first, second = await dial(one.endpoints[0]), await dial(one.endpoints[0])
         first.get(id="old")
-        await soon(lambda: one.rows)
+        await soon(lambda: one.attempts)
         one.drain()
         second.get(id="new")
         assert await second.read() == b"-BUSY\r\n"
@@ -173,7 +174,7 @@
         line, other = await dial(one.endpoints[0]), await dial(one.endpoints[1])
         one.links[0].set_silent(True)
         line.get(id="held")
-        assert await line.silent() and not one.rows
+        assert await line.silent() and not one.attempts
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(BRIEF):
                 await asyncio.open_connection(*one.links[0].listener.address)
@@ -182,8 +183,8 @@
         one.links[0].set_silent(False)
         assert b"held:k" in await line.read()
         (await dial(one.endpoints[0])).get(id="after")
-        await soon(lambda: {row.id for row in one.rows} == {"held", "free", "after"})
-        assert one.rows[-1].last > one.rows[1].first
+        await soon(lambda: {row.id for row in one.attempts} == {"held", "free", "after"})
+        assert one.attempts[-1].last > one.attempts[1].first
 
 
 async def test_an_answer_on_its_way_into_a_cut_comes_when_it_heals() -> None:
@@ -191,9 +192,9 @@
         one.store("k")
         line = await dial(one.endpoints[0])
         line.get()
-        await soon(lambda: one.rows)
+        await soon(lambda: one.attempts)
         one.links[0].set_silent(True)
-        assert await line.silent() and one.rows[0].outcome == "served"
+        assert await line.silent() and one.attempts[0].outcome == "served"
         one.links[0].set_silent(False)
         assert b"i1:k" in await line.read()
 
@@ -205,21 +206,21 @@
         line.get()
         assert await line.silent()
         line.writer.transport.abort()
-        await soon(lambda: not one.links[0].wires)
+        await soon(lambda: not one.links[0].connections)
         one.links[0].set_silent(False)
         (await dial(one.endpoints[0])).get(id="after")
-        await soon(lambda: [row.id for row in one.rows] == ["after"])
+        await soon(lambda: [row.id for row in one.attempts] == ["after"])
 
 
 async def test_a_delayed_link_delays_both_ways_and_the_ledger_knows_when_it_was_sent() -> None:
     async with node() as one:
         line = await dial(one.endpoints[0])
-        one.links[0].delay = 0.2
+        one.links[0].set_delay(0.2)
         begun = time.monotonic_ns()
         line.get()
         assert b"miss" in await line.read()
         assert time.monotonic_ns() - begun >= 390_000_000  # a loop's timers may be a millisecond early
-        assert one.rows[0].last - begun < 150_000_000
+        assert one.attempts[0].last - begun < 150_000_000
 
 
 async def test_a_link_reset_breaks_its_connections_and_no_others() -> None:
@@ -232,27 +233,27 @@
 
 
 async def test_a_full_table_turns_away_and_closes() -> None:
-    async with node(table=2) as one:
+    async with node(connection_limit=2) as one:
         kept = [await dial(one.endpoints[0]) for _ in range(2)]
-        await soon(lambda: len(one.open) == 2)
+        await soon(lambda: len(one.connections) == 2)
         third = await dial(one.endpoints[1])
         third.get()
         assert await third.read() == b"-BUSY\r\n" and await third.read() == b""
         kept[0].writer.close()
-        await soon(lambda: len(one.open) == 1)
+        await soon(lambda: len(one.connections) == 1)
         fourth = await dial(one.endpoints[1])
         fourth.get()
-        assert b"miss" in await fourth.read() and one.turned_away == 1
+        assert b"miss" in await fourth.read() and one.statistics.rejected_connections == 1
 
 
 async def test_a_new_connection_and_a_probe_cost_work() -> None:
-    async with node(cores=1, connection_us=200_000.0, probe_us=100_000.0) as one:
+    async with node(cores=1, connection_work_us=200_000.0, probe_work_us=100_000.0) as one:
         line = await dial(one.endpoints[0])
         line.get()
         assert b"miss" in await line.read()
-        assert one.burdens == 200_000.0
+        assert one.work.overhead_us == 200_000.0
         line.send("*1\r\n$4\r\nPING\r\n")
-        assert await line.read() == b"+PONG\r\n" and one.burdens == 300_000.0
+        assert await line.read() == b"+PONG\r\n" and one.work.overhead_us == 300_000.0
 
 
 async def test_an_idle_connection_is_closed_at_the_keepalive() -> None:
@@ -263,25 +264,26 @@
 
 async def test_spoilt_answers_are_none_that_the_protocol_knows() -> None:
     async with node() as one:
-        one.spoils, seen = 1.0, set()
+        one.work.corrupt_fraction = 1.0
+        seen = set()
         for n in range(12):
             line = await dial(one.endpoints[0])
             line.get(id=f"i{n}")
             seen.add(await line.read())
         assert len(seen) > 2 and not any(one.endswith(b"$4\r\nmiss\r\n$-1\r\n") for one in seen)
-        assert {row.outcome for row in one.rows} == {"spoilt"}
+        assert {row.outcome for row in one.attempts} == {"spoilt"}
 
 
 async def test_a_cold_node_that_is_pushed_falls_over_and_a_warm_one_does_not() -> None:
-    async with node(works=400_000.0, cores=1, tip_multiple=2.0) as one:
+    async with node(works=400_000.0, cores=1, collapse_factor=2.0) as one:
         fallen: list[str] = []
-        one.fell = lambda node: fallen.append(node.uid)
+        one.on_collapse = lambda node: fallen.append(node.uid)
         for name in "abcd":
             one.store(name)
         line = await dial(one.endpoints[0])
         for n in range(12):
             line.get("abcd"[n % 4], f"warm{n}")
-        await soon(lambda: len(one.rows) == 12)
+        await soon(lambda: len(one.attempts) == 12)
         assert not fallen
         one.kill()
         one.start()
@@ -291,7 +293,7 @@
         for n in range(12):
             line.get("abcd"[n % 4], f"cold{n}")
         await soon(lambda: fallen)
-        assert fallen == ["n0"] and not one.up and len(one.falls) == 1
+        assert fallen == ["n0"] and not one.up and len(one.statistics.collapsed_at_ns) == 1
         with pytest.raises(ConnectionRefusedError):
             await dial(one.endpoints[0])
 
@@ -300,11 +302,11 @@
     async with database(workers=1, queue=0, time_ms=60.0) as one:
         stored: list[tuple[str, str]] = []
         voided: list[str] = []
-        one.stored = lambda key, id: stored.append((key, id))
-        one.voided = voided.append
+        one.on_stored = lambda key, id: stored.append((key, id))
+        one.on_written = voided.append
         line, other = await dial(one.endpoints[0]), await dial(one.endpoints[1])
         line.send(fetch("i1", "a%2Fb"))
-        await soon(lambda: one.rows)
+        await soon(lambda: one.requests)
         other.send(fetch("i2"))
         busy = await other.read()
         assert busy.startswith(b"HTTP/1.1 503") and b"X-Rejected: 1" in busy
@@ -313,18 +315,18 @@
         for id in ("w1", "w2"):
             line.send(fetch(id, "m", write="order"))
             assert (await line.read()).startswith(b"HTTP/1.1 200")
-        assert [row.executed for row in one.rows] == [False, False, True, False] and voided == ["m"]
+        assert [row.executed for row in one.requests] == [False, False, True, False] and voided == ["m"]
 
 
 async def test_what_nobody_waits_for_is_not_stored() -> None:
     async with database(time_ms=100.0) as one:
         stored: list[str] = []
-        one.stored = lambda key, id: stored.append(id)
+        one.on_stored = lambda key, id: stored.append(id)
         line = await dial(one.endpoints[0])
         line.send(fetch("gone"))
-        await soon(lambda: one.rows)
+        await soon(lambda: one.requests)
         line.writer.close()
-        await soon(lambda: one.rows[0].outcome == "served")
+        await soon(lambda: one.requests[0].outcome == "served")
         assert not stored
 
 
@@ -338,19 +340,19 @@
             line.send(fetch("soup"))  # whose work is 2.3 times the mean, far over noise
             await line.read()
             took.append(time.monotonic() - begun)
-        assert took[1] > 3 * took[0] and one.per_second == 10.0
+        assert took[1] > 3 * took[0] and one.reads_per_s == 10.0
 
 
 async def test_a_stopped_database_resets_and_refuses_and_is_itself_again() -> None:
     async with database(time_ms=500.0) as one:
         line = await dial(one.endpoints[0])
         line.send(fetch())
-        await soon(lambda: one.rows)
+        await soon(lambda: one.requests)
         one.stop()
         assert await line.read() == b"RESET"
         with pytest.raises(ConnectionRefusedError):
             await dial(one.endpoints[0])
-        one.go()
+        one.start()
         line = await dial(one.endpoints[0])
         one.slow(0.001)
         line.send(fetch("again"))
@@ -402,13 +404,13 @@
     agent = DiscoveryAgent(0, [entry("a")])
     line = await dial(agent.endpoint)
     line.send("GET /api/targets?from=1&hold_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n")
-    await soon(lambda: agent.waiting)
-    agent.silence(True)
+    await soon(lambda: agent.watches)
+    agent.set_silent(True)
     agent.push(entry("a", "Gone"))
     other = await dial(agent.endpoint)
     other.send("GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n")
     assert await line.silent() and await other.silent() and not agent.rows
-    agent.silence(False)
+    agent.set_silent(False)
     again = await dial(agent.endpoint)
     again.send("GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n")
     assert (await listed(again))["targets"] == []  # who is gone is not on a whole list
@@ -467,11 +469,11 @@
     async with ears() as (carried, ends):
         to = address(carried.addresses(0)[1])
         for set_up in ("lost", "apart", "long"):
-            carried.lost = 1.0 if set_up == "lost" else 0.0
-            carried.apart = {0} if set_up == "apart" else set()
+            carried.faults.loss_fraction = 1.0 if set_up == "lost" else 0.0
+            carried.faults.isolated = {0} if set_up == "apart" else set()
             ends[0].socket.sendto(b"x" * (257 if set_up == "long" else 8), to)
             await soon(functools.partial(dropped, carried, 1 + ["lost", "apart", "long"].index(set_up)))
-        carried.more = 0.3
+        carried.faults.extra_delay_s = 0.3
         begun = time.monotonic()
         ends[0].socket.sendto(b"late", to)
         await soon(lambda: ends[1].heard)
