--- a/rainhitch/rehearsal/fakes/__init__.py
+++ b/rainhitch/rehearsal/fakes/__init__.py
@@ -8,7 +8,7 @@
     database, discovery         the order database; the endpoint list over HTTP
     etcd_*                      the endpoint list in etcd: store, watches, service, cluster
     datagrams                   what routers send one another
-    client_script, client_connection, clients
+    client_script, client_connection, client_pool, clients
     worker, worker_messages, *_worker, worker_roles     the processes that host them
 
 What the fakes read and write is their own: they share no codec with the router, so that neither hides a
--- a/rainhitch/rehearsal/fakes/cache_node.py
+++ b/rainhitch/rehearsal/fakes/cache_node.py
@@ -118,8 +118,6 @@
         """The node's row in the record."""
         return self.statistics.to_row(self.uid, self.work.overhead_us)
 
-    # connections
-
     def next_connection_number(self) -> int:
         """Counts a connection; gives its number."""
         self.statistics.connections += 1
@@ -147,8 +145,6 @@
     def _note_connections(self) -> None:
         self.statistics.open_connections.append((system.now(), len(self.connections)))
 
-    # commands
-
     def note_syntax_error(self) -> None:
         """Counts what is no command of the protocol."""
         self.statistics.syntax_errors += 1
@@ -207,8 +203,6 @@
             return protocol.SYNTAX_ERROR
         return protocol.NO_PERMISSION if name == b"INFO" else protocol.UNKNOWN_COMMAND
 
-    # copies
-
     def store(self, key: str) -> None:
         """Holds a key from now on, where the node is up."""
         if self.up:
@@ -222,8 +216,6 @@
                 if connection.resp_version == 3:
                     connection.send(message)
 
-    # life cycle
-
     def upgrade(self) -> None:
         """Its program is replaced: from its next start on it speaks RESP3."""
         self.speaks_resp3 = True
@@ -233,9 +225,6 @@
         if self.up:
             self.state = CacheNodeState.DRAINING
 
-    def retire(self) -> None:
-        """Is to be removed: the endpoint list says so, and nothing else changes yet."""
-
     def kill(self) -> None:
         """Its process dies: connections are reset, new ones refused, work and memory are lost."""
         self.state = CacheNodeState.DOWN
--- a/rainhitch/rehearsal/fakes/cache_node_worker.py
+++ b/rainhitch/rehearsal/fakes/cache_node_worker.py
@@ -104,11 +104,11 @@
         elif action.action == "unspoil":
             node.work.corrupt_fraction = 0.0
         elif action.action != "start" or not node.statistics.collapsed_at_ns:  # who collapsed stays down
-            acts = {
+            acts: dict[str, Callable[[], None]] = {
                 "kill": node.kill,
                 "start": node.start,
                 "drain": node.drain,
-                "retire": node.retire,
+                "retire": lambda: None,  # the endpoint list says so, and nothing else changes yet
                 "upgrade": node.upgrade,
             }
             acts[action.action]()
--- a/rainhitch/rehearsal/fakes/client_connection.py
+++ b/rainhitch/rehearsal/fakes/client_connection.py
@@ -203,7 +203,8 @@
         return bool(made_for_id) and made_for_id == self._last_answered_id and made_for_id != attempt.id
 
     def _finish(self, now_ns: int, kind: AttemptKind, detail: str, own: bool) -> None:
-        attempt, done = self.attempt, self._done
+        attempt = self.attempt
+        done = self._done
         self.forget()
         if attempt is None or done is None:
             return
@@ -218,7 +219,8 @@
         """The connection is gone; an attempt that waits has come to an end without an answer."""
         self.transport = None
         self._owner.connections.pop(self, None)
-        attempt, done = self.attempt, self._done
+        attempt = self.attempt
+        done = self._done
         self.forget()
         if attempt is not None and done is not None:
             attempt.kind = AttemptKind.ENDED
--- a/rainhitch/rehearsal/fakes/client_worker.py
+++ b/rainhitch/rehearsal/fakes/client_worker.py
@@ -28,19 +28,19 @@
     def handle(self, message: messages.EnvironmentMessage) -> None:
         """The load balancer in front of the routers takes one to be up or down."""
         if isinstance(message, messages.RouterSeen):
-            self._population.load_balancer.up[message.router] = message.up
+            self._population.pool.load_balancer.up[message.router] = message.up
 
     def act(self, action: FaultAction) -> None:
         """A fraction of the clients speaks RESP3 from now on, on new connections."""
         if action.target is FaultTarget.CLIENTS:
-            self._population.resp3_fraction = action.fraction
+            self._population.pool.resp3_fraction = action.fraction
 
     def record(self) -> Json:
         """The record of the clients."""
         population = self._population
         return {
             "sent": population.rows(),
-            "extras": population.extra_answers,
-            "opened": population.opened_count,
+            "extras": population.pool.extra_answers,
+            "opened": population.pool.opened_count,
             "lates": population.lateness_ns,
         }
--- a/rainhitch/rehearsal/fakes/clients.py
+++ b/rainhitch/rehearsal/fakes/clients.py
@@ -6,12 +6,11 @@
 
 import asyncio
 from typing import Any
-from zlib import crc32
 
 from rainhitch import system
 from rainhitch.rehearsal.fakes.client_connection import AttemptKind, ClientConnection, SentAttempt
+from rainhitch.rehearsal.fakes.client_pool import ClientConnectionPool
 from rainhitch.rehearsal.fakes.client_script import (
-    ANY_ROUTER,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
     Repeats,
@@ -24,34 +23,9 @@
 
 Json = dict[str, Any]
 LATE_ANSWER_S = 0.25  # for which a connection is read from after its client gave up
-CONNECT_TIMEOUT_S = 1.0
-IDLE_CHECK_INTERVAL_S = 0.5
 SENDINGS = 2  # of an attempt: once more where its connection was closed between requests
 NANOSECONDS_PER_MICROSECOND = 1000
 MILLISECONDS_PER_SECOND = 1000
-CHECKSUM_VALUES = 2**32
-
-
-class LoadBalancer:
-    """Spreads a zone's connections over the routers that it takes to be up, the zone's own first.
-
-    Attributes:
-        up: for each router whether it is taken to be up.
-    """
-
-    def __init__(self, zone: int, router_zones: list[int]) -> None:
-        self.up = [True] * len(router_zones)
-        self._zone = zone
-        self._router_zones = router_zones
-        self._turn = 0
-
-    def next_router(self) -> int | None:
-        """The zone's next router, another zone's where none of its own is up; None where none is up."""
-        up = [router for router, is_up in enumerate(self.up) if is_up]
-        in_zone = [router for router in up if self._router_zones[router] == self._zone]
-        candidates = in_zone if in_zone else up
-        self._turn += 1
-        return candidates[self._turn % len(candidates)] if candidates else None
 
 
 def retry_delay_s(request: ScriptedRequest, sent: SentAttempt, following: ScriptedAttempt) -> float:
@@ -80,15 +54,13 @@
 
 
 class ClientPopulation:
-    """The clients of a zone and the load balancer in front of the routers.
+    """The clients of a zone.
 
     Attributes:
+        pool: their connections.
         attempts: the record of the attempts.
-        extra_answers: the record of answers that belong to no request that waits for one.
-        opened_count: how many connections were opened.
         lateness_ns: for each request, how late the clients were in sending it.
-        resp3_fraction: of the new connections, which speak RESP3.
-        connections: those that are open, in the order in which they came up.
+        tasks: one for each request that has not come to its end.
     """
 
     def __init__(self, zone: int, plan: Json, scenario: Json, addresses: list[tuple[str, int]]) -> None:
@@ -100,63 +72,22 @@
             scenario: as plan.json has it.
             addresses: of the routers, in their order.
         """
-        self.addresses = addresses
-        self.load_balancer = LoadBalancer(zone, [plan["rooms"].index(row["room"]) for row in plan["routers"]])
-        self.connections: dict[ClientConnection, None] = {}
+        self.pool = ClientConnectionPool(zone, plan, scenario, addresses)
         self.attempts: list[SentAttempt] = []
-        self.extra_answers: list[Json] = []
-        self.opened_count = 0
         self.lateness_ns: list[int] = []
-        self.resp3_fraction: float = scenario["clients"]["resp3"]
         self.tasks: set[asyncio.Task[None]] = set()
-        self._zone = zone
-        self._plan = plan
         self._loop = asyncio.get_running_loop()
         self._value = b"v" * scenario["traffic"]["value_bytes"]
-        self._keeps_connections_open = scenario["clients"]["connections"] == "kept"
-        self._idle_limit_s = scenario["clients"]["idle_s"]
-        self._connection_limit = scenario["clients"]["most"]
-        self._connection_count = 0
-        self._idle: dict[int, list[ClientConnection]] = {}  # by the router that was wanted
         # Read here and not in `play`, where the time that it takes would make the first requests late.
         self._requests = scripted_requests(plan, scenario, zone)
 
-    # what a connection asks of its owner
-
-    def speaks_resp3(self, number: int) -> bool:
-        """Whether the connection of this number speaks RESP3: an even part, by a checksum of the number."""
-        if not self.resp3_fraction:
-            return False
-        return crc32(f"{self._plan['seed']}/{number}".encode()) < self.resp3_fraction * CHECKSUM_VALUES
-
-    def next_connection_number(self) -> int:
-        """A number for a new connection, unlike those of the other zones."""
-        self._connection_count += 1
-        return self._connection_count * len(self._plan["rooms"]) + self._zone
-
-    def note_extra_answer(
-        self, connection: ClientConnection, request_id: str, kind: str, now_ns: int
-    ) -> None:
-        """Records an answer that belongs to no request that waits for one."""
-        self.extra_answers.append(
-            {
-                "id": request_id,
-                "router": connection.router,
-                "connection": connection.number,
-                "at": now_ns,
-                "kind": kind,
-            }
-        )
-
-    # requests
-
     async def play(self, zero_ns: int) -> None:
         """Sends what the plan says, and returns once all of it has come to an end.
 
         Args:
             zero_ns: the monotonic time of the plan's time 0.
         """
-        idle_check = self._loop.create_task(self._close_idle())
+        idle_check = self._loop.create_task(self.pool.close_idle())
         for request in self._requests:
             due_ns = zero_ns + request.at_us * NANOSECONDS_PER_MICROSECOND
             while (left_ns := due_ns - system.now()) > 0:
@@ -207,7 +138,7 @@
             waits_s = min(patience_s, attempt.leaves_after_s)
         for sending in range(SENDINGS):
             is_again = sending > 0
-            connection = await self.connect(request.router, is_again or request.on_new_connection)
+            connection = await self.pool.connect(request.router, is_again or request.on_new_connection)
             if connection is None:
                 sent.note_unreachable()
                 return
@@ -222,7 +153,7 @@
             if sent.crossed_a_close and not is_again:
                 sent.repeat_sending()
                 continue
-            self._release(request.router, connection)
+            self.pool.release(request.router, connection)
             return
 
     def _leave(self, connection: ClientConnection, sent: SentAttempt, is_early: bool) -> None:
@@ -237,60 +168,9 @@
         connection.forget()
         connection.close()
 
-    # connections
-
-    def _release(self, router: int, connection: ClientConnection) -> None:
-        if connection.usable:
-            connection.idle_since_s = self._loop.time()
-            self._idle.setdefault(router, []).append(connection)
-
-    async def connect(self, wanted_router: int, is_new: bool) -> ClientConnection | None:
-        """The newest idle connection unless a new one is wanted, or a new one; None where no router takes it.
-
-        Args:
-            wanted_router: the router, or ANY_ROUTER for whichever the load balancer gives.
-            is_new: no idle connection is used.
-        """
-        idle = self._idle.setdefault(wanted_router, [])
-        while idle and not is_new and not self._keeps_connections_open:
-            connection = idle.pop()
-            if connection.usable:
-                return connection
-        if len(self.connections) >= self._connection_limit:
-            self._close_longest_idle()
-        router = self.load_balancer.next_router() if wanted_router == ANY_ROUTER else wanted_router
-        if router is None:
-            return None
-        try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                _, opened = await self._loop.create_connection(
-                    lambda: ClientConnection(self, router), *self.addresses[router]
-                )
-        except (OSError, TimeoutError):
-            return None
-        self.opened_count += 1
-        return opened
-
-    def _close_longest_idle(self) -> None:
-        idle = [one for connections in self._idle.values() for one in connections if one.usable]
-        if idle:
-            min(idle, key=lambda connection: connection.idle_since_s).close()
-
-    async def _close_idle(self) -> None:
-        """Closes connections that have been idle for too long, and forgets those that their router closed."""
-        while True:
-            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
-            limit_s = self._loop.time() - self._idle_limit_s
-            for router, connections in self._idle.items():
-                for connection in connections:
-                    if connection.idle_since_s < limit_s:
-                        connection.close()
-                self._idle[router] = [connection for connection in connections if connection.usable]
-
     def close(self) -> None:
         """Ends all connections."""
-        for connection in list(self.connections):
-            connection.close()
+        self.pool.close()
 
     def rows(self) -> list[Json]:
         """The record of the attempts."""
--- a/rainhitch/rehearsal/fakes/etcd_service.py
+++ b/rainhitch/rehearsal/fakes/etcd_service.py
@@ -112,6 +112,7 @@
         """The handler of a method with one request and one response."""
 
         async def run(stream: Any) -> None:
+            """Answers one request."""
             request = await stream.recv_message()
             await self.cluster.hold_answer()
             self._check_allowed(method, stream)
--- a/rainhitch/rehearsal/fakes/etcd_watch.py
+++ b/rainhitch/rehearsal/fakes/etcd_watch.py
@@ -79,7 +79,8 @@
         Raises:
             GRPCError: a fault ends it.
         """
-        cluster, loop = self._cluster, asyncio.get_running_loop()
+        cluster = self._cluster
+        loop = asyncio.get_running_loop()
         cluster.store.change_listeners.append(self._wake_up.set)
         cluster.watch_wake_ups.append(self._wake_up)
         reading = asyncio.ensure_future(self._read_requests())
--- a/rainhitch/rehearsal/fakes/shared_services_worker.py
+++ b/rainhitch/rehearsal/fakes/shared_services_worker.py
@@ -8,19 +8,13 @@
 from rainhitch.rehearsal.fakes import worker_messages as messages
 from rainhitch.rehearsal.fakes.database import NORMAL_TIME_FACTOR, Database, DatabaseSpec
 from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
-from rainhitch.rehearsal.fakes.discovery import GONE, DiscoveryAgent
-from rainhitch.rehearsal.fakes.etcd_endpoint_list import EtcdEndpointList
+from rainhitch.rehearsal.fakes.endpoint_lists import EndpointLists
 from rainhitch.rehearsal.fakes.worker import Worker, seconds_until
 from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
 
-READY = "Ready"
-DATABASE_UID = "database"
-POD_GROUP = 0
 FREE_UNTIL_S = 0.1  # before the plan's time 0: until then the database answers at once and at no cost
 NANOSECONDS_PER_MILLISECOND = 1_000_000
-MICROSECONDS_PER_MILLISECOND = 1000
 MILLISECONDS_PER_SECOND = 1000
-STARTED_LONG_AGO_US = 0
 
 
 class SharedServicesWorker(Worker):
@@ -39,88 +33,16 @@
             (first_ms / MILLISECONDS_PER_SECOND, last_ms / MILLISECONDS_PER_SECOND),
             scenario["messages"]["loss"],
         )
-        self._agents: list[DiscoveryAgent] = []
-        self._etcd = EtcdEndpointList(routers) if scenario["discovery"]["source"] == "etcd" else None
-        self._endpoints: dict[str, list[str]] = {}  # by uid, for each router one
-        self._capacity_hints: dict[str, float] = {}  # by uid
+        self._lists = EndpointLists(self.plan, scenario)
         self._bus_writers: list[asyncio.StreamWriter] = []
-        self._unix_zero_ms = 0  # the wall clock at the plan's time 0
         self._bus_server: asyncio.AbstractServer | None = None  # kept: it is closed with its last reference
 
-    # the endpoint list
-
-    def _entry(self, router: int, uid: str, state: str, started_at_us: int) -> Json:
-        """A cache node's entry in the form of discovery's API, as one router is to see it."""
-        node = next(row for row in self.plan["nodes"] if row["uid"] == uid)
-        started_at_ms = 0
-        if started_at_us != STARTED_LONG_AGO_US:
-            started_at_ms = self._unix_zero_ms + started_at_us // MICROSECONDS_PER_MILLISECOND
-        return {
-            "uid": uid,
-            "endpoint": self._endpoints[uid][router],
-            "az": node["room"],
-            "model": node["class"],
-            "pod_group": POD_GROUP,
-            "state": state,
-            "capacity_hint": self._capacity_hints[uid],
-            "boot_ms": started_at_ms,
-        }
-
-    def _first_list(self, router: int) -> list[Json]:
-        """The entries at the begin of the run: the nodes but for those that join later, and the database."""
-        uids = [row["uid"] for row in self.plan["nodes"] if "joins" not in row]
-        nodes = [self._entry(router, uid, READY, STARTED_LONG_AGO_US) for uid in uids]
-        database = {
-            "uid": DATABASE_UID,
-            "endpoint": self._database.endpoints[router],
-            "az": self.plan["rooms"][0],
-            "model": DATABASE_UID,
-            "pod_group": POD_GROUP,
-            "state": READY,
-            "capacity_hint": 1.0,
-            "boot_ms": 0,
-        }
-        return [*nodes, database]
-
-    def _nominal_speed(self, node_class: str) -> float:
-        """The speed of a core that the list's hints go by: the middle of the class's range."""
-        classes = self.scenario["fleet"]["nodes"]
-        low, high = next(row["speed"] for row in classes if row["name"] == node_class)
-        return float(low + high) / 2
-
-    def _set_capacity_hints(self) -> None:
-        """Each node's nominal capacity, as a multiple of the nodes' mean."""
-        capacities = {
-            row["uid"]: row["cores"] * self._nominal_speed(row["class"]) for row in self.plan["nodes"]
-        }
-        mean = sum(capacities.values()) / len(capacities)
-        self._capacity_hints = {uid: round(one / mean, 3) for uid, one in capacities.items()}
-
-    def _push(self, router: int, entry: Json) -> None:
-        """A change reaches a router's source of the list."""
-        if self._etcd is not None:
-            self._etcd.push(router, entry)
-        else:
-            self._agents[router].push(entry)
-
-    def _push_planned(self, row: Json) -> None:
-        """A change of the plan reaches a router's source."""
-        self._push(row["router"], self._entry(row["router"], row["node"], row["state"], row["boot"]))
-
-    def _push_gone(self, uid: str) -> None:
-        """All sources have noticed that a node is gone."""
-        for agent in self._agents:
-            self._push(agent.router, self._entry(agent.router, uid, GONE, STARTED_LONG_AGO_US))
-
     # messages
 
     def handle(self, message: messages.EnvironmentMessage) -> None:
         """The nodes listen, or the routers."""
         if isinstance(message, messages.NodesListening):
-            self._endpoints = message.endpoints
-            self._set_capacity_hints()
-            for router in range(len(self.plan["routers"])):
-                self._agents.append(DiscoveryAgent(router, self._first_list(router)))
+            self._lists.open(message.endpoints, self._database.endpoints)
             self.spawn(self._serve(message.bus_path))
         elif isinstance(message, messages.RoutersListening):
             self._datagrams.targets = message.addresses
@@ -128,13 +50,14 @@
     async def _serve(self, bus_path: str) -> None:
         """Listens on the bus, starts the sources of the list, and sends the environment their addresses."""
         self._bus_server = await asyncio.start_unix_server(self._follow_bus, bus_path)
-        lists = [agent.whole_list() for agent in self._agents]
-        etcd_endpoints: list[str | None] = [None] * len(self._agents)
-        if self._etcd is not None:
-            etcd_endpoints = [*await self._etcd.start(self._agents)]
+        agents = self._lists.agents
+        known = [agent.whole_list() for agent in agents]
+        etcd = await self._lists.start_etcd()
         sources = [
-            messages.RouterSources(agent.endpoint, known, etcd, self._datagrams.addresses(agent.router))
-            for agent, known, etcd in zip(self._agents, lists, etcd_endpoints, strict=True)
+            messages.RouterSources(
+                agent.endpoint, known[router], etcd[router], self._datagrams.addresses(router)
+            )
+            for router, agent in enumerate(agents)
         ]
         self.send(messages.sources_row(sources))
 
@@ -145,7 +68,7 @@
             message = messages.bus_message(messages.from_line(line))
             if isinstance(message, messages.NodeCollapsed):
                 earliest_s, latest_s = self.scenario["discovery"]["notice_s"]
-                self.loop.call_later((earliest_s + latest_s) / 2, self._push_gone, message.uid)
+                self.loop.call_later((earliest_s + latest_s) / 2, self._lists.push_gone, message.uid)
 
     def _send_to_nodes(self, row: Json) -> None:
         line = messages.to_line(row)
@@ -163,12 +86,14 @@
         super().start_run(zero_ns)
         now_ns = system.now()
         unix_now_ms = system.running().unix() // NANOSECONDS_PER_MILLISECOND
-        self._unix_zero_ms = unix_now_ms + (zero_ns - now_ns) // NANOSECONDS_PER_MILLISECOND
+        self._lists.unix_zero_ms = unix_now_ms + (zero_ns - now_ns) // NANOSECONDS_PER_MILLISECOND
         self._database.is_free = True
         free_for_s = max(0.0, (zero_ns - now_ns) / 1e9 - FREE_UNTIL_S)
         self.loop.call_later(free_for_s, self._end_free_answers)
         for row in self.plan["changes"]:
-            self.loop.call_later(seconds_until(self.plan_time_ns(row["at"]), now_ns), self._push_planned, row)
+            self.loop.call_later(
+                seconds_until(self.plan_time_ns(row["at"]), now_ns), self._lists.push_planned, row
+            )
 
     def _end_free_answers(self) -> None:
         self._database.is_free = False
@@ -180,11 +105,11 @@
         match action.target:
             case FaultTarget.DATABASE:
                 self._act_on_database(action)
-            case FaultTarget.ETCD if self._etcd is not None:
-                self._etcd.act(action)
+            case FaultTarget.ETCD if self._lists.etcd is not None:
+                self._lists.etcd.act(action)
             case FaultTarget.DISCOVERY if action.action in ("silent", "speak"):
-                for agent in self._agents:  # the other actions on discovery are changes in the plan
-                    agent.set_silent(action.action == "silent")
+                # The other actions on discovery are in the plan's changes.
+                self._lists.set_discovery_silent(action.action == "silent")
             case FaultTarget.DATAGRAMS:
                 self._act_on_datagrams(action)
 
@@ -226,12 +151,9 @@
 
     def record(self) -> Json:
         """The record of the database, of what routers were sent of the list, and of the datagrams."""
-        list_rows = [row for agent in self._agents for row in agent.rows]
-        if self._etcd is not None:
-            list_rows += self._etcd.rows
         return {
             "fetches": [request.to_row() for request in self._database.requests],
-            "told": list_rows,
+            "told": self._lists.rows(),
             "stops": self._database.stops,
             "factors": self._database.time_factors,
             "messages": self._datagrams.to_row(),
--- a/tests/rehearsal/test_clients.py
+++ b/tests/rehearsal/test_clients.py
@@ -134,7 +134,7 @@
 async def test_a_second_answer_is_in_the_ledger_though_nobody_asked_for_it() -> None:
     async with played([lambda asked, line: served(asked) * 2], [ask(0), ask(100)]) as (crowd, _):
         assert kinds(crowd) == ["served", "served"]
-        assert [one["id"] for one in crowd.extra_answers] == ["0.0.0", "100.0.0"]
+        assert [one["id"] for one in crowd.pool.extra_answers] == ["0.0.0", "100.0.0"]
 
 
 async def test_an_answer_after_the_client_gave_up_is_in_the_ledger_with_its_time() -> None:
@@ -192,8 +192,8 @@
 
     server = await asyncio.start_server(end, "127.0.0.1", 0)
     async with played([lambda asked, line: served(asked)], []) as (crowd, _):
-        crowd.addresses = [server.sockets[0].getsockname()]
-        line = await crowd.connect(ANY_ROUTER, is_new=True)
+        crowd.pool.addresses = [server.sockets[0].getsockname()]
+        line = await crowd.pool.connect(ANY_ROUTER, is_new=True)
         assert line is not None
         await soon(lambda: line.transport is None)
         sent, over = SentAttempt(0, 0, "x", wait=10**9), asyncio.Event()
@@ -221,20 +221,20 @@
 async def test_the_front_keeps_to_the_room_and_leaves_a_router_that_it_knows_is_down() -> None:
     routers: list[Answer] = [lambda asked, line: served(asked)] * 4  # the first and the fourth in this room
     async with played(routers, [], connections="kept") as (crowd, _):
-        assert {crowd.load_balancer.next_router() for _ in range(8)} == {0, 3}
-        crowd.load_balancer.up[0] = False
-        assert {crowd.load_balancer.next_router() for _ in range(4)} == {3}
-        crowd.load_balancer.up[3] = False
-        assert {crowd.load_balancer.next_router() for _ in range(8)} == {1, 2}
-        crowd.load_balancer.up = [False] * 4
-        assert crowd.load_balancer.next_router() is None
+        assert {crowd.pool.load_balancer.next_router() for _ in range(8)} == {0, 3}
+        crowd.pool.load_balancer.up[0] = False
+        assert {crowd.pool.load_balancer.next_router() for _ in range(4)} == {3}
+        crowd.pool.load_balancer.up[3] = False
+        assert {crowd.pool.load_balancer.next_router() for _ in range(8)} == {1, 2}
+        crowd.pool.load_balancer.up = [False] * 4
+        assert crowd.pool.load_balancer.next_router() is None
 
 
 async def test_a_surge_goes_to_its_router_and_no_router_at_all_is_unreachable() -> None:
     routers: list[Answer] = [lambda asked, line: served(asked)] * 2
     async with played(routers, [ask(0, router=1)]) as (crowd, both):
         assert [len(one.got) for one in both] == [0, 1] and crowd.attempts[0].router == 1
-        crowd.load_balancer.up = [False, False]
+        crowd.pool.load_balancer.up = [False, False]
         sent = SentAttempt(0, 0, "x", wait=10**9)
         scenario: Json = orjson.loads(orjson.dumps(Scenario("a", "b")))
         request = scripted_requests({"asks": [ask(0)]}, scenario, zone=0)[0]
