--- a/rainhitch/rehearsal/fakes/endpoint_lists.py
+++ b/rainhitch/rehearsal/fakes/endpoint_lists.py
@@ -48,7 +48,7 @@
             self.agents.append(DiscoveryAgent(router, self._first_list(router, database_endpoint)))
 
     async def start_etcd(self) -> list[str | None]:
-        """Starts etcd with the lists; the members' addresses, None for each where the lists are not in etcd."""
+        """Starts etcd with the lists; the members' addresses, or None for each where there is none."""
         if self.etcd is None:
             return [None] * len(self.agents)
         return [*await self.etcd.start(self.agents)]
