--- a/rainhitch/rehearsal/fakes/worker.py
+++ b/rainhitch/rehearsal/fakes/worker.py
@@ -103,8 +103,7 @@
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Runs a task of this worker.
 
-        A task's exception ends the run. Without that the run went on without a piece of its fakes, and its
-        report blamed the routers.
+        Guards the run against going on without a piece of its fakes: a task's exception ends it.
         """
         task = self.loop.create_task(coroutine)
         self._tasks.add(task)
--- a/tests/membership/test_stand_in.py
+++ b/tests/membership/test_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in for etcd, driven by a client library that knows nothing of it."""
+"""The fake etcd, driven by a client library that knows nothing of it and has its own copy of the API."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,44 +12,46 @@
 
 
 @pytest_asyncio.fixture
-async def world() -> AsyncIterator[EtcdCluster]:
+async def cluster() -> AsyncIterator[EtcdCluster]:
+    """A cluster of one member."""
     etcd = EtcdCluster()
     await etcd.start()
     yield etcd
     await etcd.close()
 
 
-def client(world: EtcdCluster, **more: str) -> aetcd.Client:
-    host, port = world.endpoints[0].split(":")
+def client(cluster: EtcdCluster, **more: str) -> aetcd.Client:
+    """A client of the cluster's member; `more` are the library's own arguments."""
+    host, port = cluster.endpoints[0].split(":")
     return aetcd.Client(host=host, port=int(port), timeout=10, **more)
 
 
-async def test_keys_are_put_read_and_deleted_under_revisions(world: EtcdCluster) -> None:
-    async with client(world) as one:
-        await one.put(b"/m/a", b"1")
-        await one.put(b"/m/b", b"2")
-        await one.put(b"/m/a", b"3")
-        got = await one.get(b"/m/a")
+async def test_keys_are_put_read_and_deleted_under_revisions(cluster: EtcdCluster) -> None:
+    async with client(cluster) as etcd:
+        await etcd.put(b"/m/a", b"1")
+        await etcd.put(b"/m/b", b"2")
+        await etcd.put(b"/m/a", b"3")
+        got = await etcd.get(b"/m/a")
         assert (got.value, got.create_revision, got.mod_revision, got.version) == (b"3", 2, 4, 2)
-        listed = {pair.key: pair.value for pair in await one.get_prefix(b"/m/")}
+        listed = {pair.key: pair.value for pair in await etcd.get_prefix(b"/m/")}
         assert listed == {b"/m/a": b"3", b"/m/b": b"2"}
-        assert await one.delete(b"/m/a")
-        assert await one.get(b"/m/a") is None
-        assert not await one.delete(b"/m/a")
+        assert await etcd.delete(b"/m/a")
+        assert await etcd.get(b"/m/a") is None
+        assert not await etcd.delete(b"/m/a")
 
 
-async def test_a_watch_tells_what_came_after_its_revision_and_goes_on(world: EtcdCluster) -> None:
-    async with client(world) as one:
-        await one.put(b"/m/a", b"1")
-        await one.put(b"/m/a", b"2")
-        await one.delete(b"/m/a")
-        watch = await one.watch_prefix(b"/m/", start_revision=3)
+async def test_a_watch_sends_what_came_after_its_revision_and_goes_on(cluster: EtcdCluster) -> None:
+    async with client(cluster) as etcd:
+        await etcd.put(b"/m/a", b"1")
+        await etcd.put(b"/m/a", b"2")
+        await etcd.delete(b"/m/a")
+        watch = await etcd.watch_prefix(b"/m/", start_revision=3)
         seen = []
         async with asyncio.timeout(PATIENCE):
             async for event in watch:
                 seen.append((event.kind, event.kv.value, event.kv.mod_revision))
                 if len(seen) == 2:
-                    await one.put(b"/m/b", b"4")
+                    await etcd.put(b"/m/b", b"4")
                 if len(seen) == 3:
                     break
         assert [(str(kind).upper(), value, revision) for kind, value, revision in seen] == [
@@ -60,53 +62,59 @@
         await watch.cancel()
 
 
-async def test_a_watch_from_a_compacted_revision_is_cancelled_with_it(world: EtcdCluster) -> None:
-    async with client(world) as one:
+async def test_a_watch_from_a_compacted_revision_is_cancelled_with_that_revision(
+    cluster: EtcdCluster,
+) -> None:
+    """A watch asks for a history that was compacted meanwhile: it must fail with the revision, and not begin
+    later as if nothing were missing.
+    """
+    async with client(cluster) as etcd:
         for n in range(5):
-            await one.put(b"/m/a", b"%d" % n)
-        await one.compact(5)
+            await etcd.put(b"/m/a", b"%d" % n)
+        await etcd.compact(5)
         with pytest.raises(aetcd.RevisionCompactedError) as failed:
             async with asyncio.timeout(PATIENCE):
-                async for _ in await one.watch_prefix(b"/m/", start_revision=2):
+                async for _ in await etcd.watch_prefix(b"/m/", start_revision=2):
                     pass
         assert failed.value.compacted_revision == 5
 
 
-async def test_a_lease_ends_and_takes_its_keys_with_it(world: EtcdCluster) -> None:
+async def test_a_lease_that_is_not_renewed_ends_and_its_keys_are_deleted(cluster: EtcdCluster) -> None:
     now = [0.0]
-    world.store.clock = lambda: now[0]
-    async with client(world) as one:
-        lease = await one.lease(5)
-        await one.put(b"/m/a", b"1", lease=lease.id)
+    cluster.store.clock = lambda: now[0]
+    async with client(cluster) as etcd:
+        lease = await etcd.lease(5)
+        await etcd.put(b"/m/a", b"1", lease=lease.id)
         now[0] = 4.0
-        await one.refresh_lease(lease.id)
+        await etcd.refresh_lease(lease.id)
         now[0] = 8.0
-        world.store.expire_leases()
-        assert (await one.get(b"/m/a")).value == b"1"
+        cluster.store.expire_leases()
+        assert (await etcd.get(b"/m/a")).value == b"1"
         now[0] = 10.0
-        world.store.expire_leases()
-        assert await one.get(b"/m/a") is None
+        cluster.store.expire_leases()
+        assert await etcd.get(b"/m/a") is None
 
 
-async def test_a_transaction_is_carried_out_only_where_its_comparisons_hold(world: EtcdCluster) -> None:
-    async with client(world) as one:
-        await one.put(b"/m/a", b"1")
+async def test_a_transaction_is_carried_out_only_where_its_comparisons_hold(cluster: EtcdCluster) -> None:
+    async with client(cluster) as etcd:
+        await etcd.put(b"/m/a", b"1")
         for value, held in ((b"1", True), (b"1", False)):
-            done, _ = await one.transaction(
-                compare=[one.transactions.value(b"/m/a") == value],
-                success=[one.transactions.put(b"/m/a", b"2"), one.transactions.put(b"/m/b", b"2")],
-                failure=[one.transactions.get(b"/m/a")],
+            done, _ = await etcd.transaction(
+                compare=[etcd.transactions.value(b"/m/a") == value],
+                success=[etcd.transactions.put(b"/m/a", b"2"), etcd.transactions.put(b"/m/b", b"2")],
+                failure=[etcd.transactions.get(b"/m/a")],
             )
             assert done is held
-        both = [await one.get(key) for key in (b"/m/a", b"/m/b")]
+        both = [await etcd.get(key) for key in (b"/m/a", b"/m/b")]
         assert [pair.mod_revision for pair in both] == [3, 3]  # one commit, one revision
 
 
-async def test_a_user_needs_the_right_password(world: EtcdCluster) -> None:
-    world.users["router"] = "secret"
-    async with client(world, username="router", password="secret") as one:
-        await one.put(b"/m/a", b"1")
-        assert (await one.get(b"/m/a")).value == b"1"
+async def test_a_user_needs_the_right_password(cluster: EtcdCluster) -> None:
+    """A client logs in with a wrong password: none of its calls is answered."""
+    cluster.users["router"] = "secret"
+    async with client(cluster, username="router", password="secret") as etcd:
+        await etcd.put(b"/m/a", b"1")
+        assert (await etcd.get(b"/m/a")).value == b"1"
     with pytest.raises(Exception, match=r"(?i)auth|password|argument"):
-        async with client(world, username="router", password="wrong") as two:
-            await two.get(b"/m/a")
+        async with client(cluster, username="router", password="wrong") as other:
+            await other.get(b"/m/a")
