--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -59,14 +59,14 @@
             self.worker = ClientWorker(self.folder, plan_rows, int(number))
         else:
             self.worker = SharedServicesWorker(self.folder, plan_rows)
-        self.worker.say = self.messages.put_nowait
-        self.worker.failed = self.environment.failed
+        self.worker.send = self.messages.put_nowait
+        self.worker.on_failure = self.environment.failed
         self.messages.put_nowait({"ready": self.worker.ready()})
 
     def send(self, message: Json) -> None:
         """Hands the worker a message."""
         assert self.worker is not None
-        self.worker.told(message)
+        self.worker.handle_row(message)
 
     async def receive(self, key: str, within: float = MESSAGE_TIMEOUT_S) -> Any:
         """The value of the worker's next message with this key; raises RehearsalError after `within` s."""
