--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -27,7 +27,8 @@
 import orjson
 
 from rainhitch.rehearsal import report, runner
-from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
+from rainhitch.rehearsal.checker.evidence import Evidence
+from rainhitch.rehearsal.checker.records import SECOND
 from rainhitch.rehearsal.environment import Environment
 from rainhitch.rehearsal.plan import Plan, draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario, shipped
@@ -46,17 +47,17 @@
     sent: Counter[int] = Counter()
     reads = hits = 0
     at_new: dict[int, list[bool]] = {}
-    for sends in evidence.sends.values():
+    for sends in evidence.attempts_by_id.values():
         for send in sends:
-            at = send.last - evidence.zero
+            at = send.last_byte_ns - evidence.zero_ns
             if at < 0:
                 continue
-            if send.to == "database":
+            if send.is_at_database:
                 sent[at * STEP // SECOND] += 1
-            if at >= first * SECOND and send.outcome in ("served", "miss") and not send.write:
-                if send.to in joined:
+            if at >= first * SECOND and send.outcome in ("served", "miss") and not send.is_write:
+                if send.server in joined:
                     at_new.setdefault(at // SECOND, []).append(send.outcome == "served")
-                if send.to != "database":
+                if not send.is_at_database:
                     reads += send is sends[0]
                     hits += send is sends[0] and send.outcome == "served"
     steady = sum(sent[n] for n in range(STEP, int(first * STEP))) / (first - 1)
@@ -72,7 +73,7 @@
         "hits": hits / max(1, reads),
         "moved": None if half is None else half - first,
         "new_reads": sum(len(found) for found in at_new.values()) / max(1, reads),
-        "falls": sum(len(node["falls"]) for node in evidence.nodes.values()),
+        "falls": sum(len(node.overloads_ns) for node in evidence.nodes.values()),
     }
 
 
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -25,7 +25,8 @@
 import orjson
 
 from rainhitch.rehearsal import report, runner
-from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
+from rainhitch.rehearsal.checker.evidence import Evidence
+from rainhitch.rehearsal.checker.records import SECOND
 from rainhitch.rehearsal.checker.service import request_outcomes
 from rainhitch.rehearsal.environment import Environment
 from rainhitch.rehearsal.plan import draw_plan
@@ -44,7 +45,7 @@
     """Core seconds that the nodes can do between two instants of the day, in ns from its zero."""
     fleet, whole, steps = evidence.scenario["fleet"], 0.0, 30
     for node in evidence.plan["nodes"]:
-        starts = [one - evidence.zero for one in evidence.nodes[node["uid"]]["starts"]]
+        starts = [one - evidence.zero_ns for one in evidence.nodes[node["uid"]].starts_ns]
         for step in range(steps):
             at = begin + (end - begin) * (step + 0.5) / steps
             last = max((one for one in starts if one <= at), default=0)
@@ -58,31 +59,31 @@
     """What the table shows of one day."""
     fault = next(one for one in evidence.scenario["faults"] if one["kind"] == "reconnect-storm")
     begin, over = fault["at_s"], int(fault["at_s"] + fault["for_s"])
-    first = evidence.zero + int(begin * SECOND)
+    first = evidence.zero_ns + int(begin * SECOND)
     last = first + WINDOW * SECOND
     useful = 0.0
-    for one in evidence.tries:
-        answered = one["kind"] == "served" and first <= one["answered"] < last
-        if answered and one["answered"] <= one["sent"] + one["wait"]:
-            useful += evidence.plan["asks"][one["ask"]]["work_us"] / 1e6
-    rows = [one for one in request_outcomes(evidence) if not one.ask["origin"]]
+    for one in evidence.client_tries:
+        answered = one.result == "served" and first <= one.answered_ns < last
+        if answered and one.answered_ns <= one.sent_ns + one.wait_ns:
+            useful += evidence.plan["asks"][one.request_number]["work_us"] / 1e6
+    rows = [one for one in request_outcomes(evidence) if not evidence.plan["asks"][one.number]["origin"]]
     length = int(evidence.scenario["day"]["length_s"])
 
     def service(start: int, end: int) -> float:
-        part = [one for one in rows if start <= one.ask["at"] / 1e6 < end]
+        part = [one for one in rows if start <= one.request.at_us / 1e6 < end]
         return sum(one.earned for one in part) / (sum(one.worth for one in part) or 1.0)
 
     before = service(0, 3)
     back = next((s - over for s in range(over, length - 2) if service(s, length) >= before - 0.01), None)
     sent: Counter[int] = Counter()
     done: Counter[str] = Counter()
-    for sends in evidence.sends.values():
+    for sends in evidence.attempts_by_id.values():
         for send in sends:
-            if send.to == "database" and send.last >= evidence.zero:
-                sent[(send.last - evidence.zero) // SECOND] += 1
-                done[send.order] += bool(send.order and send.executed)
+            if send.is_at_database and send.last_byte_ns >= evidence.zero_ns:
+                sent[(send.last_byte_ns - evidence.zero_ns) // SECOND] += 1
+                done[send.idempotency_key] += bool(send.idempotency_key and send.was_executed)
     database = evidence.scenario["database"]
-    storm = [one for one in request_outcomes(evidence) if one.ask["origin"]]
+    storm = [one for one in request_outcomes(evidence) if evidence.plan["asks"][one.number]["origin"]]
     return {
         "goodput": useful / capacity(evidence, int(begin * SECOND), int((begin + WINDOW) * SECOND)),
         "back": back,
--- a/rainhitch/rehearsal/checker/evidence.py
+++ b/rainhitch/rehearsal/checker/evidence.py
@@ -1,173 +1,186 @@
-"""The ledgers of a day put together: what each request met, when, and what each router had been told."""
+"""The records of a run put together: what each request met, when, and what list each router had been sent."""
 
 from bisect import bisect_right
 from collections import defaultdict
 from dataclasses import dataclass, field
-from typing import Any
-
-Json = dict[str, Any]
-SECOND = 1_000_000_000
-MILLI = 1_000_000
-HELD_UP = 200 * MILLI  # ns for which a router may be held up and owes all the same; with what signals take
-NEVER = 1 << 62
-NEVER_RAN = ("busy", "miss")
-STALL_NEAR = SECOND  # ns round an instant within which the rig's own stalls count
-
-
-@dataclass(slots=True)
-class ObservedAttempt:
-    """One attempt of a router, as the node or the database saw it; times are monotonic ns."""
-
-    to: str
-    router: int
-    id: str
-    first: int
-    last: int
-    out_until: int  # when it was answered, or its connection closed; NEVER for neither
-    outcome: str
-    may_have_run: bool
-    cold: bool = False
-    work: float = 0.0
-    connection: int = 0
-    order: str = ""
-    executed: bool = False
-    write: bool = False
+
+from rainhitch.rehearsal.checker.records import (
+    MILLI,
+    SECOND,
+    AskedRequest,
+    ClientTry,
+    DatabaseStop,
+    FurtherAnswer,
+    Json,
+    ListEntry,
+    NodeRecord,
+    ObservedAttempt,
+    RequestClass,
+    RouterCrash,
+    RouterEvent,
+    RouterEventKind,
+)
+
+MAX_PAUSE_NS = 200 * MILLI  # a router that stood still for longer owes no answer; with what signals take
+STALL_REACH_NS = SECOND  # round an instant, within which stalls of the rig itself count
+UNKNOWN = "unknown"  # the state of a node of which a router has been sent nothing since it started
+READY = "Ready"
+GONE = "Gone"
+NO_NEW_REQUESTS_STATES = ("Terminating", GONE)
+AFTER_ALL_STATES = "\uffff"  # sorts behind every state of the same instant
 
 
 @dataclass
 class Evidence:
-    """A day's ledgers, indexed."""
+    """A run's records, indexed. The first three are the rows as they are kept in files."""
 
     scenario: Json
     plan: Json
-    ledgers: Json
-    sends: dict[str, list[ObservedAttempt]] = field(
-        default_factory=dict
-    )  # by request id, in the order of their last bytes
-    tries: list[Json] = field(default_factory=list)
-    extras: list[Json] = field(default_factory=list)
-    told: dict[tuple[int, str], list[tuple[int, str]]] = field(default_factory=dict)
+    records: Json
+    zero_ns: int = 0  # the first scored instant
+    classes: list[RequestClass] = field(default_factory=list)
+    requests: list[AskedRequest] = field(default_factory=list)
+    client_tries: list[ClientTry] = field(default_factory=list)  # by request and number
+    further_answers: list[FurtherAnswer] = field(default_factory=list)  # by time
+    attempts_by_id: dict[str, list[ObservedAttempt]] = field(default_factory=dict)  # by their last bytes
+    nodes: dict[str, NodeRecord] = field(default_factory=dict)
+    database_stops: list[DatabaseStop] = field(default_factory=list)
+    router_events: dict[int, list[RouterEvent]] = field(default_factory=dict)
+    crashes: list[RouterCrash] = field(default_factory=list)
+    stalls: list[tuple[int, int]] = field(default_factory=list)  # of the rig itself: begin and end, ns
+    list_history: dict[tuple[int, str], list[ListEntry]] = field(default_factory=dict)  # by router and node
 
     def __post_init__(self) -> None:
-        parts = self.ledgers["parts"]
-        self.zero: int = self.ledgers["zero"]
-        self.nodes: Json = {}
-        grouped: dict[str, list[ObservedAttempt]] = defaultdict(list)
+        """Reads the rows."""
+        parts = self.records["parts"]
+        self.zero_ns = self.records["zero"]
+        self.classes = [RequestClass.from_row(row) for row in self.scenario["classes"]]
+        self.requests = [AskedRequest.from_row(row) for row in self.plan["asks"]]
+        self._read_clients(parts)
+        self._read_attempts(parts)
+        self.database_stops = [DatabaseStop(at, pressed) for at, pressed in self.shared_services["stops"]]
+        self.stalls = sorted((begin, end) for rows in parts.values() for begin, end in rows["stalls"])
+        self._read_routers()
+        self._read_lists()
+
+    @property
+    def shared_services(self) -> Json:
+        """The record of the database, discovery and the network between routers."""
+        rows: Json = self.records["parts"]["centre"]
+        return rows
+
+    def _read_clients(self, parts: Json) -> None:
+        """The tries of all clients, and what else came to them."""
         for role, rows in sorted(parts.items()):
             if role.startswith("clients"):
-                self.tries += rows["sent"]
-                self.extras += rows["extras"]
-            elif role.startswith("nodes"):
-                self.nodes |= {one["uid"]: one for one in rows["nodes"]}
+                self.client_tries += [ClientTry.from_row(row) for row in rows["sent"]]
+                self.further_answers += [FurtherAnswer.from_row(row) for row in rows["extras"]]
+        self.client_tries.sort(key=lambda one: (one.request_number, one.try_number))
+        self.further_answers.sort(key=lambda one: one.at_ns)
+
+    def _read_attempts(self, parts: Json) -> None:
+        """The attempts that nodes and the database saw, by the id of their request."""
+        attempts_by_id: dict[str, list[ObservedAttempt]] = defaultdict(list)
+        for role, rows in sorted(parts.items()):
+            if role.startswith("nodes"):
+                self.nodes |= {row["uid"]: NodeRecord.from_row(row) for row in rows["nodes"]}
                 for row in rows["attempts"]:
-                    grouped[row["id"]].append(_attempt(row))
-        self.centre: Json = parts["centre"]
-        for row in self.centre["fetches"]:
-            grouped[row["id"]].append(_fetch(row))
-        for sends in grouped.values():
-            sends.sort(key=lambda one: (one.last, one.first, one.to))
-        self.sends = dict(grouped)
-        self.tries.sort(key=lambda one: (one["ask"], one["number"]))
-        self.extras.sort(key=lambda one: one["at"])
-        self.stalls = sorted((a, b) for rows in parts.values() for a, b in rows["stalls"])
-        self.lives = {one["number"]: one["events"] for one in self.ledgers["routers"]}
-        self._tell()
-
-    def _tell(self) -> None:
-        """What each router had been told of each node, and when; a new start of a router begins anew."""
-        told: dict[tuple[int, str], list[tuple[int, str]]] = defaultdict(list)
-        uids = [one["uid"] for one in self.plan["nodes"]]
-        for row in sorted(self.centre["told"], key=lambda one: one["at"]):
+                    attempts_by_id[row["id"]].append(ObservedAttempt.from_node_row(row))
+        for row in self.shared_services["fetches"]:
+            attempts_by_id[row["id"]].append(ObservedAttempt.from_database_row(row))
+        for attempts in attempts_by_id.values():
+            attempts.sort(key=lambda one: (one.last_byte_ns, one.first_byte_ns, one.server))
+        self.attempts_by_id = dict(attempts_by_id)
+
+    def _read_routers(self) -> None:
+        """What became of the routers' processes."""
+        for row in self.records["routers"]:
+            number = row["number"]
+            self.router_events[number] = [RouterEvent(kind, at_ns) for kind, at_ns in row["events"]]
+            crash = row["crash"]
+            if crash:
+                self.crashes.append(RouterCrash(number, crash["at"], crash["why"], crash["log"]))
+
+    def _read_lists(self) -> None:
+        """What each router was sent of each node, and when; a router that starts anew knows nothing."""
+        history: dict[tuple[int, str], list[ListEntry]] = defaultdict(list)
+        uids = [row["uid"] for row in self.plan["nodes"]]
+        for row in sorted(self.shared_services["told"], key=lambda one: one["at"]):
             if row["node"]:
-                told[row["router"], row["node"]].append((row["at"], row["state"]))
+                history[row["router"], row["node"]].append(ListEntry(row["at"], row["state"]))
                 continue
-            for uid in uids:
+            for uid in uids:  # a whole list: nodes that it does not name are gone
                 if uid not in row["named"]:
-                    told[row["router"], uid].append((row["at"], "Gone"))
-        for router, events in self.lives.items():
-            for what, at in events:
-                if what == "start":
+                    history[row["router"], uid].append(ListEntry(row["at"], GONE))
+        for router, events in self.router_events.items():
+            for event in events:
+                if event.kind == RouterEventKind.START:
                     for uid in uids:
-                        told[router, uid].append((at, "unknown"))
-        for rows in told.values():
-            rows.sort()
-        self.told = dict(told)
-
-    def last_told(self, router: int, uid: str, at: int) -> tuple[int, str]:
-        """The state that a router held a node for at an instant, and since when it was told so."""
-        rows = self.told.get((router, uid), [])
-        end = bisect_right(rows, (at, "\uffff"))
-        if not end:
-            return 0, "unknown"
-        state, since = rows[end - 1][1], rows[end - 1][0]
-        for when, one in reversed(rows[: end - 1]):
-            if (one in ("Terminating", "Gone")) != (state in ("Terminating", "Gone")) or one == "unknown":
+                        history[router, uid].append(ListEntry(event.at_ns, UNKNOWN))
+        for entries in history.values():
+            entries.sort()
+        self.list_history = dict(history)
+
+    def attempts_of(self, id: str) -> list[ObservedAttempt]:
+        """All attempts for a request id, by their last bytes."""
+        return self.attempts_by_id.get(id, [])
+
+    def all_attempts(self) -> list[ObservedAttempt]:
+        """The attempts of all requests."""
+        return [attempt for attempts in self.attempts_by_id.values() for attempt in attempts]
+
+    def listed_state(self, router: int, uid: str, at_ns: int) -> ListEntry:
+        """The state that a router's list had for a node at an instant, and since when.
+
+        Terminating and gone are one in this: gone after terminating does not begin anew.
+        """
+        entries = self.list_history.get((router, uid), [])
+        end = bisect_right(entries, (at_ns, AFTER_ALL_STATES))
+        if end == 0:
+            return ListEntry(0, UNKNOWN)
+        since_ns, state = entries[end - 1]
+        takes_none = state in NO_NEW_REQUESTS_STATES
+        for earlier in reversed(entries[: end - 1]):
+            if earlier.state == UNKNOWN or (earlier.state in NO_NEW_REQUESTS_STATES) != takes_none:
                 break
-            since = when
-        return since, state
-
-    def knows_start(self, router: int, uid: str, started: int, at: int) -> bool:
-        """Whether a router had been told by then of a node's latest start."""
-        rows = self.told.get((router, uid), [])
-        return any(started <= when <= at and state == "Ready" for when, state in rows)
-
-    def died(self, router: int, begin: int, end: int) -> bool:
-        """Whether a router was killed, crashed, or was stopped as it stood for longer than it has to bear,
-        between two instants."""
-        asked = ""  # what the stage did to it last; who is told to stop has to answer what it holds
-        stopped = 0
-        for what, at in self.lives.get(router, []):
-            if what == "pause":
-                stopped = at
-            elif what == "wake" and at - stopped > HELD_UP and stopped <= end and at >= begin:
+            since_ns = earlier.at_ns
+        return ListEntry(since_ns, state)
+
+    def knew_of_start(self, router: int, uid: str, started_ns: int, at_ns: int) -> bool:
+        """Whether a router had been sent by then that a node is ready since its latest start."""
+        entries = self.list_history.get((router, uid), [])
+        return any(started_ns <= entry.at_ns <= at_ns and entry.state == READY for entry in entries)
+
+    def owes_no_answer(self, router: int, begin_ns: int, end_ns: int) -> bool:
+        """Whether a router was killed, crashed, or stood still for over MAX_PAUSE_NS between two instants.
+
+        One that ends after SIGTERM owes all the same: it has to answer what it holds. A crash is a violation
+        of its own.
+        """
+        last_command = ""
+        paused_ns = 0
+        for kind, at_ns in self.router_events.get(router, []):
+            if kind == RouterEventKind.PAUSE:
+                paused_ns = at_ns
+            was_long_pause = kind == RouterEventKind.RESUME and at_ns - paused_ns > MAX_PAUSE_NS
+            if was_long_pause and paused_ns <= end_ns and at_ns >= begin_ns:
                 return True
-            if what in ("start", "term", "kill", "late kill"):
-                asked = what
-            if begin <= at <= end and (what == "kill" or (what == "ended" and asked == "start")):
+            if kind in (
+                RouterEventKind.START,
+                RouterEventKind.TERM,
+                RouterEventKind.KILL,
+                RouterEventKind.LATE_KILL,
+            ):
+                last_command = kind
+            crashed = kind == RouterEventKind.ENDED and last_command == RouterEventKind.START
+            if begin_ns <= at_ns <= end_ns and (kind == RouterEventKind.KILL or crashed):
                 return True
         return False
 
-    def slack(self, at: int) -> int:
-        """The longest stall of the rig itself near an instant: so much it may have mistaken."""
-        longest = 0
-        for begin, end in self.stalls:
-            if begin <= at + STALL_NEAR and end >= at - STALL_NEAR:
-                longest = max(longest, end - begin)
-        return longest
-
-
-def _attempt(row: Json) -> ObservedAttempt:
-    proven = row["ended"] and row["outcome"] in NEVER_RAN
-    ends = [one for one in (row["ended"], row["closed"]) if one]
-    return ObservedAttempt(
-        row["node"],
-        row["router"],
-        row["id"],
-        row["first"],
-        row["last"],
-        min(ends, default=NEVER),
-        row["outcome"] if row["ended"] else "unanswered",
-        not proven,
-        row["cold"],
-        row["work"],
-        row["connection"],
-        write=row["name"] == "C.SET",
-    )
-
-
-def _fetch(row: Json) -> ObservedAttempt:
-    ends = [one for one in (row["ended"], row["closed"]) if one]
-    return ObservedAttempt(
-        "database",
-        row["router"],
-        row["id"],
-        row["first"],
-        row["last"],
-        min(ends, default=NEVER),
-        row["outcome"] or "unanswered",
-        row["outcome"] != "busy",
-        connection=row["connection"],
-        order=row["order"],
-        executed=row["executed"],
-        write=row["write"],
-    )
+    def rig_stall_ns(self, at_ns: int) -> int:
+        """The longest stall of the rig itself near an instant: its clocks may be wrong by so much."""
+        longest_ns = 0
+        for begin_ns, end_ns in self.stalls:
+            if begin_ns <= at_ns + STALL_REACH_NS and end_ns >= at_ns - STALL_REACH_NS:
+                longest_ns = max(longest_ns, end_ns - begin_ns)
+        return longest_ns
--- a/rainhitch/rehearsal/report.py
+++ b/rainhitch/rehearsal/report.py
@@ -1,183 +1,170 @@
-"""The report of a day, made from its records alone: the same records give the same bytes."""
+"""The report of a run, made from its records alone: the same records give the same bytes.
+
+The text for a terminal stands in `report_text`.
+"""
 
-from io import StringIO
 from pathlib import Path
 from typing import Any
 
 import orjson
 
-from rainhitch.rehearsal.checker.evidence import MILLI, SECOND, Evidence
-from rainhitch.rehearsal.checker.rules import RULES, find_violations
+from rainhitch.errors import RainhitchError
+from rainhitch.rehearsal.checker.evidence import Evidence
+from rainhitch.rehearsal.checker.records import MILLI, SECOND
+from rainhitch.rehearsal.checker.rules import find_violations
 from rainhitch.rehearsal.checker.service import measure_service
+from rainhitch.rehearsal.checker.violations import Rule, Violation
+from rainhitch.rehearsal.report_text import as_text
+from rainhitch.rehearsal.verdict import BAD_INPUT, BROKEN, HELD, VOID
+
+__all__ = [
+    "BAD_INPUT",
+    "BROKEN",
+    "HELD",
+    "RECORDS",
+    "VOID",
+    "RecordsError",
+    "as_json",
+    "as_text",
+    "build",
+    "from_records",
+    "keep",
+]
 
 Json = dict[str, Any]
-LATE_MOST = 50.0  # ms: beyond it the hundredth-latest arrival voids the day
-STALLED_MOST = 0.05  # part of the day that a part of the rig may stand still
-RECORDS = ("scenario.json", "plan.json", "ledgers.json")
-HELD, BROKEN, BAD_INPUT, VOID = 0, 1, 2, 3
-SHOWN = 12  # breaches that the table shows
+MAX_ARRIVALS_P99_MS = 50.0  # beyond it, arrivals were so late that the run says nothing
+MAX_STALLED_FRACTION = 0.05  # of the run, that one process of the rig may stand still
+RECORDS = ("scenario.json", "plan.json", "ledgers.json")  # the files of a run's records
+PERCENTILE = 0.99
+BYTES_PER_MB = 1 << 20
 
 
-class RecordsError(ValueError):
+class RecordsError(RainhitchError, ValueError):
     """A folder that holds no records; one line says why."""
 
 
-def keep(folder: Path, name: str, scenario: Json, plan: Json, ledgers: Json) -> None:
-    """Writes the records of a day."""
+# Records
+
+
+def keep(folder: Path, name: str, scenario: Json, plan: Json, records: Json) -> None:
+    """Writes the records of a run."""
     folder.mkdir(parents=True, exist_ok=True)
-    for file, rows in zip(RECORDS, ({"name": name, **scenario}, plan, ledgers), strict=True):
+    for file, rows in zip(RECORDS, ({"name": name, **scenario}, plan, records), strict=True):
         (folder / file).write_bytes(orjson.dumps(rows, option=orjson.OPT_SORT_KEYS))
 
 
 def from_records(folder: Path) -> Json:
-    """The report of a day that was kept; raises RecordsError."""
+    """The report of a run whose records were kept.
+
+    Raises:
+        RecordsError: the folder holds no records, or what they hold can't be read.
+    """
     try:
-        scenario, plan, ledgers = (orjson.loads((folder / file).read_bytes()) for file in RECORDS)
-        return build(scenario.pop("name"), scenario, plan, ledgers)
+        scenario, plan, records = (orjson.loads((folder / file).read_bytes()) for file in RECORDS)
+        return build(scenario.pop("name"), scenario, plan, records)
     except OSError as problem:
         raise RecordsError(f"{folder}: no records: {problem.strerror}: {problem.filename}") from None
     except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError) as problem:
         raise RecordsError(f"{folder}: records can't be read: {type(problem).__name__}: {problem}") from None
 
 
-def build(name: str, scenario: Json, plan: Json, ledgers: Json) -> Json:
+# The report
+
+
+def build(name: str, scenario: Json, plan: Json, records: Json) -> Json:
     """The whole report as JSON takes it. `exit` is the exit code it stands for."""
-    evidence = Evidence(scenario, plan, ledgers)
-    broken = find_violations(evidence)
-    told = measure_service(evidence)
-    late = rig_late(evidence)
-    expect, stops = scenario["expect"], sum(pressed for _, pressed in ledgers["parts"]["centre"]["stops"])
-    unmet = [
-        f"{what} is {value:.4f}, expected is {expect[what]:g} at least"
-        for what, value in (("service", told["service"]), ("score", told["score"]))
-        if value < expect[what]
-    ]
-    if stops > expect["origin_stops"]:
-        unmet.append(f"the database stopped {stops} times, expected is {expect['origin_stops']} at most")
-    counts = {rule: sum(one["rule"] == rule for one in broken) for rule in (*RULES, "crashed")}
-    code = VOID if late["void"] else BROKEN if broken or unmet else HELD
+    evidence = Evidence(scenario, plan, records)
+    violations = find_violations(evidence)
+    service = measure_service(evidence)
+    overload_stops = sum(1 for stop in evidence.database_stops if stop.is_overload)
+    unmet = _unmet_expectations(scenario["expect"], service, overload_stops)
+    lateness = rig_lateness(evidence)
     return {
         "scenario": name,
         "about": scenario["about"],
         "must": scenario["must"],
         "seed": plan["seed"],
-        "plan_digest": ledgers["plan_digest"],
-        **told,
-        "rules": counts,
-        "breaches": broken,
+        "plan_digest": records["plan_digest"],
+        **service,
+        "rules": _count_by_rule(violations),
+        "breaches": [violation.to_row() for violation in violations],
         "unmet": unmet,
-        "database_stops": stops,
+        "database_stops": overload_stops,
         "timeline": timeline(scenario),
-        "memory_mb": [round(one["peak"] / (1 << 20), 1) for one in ledgers["routers"]],
-        "rig_late": late,
-        "exit": code,
+        "memory_mb": [round(row["peak"] / BYTES_PER_MB, 1) for row in records["routers"]],
+        "rig_late": lateness,
+        "exit": _exit_code(lateness["void"], bool(violations or unmet)),
     }
 
 
-def rig_late(evidence: Evidence) -> Json:
-    """How late the rig itself ran: arrivals against the plan, and stalls of its parts. Void beyond a
-    bound.
+def _exit_code(is_void: bool, is_broken: bool) -> int:
+    """What a report stands for: a rig that was late itself says nothing against the router."""
+    if is_void:
+        return VOID
+    return BROKEN if is_broken else HELD
+
+
+def _count_by_rule(violations: list[Violation]) -> dict[str, int]:
+    """How often each rule was broken."""
+    return {rule.value: sum(1 for one in violations if one.rule is rule) for rule in Rule}
+
+
+def _unmet_expectations(expect: Json, service: Json, overload_stops: int) -> list[str]:
+    """One line for each of the scenario's own expectations that was not met."""
+    unmet = []
+    for name in ("service", "score"):
+        if service[name] < expect[name]:
+            unmet.append(f"{name} is {service[name]:.4f}, expected is {expect[name]:g} at least")
+    most_stops = expect["origin_stops"]
+    if overload_stops > most_stops:
+        unmet.append(f"the database stopped {overload_stops} times, expected is {most_stops} at most")
+    return unmet
+
+
+def rig_lateness(evidence: Evidence) -> Json:
+    """How late the rig itself ran: arrivals against the plan, and stalls of its processes.
+
+    Void beyond MAX_ARRIVALS_P99_MS or MAX_STALLED_FRACTION.
     """
-    parts, day = evidence.ledgers["parts"], evidence.scenario["day"]["length_s"]
-    lates = sorted(
+    parts = evidence.records["parts"]
+    length_s = evidence.scenario["day"]["length_s"]
+    lates_ns = sorted(
         late for role, rows in parts.items() if role.startswith("clients") for late in rows["lates"]
     )
-    p99 = lates[int(0.99 * (len(lates) - 1))] / MILLI if lates else 0.0
-    stalled = max(sum(end - begin for begin, end in rows["stalls"]) for rows in parts.values()) / SECOND
-    longest = max((end - begin for rows in parts.values() for begin, end in rows["stalls"]), default=0)
+    p99_ms = 0.0
+    max_ms = 0.0
+    if lates_ns:
+        p99_ms = lates_ns[int(PERCENTILE * (len(lates_ns) - 1))] / MILLI
+        max_ms = lates_ns[-1] / MILLI
+    stalls_ns = [[end - begin for begin, end in rows["stalls"]] for rows in parts.values()]
+    stalled_s = max(sum(stalls) for stalls in stalls_ns) / SECOND
+    longest_ns = max((stall for stalls in stalls_ns for stall in stalls), default=0)
     return {
-        "arrivals_p99_ms": round(p99, 3),
-        "arrivals_max_ms": round(lates[-1] / MILLI, 3) if lates else 0.0,
-        "stalled_share": round(stalled / day, 5),
-        "longest_stall_ms": round(longest / MILLI, 3),
-        "void": p99 > LATE_MOST or stalled > STALLED_MOST * day,
+        "arrivals_p99_ms": round(p99_ms, 3),
+        "arrivals_max_ms": round(max_ms, 3),
+        "stalled_share": round(stalled_s / length_s, 5),
+        "longest_stall_ms": round(longest_ns / MILLI, 3),
+        "void": p99_ms > MAX_ARRIVALS_P99_MS or stalled_s > MAX_STALLED_FRACTION * length_s,
     }
 
 
 def timeline(scenario: Json) -> list[Json]:
-    """What went wrong when, in words."""
+    """The scenario's faults in the order of time: from when to when, and what."""
     rows = []
-    for one in sorted(scenario["faults"], key=lambda fault: fault["at_s"]):
-        place = [one["room"], one["node"], f"router {one['router']}" if one["router"] >= 0 else ""]
-        what = " ".join([one["kind"], *filter(None, place)])
-        rows.append({"from_s": one["at_s"], "to_s": round(one["at_s"] + one["for_s"], 3), "what": what})
+    for fault in sorted(scenario["faults"], key=lambda one: one["at_s"]):
+        words = [fault["kind"], fault["room"], fault["node"]]
+        if fault["router"] >= 0:
+            words.append(f"router {fault['router']}")
+        rows.append(
+            {
+                "from_s": fault["at_s"],
+                "to_s": round(fault["at_s"] + fault["for_s"], 3),
+                "what": " ".join(word for word in words if word),
+            }
+        )
     return rows
 
 
 def as_json(report: Json) -> bytes:
     """The report as it is written to a file."""
     return orjson.dumps(report, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE)
-
-
-def as_text(report: Json, width: int = 100, colour: bool = False) -> str:
-    """The report for a person at a terminal."""
-    from rich import box
-    from rich.console import Console
-    from rich.table import Table as Grid
-    from rich.text import Text
-
-    out = StringIO()
-    console = Console(
-        file=out, width=width, force_terminal=colour, color_system="standard" if colour else None
-    )
-    broken = sum(report["rules"].values())
-    console.print(Text(f"{report['scenario']}, seed {report['seed']}: {report['about']}", style="bold"))
-    console.print(Text(f"must hold: {report['must']}"))
-
-    def grid(*headers: str) -> Grid:
-        return Grid(*headers, box=box.SIMPLE_HEAD, pad_edge=False)
-
-    table = grid("", "service", "price", "points")
-    parts, prices = list(report["parts"].items()), list(report["prices"].items())
-    for number in range(max(len(parts), len(prices))):
-        left = parts[number] if number < len(parts) else ("", None)
-        right = prices[number] if number < len(prices) else ("", None)
-        figures = ["" if one is None else f"{one:.3f}" for one in (left[1], right[1])]
-        table.add_row(left[0].replace("_", " "), figures[0], right[0].replace("_", " "), figures[1])
-    console.print(table)
-    for label, column in (
-        ("class", "by_class"),
-        ("customer, within its share", "by_customer"),
-        ("room", "by_room"),
-    ):
-        rows = grid(label, "service")
-        for name, value in report[column].items():
-            rows.add_row(name, f"{value:.3f}")
-        console.print(rows)
-    steps = grid("from", "requests", "service", "", "what the timeline did")
-    for one in report["steps"]:
-        end = one["from_s"] + 5
-        acting = [f["what"] for f in report["timeline"] if f["from_s"] < end and f["to_s"] >= one["from_s"]]
-        bar = "#" * round(20 * one["service"])
-        steps.add_row(
-            f"{one['from_s']} s", str(one["requests"]), f"{one['service']:.3f}", bar, ", ".join(acting)
-        )
-    console.print(steps)
-    if report["causes"]:
-        causes = grid("lost worth by cause", "requests", "of all worth")
-        for one in report["causes"][:6]:
-            causes.add_row(one["cause"], str(one["requests"]), f"{one['lost']:.4f}")
-        console.print(causes)
-    counts = ", ".join(f"{rule} {count}" for rule, count in report["rules"].items())
-    console.print(Text(f"rules: {counts}", style="red" if broken else "green"))
-    for one in report["breaches"][:SHOWN]:
-        console.print(
-            Text(f"  {one['at_s']:.3f} s {one['rule']} {one['request']} {one['node']}: {one['what']}")
-        )
-        for line in one.get("log", []):
-            console.print(Text(f"    | {line}"))
-    if len(report["breaches"]) > SHOWN:
-        console.print(Text(f"  and {len(report['breaches']) - SHOWN} more; --json FILE has them all"))
-    for line in report["unmet"]:
-        console.print(Text(f"not met: {line}", style="red"))
-    late = report["rig_late"]
-    console.print(
-        Text(
-            f"service {report['service']:.4f}  score {report['score']:.4f}  "
-            f"with prices {report['net_score']:.4f}  "
-            f"database stops {report['database_stops']}  rig late {late['arrivals_p99_ms']:.1f} ms (p99)"
-        )
-    )
-    verdict = {HELD: "all held", BROKEN: "broken", VOID: "void: the rig itself ran late"}[report["exit"]]
-    console.print(Text(f"verdict: {verdict}   plan {report['plan_digest'][:16]}", style="bold"))
-    return out.getvalue()
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -154,7 +154,7 @@
 
     def found(self) -> list[tuple[str, str]]:
         """Each breach: its rule, and the request or the node that it names."""
-        return [(one["rule"], one["request"] or one["node"]) for one in find_violations(self.evidence())]
+        return [(one.rule, one.request_id or one.node) for one in find_violations(self.evidence())]
 
 
 def ns(at: float) -> int:
@@ -505,7 +505,7 @@
     world.crashes[1] = {"router": 1, "at": ns(500), "why": "ended with 3", "log": ["out of ideas"]}
     (one,) = find_violations(world.evidence())
     assert (
-        one["rule"] == "crashed" and one["log"] == ["out of ideas"] and "router 1 ended with 3" in one["what"]
+        one.rule == "crashed" and one.log == ["out of ideas"] and "router 1 ended with 3" in one.description
     )
 
 
@@ -575,7 +575,7 @@
     told = orjson.loads(orjson.dumps(scenario()))
     told["expect"] |= expect
     evidence = world.evidence()
-    return report.build("x", told, evidence.plan, evidence.ledgers)
+    return report.build("x", told, evidence.plan, evidence.records)
 
 
 def test_the_exit_code_tells_held_broken_unmet_and_void(world: World) -> None:
