--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,8 @@
 from rainhitch.rehearsal.fakes.cache_node import CacheNode, CacheNodeSpec
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
 from rainhitch.rehearsal.fakes.etcd import Etcd
-from rainhitch.rehearsal.router_process import hold_port, resident_memory, router_settings
+from rainhitch.rehearsal.router_process import hold_port, resident_memory
+from rainhitch.rehearsal.router_settings import router_settings
 from rainhitch.rehearsal.scenario import read_scenario, shipped
 
 Json = dict[str, Any]
--- a/rainhitch/cli/rehearse.py
+++ b/rainhitch/cli/rehearse.py
@@ -136,7 +136,9 @@
         records = told.records
         if records is not None and told.repeat > 1:
             records = records / str(number + 1)
-        made.append(await runner.run_scenario(day, name, told.seed, words, _progress(day), records))
+        made.append(
+            await runner.run_scenario(day, name, told.seed, words, _progress(day), records_folder=records)
+        )
         if sys.stderr.isatty():
             print("\r\x1b[K", end="", file=sys.stderr)
         if told.repeat > 1:
--- a/rainhitch/rehearsal/checker/evidence.py
+++ b/rainhitch/rehearsal/checker/evidence.py
@@ -18,8 +18,8 @@
     RequestClass,
     RouterCrash,
     RouterEvent,
-    RouterEventKind,
 )
+from rainhitch.rehearsal.router_events import RouterEventKind
 
 MAX_PAUSE_NS = 200 * MILLI  # a router that stood still for longer owes no answer; with what signals take
 STALL_REACH_NS = SECOND  # round an instant, within which stalls of the rig itself count
--- a/rainhitch/rehearsal/checker/records.py
+++ b/rainhitch/rehearsal/checker/records.py
@@ -32,22 +32,10 @@
     ENDED = "ended"  # the connection closed
 
 
-class RouterEventKind(StrEnum):
-    """What was done to a router's process, or what it did; other kinds have no meaning here."""
-
-    START = "start"
-    TERM = "term"
-    KILL = "kill"
-    LATE_KILL = "late kill"  # it did not end in time after SIGTERM
-    ENDED = "ended"
-    PAUSE = "pause"
-    RESUME = "wake"
-
-
 class RouterEvent(NamedTuple):
     """One event of a router's process."""
 
-    kind: str
+    kind: str  # one of RouterEventKind
     at_ns: int
 
 
--- a/rainhitch/rehearsal/runner.py
+++ b/rainhitch/rehearsal/runner.py
@@ -1,4 +1,4 @@
-"""One rehearsal from a scenario to its report, several of them, and the proof of the judge."""
+"""Runs a scenario from its plan to its report, and proves that the checker finds what broken routers do."""
 
 import asyncio
 import sys
@@ -9,23 +9,24 @@
 import orjson
 
 from rainhitch.rehearsal import report
-from rainhitch.rehearsal.environment import Environment, ProgressCallback, check_descriptors, check_ports
+from rainhitch.rehearsal.environment import Environment, ProgressCallback
+from rainhitch.rehearsal.machine_checks import check_descriptors, check_ports
 from rainhitch.rehearsal.plain_router import MODES
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario
 
 Json = dict[str, Any]
-AT_ONCE = 3  # proofs side by side
-TRIES = 3  # of a proof that the rig spoilt by being late
+MAX_PARALLEL_PROOFS = 3
+MAX_TRIES = 3  # of a proof that is void since the rig itself ran late
 
 
 def rainhitch_command() -> list[str]:
-    """The words that start this installation's router."""
+    """The command that starts this installation's router."""
     return [sys.executable, "-m", "rainhitch"]
 
 
 def plain_router_command(mode: str = "good") -> list[str]:
-    """The words that start the yardstick, or one that breaks a rule."""
+    """The command that starts the plain router, good or broken in one way (see `plain_router.MODES`)."""
     return [sys.executable, "-m", "rainhitch.rehearsal.plain_router", mode]
 
 
@@ -33,46 +34,57 @@
     scenario: Scenario,
     name: str,
     seed: int,
-    words: list[str],
-    tell: ProgressCallback = lambda at, row: None,
-    records: Path | None = None,
+    command: list[str],
+    on_progress: ProgressCallback = lambda at_s, row: None,
+    *,
+    records_folder: Path | None = None,
 ) -> Json:
-    """Plays a day and gives its report; raises StageError for one that can't be played."""
+    """Runs a scenario with routers that `command` starts; gives its report, and keeps its records if asked.
+
+    Raises:
+        RehearsalError: the scenario can't be run on this machine, or a process failed.
+    """
     check_descriptors(scenario)
     check_ports(scenario)
     plan = draw_plan(scenario, name, seed)
-    ledgers = await Environment(scenario, plan, words, tell).play()
-    ledgers["plan_digest"] = plan.digest()
-    told, rows = orjson.loads(orjson.dumps(scenario)), plan.rows()
-    if records is not None:
-        report.keep(records, name, told, rows, ledgers)
-    return report.build(name, told, rows, ledgers)
-
-
-def judged(mode: str, told: Json) -> str:
-    """What is wrong with the judge's word on a router of this mode; "" for nothing."""
-    found = {rule for rule, count in told["rules"].items() if count}
-    wanted = {MODES[mode]} - {""}
-    if found == wanted:
+    records = await Environment(scenario, plan, command, on_progress).play()
+    records["plan_digest"] = plan.digest()
+    scenario_rows = orjson.loads(orjson.dumps(scenario))
+    plan_rows = plan.rows()
+    if records_folder is not None:
+        report.keep(records_folder, name, scenario_rows, plan_rows, records)
+    return report.build(name, scenario_rows, plan_rows, records)
+
+
+def proof_problem(mode: str, made: Json) -> str:
+    """What is wrong with the report on a plain router of this mode; "" for nothing."""
+    found = {rule for rule, count in made["rules"].items() if count}
+    expected = {MODES[mode]} - {""}
+    if found == expected:
         return ""
-    return f"found {', '.join(sorted(found)) or 'nothing'}, expected {', '.join(wanted) or 'nothing'}"
+    return f"found {', '.join(sorted(found)) or 'nothing'}, expected {', '.join(expected) or 'nothing'}"
+
 
+async def prove_checker(modes: list[str], on_result: Callable[[str, str, Json], None], seed: int = 1) -> int:
+    """Runs a plain router of each mode; gives an exit code.
 
-async def prove_checker(modes: list[str], say: Callable[[str, str, Json], None], seed: int = 1) -> int:
-    """Plays each router of the list; `say` gets its mode, what is wrong, its report. Gives an exit code."""
+    `on_result` is called with each mode, what is wrong with its report ("" for nothing), and the report.
+    """
     scenario = read_scenario(Path(__file__).with_name("prove.toml"))
-    free = asyncio.Semaphore(AT_ONCE)
-    codes = []
-
-    async def one(mode: str) -> None:
-        for _ in range(TRIES):
-            async with free:
-                told = await run_scenario(scenario, "prove", seed, plain_router_command(mode))
-            if told["exit"] != report.VOID:
+    slots = asyncio.Semaphore(MAX_PARALLEL_PROOFS)
+
+    async def prove(mode: str) -> int:
+        """Runs one mode until its report is not void, and gives its exit code."""
+        for _ in range(MAX_TRIES):
+            async with slots:
+                made = await run_scenario(scenario, "prove", seed, plain_router_command(mode))
+            if made["exit"] != report.VOID:
                 break
-        wrong = judged(mode, told)
-        codes.append(report.VOID if told["exit"] == report.VOID else report.BROKEN if wrong else report.HELD)
-        say(mode, wrong, told)
+        problem = proof_problem(mode, made)
+        on_result(mode, problem, made)
+        if made["exit"] == report.VOID:
+            return report.VOID
+        return report.BROKEN if problem else report.HELD
 
-    await asyncio.gather(*(one(mode) for mode in modes))
+    codes = await asyncio.gather(*(prove(mode) for mode in modes))
     return max(codes, default=report.HELD)
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -23,7 +23,7 @@
 from rainhitch.rehearsal.fakes.shared_services_worker import SharedServicesWorker
 from rainhitch.rehearsal.fakes.worker import Worker
 from rainhitch.rehearsal.plan import Plan, random_stream
-from rainhitch.rehearsal.router_process import Json, RehearsalError, RouterProcess
+from rainhitch.rehearsal.router_process import Json, LastCommand, RehearsalError, RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.virtual.costs import Costs
 from rainhitch.rehearsal.virtual.loop import OWNER, Owner, StuckError, VirtualLoop
@@ -84,7 +84,7 @@
     async def start(self) -> None:
         self.start_count += 1
         self.path = str(self.write_configuration())
-        self.last_command = "start"
+        self.last_command = LastCommand.START
         self.ended.clear()
         self._record_event("start")
         seed = f"{self.config['seed']}/{self.start_count}"
@@ -116,7 +116,7 @@
             return
         problem = None if task.cancelled() else task.exception()
         self._down(owner)
-        if self.last_command == "start" or problem is not None:
+        if self.last_command is LastCommand.START or problem is not None:
             self._record_crash(f"ended with {problem!r}")
 
     def _down(self, owner: Owner) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -44,7 +44,7 @@
     async def _look(self) -> None:
         while True:
             views = await ask_all(self.admins)
-            self.views.append(((asyncio.get_running_loop().time() * SECOND - self.zero) / SECOND, views))
+            self.views.append(((asyncio.get_running_loop().time() * SECOND - self.zero_ns) / SECOND, views))
             await asyncio.sleep(0.25)
 
     async def _collect_records(self) -> Json:
