--- a/rainhitch/cli/rehearse.py
+++ b/rainhitch/cli/rehearse.py
@@ -132,7 +132,7 @@
         if records_folder is not None and is_repeated:
             records_folder = records_folder / str(number)
         made = await runner.run_scenario(
-            day, name, arguments.seed, command, progress_callback(day), records_folder
+            day, name, arguments.seed, command, progress_callback(day), records_folder=records_folder
         )
         reports.append(made)
         erase_progress()
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -23,7 +23,7 @@
 from rainhitch.rehearsal.fakes.shared_services_worker import SharedServicesWorker
 from rainhitch.rehearsal.fakes.worker import Worker
 from rainhitch.rehearsal.plan import Plan, random_stream
-from rainhitch.rehearsal.router_process import Json, RehearsalError, RouterProcess
+from rainhitch.rehearsal.router_process import Json, LastCommand, RehearsalError, RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.virtual.costs import CallbackCosts
 from rainhitch.rehearsal.virtual.loop import CallbackObserver, StuckError, VirtualLoop
@@ -94,7 +94,7 @@
         """Starts the router's program in a new process."""
         self.start_count += 1
         self.path = str(self.write_configuration())
-        self.last_command = "start"
+        self.last_command = LastCommand.START
         self.ended.clear()
         self._record_event("start")
         environment = self.environment
@@ -135,7 +135,7 @@
             return
         problem = None if task.cancelled() else task.exception()
         self._process_ended(process)
-        if self.last_command == "start" or problem is not None:
+        if self.last_command is LastCommand.START or problem is not None:
             self._record_crash(f"ended with {problem!r}")
 
     def _process_ended(self, process: SimulatedProcess) -> None:
