--- a/rainhitch/cli/explore.py
+++ b/rainhitch/cli/explore.py
@@ -37,9 +37,9 @@
 
 def _run(told: argparse.Namespace) -> int:
     from rainhitch.rehearsal.explore import corpus
-    from rainhitch.rehearsal.explore.findings import Case
+    from rainhitch.rehearsal.explore.case_runner import FuzzCase
 
-    cases: list[Case] = []
+    cases: list[FuzzCase] = []
     try:
         if told.play is not None:
             return _play(corpus.read(told.play))
@@ -58,45 +58,45 @@
 
 
 def _play(one: Any) -> int:
-    from rainhitch.rehearsal.explore.findings import examine
+    from rainhitch.rehearsal.explore.case_runner import run_case
 
-    result = examine(one)
+    result = run_case(one)
     print(f"service {result.service:.4f}")
-    for line in result.detail:
+    for line in result.details:
         print(line)
-    return 1 if result.kinds else 0
+    return 1 if result.failure_kinds else 0
 
 
 def _explore(told: argparse.Namespace, cases: list[Any]) -> int:
     from rainhitch.rehearsal.explore import corpus
-    from rainhitch.rehearsal.explore.explorer import Explorer, Tally, on_interrupt
-    from rainhitch.rehearsal.explore.findings import Result
+    from rainhitch.rehearsal.explore.case_runner import CaseResult
+    from rainhitch.rehearsal.explore.explorer import Explorer, Progress, on_interrupt
 
     shown = sys.stderr.isatty()
 
-    def found(result: Result) -> None:
+    def found(result: CaseResult) -> None:
         path = corpus.keep(told.keep, result)
-        print(f"{path}: {result.detail[0]}", flush=True)
+        print(f"{path}: {result.details[0]}", flush=True)
 
-    def tell(tally: Tally) -> None:
+    def tell(tally: Progress) -> None:
         if shown:
-            rate = tally.days / max(tally.seconds, 1e-9) * 3600
-            line = f"{tally.days} days, {rate:.0f} an hour, {len(tally.words)} states, "
-            line += f"{len(tally.kinds)} kinds"
+            rate = tally.runs / max(tally.elapsed_s, 1e-9) * 3600
+            line = f"{tally.runs} days, {rate:.0f} an hour, {len(tally.coverage)} states, "
+            line += f"{len(tally.failure_counts)} kinds"
             print(f"\r\x1b[K{line}", end="", file=sys.stderr, flush=True)
 
-    explorer = Explorer(told.seed, told.jobs, cases, found, tell, not told.as_drawn)
+    explorer = Explorer(told.seed, told.jobs, cases, found, on_progress=tell, shrinks=not told.as_drawn)
     with on_interrupt(explorer.stop):
         tally = explorer.run(told.days, told.minutes * 60)
     if shown:
         print("\r\x1b[K", end="", file=sys.stderr)
-    hours = tally.seconds / 3600
+    hours = tally.elapsed_s / 3600
     print(
-        f"{tally.days} days in {tally.seconds:.0f} s ({tally.days / hours:.0f} an hour, "
-        f"{tally.virtual_s / tally.seconds:.1f} virtual seconds a second), "
-        f"{len(tally.words)} states reached, "
-        f"{len(tally.kinds)} kinds of findings, {tally.died} processes died"
+        f"{tally.runs} days in {tally.elapsed_s:.0f} s ({tally.runs / hours:.0f} an hour, "
+        f"{tally.virtual_s / tally.elapsed_s:.1f} virtual seconds a second), "
+        f"{len(tally.coverage)} states reached, "
+        f"{len(tally.failure_counts)} kinds of findings, {tally.died} processes died"
     )
-    for kind, count in sorted(tally.kinds.items(), key=lambda one: -one[1]):
+    for kind, count in sorted(tally.failure_counts.items(), key=lambda one: -one[1]):
         print(f"{count:6}  {kind}")
-    return 1 if tally.kinds else 0
+    return 1 if tally.failure_counts else 0
--- a/rainhitch/rehearsal/explore/__init__.py
+++ b/rainhitch/rehearsal/explore/__init__.py
@@ -1,11 +1,12 @@
-"""A search for days that break something, in virtual time.
+"""Fuzzing of whole rehearsals in virtual time, and model checking of the decisions alone.
 
-    grammar.py    draws whole scenarios, and changes them a little; no I/O
-    coverage.py   what a day has reached, as a set of words; no I/O
-    findings.py   what is wrong with a day, if anything
-    shrink.py     the smallest scenario that still does it; no I/O
-    corpus.py     days kept as scenario files, each with its seed
-    explorer.py   many processes at once, progress, bounds on time and memory
+    grammar.py      generates scenarios, and mutates them; no I/O
+    coverage.py     what a run has reached, as a set of features; no I/O
+    case_runner.py  runs a test case, and says what fails
+    shrink.py       the smallest test case that still fails; no I/O
+    corpus.py       test cases kept as scenario files, each with its seed
+    explorer.py     the fuzzer: many processes at once, progress, bounds on time and memory
+    model.py        the state space of a few requests, searched exhaustively; no I/O
 
-A day is a case: the source of a scenario and a seed. What was found can be played again from these alone.
+A test case is a scenario's tables and a seed. It gives the same run each time, from these alone.
 """
--- a/rainhitch/rehearsal/explore/explorer.py
+++ b/rainhitch/rehearsal/explore/explorer.py
@@ -1,7 +1,8 @@
-"""Plays drawn days in many processes at once, keeps what reaches something new, shrinks what is wrong.
+"""The fuzzer: runs test cases in many processes, mutates those with new coverage, shrinks failures.
 
-A process that hangs is stopped by its own alarm, one that eats memory by its own limit; one that dies all the
-same costs its day, which is told, and is replaced.
+A worker process that hangs is stopped by its own alarm, one that leaks memory by its own limit. One that
+dies all the same breaks the whole pool: the cases that were running are run again one by one, and the one
+that kills its process once more is a failure.
 """
 
 import contextlib
@@ -9,7 +10,7 @@
 import resource
 import signal
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
 from concurrent.futures.process import BrokenProcessPool
 from dataclasses import dataclass, field
@@ -17,79 +18,93 @@
 from types import FrameType
 from typing import Any
 
-from rainhitch.rehearsal.explore.findings import Case, EndlessError, Result, case, examine
-from rainhitch.rehearsal.explore.grammar import draw_scenario, mutate, valid
+from rainhitch.rehearsal.explore.case_runner import (
+    CaseResult,
+    CaseTimeoutError,
+    FuzzCase,
+    fuzz_case,
+    run_case,
+)
+from rainhitch.rehearsal.explore.grammar import generate_scenario, mutate_scenario, parse_scenario
 from rainhitch.rehearsal.explore.shrink import shrink
 
 Json = dict[str, Any]
-LONGEST = 60.0  # s of real time that a day may take
-MEMORY = 3 << 30  # bytes of address space of a process
-MUTANTS = 0.7  # part of the days that are changed from one that reached something new
-KEPT = 400  # such days that are remembered, the newest
-SHRINKS = 120  # plays that making a case smaller may take
-OF_A_KIND = 3  # cases of the same kind that are looked at; more tell nothing new
-
-
-def prepare() -> None:
-    """In each process: limits, and no part in the terminal's Ctrl-C."""
+MAX_RUN_S = 60.0  # of real time
+MAX_WORKER_BYTES = 3 << 30  # of address space
+MAX_WORKER_RUNS = 100  # until a worker process is replaced
+MUTATION_FRACTION = 0.7  # of the cases, made from one with new coverage
+MAX_CORPUS = 400  # cases with new coverage that are remembered, the newest
+MAX_SHRINK_RUNS = 120
+MAX_SHRUNK_PER_KIND = 3  # failures of a kind that are shrunk; more tell nothing new
+QUEUED_CASES_PER_JOB = 2
+POLL_S = 0.5
+MAX_SEED = 1 << 31
+
+
+def prepare_worker() -> None:
+    """Run first in each worker process: its limits; Ctrl-C is the parent's alone."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     _, hard = resource.getrlimit(resource.RLIMIT_AS)
-    resource.setrlimit(resource.RLIMIT_AS, (MEMORY, hard))
-    signal.signal(signal.SIGALRM, _too_long)
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_WORKER_BYTES, hard))
+    signal.signal(signal.SIGALRM, _raise_timeout)
 
 
-def _too_long(number: int, frame: FrameType | None) -> None:
-    raise EndlessError
+def _raise_timeout(number: int, frame: FrameType | None) -> None:
+    raise CaseTimeoutError
 
 
-def bounded(one: Case, cover: bool = True) -> Result:
-    """Plays a case within its time; run in a process of the pool."""
-    signal.setitimer(signal.ITIMER_REAL, LONGEST)
+def run_case_in_time(case: FuzzCase, with_coverage: bool = True) -> CaseResult:
+    """Runs a case for no longer than `MAX_RUN_S`; run in a worker process."""
+    signal.setitimer(signal.ITIMER_REAL, MAX_RUN_S)
     try:
-        return examine(one, cover)
-    except EndlessError:
-        result = Result(one)
-        result.add("endless", f"not over after {LONGEST:g} s")
+        return run_case(case, with_coverage)
+    except CaseTimeoutError:
+        result = CaseResult(case)
+        result.add_failure("endless", f"not over after {MAX_RUN_S:g} s")
         return result
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
 
 
-def smaller(found: Result) -> Result:
-    """The smallest case that does what this one did; run in a process of the pool."""
-    kind, last = found.kinds[0], [found]
+def shrink_failure(failed: CaseResult) -> CaseResult:
+    """The result of the smallest case that fails in the same way; run in a worker process."""
+    kind = failed.failure_kinds[0]
+    smallest = failed
 
-    def still(source: Json) -> bool:
-        if valid(source) is None:
+    def still_fails(tables: Json) -> bool:
+        """Whether it fails in the same way; keeps the result."""
+        nonlocal smallest
+        if parse_scenario(tables) is None:
             return False
-        result = bounded(case(source, found.case.seed), cover=False)
-        if kind in result.kinds:
-            last.append(result)
-            return True
-        return False
+        result = run_case_in_time(fuzz_case(tables, failed.case.seed), with_coverage=False)
+        if kind not in result.failure_kinds:
+            return False
+        smallest = result
+        return True
 
-    shrink(found.case.tables, still, SHRINKS)
-    return last[-1]
+    shrink(failed.case.tables, still_fails, MAX_SHRINK_RUNS)
+    return smallest
 
 
 @dataclass
-class Tally:
-    """How far an exploration is."""
+class Progress:
+    """How far a search is."""
 
-    days: int = 0
+    runs: int = 0
     virtual_s: float = 0.0
-    words: set[str] = field(default_factory=set)
-    kinds: dict[str, int] = field(default_factory=dict)
-    died: int = 0
-    begun: float = field(default_factory=time.monotonic)
+    coverage: set[str] = field(default_factory=set)
+    failure_counts: dict[str, int] = field(default_factory=dict)  # by kind
+    died: int = 0  # times that a worker process died
+    started_at_s: float = field(default_factory=time.monotonic)
 
     @property
-    def seconds(self) -> float:
-        return time.monotonic() - self.begun
+    def elapsed_s(self) -> float:
+        """Real time since the begin."""
+        return time.monotonic() - self.started_at_s
 
 
-def end(pool: ProcessPoolExecutor) -> None:
-    """Ends a pool and its processes, whatever they are at."""
+def kill_pool(pool: ProcessPoolExecutor) -> None:
+    """Ends a pool and its processes, whatever they do."""
     processes = list((pool._processes or {}).values())
     pool.shutdown(wait=False, cancel_futures=True)
     for process in processes:
@@ -97,122 +112,153 @@
 
 
 class Explorer:
-    """One exploration. `found` is told of each finding, made small, `tell` of the progress."""
+    """One search.
+
+    Args:
+        seed: that cases are generated and mutated with.
+        jobs: worker processes at once.
+        initial_cases: run first, as they are, and then mutated.
+        on_failure: called with each failure, shrunk.
+        on_progress: called again and again while it lasts.
+        shrinks: whether failures are shrunk; else all of them are given as they are.
+    """
 
     def __init__(
         self,
         seed: int,
         jobs: int,
-        corpus: list[Case],
-        found: Callable[[Result], None],
-        tell: Callable[[Tally], None] = lambda tally: None,
+        initial_cases: list[FuzzCase],
+        on_failure: Callable[[CaseResult], None],
+        *,
+        on_progress: Callable[[Progress], None] = lambda progress: None,
         shrinks: bool = True,
     ) -> None:
+        self.random = Random(f"{seed}/explore")
+        self.jobs = jobs
+        self.on_failure = on_failure
+        self.on_progress = on_progress
         self.shrinks = shrinks
-        self.random, self.jobs = Random(f"{seed}/explore"), jobs
-        self.found, self.tell, self.tally = found, tell, Tally()
-        self.fresh: list[Case] = list(corpus)  # days to be changed a little
-        self.first = list(corpus)  # those are played as they are, to begin with
+        self.progress = Progress()
+        self.corpus = list(initial_cases)  # cases with new coverage, to be mutated
+        self.not_yet_run = list(initial_cases)
         self.stopped = False
-        self.playing: dict[Future[Result], Case] = {}
-
-    def next(self) -> Case:
-        if self.first:
-            return self.first.pop()
-        seed = self.random.randrange(1 << 31)
-        if self.fresh and self.random.random() < MUTANTS:
-            # The newest have been changed least often.
-            place = int(len(self.fresh) * self.random.random() ** 0.5)
-            return case(mutate(self.random, self.fresh[place].tables), seed)
-        return case(draw_scenario(self.random), seed)
-
-    def heard(self, result: Result) -> bool:
-        """Takes a day's result; whether it is worth making small."""
-        tally = self.tally
-        tally.days += 1
-        tally.virtual_s += result.seconds
-        if result.words - tally.words:
-            tally.words |= result.words
-            self.fresh = [*self.fresh, result.case][-KEPT:]
-        news = False
-        for kind in result.kinds:
-            tally.kinds[kind] = tally.kinds.get(kind, 0) + 1
-            news = news or tally.kinds[kind] <= OF_A_KIND
-        return news
-
-    def run(self, days: int, seconds: float) -> Tally:
-        """Explores until so many days are played or the time is up; 0 for no such bound."""
+        self.running: dict[Future[CaseResult], FuzzCase] = {}
+
+    def next_case(self) -> FuzzCase:
+        """An initial case, a mutation of a case with new coverage, or a new case."""
+        if self.not_yet_run:
+            return self.not_yet_run.pop()
+        seed = self.random.randrange(MAX_SEED)
+        if self.corpus and self.random.random() < MUTATION_FRACTION:
+            # The square root prefers the newest: they have been mutated least often.
+            index = int(len(self.corpus) * self.random.random() ** 0.5)
+            return fuzz_case(mutate_scenario(self.random, self.corpus[index].tables), seed)
+        return fuzz_case(generate_scenario(self.random), seed)
+
+    def record(self, result: CaseResult) -> bool:
+        """Counts a result and keeps its case for mutation where it has new coverage.
+
+        Gives whether it is a failure worth shrinking.
+        """
+        progress = self.progress
+        progress.runs += 1
+        progress.virtual_s += result.virtual_s
+        if result.coverage - progress.coverage:
+            progress.coverage |= result.coverage
+            self.corpus = [*self.corpus, result.case][-MAX_CORPUS:]
+        worth_shrinking = False
+        for kind in result.failure_kinds:
+            progress.failure_counts[kind] = progress.failure_counts.get(kind, 0) + 1
+            if progress.failure_counts[kind] <= MAX_SHRUNK_PER_KIND:
+                worth_shrinking = True
+        return worth_shrinking
+
+    def run(self, max_runs: int, max_s: float) -> Progress:
+        """Searches until so many cases have run or the time is up; 0 for no such bound."""
         context = multiprocessing.get_context("forkserver")
         context.set_forkserver_preload([__name__])
-        while not self._over(days, seconds):
-            pool = ProcessPoolExecutor(self.jobs, context, prepare, max_tasks_per_child=100)
+        while not self._is_over(max_runs, max_s):
+            pool = ProcessPoolExecutor(
+                self.jobs, context, prepare_worker, max_tasks_per_child=MAX_WORKER_RUNS
+            )
             try:
-                self._with(pool, days, seconds)
+                self._run_pool(pool, max_runs, max_s)
             except BrokenProcessPool:
-                self.tally.died += 1
+                self.progress.died += 1
             finally:
-                end(pool)
-            for one in self.playing.values():
-                self._alone(context, one)
-            self.playing = {}
-        return self.tally
-
-    def _alone(self, context: Any, one: Case) -> None:
-        """Plays a case that was out when a process died, to see whether it was the one."""
-        pool = ProcessPoolExecutor(1, context, prepare)
+                kill_pool(pool)
+            for case in self.running.values():
+                self._run_alone(context, case)
+            self.running = {}
+        return self.progress
+
+    def _run_alone(self, context: Any, case: FuzzCase) -> None:
+        """Runs a case that was running when a process died, to see whether it was the cause."""
+        pool = ProcessPoolExecutor(1, context, prepare_worker)
         try:
-            result = pool.submit(bounded, one).result()
+            result = pool.submit(run_case_in_time, case).result()
         except BrokenProcessPool:
-            result = Result(one)
-            result.add("died", "the process that played it died")
+            result = CaseResult(case)
+            result.add_failure("died", "the process that played it died")
         finally:
-            end(pool)
-        if self.heard(result):
-            self.found(result)
-
-    def _over(self, days: int, seconds: float) -> bool:
-        late = bool(seconds) and self.tally.seconds >= seconds
-        return self.stopped or late or (bool(days) and self.tally.days >= days)
-
-    def _with(self, pool: ProcessPoolExecutor, days: int, seconds: float) -> None:
-        playing = self.playing
-        shrinking: set[Future[Result]] = set()
-        planned = self.tally.days
+            kill_pool(pool)
+        if self.record(result):
+            self.on_failure(result)
+
+    def _is_over(self, max_runs: int, max_s: float) -> bool:
+        time_is_up = bool(max_s) and self.progress.elapsed_s >= max_s
+        all_run = bool(max_runs) and self.progress.runs >= max_runs
+        return self.stopped or time_is_up or all_run
+
+    def _run_pool(self, pool: ProcessPoolExecutor, max_runs: int, max_s: float) -> None:
+        """Keeps a pool busy until the search is over and what is being shrunk is done."""
+        shrinking: set[Future[CaseResult]] = set()
+        submitted = self.progress.runs
         while True:
-            over = self._over(days, seconds)
-            while not over and len(playing) < 2 * self.jobs and (not days or planned < days):
-                one = self.next()
-                playing[pool.submit(bounded, one)] = one
-                planned += 1
-            if (over or not playing) and not shrinking:
+            over = self._is_over(max_runs, max_s)
+            while not over and self._has_room() and (not max_runs or submitted < max_runs):
+                case = self.next_case()
+                self.running[pool.submit(run_case_in_time, case)] = case
+                submitted += 1
+            if (over or not self.running) and not shrinking:
                 return
-            done, _ = wait({*playing, *shrinking}, timeout=0.5, return_when=FIRST_COMPLETED)
+            done, _ = wait({*self.running, *shrinking}, timeout=POLL_S, return_when=FIRST_COMPLETED)
             for future in done:
-                result = future.result()
-                if future in shrinking:
-                    self.found(result)
-                elif self.heard(result) and self.shrinks:
-                    shrinking.add(pool.submit(smaller, result))
-                elif result.kinds and not self.shrinks:
-                    self.found(result)
-                playing.pop(future, None)
-                shrinking.discard(future)
-            self.tell(self.tally)
+                self._handle_result(pool, future, shrinking)
+            self.on_progress(self.progress)
+
+    def _has_room(self) -> bool:
+        return len(self.running) < QUEUED_CASES_PER_JOB * self.jobs
+
+    def _handle_result(
+        self, pool: ProcessPoolExecutor, future: "Future[CaseResult]", shrinking: "set[Future[CaseResult]]"
+    ) -> None:
+        """Takes the result of a run or of a shrinking; a dead worker raises BrokenProcessPool."""
+        result = future.result()
+        if future in shrinking:
+            self.on_failure(result)
+        elif self.record(result) and self.shrinks:
+            shrinking.add(pool.submit(shrink_failure, result))
+        elif result.failure_kinds and not self.shrinks:
+            self.on_failure(result)
+        self.running.pop(future, None)
+        shrinking.discard(future)
 
     def stop(self) -> None:
-        """Ends in good order: what is being made small is finished."""
+        """Ends the search in good order: what is being shrunk is finished."""
         self.stopped = True
 
 
 @contextlib.contextmanager
-def on_interrupt(act: Callable[[], None]) -> Any:
-    """Ctrl-C acts once, and ends the program the second time."""
+def on_interrupt(act: Callable[[], None]) -> Iterator[None]:
+    """Ctrl-C calls `act` once, and ends the program the second time."""
 
-    def heed(number: int, frame: FrameType | None) -> None:
+    def handle_interrupt(number: int, frame: FrameType | None) -> None:
+        """Acts, and has the next Ctrl-C do what it did before."""
         act()
         signal.signal(signal.SIGINT, before)
 
-    before = signal.signal(signal.SIGINT, heed)
+    before = signal.signal(signal.SIGINT, handle_interrupt)
     try:
         yield
     finally:
--- a/rainhitch/rehearsal/explore/model.py
+++ b/rainhitch/rehearsal/explore/model.py
@@ -1,8 +1,12 @@
-"""All interleavings of a small world to a depth, over the real decisions: arrivals, ends of attempts, clients
-that leave, news of the list, the passing of time. Every action is held against the rules.
+"""A model checker: all interleavings of events around a few requests, to a depth, over the real decisions.
 
-States are told apart by all that the decisions hold, but for the state of their random numbers; a state
-that was met before is not gone into again. What is found is the shortest list of events that does it.
+Events are arrivals, ends of attempts, clients that leave, changes of the endpoint list and the passing of
+time. Every action of the decisions is held against the invariants: an `InvariantViolationError` names the
+rule.
+
+States are told apart by all that the model and the decisions hold (`fingerprint`), but for the state of their
+random numbers; a state that was reached before is not expanded again. The search is by breadth, so that a
+counterexample is a shortest list of events.
 """
 
 import hashlib
@@ -11,292 +15,360 @@
 from dataclasses import dataclass, field
 from enum import Enum
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainhitch import interface as api
+from rainhitch.errors import RainhitchError
 from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
 
-MILLI = 1_000_000
-SECOND = 1_000_000_000
-STEP = 1000 * MILLI  # how far time goes at once, where nothing wakes up sooner
-BEGIN = 100 * SECOND
+NS_PER_S = 1_000_000_000
+TIME_STEP_NS = NS_PER_S  # how far time goes at once, where nothing is due sooner
+START_NS = 100 * NS_PER_S
 ORIGIN = "origin"
-RAN = frozenset(
+CACHE_SERVERS = ("s0", "s1")
+MAX_ATTEMPTS = 3
+NO_BOUND = 1 << 30  # on the events that are played
+MAY_HAVE_RUN = frozenset(
     (api.AttemptStatus.OK, api.AttemptStatus.ERROR, api.AttemptStatus.TIMEOUT, api.AttemptStatus.RESET)
 )
+CACHE_ENDS = (
+    api.AttemptStatus.OK,
+    api.AttemptStatus.RESET,
+    api.AttemptStatus.CONNECT_FAILED,
+    api.AttemptStatus.FULL,
+)
+# An event's name and its arguments:
+#   arrive REQUEST, end REQUEST STATUS, leave REQUEST, list SERVER STATE, wait
 Event = tuple[str, ...]
 
 
 @dataclass(frozen=True)
-class Spec:
-    """One request of the small world."""
+class RequestSpec:
+    """One request of a model."""
 
-    cls: int
+    class_index: int
     key: str
     write: bool = False
-    order: str = ""
+    idempotency_key: str = ""
 
 
 CLASSES = [
-    api.RequestClass(SECOND, 2 * SECOND, late_weight=0.5),
-    api.RequestClass(SECOND, 2 * SECOND, api.Idempotency.IDEMPOTENCY_KEY, dedup_window_ns=SECOND),
-    api.RequestClass(SECOND, 2 * SECOND, api.Idempotency.NOT_IDEMPOTENT),
+    api.RequestClass(NS_PER_S, 2 * NS_PER_S, late_weight=0.5),
+    api.RequestClass(NS_PER_S, 2 * NS_PER_S, api.Idempotency.IDEMPOTENCY_KEY, dedup_window_ns=NS_PER_S),
+    api.RequestClass(NS_PER_S, 2 * NS_PER_S, api.Idempotency.NOT_IDEMPOTENT),
 ]
-WORLDS: dict[str, list[Spec]] = {
-    "two reads of a key": [Spec(0, "k"), Spec(0, "k")],
-    "an order and its retry": [Spec(1, "k", True, "o"), Spec(1, "k", True, "o")],
-    "a read, an order": [Spec(0, "k"), Spec(1, "k", True, "o")],
-    "what may run once only, a read": [Spec(2, "k"), Spec(0, "j")],
+LONGEST_DEADLINE_NS = max(one.deadline_ns for one in CLASSES)
+MODELS: dict[str, list[RequestSpec]] = {
+    "two reads of a key": [RequestSpec(0, "k"), RequestSpec(0, "k")],
+    "an order and its retry": [RequestSpec(1, "k", True, "o"), RequestSpec(1, "k", True, "o")],
+    "a read, an order": [RequestSpec(0, "k"), RequestSpec(1, "k", True, "o")],
+    "what may run once only, a read": [RequestSpec(2, "k"), RequestSpec(0, "j")],
 }
-SERVERS = ("s0", "s1")
 
 
-class BreachError(Exception):
-    """A rule is broken."""
+class InvariantViolationError(RainhitchError):
+    """The decisions break a rule; the text begins with the rule's number."""
+
+
+class AttemptInFlight(NamedTuple):
+    """The attempt of a request that has not ended."""
+
+    number: int  # of the request's attempts, from 0
+    server: str
+    sent_ns: int
+    timeout_ns: int  # when it ends by itself
+
+
+class Timer(NamedTuple):
+    """A timer that the decisions have set; ordered by time."""
+
+    due_ns: int
+    token: str
 
 
 @dataclass
-class World:
-    """The decisions and what they can see, played event by event."""
-
-    specs: list[Spec]
-    now: int = BEGIN
-    out: dict[str, tuple[int, str, int, int]] = field(default_factory=dict)  # number, server, sent, until
-    made: dict[str, int] = field(default_factory=dict)
-    ran: dict[str, list[int]] = field(default_factory=dict)  # when what may have run was sent
-    final: dict[str, str] = field(default_factory=dict)
-    due: dict[str, int] = field(default_factory=dict)
-    wakes: list[tuple[int, str]] = field(default_factory=list)
-    lists: dict[str, api.EndpointState] = field(default_factory=dict)
+class Model:
+    """The decisions and all that is around them, changed event by event. Requests are named r0, r1, ..."""
+
+    specs: list[RequestSpec]
+    now_ns: int = START_NS
+    in_flight: dict[str, AttemptInFlight] = field(default_factory=dict)
+    attempt_counts: dict[str, int] = field(default_factory=dict)
+    may_have_run_ns: dict[str, list[int]] = field(default_factory=dict)  # when such attempts were sent
+    final_answers: dict[str, str] = field(default_factory=dict)
+    deadlines_ns: dict[str, int] = field(default_factory=dict)
+    timers: list[Timer] = field(default_factory=list)
+    server_states: dict[str, api.EndpointState] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         settings = api.Settings(
-            CLASSES, cache_aside=True, origin_kind=1, max_attempts=3, retry_after_allowed=True
+            CLASSES, cache_aside=True, origin_kind=1, max_attempts=MAX_ATTEMPTS, retry_after_allowed=True
         )
-        settings.max_retry_after_ns = SECOND
+        settings.max_retry_after_ns = NS_PER_S
         self.balancer = Balancer(settings, 1, OverloadController(settings, 1))
-        self.lists = dict.fromkeys(SERVERS, api.EndpointState.READY)
-        rows = [api.Endpoint(name) for name in SERVERS] + [api.Endpoint(ORIGIN, kind=1)]
-        self._tell(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, rows))
+        self.server_states = dict.fromkeys(CACHE_SERVERS, api.EndpointState.READY)
+        endpoints = [api.Endpoint(name) for name in CACHE_SERVERS] + [api.Endpoint(ORIGIN, kind=1)]
+        self._handle(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, endpoints))
+
+    # events
 
-    def events(self) -> Iterator[Event]:
+    def enabled_events(self) -> Iterator[Event]:
         """What may happen next."""
         for number in range(len(self.specs)):
             name = f"r{number}"
-            if name not in self.due:
+            if name not in self.deadlines_ns:
                 yield "arrive", name
                 break  # they come in their order: each other order is the same but for names
-        for name, (_, server, _, _) in self.out.items():
-            for status in (
-                api.AttemptStatus.OK,
-                api.AttemptStatus.RESET,
-                api.AttemptStatus.CONNECT_FAILED,
-                api.AttemptStatus.FULL,
-            ):
+        for name, attempt in self.in_flight.items():
+            for status in CACHE_ENDS:
                 yield "end", name, status
-            yield "end", name, api.AttemptStatus.ERROR if server == ORIGIN else api.AttemptStatus.MISS
-        for name in self.due:
-            if name not in self.final:
+            from_origin = attempt.server == ORIGIN
+            yield "end", name, api.AttemptStatus.ERROR if from_origin else api.AttemptStatus.MISS
+        for name in self.deadlines_ns:
+            if name not in self.final_answers:
                 yield "leave", name
-        for server, state in self.lists.items():
-            yield (
-                "list",
-                server,
-                api.EndpointState.READY if state is api.EndpointState.GONE else api.EndpointState.GONE,
-            )
+        for server, state in self.server_states.items():
+            is_gone = state is api.EndpointState.GONE
+            yield "list", server, api.EndpointState.READY if is_gone else api.EndpointState.GONE
             if state is api.EndpointState.READY:
                 yield "list", server, api.EndpointState.DRAINING
         yield ("wait",)
 
-    def play(self, event: Event) -> None:
-        """Plays an event; raises BreachError."""
+    def apply(self, event: Event) -> None:
+        """Plays an event; raises InvariantViolationError."""
         match event:
             case ("arrive", name):
-                spec = self.specs[int(name[1:])]
-                self.due[name] = self.now + CLASSES[spec.cls].deadline_ns
-                repeat = bool(spec.order) and name != "r0"
-                told = (name, spec.cls, self.due[name], spec.key, spec.write, 0, repeat, spec.order)
-                self._tell(api.Request(*told))
+                self._arrive(name)
             case ("end", name, status):
-                self._end(name, api.AttemptStatus(status))
+                self._end_attempt(name, api.AttemptStatus(status))
             case ("leave", name):
-                self.final[name] = "left"
-                self._tell(api.ClientGone(name))
+                self.final_answers[name] = "left"
+                self._handle(api.ClientGone(name))
             case ("list", server, state):
-                self.lists[server] = api.EndpointState(state)
-                self._tell(
-                    api.EndpointUpdate(
-                        api.EndpointUpdateKind.DELTA, [api.Endpoint(server, api.EndpointState(state))]
-                    )
-                )
+                self.server_states[server] = api.EndpointState(state)
+                endpoint = api.Endpoint(server, api.EndpointState(state))
+                self._handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [endpoint]))
             case _:
                 self._wait()
 
+    def _arrive(self, name: str) -> None:
+        spec = self._spec_of(name)
+        deadline_ns = self.now_ns + CLASSES[spec.class_index].deadline_ns
+        self.deadlines_ns[name] = deadline_ns
+        is_client_retry = bool(spec.idempotency_key) and name != "r0"
+        self._handle(
+            api.Request(
+                name,
+                spec.class_index,
+                deadline_ns,
+                spec.key,
+                spec.write,
+                0,
+                is_client_retry,
+                spec.idempotency_key,
+            )
+        )
+
     def _wait(self) -> None:
-        """Time goes on to what is next, an attempt's time, a deadline or a step; alarms come on the way."""
-        marks = [until for _, _, _, until in self.out.values()]
-        marks += [at for name, at in self.due.items() if name not in self.final]
-        until = min([self.now + STEP, *(at for at in marks if at > self.now)])
-        while self.wakes and min(self.wakes)[0] <= until:
-            alarm = min(self.wakes)
-            self.wakes.remove(alarm)
-            self.now = max(self.now, alarm[0])
-            self._tell(api.TimerFired(alarm[1]))
-        self.now = until
-        for name, (_, _, _, end) in list(self.out.items()):
-            if end <= self.now:
-                self._end(name, api.AttemptStatus.TIMEOUT)
-        for name, at in self.due.items():
-            if at <= self.now and name not in self.final:
-                raise BreachError(f"rule 1: {name} has no answer at its deadline")
-
-    def _end(self, name: str, status: api.AttemptStatus) -> None:
-        number, server, sent, _ = self.out.pop(name)
-        if status not in RAN and sent in self.ran.get(name, []):
-            self.ran[name].remove(sent)  # it is known not to have run
-        answered = status is api.AttemptStatus.OK and name not in self.final
-        if answered:
-            self.final[name] = "served"
-        closed = name in self.final
-        self._tell(api.AttemptFinished(name, number, server, status, closed, max(1, self.now - sent)))
-
-    def _tell(self, event: api.Event) -> None:
-        for action in self.balancer.handle(self.now, event):
+        """Time goes on to the next time-out or deadline, or by a step; timers fire on the way."""
+        due_ns = [attempt.timeout_ns for attempt in self.in_flight.values()]
+        due_ns += [at_ns for name, at_ns in self.deadlines_ns.items() if name not in self.final_answers]
+        until_ns = min([self.now_ns + TIME_STEP_NS, *(at_ns for at_ns in due_ns if at_ns > self.now_ns)])
+        while self.timers and min(self.timers).due_ns <= until_ns:
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now_ns = max(self.now_ns, timer.due_ns)
+            self._handle(api.TimerFired(timer.token))
+        self.now_ns = until_ns
+        for name, attempt in list(self.in_flight.items()):
+            if attempt.timeout_ns <= self.now_ns:
+                self._end_attempt(name, api.AttemptStatus.TIMEOUT)
+        for name, deadline_ns in self.deadlines_ns.items():
+            if deadline_ns <= self.now_ns and name not in self.final_answers:
+                raise InvariantViolationError(f"rule 1: {name} has no answer at its deadline")
+
+    def _end_attempt(self, name: str, status: api.AttemptStatus) -> None:
+        attempt = self.in_flight.pop(name)
+        if status not in MAY_HAVE_RUN and attempt.sent_ns in self.may_have_run_ns.get(name, []):
+            self.may_have_run_ns[name].remove(attempt.sent_ns)  # it is known not to have run
+        if status is api.AttemptStatus.OK and name not in self.final_answers:
+            self.final_answers[name] = "served"
+        answered = name in self.final_answers
+        took_ns = max(1, self.now_ns - attempt.sent_ns)
+        self._handle(api.AttemptFinished(name, attempt.number, attempt.server, status, answered, took_ns))
+
+    def _handle(self, event: api.Event) -> None:
+        """Gives the decisions an event, and checks and takes their actions."""
+        for action in self.balancer.handle(self.now_ns, event):
             match action:
                 case api.StartAttempt():
-                    self._sent(action)
+                    self._check_attempt(action)
+                    self._start_attempt(action)
                 case api.Reject() | api.Fail():
-                    self._answered(action)
+                    self._check_answer(action)
+                    self.final_answers[action.id] = type(action).__name__
                 case api.SetTimer():
-                    self.wakes.append((self.now + action.delay_ns, action.token))
-
-    def _sent(self, action: api.StartAttempt) -> None:
-        name, spec = action.id, self.specs[int(action.id[1:])]
-        kind = CLASSES[spec.cls]
-        if name in self.final:
-            raise BreachError(f"rule 1: {name} is sent to {action.server} after its end")
-        if name in self.out:
-            raise BreachError(f"rule 2: two attempts of {name} at once")
-        if self.made.get(name, 0) >= 3:
-            raise BreachError(f"rule 2: a fourth attempt of {name}")
-        if self.lists.get(action.server, api.EndpointState.READY) is not api.EndpointState.READY:
-            raise BreachError(f"rule 3: {name} is sent to {action.server}, which drains or is gone")
-        same = [one for one in self.due if spec.order and self.specs[int(one[1:])].order == spec.order]
-        if any(one in self.out for one in same):
-            raise BreachError(f"rule 2: two attempts of order {spec.order} at once")
+                    self.timers.append(Timer(self.now_ns + action.delay_ns, action.token))
+
+    def _start_attempt(self, action: api.StartAttempt) -> None:
+        name = action.id
+        number = self.attempt_counts.get(name, 0)
+        self.attempt_counts[name] = number + 1
+        timeout_ns = self.deadlines_ns[name]
+        if action.timeout_ns:
+            timeout_ns = min(timeout_ns, self.now_ns + action.timeout_ns)
+        self.in_flight[name] = AttemptInFlight(number, action.server, self.now_ns, timeout_ns)
+        self.may_have_run_ns.setdefault(name, []).append(self.now_ns)
+
+    def _spec_of(self, name: str) -> RequestSpec:
+        return self.specs[int(name[1:])]
+
+    # invariants
+
+    def _check_attempt(self, action: api.StartAttempt) -> None:
+        """Rules 1 to 3 on a new attempt: an open request, no other attempt, a server that takes it."""
+        name = action.id
+        if name in self.final_answers:
+            raise InvariantViolationError(f"rule 1: {name} is sent to {action.server} after its end")
+        if name in self.in_flight:
+            raise InvariantViolationError(f"rule 2: two attempts of {name} at once")
+        if self.attempt_counts.get(name, 0) >= MAX_ATTEMPTS:
+            raise InvariantViolationError(f"rule 2: a fourth attempt of {name}")
+        state = self.server_states.get(action.server, api.EndpointState.READY)
+        if state is not api.EndpointState.READY:
+            raise InvariantViolationError(
+                f"rule 3: {name} is sent to {action.server}, which drains or is gone"
+            )
+        self._check_repeat(name)
+
+    def _check_repeat(self, name: str) -> None:
+        """Rule 2 on a new attempt of what may have run already, also by another request of the same order."""
+        spec = self._spec_of(name)
+        request_class = CLASSES[spec.class_index]
+        same_order = [
+            other
+            for other in self.deadlines_ns
+            if spec.idempotency_key and self._spec_of(other).idempotency_key == spec.idempotency_key
+        ]
+        if any(other in self.in_flight for other in same_order):
+            raise InvariantViolationError(f"rule 2: two attempts of order {spec.idempotency_key} at once")
         # Other requests for an order are remembered for its window and the longest deadline, and no longer.
-        kept = self.now - kind.dedup_window_ns - max(one.deadline_ns for one in CLASSES)
-        before = self.ran.get(name, []) + [
-            at for one in same if one != name for at in self.ran.get(one, []) if at > kept
+        remembered_ns = self.now_ns - request_class.dedup_window_ns - LONGEST_DEADLINE_NS
+        earlier_ns = self.may_have_run_ns.get(name, []) + [
+            at_ns
+            for other in same_order
+            if other != name
+            for at_ns in self.may_have_run_ns.get(other, [])
+            if at_ns > remembered_ns
         ]
-        if before and kind.idempotency is api.Idempotency.NOT_IDEMPOTENT:
-            raise BreachError(f"rule 2: {name} may have run, and is sent again")
-        if (
-            before
-            and kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
-            and self.now >= min(before) + kind.dedup_window_ns
-        ):
-            raise BreachError(f"rule 2: {name} is sent again after its window")
-        number, self.made[name] = self.made.get(name, 0), self.made.get(name, 0) + 1
-        until = min(self.due[name], self.now + action.timeout_ns) if action.timeout_ns else self.due[name]
-        self.out[name] = number, action.server, self.now, until
-        self.ran.setdefault(name, []).append(self.now)
-
-    def _answered(self, action: api.Reject | api.Fail) -> None:
-        name, spec = action.id, self.specs[int(action.id[1:])]
-        kind = CLASSES[spec.cls]
-        if name in self.final:
-            raise BreachError(f"rule 1: a second answer to {name}")
-        if name in self.out:
-            raise BreachError(f"rule 1: {name} is answered while its attempt is out")
-        if isinstance(action, api.Reject):
-            ran = self.ran.get(name, [])
-            kept = (
-                kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
-                and ran
-                and self.now < min(ran) + kind.dedup_window_ns
-            )
-            if ran and kind.idempotency is not api.Idempotency.IDEMPOTENT and not kept:
-                raise BreachError(f"rule 2: {name} may have run, and is refused")
-        self.final[name] = type(action).__name__
+        if not earlier_ns:
+            return
+        if request_class.idempotency is api.Idempotency.NOT_IDEMPOTENT:
+            raise InvariantViolationError(f"rule 2: {name} may have run, and is sent again")
+        window_is_over = self.now_ns >= min(earlier_ns) + request_class.dedup_window_ns
+        if request_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY and window_is_over:
+            raise InvariantViolationError(f"rule 2: {name} is sent again after its window")
+
+    def _check_answer(self, action: api.Reject | api.Fail) -> None:
+        """Rules 1 and 2 on a final answer: one only, and none that denies what may have run."""
+        name = action.id
+        if name in self.final_answers:
+            raise InvariantViolationError(f"rule 1: a second answer to {name}")
+        if name in self.in_flight:
+            raise InvariantViolationError(f"rule 1: {name} is answered while its attempt is out")
+        may_have_run_ns = self.may_have_run_ns.get(name, [])
+        if not isinstance(action, api.Reject) or not may_have_run_ns:
+            return
+        request_class = CLASSES[self._spec_of(name).class_index]
+        # Within the window a client's retry is dropped where the first one has run.
+        in_window = (
+            request_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and self.now_ns < min(may_have_run_ns) + request_class.dedup_window_ns
+        )
+        if request_class.idempotency is not api.Idempotency.IDEMPOTENT and not in_window:
+            raise InvariantViolationError(f"rule 2: {name} may have run, and is refused")
 
 
 @dataclass
-class Found:
+class SearchResult:
     """What a search came to."""
 
-    states: int = 0
-    steps: int = 0
+    states: int = 0  # that differ
+    steps: int = 0  # events played
     depth: int = 0
-    breach: str = ""
-    events: tuple[Event, ...] = ()
-
-
-def search(specs: list[Spec], depth: int, most: int = 1 << 30) -> Found:
-    """Plays every interleaving to a depth, or as many steps as allowed; stops at the first breach."""
-    found, met = Found(), set()
-    level: list[tuple[Event, ...]] = [()]
-    for found.depth in range(1, depth + 1):
-        after: list[tuple[Event, ...]] = []
-        for path in level:
-            for event in list(_replayed(specs, path).events()):
-                if found.steps >= most:
-                    return found
-                found.steps += 1
-                world = _replayed(specs, path)
+    violation: str = ""
+    counterexample: tuple[Event, ...] = ()
+
+
+def search(specs: list[RequestSpec], depth: int, max_steps: int = NO_BOUND) -> SearchResult:
+    """Plays every interleaving to a depth, or as many steps as allowed; stops at the first violation."""
+    result = SearchResult()
+    reached: set[bytes] = set()
+    frontier: list[tuple[Event, ...]] = [()]
+    for result.depth in range(1, depth + 1):
+        next_frontier: list[tuple[Event, ...]] = []
+        for path in frontier:
+            for event in list(_replay(specs, path).enabled_events()):
+                if result.steps >= max_steps:
+                    return result
+                result.steps += 1
+                model = _replay(specs, path)
                 try:
-                    world.play(event)
-                except BreachError as problem:
-                    found.breach, found.events = str(problem), (*path, event)
-                    return found
-                mark = fingerprint(world)
-                if mark not in met:
-                    met.add(mark)
-                    found.states = len(met)
-                    after.append((*path, event))
-        level = after
-    return found
-
-
-def _replayed(specs: list[Spec], path: tuple[Event, ...]) -> World:
-    world = World(specs)
+                    model.apply(event)
+                except InvariantViolationError as problem:
+                    result.violation = str(problem)
+                    result.counterexample = (*path, event)
+                    return result
+                state = fingerprint(model)
+                if state not in reached:
+                    reached.add(state)
+                    result.states = len(reached)
+                    next_frontier.append((*path, event))
+        frontier = next_frontier
+    return result
+
+
+def _replay(specs: list[RequestSpec], path: tuple[Event, ...]) -> Model:
+    """The model after some events: the decisions can't be copied."""
+    model = Model(specs)
     for event in path:
-        world.play(event)
-    return world
+        model.apply(event)
+    return model
 
 
-def fingerprint(world: World) -> bytes:
-    """A hash of all that the world and its decisions hold."""
+def fingerprint(model: Model) -> bytes:
+    """A hash of all that the model and its decisions hold."""
     digest = hashlib.blake2b(digest_size=16)
-    seen: dict[int, int] = {}
-    waiting: list[Any] = [world]
+    order_of_object: dict[int, int] = {}
+    waiting: list[Any] = [model]
     while waiting:
-        one = waiting.pop()
-        if one is None or isinstance(one, int | float | str | bytes | Enum):
-            digest.update(repr(one).encode())
+        value = waiting.pop()
+        if value is None or isinstance(value, int | float | str | bytes | Enum):
+            digest.update(repr(value).encode())
             continue
-        if id(one) in seen:
-            digest.update(b"@%d" % seen[id(one)])
+        if id(value) in order_of_object:
+            digest.update(b"@%d" % order_of_object[id(value)])
             continue
-        seen[id(one)] = len(seen)
-        digest.update(type(one).__name__.encode())
-        waiting += _inside(one)
+        order_of_object[id(value)] = len(order_of_object)
+        digest.update(type(value).__name__.encode())
+        waiting += _contents(value)
     return digest.digest()
 
 
-def _inside(one: Any) -> list[Any]:
-    if isinstance(one, Random | type | types.ModuleType):
+def _contents(value: Any) -> list[Any]:
+    """What an object holds, in an order that does not hang on where it lies in memory."""
+    if isinstance(value, Random | type | types.ModuleType):
         return []
-    if isinstance(one, types.MethodType):
-        return [one.__func__.__qualname__, one.__self__]
-    if isinstance(one, types.FunctionType):
-        return [one.__qualname__, *(cell.cell_contents for cell in one.__closure__ or ())]
-    if isinstance(one, dict):
-        return [part for row in one.items() for part in row]
-    if isinstance(one, set | frozenset):
-        return sorted(one, key=repr)
-    if isinstance(one, list | tuple) or hasattr(one, "__iter__"):
-        return list(one)
-    names = [name for kind in type(one).__mro__ for name in getattr(kind, "__slots__", ())]
-    return [*(getattr(one, name, None) for name in names), *getattr(one, "__dict__", {}).values()]
+    if isinstance(value, types.MethodType):
+        return [value.__func__.__qualname__, value.__self__]
+    if isinstance(value, types.FunctionType):
+        return [value.__qualname__, *(cell.cell_contents for cell in value.__closure__ or ())]
+    if isinstance(value, dict):
+        return [part for item in value.items() for part in item]
+    if isinstance(value, set | frozenset):
+        return sorted(value, key=repr)
+    if isinstance(value, list | tuple) or hasattr(value, "__iter__"):
+        return list(value)
+    slots = [name for kind in type(value).__mro__ for name in getattr(kind, "__slots__", ())]
+    return [*(getattr(value, name, None) for name in slots), *getattr(value, "__dict__", {}).values()]
--- a/rainhitch/rehearsal/explore/shrink.py
+++ b/rainhitch/rehearsal/explore/shrink.py
@@ -1,5 +1,7 @@
-"""The smallest scenario that still does what a larger one did: parts are left out, numbers made usual or
-smaller, as long as `still` says yes. Greedy, and bounded in plays.
+"""Shrinks a failing test case.
+
+Parts of its scenario are left out, numbers made usual or smaller, as long as it still fails. Greedy, and
+bounded in runs.
 """
 
 import copy
@@ -7,75 +9,118 @@
 from typing import Any
 
 Json = dict[str, Any]
-KEPT = ("about", "must")
-
-
-def shrink(source: Json, still: Callable[[Json], bool], most: int = 200) -> tuple[Json, int]:
-    """The smallest that was found, and how many plays it took."""
-    plays, again = 0, True
-    while again:
-        again = False
-        for smaller in list(steps(source)):
-            if plays >= most:
-                return source, plays
-            plays += 1
-            if still(smaller):
-                source, again = smaller, True
+REQUIRED_KEYS = ("about", "must")
+REQUIRED_TABLES = ("day", "traffic")
+# Whose usual value is larger than those that are generated: without it a run only takes longer.
+KEPT_SETTINGS = (("day", "length_s"), ("fleet", "memory_keys"))
+MAX_RUNS = 200
+MIN_LENGTH_S = 1
+SHORTER_FRACTION = 0.9  # of the length; a run is shortened only to less than that
+AFTER_LAST_FAULT_S = 1
+MIN_RATE_PER_S = 2
+MIN_FAULT_AT_S = 0.1
+
+
+def shrink(tables: Json, still_fails: Callable[[Json], bool], max_runs: int = MAX_RUNS) -> tuple[Json, int]:
+    """The smallest scenario that was found for which `still_fails`, and how many runs that took."""
+    runs = 0
+    progressed = True
+    while progressed:
+        progressed = False
+        for candidate in list(smaller_candidates(tables)):
+            if runs >= max_runs:
+                return tables, runs
+            runs += 1
+            if still_fails(candidate):
+                tables = candidate
+                progressed = True
                 break
-    return source, plays
+    return tables, runs
 
 
-def steps(source: Json) -> Iterator[Json]:
+def smaller_candidates(tables: Json) -> Iterator[Json]:
     """Each scenario that is one step smaller, the large steps first."""
-    faults = source.get("faults", [])
+    yield from _with_fewer_faults(tables)
+    yield from _with_fewer_settings(tables)
+    yield from _with_fewer_classes(tables)
+    yield from _with_shorter_run(tables)
+    yield from _with_less_load(tables)
+    yield from _with_smaller_fleet(tables)
+    yield from _with_earlier_faults(tables)
+
+
+def _with(tables: Json, key: str, value: Any) -> Json:
+    """A copy with one table in place of its own."""
+    copied = copy.deepcopy(tables)
+    copied[key] = copy.deepcopy(value)
+    return copied
+
+
+def _without_key(table: Json, key: str) -> Json:
+    return {name: value for name, value in table.items() if name != key}
+
+
+def _with_fewer_faults(tables: Json) -> Iterator[Json]:
+    faults = tables.get("faults", [])
     if len(faults) > 1:
         half = len(faults) // 2
-        yield from (_with(source, "faults", part) for part in (faults[:half], faults[half:]))
+        yield _with(tables, "faults", faults[:half])
+        yield _with(tables, "faults", faults[half:])
     for number in range(len(faults)):
-        yield _with(source, "faults", faults[:number] + faults[number + 1 :])
-    for name, table in source.items():
-        if name in ("classes", "faults", *KEPT):
+        yield _with(tables, "faults", faults[:number] + faults[number + 1 :])
+
+
+def _with_fewer_settings(tables: Json) -> Iterator[Json]:
+    """Without a table, or without one setting of it, which then has its usual value."""
+    for name, table in tables.items():
+        if name in ("classes", "faults", *REQUIRED_KEYS):
             continue
-        if name not in ("day", "traffic") and "memory_keys" not in table:
-            yield {key: value for key, value in source.items() if key != name}
+        if name not in REQUIRED_TABLES and "memory_keys" not in table:
+            yield _without_key(tables, name)
         for key in table:
-            if (name, key) in (("day", "length_s"), ("fleet", "memory_keys")):
-                continue  # the usual one is larger
-            yield _with(source, name, {one: value for one, value in table.items() if one != key})
-    if "classes" in source:
-        yield {key: value for key, value in source.items() if key != "classes"}
-        if len(source["classes"]) > 1:
-            for number in range(len(source["classes"])):
-                yield _with(source, "classes", [c for n, c in enumerate(source["classes"]) if n != number])
-    yield from _smaller(source)
-
-
-def _with(source: Json, key: str, value: Any) -> Json:
-    made = copy.deepcopy(source)
-    made[key] = copy.deepcopy(value)
-    return made
-
-
-def _smaller(source: Json) -> Iterator[Json]:
-    """Numbers nearer to nothing."""
-    length = source["day"]["length_s"]
-    last = max((one["at_s"] + one.get("for_s", 0) for one in source.get("faults", [])), default=0.0)
-    for shorter in (length / 2, last + 1):
-        if 1 <= shorter < length * 0.9:
-            yield _with(source, "day", {**source["day"], "length_s": round(shorter, 1)})
-    rate = source.get("traffic", {}).get("rate")
-    if rate is not None and rate > 2:
-        yield _with(source, "traffic", {**source["traffic"], "rate": round(rate / 2, 1)})
-    fleet = source.get("fleet", {})
+            if (name, key) not in KEPT_SETTINGS:
+                yield _with(tables, name, _without_key(table, key))
+
+
+def _with_fewer_classes(tables: Json) -> Iterator[Json]:
+    if "classes" not in tables:
+        return
+    classes = tables["classes"]
+    yield _without_key(tables, "classes")
+    if len(classes) > 1:
+        for number in range(len(classes)):
+            yield _with(tables, "classes", classes[:number] + classes[number + 1 :])
+
+
+def _with_shorter_run(tables: Json) -> Iterator[Json]:
+    length_s = tables["day"]["length_s"]
+    fault_ends_s = [fault["at_s"] + fault.get("for_s", 0) for fault in tables.get("faults", [])]
+    last_end_s = max(fault_ends_s, default=0.0)
+    for shorter_s in (length_s / 2, last_end_s + AFTER_LAST_FAULT_S):
+        if MIN_LENGTH_S <= shorter_s < length_s * SHORTER_FRACTION:
+            yield _with(tables, "day", {**tables["day"], "length_s": round(shorter_s, 1)})
+
+
+def _with_less_load(tables: Json) -> Iterator[Json]:
+    rate_per_s = tables.get("traffic", {}).get("rate")
+    if rate_per_s is not None and rate_per_s > MIN_RATE_PER_S:
+        yield _with(tables, "traffic", {**tables["traffic"], "rate": round(rate_per_s / 2, 1)})
+
+
+def _with_smaller_fleet(tables: Json) -> Iterator[Json]:
+    fleet = tables.get("fleet", {})
     if fleet.get("routers", 0) > 1:
-        yield _with(source, "fleet", {**fleet, "routers": fleet["routers"] - 1})
+        yield _with(tables, "fleet", {**fleet, "routers": fleet["routers"] - 1})
     for number, kind in enumerate(fleet.get("nodes", [])):
         if kind["count"] > 1:
-            rows = copy.deepcopy(fleet["nodes"])
-            rows[number]["count"] -= 1
-            yield _with(source, "fleet", {**fleet, "nodes": rows})
-    for number, fault in enumerate(source.get("faults", [])):
-        if fault["at_s"] > 0.1:
-            rows = copy.deepcopy(source["faults"])
-            rows[number]["at_s"] = round(fault["at_s"] / 2, 3)
-            yield _with(source, "faults", rows)
+            kinds = copy.deepcopy(fleet["nodes"])
+            kinds[number]["count"] -= 1
+            yield _with(tables, "fleet", {**fleet, "nodes": kinds})
+
+
+def _with_earlier_faults(tables: Json) -> Iterator[Json]:
+    for number, fault in enumerate(tables.get("faults", [])):
+        if fault["at_s"] > MIN_FAULT_AT_S:
+            faults = copy.deepcopy(tables["faults"])
+            faults[number]["at_s"] = round(fault["at_s"] / 2, 3)
+            yield _with(tables, "faults", faults)
--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -11,10 +11,10 @@
 import pytest
 
 from rainhitch.rehearsal.explore import corpus
+from rainhitch.rehearsal.explore.case_runner import CaseResult, FuzzCase, fuzz_case, run_case
 from rainhitch.rehearsal.explore.explorer import Explorer
-from rainhitch.rehearsal.explore.findings import Case, Result, case, examine
-from rainhitch.rehearsal.explore.grammar import draw_scenario, mutate, valid
-from rainhitch.rehearsal.explore.shrink import shrink, steps
+from rainhitch.rehearsal.explore.grammar import generate_scenario, mutate_scenario, parse_scenario
+from rainhitch.rehearsal.explore.shrink import shrink, smaller_candidates
 
 Json = dict[str, Any]
 CORPUS = Path(__file__).parents[1] / "corpus"
@@ -30,21 +30,21 @@
 
 @pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
 def test_what_was_found_once_does_not_come_back(path: Path) -> None:
-    result = examine(corpus.read(path), cover=False)
-    assert not result.kinds, result.detail
+    result = run_case(corpus.read(path), with_coverage=False)
+    assert not result.failure_kinds, result.details
 
 
 def test_what_is_drawn_and_changed_is_a_scenario_and_the_same_for_the_same_seed() -> None:
     random, again = Random("x"), Random("x")
     for _ in range(60):
-        one = draw_scenario(random)
-        assert valid(one) is not None and one == draw_scenario(again)
-        other = mutate(random, one)
-        assert valid(other) is not None and other != one and other == mutate(again, one)
+        one = generate_scenario(random)
+        assert parse_scenario(one) is not None and one == generate_scenario(again)
+        other = mutate_scenario(random, one)
+        assert parse_scenario(other) is not None and other != one and other == mutate_scenario(again, one)
 
 
 def test_a_case_is_made_as_small_as_what_it_shows_allows() -> None:
-    source = draw_scenario(Random("shrink"))
+    source = generate_scenario(Random("shrink"))
     source["faults"] = [{"kind": "list-silent", "at_s": 0.2, "for_s": 0.1}] * 3 + [
         {"kind": "database-stop", "at_s": 1.0, "for_s": 0.5}
     ]
@@ -56,11 +56,17 @@
     smallest, plays = shrink(source, still, 500)
     assert [fault["kind"] for fault in smallest["faults"]] == ["database-stop"]
     assert "classes" not in smallest and "clients" not in smallest and 0 < plays < 500
-    assert all(not still(one) or one == smallest for one in steps(smallest) if "faults" not in one)
+    assert all(
+        not still(one) or one == smallest for one in smaller_candidates(smallest) if "faults" not in one
+    )
 
 
 def test_a_case_is_read_back_as_it_was_kept(tmp_path: Path) -> None:
-    result = Result(case(draw_scenario(Random("kept")), 77), kinds=["lost: a thing"], detail=["1.0 s lost"])
+    result = CaseResult(
+        fuzz_case(generate_scenario(Random("kept")), 77),
+        failure_kinds=["lost: a thing"],
+        details=["1.0 s lost"],
+    )
     path = corpus.keep(tmp_path, result)
     assert path.name == "lost-a-thing-77.toml" and corpus.read(path) == result.case
 
@@ -79,11 +85,11 @@
 
     monkeypatch.setattr(RequestDriver, "_answer", forgets)
     faults = [{"kind": "database-stop", "at_s": 0.2, "for_s": 1.0}]
-    result = examine(case({**SMALL, "faults": faults}, 1))
-    assert any(kind.startswith("lost") for kind in result.kinds)
+    result = run_case(fuzz_case({**SMALL, "faults": faults}, 1))
+    assert any(kind.startswith("lost") for kind in result.failure_kinds)
 
 
-def _play_one(one: Case, cover: bool = True) -> Result:
+def _play_one(one: FuzzCase, with_coverage: bool = True) -> CaseResult:
     """In place of a day, in a process of the pool: each kind of process that can't go on."""
     if one.seed == 1:
         os._exit(1)
@@ -93,45 +99,45 @@
             while True:
                 held.append(bytearray(1 << 28))
         except MemoryError:
-            result = Result(one)
-            result.add("memory", "no more")
+            result = CaseResult(one)
+            result.add_failure("memory", "no more")
             return result
     if one.seed == 3:
-        result = Result(one)
+        result = CaseResult(one)
         try:
             while True:
                 time.sleep(0.01)
         except KeyboardInterrupt:
-            result.add("endless", "stopped")
+            result.add_failure("endless", "stopped")
             return result
-    return Result(one, 1.0)
+    return CaseResult(one, 1.0)
 
 
 def test_a_day_that_hangs_leaks_or_dies_does_not_end_the_search(monkeypatch: pytest.MonkeyPatch) -> None:
     from rainhitch.rehearsal.explore import explorer as module
 
-    monkeypatch.setattr(module, "bounded", _guarded)
-    monkeypatch.setattr(module, "smaller", _same)
-    found: list[Result] = []
-    cases = [case(SMALL, seed) for seed in (3, 2, 1)]
+    monkeypatch.setattr(module, "run_case_in_time", _guarded)
+    monkeypatch.setattr(module, "shrink_failure", _same)
+    found: list[CaseResult] = []
+    cases = [fuzz_case(SMALL, seed) for seed in (3, 2, 1)]
     explorer = Explorer(1, 2, cases, found.append)
-    explorer.fresh = []
+    explorer.corpus = []
     tally = explorer.run(6, 60)
-    assert tally.died == 1 and tally.days >= 6
-    assert {"memory", "endless", "died"} == {result.kinds[0] for result in found}
+    assert tally.died == 1 and tally.runs >= 6
+    assert {"memory", "endless", "died"} == {result.failure_kinds[0] for result in found}
 
 
-def _guarded(one: Case, cover: bool = True) -> Result:
+def _guarded(one: FuzzCase, with_coverage: bool = True) -> CaseResult:
     import signal
 
     signal.setitimer(signal.ITIMER_REAL, 0.5 if one.seed == 3 else 30)
     try:
-        return _play_one(one, cover)
+        return _play_one(one, with_coverage)
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
 
 
-def _same(found: Result) -> Result:
+def _same(found: CaseResult) -> CaseResult:
     return found
 
 
--- a/tests/virtual/test_model.py
+++ b/tests/virtual/test_model.py
@@ -9,13 +9,13 @@
 from rainhitch.policy import retry_policy
 from rainhitch.policy.balancer import Balancer
 from rainhitch.policy.pending_request import PendingRequest, RequestState
-from rainhitch.rehearsal.explore.model import WORLDS, World, fingerprint, search
+from rainhitch.rehearsal.explore.model import MODELS, Model, fingerprint, search
 
 
-@pytest.mark.parametrize("name", WORLDS)
+@pytest.mark.parametrize("name", MODELS)
 def test_no_interleaving_of_a_small_world_breaks_a_rule(name: str) -> None:
-    found = search(WORLDS[name], 4, 1500)
-    assert found.breach == "" and found.states > 500, found.events
+    found = search(MODELS[name], 4, 1500)
+    assert found.violation == "" and found.states > 500, found.counterexample
 
 
 def sends_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -54,20 +54,20 @@
     mutant: Callable[[pytest.MonkeyPatch], None], world: str, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutant(monkeypatch)
-    found = search(WORLDS[world], 6, 6000)
-    assert rule in found.breach
-    again = World(WORLDS[world])
-    for event in found.events[:-1]:
-        again.play(event)
+    found = search(MODELS[world], 6, 6000)
+    assert rule in found.violation
+    again = Model(MODELS[world])
+    for event in found.counterexample[:-1]:
+        again.apply(event)
     with pytest.raises(Exception, match=rule):
-        again.play(found.events[-1])
+        again.apply(found.counterexample[-1])
 
 
 def test_states_are_the_same_by_what_they_hold_and_not_by_who_holds_it() -> None:
     def after(*events: Any) -> bytes:
-        world = World(WORLDS["a read, an order"])
+        world = Model(MODELS["a read, an order"])
         for event in events:
-            world.play(event)
+            world.apply(event)
         return fingerprint(world)
 
     assert after() == after()
