--- a/tests/virtual/test_differential.py
+++ b/tests/virtual/test_differential.py
@@ -1,9 +1,15 @@
-"""One script of what sockets do, on uvloop, on asyncio's own loop and on the virtual one: the callbacks must
-be the same. The simulator must not be kinder than the world.
-
-A script is steps at either end of a connection, c or s, with time for all to arrive between them. Each is
-played with the ends as they are and exchanged. What is compared is what each end's protocol is told, in its
-order, with data joined, and whether a loss came with an error.
+"""Differential test of the virtual network against uvloop and asyncio's own loop: the same script of socket
+operations must make the same protocol callbacks. The simulation must not be kinder than real sockets.
+
+A script is steps at either end of a connection, c (client) or s (server): `;` between steps, with time for
+all to arrive after each, `,` between what both ends do in one turn, `+` between what one end does in one
+turn. Each script is run with the ends as they are and exchanged. What is compared is the callbacks of each
+end's protocol, in order, with data joined, and whether `connection_lost` came with an error.
+
+    write N or L, eof, close, abort, linger    as a transport's; L is `LARGE_BYTES`; linger: a close resets
+    pause, resume, limit N                     reading, and the limit of the write buffer
+    stay                                       `eof_received` keeps the connection open
+    bye, cut, halt, echo                       on data: closes, aborts, pauses reading, answers and closes
 """
 
 import asyncio
@@ -20,8 +26,8 @@
 from rainhitch.rehearsal.virtual.network import Network
 from rainhitch.rehearsal.virtual.system import VirtualSystem
 
-SETTLE = 0.12  # s between steps
-LARGE = 3 << 20  # more than buffers hold
+SETTLE_S = 0.12  # between steps
+LARGE_BYTES = 3 << 20  # more than buffers hold
 SCRIPTS = {
     "nothing": "",
     "a write": "c write 5",
@@ -93,67 +99,70 @@
 }
 
 
-# What comes of these hangs on which of two crossing segments is first, and so on the link's latency.
+# How these end depends on which of two crossing segments is first, and so on the link's latency.
 RACES = ("write as the other closes", "write as it is reset", "large, both ways")
-# How much of these arrives before the end is a matter of how large the buffers are.
-LEFT = ("large, aborted by its sender", "a reader that closes, large")
-SMALL_BUFFER = 32 << 10  # of real sockets, so that LARGE waits in the transport
+# How much of these arrives before the end depends on the size of the buffers.
+PARTLY_DELIVERED = ("large, aborted by its sender", "a reader that closes, large")
+SMALL_BUFFER_BYTES = 32 << 10  # of real sockets, so that a large write waits in the transport
 
 
-class End(asyncio.Protocol):
-    """Notes what it is told."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records its callbacks, and does what a script says."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
-        self.bytes = 0
+        self.callbacks: list[str] = []
+        self.unrecorded_bytes = 0  # of data since the last callback of another kind
         self.transport: Any = None
-        self.manner, self.stays = "", False
-        self.up = asyncio.get_running_loop().create_future()
+        self.on_data = ""  # bye, cut, halt or echo
+        self.stays_after_eof = False
+        self.connected = asyncio.get_running_loop().create_future()
 
-    def note(self, what: str) -> None:
-        if self.bytes:
-            self.told.append(f"data {self.bytes}")
-            self.bytes = 0
-        self.told.append(what)
+    def record(self, callback: str) -> None:
+        """Records a callback behind the data that came before it."""
+        if self.unrecorded_bytes:
+            self.callbacks.append(f"data {self.unrecorded_bytes}")
+            self.unrecorded_bytes = 0
+        self.callbacks.append(callback)
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.note("made")
-        if not self.up.done():
-            self.up.set_result(None)
+        self.record("made")
+        if not self.connected.done():
+            self.connected.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        self.bytes += len(data)
-        if self.manner == "bye":
+        self.unrecorded_bytes += len(data)
+        if self.on_data == "bye":
             self.transport.close()
-        elif self.manner == "cut":
+        elif self.on_data == "cut":
             self.transport.abort()
-        elif self.manner == "halt":
+        elif self.on_data == "halt":
             self.transport.pause_reading()
-        elif self.manner == "echo":
+        elif self.on_data == "echo":
             self.transport.write(data)
             self.transport.close()
 
     def eof_received(self) -> bool:
-        self.note("eof")
-        return self.stays
+        self.record("eof")
+        return self.stays_after_eof
 
     def pause_writing(self) -> None:
-        self.note("pause")
+        self.record("pause")
 
     def resume_writing(self) -> None:
-        self.note("resume")
+        self.record("resume")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.note("lost" if exc is None else "lost with an error")
+        self.record("lost" if exc is None else "lost with an error")
 
-    def act(self, words: str) -> None:
-        for word in words.split("+"):
-            name, _, size = word.strip().partition(" ")
+    def act(self, operations: str) -> None:
+        """Does what a part of a script says, such as `write 5+close`."""
+        for operation in operations.split("+"):
+            name, _, size = operation.strip().partition(" ")
             try:
                 self._act(name or "write", size or name)
             except (RuntimeError, AttributeError):  # asyncio's own, once all is closed
-                self.note(f"{name} refused")
+                self.record(f"{name} refused")
 
     def _act(self, name: str, size: str) -> None:
         match name:
@@ -169,70 +178,77 @@
             case "limit":
                 self.transport.set_write_buffer_limits(int(size))
             case "stay":
-                self.stays = True
+                self.stays_after_eof = True
             case "bye" | "cut" | "halt" | "echo":
-                self.manner = name
+                self.on_data = name
             case _:
-                self.transport.write(bytes(LARGE if size == "L" else int(size)))
+                self.transport.write(bytes(LARGE_BYTES if size == "L" else int(size)))
 
 
-def small(one: socket.socket) -> socket.socket:
-    one.setblocking(False)
+def with_small_buffers(sock: socket.socket) -> socket.socket:
+    """A real socket, ready for a loop, that holds no more than a virtual one."""
+    sock.setblocking(False)
     for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
-        one.setsockopt(socket.SOL_SOCKET, option, SMALL_BUFFER)
-    return one
+        sock.setsockopt(socket.SOL_SOCKET, option, SMALL_BUFFER_BYTES)
+    return sock
 
 
-async def played(script: str, exchanged: bool) -> dict[str, list[str]]:
-    """What both ends were told."""
+async def run_script(script: str, exchanged: bool) -> dict[str, list[str]]:
+    """The callbacks of both ends, by c and s, on the running loop."""
     loop = asyncio.get_running_loop()
-    far = End()
+    far = RecordingProtocol()
     if isinstance(loop, VirtualLoop):
         server = await loop.create_server(lambda: far, "127.0.0.1", 0)
-        _, near = await loop.create_connection(End, *server.sockets[0].getsockname())
+        _, near = await loop.create_connection(RecordingProtocol, *server.sockets[0].getsockname())
     else:
-        here = small(socket.socket())
-        here.bind(("127.0.0.1", 0))
-        server = await loop.create_server(lambda: far, sock=here)
-        one = small(socket.socket())
-        await loop.sock_connect(one, here.getsockname())
-        _, near = await loop.create_connection(End, sock=one)
-    await far.up
+        listener = with_small_buffers(socket.socket())
+        listener.bind(("127.0.0.1", 0))
+        server = await loop.create_server(lambda: far, sock=listener)
+        client = with_small_buffers(socket.socket())
+        await loop.sock_connect(client, listener.getsockname())
+        _, near = await loop.create_connection(RecordingProtocol, sock=client)
+    await far.connected
     ends = {"c": far, "s": near} if exchanged else {"c": near, "s": far}
     for step in script.split(";"):
         for part in step.split(","):
             if part.strip():
-                side, _, words = part.strip().partition(" ")
-                ends[side].act(words)
-        await asyncio.sleep(SETTLE)
-    told = {}
+                side, _, operations = part.strip().partition(" ")
+                ends[side].act(operations)
+        await asyncio.sleep(SETTLE_S)
+    callbacks = {}
     for side, end in ends.items():
-        end.note("end")
-        told[side] = [*end.told]
+        end.record("end")
+        callbacks[side] = [*end.callbacks]
         with contextlib.suppress(AttributeError):
             end.transport.abort()
     server.close()
-    await asyncio.sleep(SETTLE)
-    return told
+    await asyncio.sleep(SETTLE_S)
+    return callbacks
 
 
-async def all_played() -> dict[str, dict[str, list[str]]]:
-    names = [(name, exchanged) for name in SCRIPTS for exchanged in (False, True)]
-    found = await asyncio.gather(*(played(SCRIPTS[name], exchanged) for name, exchanged in names))
-    return {f"{name}{', exchanged' * x}": told for (name, x), told in zip(names, found, strict=True)}
+async def run_all_scripts() -> dict[str, dict[str, list[str]]]:
+    """The callbacks of each script, as it is and with the ends exchanged."""
+    cases = [(name, exchanged) for name in SCRIPTS for exchanged in (False, True)]
+    results = await asyncio.gather(*(run_script(SCRIPTS[name], exchanged) for name, exchanged in cases))
+    return {
+        f"{name}, exchanged" if exchanged else name: result
+        for (name, exchanged), result in zip(cases, results, strict=True)
+    }
 
 
-def virtual(chop: float = 0.0) -> VirtualLoop:
+def make_virtual_loop(chop_fraction: float = 0.0) -> VirtualLoop:
+    """A virtual loop with its network, on which such a part of the writes is split."""
     loop = VirtualLoop()
-    loop.network = Network(loop, 1, chop)
+    loop.network = Network(loop, 1, chop_fraction)
     loop.system = VirtualSystem(loop)
     return loop
 
 
-def run_on(make: Callable[[], asyncio.AbstractEventLoop]) -> dict[str, dict[str, list[str]]]:
-    loop = make()
+def run_on(make_loop: Callable[[], asyncio.AbstractEventLoop]) -> dict[str, dict[str, list[str]]]:
+    """The callbacks of all scripts on a loop of its own."""
+    loop = make_loop()
     try:
-        return loop.run_until_complete(all_played())
+        return loop.run_until_complete(run_all_scripts())
     finally:
         loop.close()
 
@@ -240,65 +256,71 @@
 LOOPS: dict[str, Callable[[], asyncio.AbstractEventLoop]] = {
     "uvloop": uvloop.new_event_loop,
     "asyncio": asyncio.new_event_loop,
-    "virtual": virtual,
-    "virtual, chopped": lambda: virtual(0.7),
+    "virtual": make_virtual_loop,
+    "virtual, chopped": lambda: make_virtual_loop(0.7),
 }
 
 
 @pytest.fixture(scope="module")
-def told() -> dict[str, dict[str, dict[str, list[str]]]]:
+def callbacks() -> dict[str, dict[str, dict[str, list[str]]]]:
+    """The callbacks of each end, by loop and script."""
     return {name: run_on(make) for name, make in LOOPS.items()}
 
 
-@pytest.mark.parametrize("which", ["virtual", "virtual, chopped"])
+@pytest.mark.parametrize("loop_name", ["virtual", "virtual, chopped"])
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_the_virtual_network_tells_what_the_loop_in_service_tells(
-    told: dict[str, Any], name: str, which: str
+def test_virtual_network_makes_the_same_callbacks_as_uvloop(
+    callbacks: dict[str, Any], name: str, loop_name: str
 ) -> None:
-    if "chopped" in which and any(one in SCRIPTS[name] for one in ("bye", "cut", "echo")):
-        return  # it acts on the first piece, whatever that is
+    if "chopped" in loop_name and any(one in SCRIPTS[name] for one in ("bye", "cut", "echo")):
+        return  # it acts on the first segment, whatever its size
     for case in (name, f"{name}, exchanged"):
-        if name in LEFT:
-            for side, row in told[which][case].items():
-                assert [one.split()[0] for one in row] == [
-                    one.split()[0] for one in told["uvloop"][case][side]
-                ]
+        if name in PARTLY_DELIVERED:
+            for side, row in callbacks[loop_name][case].items():
+                kinds = [callback.split()[0] for callback in row]
+                assert kinds == [callback.split()[0] for callback in callbacks["uvloop"][case][side]]
             continue
         if name in RACES:
-            assert all(len(row) > 2 for row in told[which][case].values())
+            assert all(len(row) > 2 for row in callbacks[loop_name][case].values())
             continue
-        assert told[which][case] == told["uvloop"][case], (SCRIPTS[name], told["asyncio"][case])
+        assert callbacks[loop_name][case] == callbacks["uvloop"][case], (
+            SCRIPTS[name],
+            callbacks["asyncio"][case],
+        )
+
 
+def test_uvloop_and_asyncio_agree_on_four_fifths_of_the_scripts(callbacks: dict[str, Any]) -> None:
+    differ = [name for name, row in callbacks["uvloop"].items() if row != callbacks["asyncio"][name]]
+    assert len(differ) <= len(callbacks["uvloop"]) // 5, differ
 
-def test_the_two_real_loops_agree_on_nearly_all(told: dict[str, Any]) -> None:
-    differ = [name for name, row in told["uvloop"].items() if row != told["asyncio"][name]]
-    assert len(differ) <= len(told["uvloop"]) // 5, differ
 
+async def connect_around_a_close(loop: asyncio.AbstractEventLoop) -> list[str]:
+    """The callbacks of a client whose listening socket closes before its connection is accepted.
 
-async def connects(loop: asyncio.AbstractEventLoop) -> list[str]:
-    """How connects end: where nobody listens, where somebody did, and beside one who accepts late."""
-    ends = []
-    server = await loop.create_server(End, "127.0.0.1", 0)
+    Holds "came up", too, where one more connect to that address succeeds.
+    """
+    outcomes = []
+    server = await loop.create_server(RecordingProtocol, "127.0.0.1", 0)
     address = server.sockets[0].getsockname()[:2]
-    _, near = await loop.create_connection(End, *address)
+    _, near = await loop.create_connection(RecordingProtocol, *address)
     server.close()
-    await asyncio.sleep(SETTLE)
+    await asyncio.sleep(SETTLE_S)
     with contextlib.suppress(OSError):
-        await loop.create_connection(End, *address)
-        ends.append("came up")
-    ends += near.told
+        await loop.create_connection(RecordingProtocol, *address)
+        outcomes.append("came up")
+    outcomes += near.callbacks
     near.transport.write(b"x")
-    await asyncio.sleep(SETTLE)
-    ends += near.told[1:]
+    await asyncio.sleep(SETTLE_S)
+    outcomes += near.callbacks[1:]
     near.transport.abort()
-    await asyncio.sleep(SETTLE)
-    return ends
+    await asyncio.sleep(SETTLE_S)
+    return outcomes
 
 
-def test_connects_end_alike_on_all_loops() -> None:
-    found = {}
-    for name, make in LOOPS.items():
-        loop = make()
-        found[name] = loop.run_until_complete(connects(loop))
+def test_a_connect_around_the_close_of_its_listener_ends_alike_on_all_loops() -> None:
+    outcomes = {}
+    for name, make_loop in LOOPS.items():
+        loop = make_loop()
+        outcomes[name] = loop.run_until_complete(connect_around_a_close(loop))
         loop.close()
-    assert found["virtual"] == found["uvloop"] == found["asyncio"], found
+    assert outcomes["virtual"] == outcomes["uvloop"] == outcomes["asyncio"], outcomes
--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -1,4 +1,4 @@
-"""The search: what it draws can be played, what it finds is made small, and what hangs is survived."""
+"""The fuzzer: what it generates is valid, what fails is shrunk, and a run that hangs does not stop it."""
 
 import os
 import subprocess
@@ -18,8 +18,8 @@
 
 Json = dict[str, Any]
 CORPUS = Path(__file__).parents[1] / "corpus"
-KEPT = sorted(CORPUS.glob("*.toml"))
-SMALL: Json = {
+CORPUS_FILES = sorted(CORPUS.glob("*.toml"))
+SMALL_TABLES: Json = {
     "about": "a",
     "must": "b",
     "day": {"length_s": 2.0, "prelude_s": 0.5},
@@ -28,13 +28,13 @@
 }
 
 
-@pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
-def test_what_was_found_once_does_not_come_back(path: Path) -> None:
+@pytest.mark.parametrize("path", CORPUS_FILES, ids=lambda path: path.stem)
+def test_a_case_of_the_corpus_fails_no_more(path: Path) -> None:
     result = run_case(corpus.read(path), with_coverage=False)
     assert not result.failure_kinds, result.details
 
 
-def test_what_is_drawn_and_changed_is_a_scenario_and_the_same_for_the_same_seed() -> None:
+def test_generated_and_mutated_scenarios_are_valid_and_the_same_for_the_same_seed() -> None:
     random, again = Random("x"), Random("x")
     for _ in range(60):
         one = generate_scenario(random)
@@ -43,25 +43,25 @@
         assert parse_scenario(other) is not None and other != one and other == mutate_scenario(again, one)
 
 
-def test_a_case_is_made_as_small_as_what_it_shows_allows() -> None:
+def test_a_case_is_shrunk_to_what_its_failure_needs() -> None:
     source = generate_scenario(Random("shrink"))
     source["faults"] = [{"kind": "list-silent", "at_s": 0.2, "for_s": 0.1}] * 3 + [
         {"kind": "database-stop", "at_s": 1.0, "for_s": 0.5}
     ]
 
-    def still(one: Json) -> bool:
+    def still_fails(one: Json) -> bool:
         faults = one.get("faults", [])
         return any(fault["kind"] == "database-stop" for fault in faults) and "traffic" in one
 
-    smallest, plays = shrink(source, still, 500)
+    smallest, runs = shrink(source, still_fails, 500)
     assert [fault["kind"] for fault in smallest["faults"]] == ["database-stop"]
-    assert "classes" not in smallest and "clients" not in smallest and 0 < plays < 500
+    assert "classes" not in smallest and "clients" not in smallest and 0 < runs < 500
     assert all(
-        not still(one) or one == smallest for one in smaller_candidates(smallest) if "faults" not in one
+        not still_fails(one) or one == smallest for one in smaller_candidates(smallest) if "faults" not in one
     )
 
 
-def test_a_case_is_read_back_as_it_was_kept(tmp_path: Path) -> None:
+def test_a_kept_case_is_read_back_equal(tmp_path: Path) -> None:
     result = CaseResult(
         fuzz_case(generate_scenario(Random("kept")), 77),
         failure_kinds=["lost: a thing"],
@@ -71,8 +71,10 @@
     assert path.name == "lost-a-thing-77.toml" and corpus.read(path) == result.case
 
 
-def test_a_fault_in_the_router_is_found_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The guard that ends a request whose decisions have lost it is cut, and so is every refusal's answer."""
+def test_a_router_that_answers_only_what_it_serves_is_found_as_lost_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Every rejection and failure is marked as answered, and its answer is not sent."""
     from rainhitch.node.request_driver import RequestDriver
 
     answer = RequestDriver._answer
@@ -85,12 +87,12 @@
 
     monkeypatch.setattr(RequestDriver, "_answer", forgets)
     faults = [{"kind": "database-stop", "at_s": 0.2, "for_s": 1.0}]
-    result = run_case(fuzz_case({**SMALL, "faults": faults}, 1))
+    result = run_case(fuzz_case({**SMALL_TABLES, "faults": faults}, 1))
     assert any(kind.startswith("lost") for kind in result.failure_kinds)
 
 
 def _play_one(one: FuzzCase, with_coverage: bool = True) -> CaseResult:
-    """In place of a day, in a process of the pool: each kind of process that can't go on."""
+    """Stands for a run in a worker process: by the case's seed it dies, leaks memory, hangs, or is fine."""
     if one.seed == 1:
         os._exit(1)
     if one.seed == 2:
@@ -113,13 +115,15 @@
     return CaseResult(one, 1.0)
 
 
-def test_a_day_that_hangs_leaks_or_dies_does_not_end_the_search(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_that_hangs_leaks_or_kills_its_process_does_not_end_the_search(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     from rainhitch.rehearsal.explore import explorer as module
 
-    monkeypatch.setattr(module, "run_case_in_time", _guarded)
-    monkeypatch.setattr(module, "shrink_failure", _same)
+    monkeypatch.setattr(module, "run_case_in_time", _play_one_in_time)
+    monkeypatch.setattr(module, "shrink_failure", _unshrunk)
     found: list[CaseResult] = []
-    cases = [fuzz_case(SMALL, seed) for seed in (3, 2, 1)]
+    cases = [fuzz_case(SMALL_TABLES, seed) for seed in (3, 2, 1)]
     explorer = Explorer(1, 2, cases, found.append)
     explorer.corpus = []
     tally = explorer.run(6, 60)
@@ -127,7 +131,8 @@
     assert {"memory", "endless", "died"} == {result.failure_kinds[0] for result in found}
 
 
-def _guarded(one: FuzzCase, with_coverage: bool = True) -> CaseResult:
+def _play_one_in_time(one: FuzzCase, with_coverage: bool = True) -> CaseResult:
+    """In the place of `run_case_in_time`, with half a second for the case that hangs."""
     import signal
 
     signal.setitimer(signal.ITIMER_REAL, 0.5 if one.seed == 3 else 30)
@@ -137,21 +142,23 @@
         signal.setitimer(signal.ITIMER_REAL, 0)
 
 
-def _same(found: CaseResult) -> CaseResult:
+def _unshrunk(found: CaseResult) -> CaseResult:
+    """In the place of `shrink_failure`."""
     return found
 
 
-def explore(*words: object) -> subprocess.CompletedProcess[str]:
+def run_explore(*arguments: object) -> subprocess.CompletedProcess[str]:
+    """Runs `rainhitch explore`."""
     return subprocess.run(
-        [sys.executable, "-m", "rainhitch", "explore", *map(str, words)],
+        [sys.executable, "-m", "rainhitch", "explore", *map(str, arguments)],
         capture_output=True,
         text=True,
         timeout=300,
     )
 
 
-def test_a_short_search_of_this_router_finds_nothing(tmp_path: Path) -> None:
-    done = explore("--days", 60, "--seed", 5, "--keep", tmp_path / "found")
+def test_a_search_of_sixty_runs_finds_no_failure(tmp_path: Path) -> None:
+    done = run_explore("--days", 60, "--seed", 5, "--keep", tmp_path / "found")
     assert done.returncode == 0, done.stdout + done.stderr
     assert "60 days" in done.stdout and not (tmp_path / "found").exists()
 
@@ -165,16 +172,16 @@
         ("# seed 1\nabout = 'a'\nmust = 'b'\n[day]\nlength = 3\n", "no such key"),
     ],
 )
-def test_a_corrupt_case_is_one_line(tmp_path: Path, text: str, said: str) -> None:
+def test_a_case_file_that_is_not_valid_is_reported_in_one_line(tmp_path: Path, text: str, said: str) -> None:
     (tmp_path / "bad.toml").write_text(text)
     for words in (["--play", tmp_path / "bad.toml"], ["--days", 1, "--from", tmp_path]):
-        done = explore(*words)
+        done = run_explore(*words)
         assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "words", [[], ["--days", "-1"], ["--days", "1", "--jobs", "0"], ["--days", "1", "--from", "/nowhere"]]
+    "arguments", [[], ["--days", "-1"], ["--days", "1", "--jobs", "0"], ["--days", "1", "--from", "/nowhere"]]
 )
-def test_options_that_make_no_sense_end_the_search_at_once(words: list[str]) -> None:
-    done = explore(*words)
+def test_options_out_of_bounds_are_reported_in_one_line(arguments: list[str]) -> None:
+    done = run_explore(*arguments)
     assert done.returncode == 2 and done.stderr.count("\n") == 1
--- a/tests/virtual/test_model.py
+++ b/tests/virtual/test_model.py
@@ -1,4 +1,4 @@
-"""Every interleaving of a small world, to a depth, and that the search sees what it is there for."""
+"""Model check of the decisions: no interleaving breaks an invariant; a rule broken on purpose is found."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,12 +13,13 @@
 
 
 @pytest.mark.parametrize("name", MODELS)
-def test_no_interleaving_of_a_small_world_breaks_a_rule(name: str) -> None:
+def test_no_interleaving_violates_an_invariant(name: str) -> None:
     found = search(MODELS[name], 4, 1500)
     assert found.violation == "" and found.states > 500, found.counterexample
 
 
-def sends_at_once(patch: pytest.MonkeyPatch) -> None:
+def send_twice_at_once(patch: pytest.MonkeyPatch) -> None:
+    """Starts a second attempt beside each first one."""
     proceed = Balancer._proceed
 
     def twice(self: Balancer, pending: PendingRequest | None) -> None:
@@ -29,46 +30,49 @@
     patch.setattr(Balancer, "_proceed", twice)
 
 
-def repeats_all(patch: pytest.MonkeyPatch) -> None:
+def retry_everything(patch: pytest.MonkeyPatch) -> None:
+    """Retries what may have run and must not run twice."""
     patch.setattr(retry_policy, "may_retry_at", lambda pending, endpoint, now_ns: True)
 
 
-def refuses_all(patch: pytest.MonkeyPatch) -> None:
+def reject_everything(patch: pytest.MonkeyPatch) -> None:
+    """Rejects what may have run, as if it had not."""
     patch.setattr(retry_policy, "may_reject", lambda pending, now_ns: True)
 
 
-def says_nothing(patch: pytest.MonkeyPatch) -> None:
+def leave_unanswered(patch: pytest.MonkeyPatch) -> None:
+    """Gives no final answer to what can't be served."""
     patch.setattr(Balancer, "_finish_unserved", lambda self, pending, reason=None: None)
 
 
 @pytest.mark.parametrize(
-    ("mutant", "world", "rule"),
+    ("mutant", "model_name", "rule"),
     [
-        (sends_at_once, "two reads of a key", "two attempts of"),
-        (repeats_all, "what may run once only, a read", "may have run, and is sent again"),
-        (refuses_all, "what may run once only, a read", "may have run, and is refused"),
-        (says_nothing, "two reads of a key", "rule 1"),
+        (send_twice_at_once, "two reads of a key", "two attempts of"),
+        (retry_everything, "what may run once only, a read", "may have run, and is sent again"),
+        (reject_everything, "what may run once only, a read", "may have run, and is refused"),
+        (leave_unanswered, "two reads of a key", "rule 1"),
     ],
 )
-def test_a_rule_broken_on_purpose_is_found_with_the_events_that_do_it(
-    mutant: Callable[[pytest.MonkeyPatch], None], world: str, rule: str, monkeypatch: pytest.MonkeyPatch
+def test_a_rule_broken_on_purpose_is_found_with_a_counterexample_that_repeats_it(
+    mutant: Callable[[pytest.MonkeyPatch], None], model_name: str, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutant(monkeypatch)
-    found = search(MODELS[world], 6, 6000)
+    found = search(MODELS[model_name], 6, 6000)
     assert rule in found.violation
-    again = Model(MODELS[world])
+    again = Model(MODELS[model_name])
     for event in found.counterexample[:-1]:
         again.apply(event)
     with pytest.raises(Exception, match=rule):
         again.apply(found.counterexample[-1])
 
 
-def test_states_are_the_same_by_what_they_hold_and_not_by_who_holds_it() -> None:
+def test_equal_states_of_different_objects_have_the_same_fingerprint() -> None:
     def after(*events: Any) -> bytes:
-        world = Model(MODELS["a read, an order"])
+        model = Model(MODELS["a read, an order"])
         for event in events:
-            world.apply(event)
-        return fingerprint(world)
+            model.apply(event)
+        return fingerprint(model)
 
     assert after() == after()
     assert after(("arrive", "r0")) == after(("arrive", "r0")) != after()
