--- a/rainhitch/cli/explore.py
+++ b/rainhitch/cli/explore.py
@@ -11,8 +11,8 @@
 from rainhitch.cli.output import draw_progress, shows_progress
 
 if TYPE_CHECKING:
-    from rainhitch.rehearsal.explore.explorer import Tally
-    from rainhitch.rehearsal.explore.findings import Case, Result
+    from rainhitch.rehearsal.explore.case_runner import CaseResult, FuzzCase
+    from rainhitch.rehearsal.explore.explorer import Progress
 
 MIN_ELAPSED_S = 1e-9
 """Least time that a rate is taken over: guards against a division by zero at the start."""
@@ -81,7 +81,7 @@
 def _run(arguments: ExploreArguments) -> int:
     from rainhitch.rehearsal.explore import corpus
 
-    cases: list[Case] = []
+    cases: list[FuzzCase] = []
     try:
         if arguments.replayed_file is not None:
             return _replay(corpus.read(arguments.replayed_file))
@@ -109,34 +109,34 @@
         raise InputError(f"--keep {arguments.findings_folder}: not a folder")
 
 
-def _replay(case: "Case") -> int:
-    from rainhitch.rehearsal.explore.findings import examine
+def _replay(case: "FuzzCase") -> int:
+    from rainhitch.rehearsal.explore.case_runner import run_case
 
-    result = examine(case)
+    result = run_case(case)
     print(f"service {result.service:.4f}")
-    for line in result.detail:
+    for line in result.details:
         print(line)
-    return FAILURE if result.kinds else SUCCESS
+    return FAILURE if result.failure_kinds else SUCCESS
 
 
-def _explore(arguments: ExploreArguments, cases: "list[Case]") -> int:
+def _explore(arguments: ExploreArguments, cases: "list[FuzzCase]") -> int:
     from rainhitch.rehearsal.explore import corpus
     from rainhitch.rehearsal.explore.explorer import Explorer, on_interrupt
 
     has_progress = shows_progress()
 
-    def keep_finding(result: "Result") -> None:
+    def keep_finding(result: "CaseResult") -> None:
         """Writes a finding as a scenario file."""
         path = corpus.keep(arguments.findings_folder, result)
-        print(f"{path}: {result.detail[0]}", flush=True)
+        print(f"{path}: {result.details[0]}", flush=True)
 
-    def show_progress(tally: "Tally") -> None:
+    def show_progress(tally: "Progress") -> None:
         """Draws the progress on a terminal."""
         if has_progress:
-            days_per_hour = tally.days / max(tally.seconds, MIN_ELAPSED_S) * S_PER_HOUR
+            days_per_hour = tally.runs / max(tally.elapsed_s, MIN_ELAPSED_S) * S_PER_HOUR
             draw_progress(
-                f"{tally.days} days, {days_per_hour:.0f} an hour, {len(tally.words)} states, "
-                f"{len(tally.kinds)} kinds"
+                f"{tally.runs} days, {days_per_hour:.0f} an hour, {len(tally.coverage)} states, "
+                f"{len(tally.failure_counts)} kinds"
             )
 
     explorer = Explorer(
@@ -144,24 +144,24 @@
         arguments.process_count,
         cases,
         keep_finding,
-        show_progress,
-        arguments.makes_small,
+        on_progress=show_progress,
+        shrinks=arguments.makes_small,
     )
     with on_interrupt(explorer.stop):
         tally = explorer.run(arguments.max_days, arguments.max_minutes * 60)
     if has_progress:
         draw_progress("")
     _print_summary(tally)
-    return FAILURE if tally.kinds else SUCCESS
+    return FAILURE if tally.failure_counts else SUCCESS
 
 
-def _print_summary(tally: "Tally") -> None:
-    hours = tally.seconds / S_PER_HOUR
+def _print_summary(tally: "Progress") -> None:
+    hours = tally.elapsed_s / S_PER_HOUR
     print(
-        f"{tally.days} days in {tally.seconds:.0f} s ({tally.days / hours:.0f} an hour, "
-        f"{tally.virtual_s / tally.seconds:.1f} virtual seconds a second), "
-        f"{len(tally.words)} states reached, "
-        f"{len(tally.kinds)} kinds of findings, {tally.died} processes died"
+        f"{tally.runs} days in {tally.elapsed_s:.0f} s ({tally.runs / hours:.0f} an hour, "
+        f"{tally.virtual_s / tally.elapsed_s:.1f} virtual seconds a second), "
+        f"{len(tally.coverage)} states reached, "
+        f"{len(tally.failure_counts)} kinds of findings, {tally.died} processes died"
     )
-    for kind, count in sorted(tally.kinds.items(), key=lambda item: -item[1]):
+    for kind, count in sorted(tally.failure_counts.items(), key=lambda item: -item[1]):
         print(f"{count:6}  {kind}")
