--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from benchmarks.advice import ROUNDS, Bench, cost
+from benchmarks.gossip import ROUNDS, Bench, cost
 from rainhitch.telemetry.counts import Counts
 
 
