--- a/rainhitch/rehearsal/fakes/__init__.py
+++ b/rainhitch/rehearsal/fakes/__init__.py
@@ -9,7 +9,7 @@
     etcd_*                      the endpoint list in etcd: store, watches, service, cluster
     datagrams                   what routers send one another
     client_script, client_connection, client_pool, clients
-    worker, worker_messages, *_worker, worker_roles     the processes that host them
+    worker, worker_messages, *_worker, worker_roles     the processes that host them; fault_parameters
 
 What the fakes read and write is their own: they share no codec with the router, so that neither hides a
 mistake of the other. The two exceptions are the parsers hiredis and httptools, which are not ours and which
--- a/rainhitch/rehearsal/fakes/cache_node_worker.py
+++ b/rainhitch/rehearsal/fakes/cache_node_worker.py
@@ -4,11 +4,14 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from rainhitch.rehearsal.fakes import fault_parameters
 from rainhitch.rehearsal.fakes import worker_messages as messages
 from rainhitch.rehearsal.fakes.cache_node import CacheNode
 from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec
+from rainhitch.rehearsal.fakes.link import Link
 from rainhitch.rehearsal.fakes.worker import Worker
-from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
+from rainhitch.rehearsal.fakes.worker_messages import Json
+from rainhitch.rehearsal.plan_model import Command, Component, FaultAction
 
 MOST_MISSES = 1 << 14  # request ids that are remembered until the database answers
 
@@ -92,37 +95,41 @@
 
     def act(self, action: FaultAction) -> None:
         """A fault acts on a node, or on a link to one."""
-        if action.target is FaultTarget.NODE and action.name in self._nodes:
-            self._act_on_node(self._nodes[action.name], action)
-        elif action.target is FaultTarget.LINK and action.name[1] in self._nodes:
-            router, uid = action.name
-            self._act_on_link(self._nodes[uid], router, action)
+        if action.component is Component.NODE:
+            node = self._nodes.get(str(action.name))
+            if node is not None:
+                self._act_on_node(node, action)
+        elif action.component is Component.LINK:
+            router, uid = fault_parameters.link(action)
+            if uid in self._nodes:
+                self._act_on_link(self._nodes[uid].links[router], action)
 
     def _act_on_node(self, node: CacheNode, action: FaultAction) -> None:
-        if action.action == "spoil":
-            node.work.corrupt_fraction = action.fraction
-        elif action.action == "unspoil":
+        if action.command is Command.CORRUPT:
+            node.work.corrupt_fraction = fault_parameters.fraction(action)
+        elif action.command is Command.CORRUPT_NO_MORE:
             node.work.corrupt_fraction = 0.0
-        elif action.action != "start" or not node.statistics.collapsed_at_ns:  # who collapsed stays down
-            acts: dict[str, Callable[[], None]] = {
-                "kill": node.kill,
-                "start": node.start,
-                "drain": node.drain,
-                "retire": lambda: None,  # the endpoint list says so, and nothing else changes yet
-                "upgrade": node.upgrade,
+        elif (
+            action.command is not Command.START or not node.statistics.collapsed_at_ns
+        ):  # who collapsed stays down
+            acts: dict[Command, Callable[[], None]] = {
+                Command.KILL: node.kill,
+                Command.START: node.start,
+                Command.DRAIN: node.drain,
+                Command.RETIRE: lambda: None,  # the endpoint list says so, and nothing else changes yet
+                Command.UPGRADE: node.upgrade,
             }
-            acts[action.action]()
-
-    def _act_on_link(self, node: CacheNode, router: int, action: FaultAction) -> None:
-        link = node.links[router]
-        acts: dict[str, Callable[[], None]] = {
-            "silent": lambda: link.set_silent(True),
-            "heal": lambda: link.set_silent(False),
-            "reset": link.reset,
-            "delay": lambda: link.set_delay(action.delay_s),
-            "undelay": lambda: link.set_delay(0.0),
+            acts[action.command]()
+
+    def _act_on_link(self, link: Link, action: FaultAction) -> None:
+        acts: dict[Command, Callable[[], None]] = {
+            Command.SILENCE: lambda: link.set_silent(True),
+            Command.HEAL: lambda: link.set_silent(False),
+            Command.RESET: link.reset,
+            Command.DELAY: lambda: link.set_delay(fault_parameters.delay_s(action)),
+            Command.DELAY_NO_MORE: lambda: link.set_delay(0.0),
         }
-        acts[action.action]()
+        acts[action.command]()
 
     def record(self) -> Json:
         """The record of the nodes."""
--- a/rainhitch/rehearsal/fakes/client_worker.py
+++ b/rainhitch/rehearsal/fakes/client_worker.py
@@ -2,10 +2,12 @@
 
 from pathlib import Path
 
+from rainhitch.rehearsal.fakes import fault_parameters
 from rainhitch.rehearsal.fakes import worker_messages as messages
 from rainhitch.rehearsal.fakes.clients import ClientPopulation
 from rainhitch.rehearsal.fakes.worker import Worker
-from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
+from rainhitch.rehearsal.fakes.worker_messages import Json
+from rainhitch.rehearsal.plan_model import Component, FaultAction
 
 
 class ClientWorker(Worker):
@@ -32,8 +34,8 @@
 
     def act(self, action: FaultAction) -> None:
         """A fraction of the clients speaks RESP3 from now on, on new connections."""
-        if action.target is FaultTarget.CLIENTS:
-            self._population.pool.resp3_fraction = action.fraction
+        if action.component is Component.CLIENTS:
+            self._population.pool.resp3_fraction = fault_parameters.fraction(action)
 
     def record(self) -> Json:
         """The record of the clients."""
--- a/rainhitch/rehearsal/fakes/etcd_endpoint_list.py
+++ b/rainhitch/rehearsal/fakes/etcd_endpoint_list.py
@@ -5,10 +5,11 @@
 import orjson
 
 from rainhitch import system
+from rainhitch.rehearsal.fakes import fault_parameters
 from rainhitch.rehearsal.fakes.discovery import GONE, DiscoveryAgent
 from rainhitch.rehearsal.fakes.endpoint_record import entry_row, whole_list_row
 from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
-from rainhitch.rehearsal.fakes.worker_messages import FaultAction
+from rainhitch.rehearsal.plan_model import Command, FaultAction
 
 Json = dict[str, Any]
 PREFIX = "/rainhitch/members/"
@@ -73,20 +74,20 @@
     def act(self, action: FaultAction) -> None:
         """A fault acts on the cluster."""
         cluster = self.cluster
-        match action.action:
-            case "drop":
+        match action.command:
+            case Command.DROP:
                 cluster.drop()
-            case "compact":
+            case Command.COMPACT:
                 # Where nothing has changed since the last compaction there is nothing to compact.
                 if cluster.store.compacted_revision < cluster.store.revision:
                     cluster.store.compact(cluster.store.revision)
                 cluster.drop()
-            case "silent" | "speak":
-                cluster.silent = action.action == "silent"
-            case "away" | "back":
-                cluster.refuse = action.action == "away"
+            case Command.SILENCE | Command.SPEAK:
+                cluster.silent = action.command is Command.SILENCE
+            case Command.UNAVAILABLE | Command.AVAILABLE:
+                cluster.refuse = action.command is Command.UNAVAILABLE
                 cluster.drop()
-            case "delay":
-                cluster.delay_s = action.delay_s
+            case Command.DELAY:
+                cluster.delay_s = fault_parameters.delay_s(action)
             case _:
                 cluster.delay_s = 0.0
--- a/rainhitch/rehearsal/fakes/shared_services_worker.py
+++ b/rainhitch/rehearsal/fakes/shared_services_worker.py
@@ -5,12 +5,14 @@
 from pathlib import Path
 
 from rainhitch import system
+from rainhitch.rehearsal.fakes import fault_parameters
 from rainhitch.rehearsal.fakes import worker_messages as messages
 from rainhitch.rehearsal.fakes.database import NORMAL_TIME_FACTOR, Database, DatabaseSpec
 from rainhitch.rehearsal.fakes.datagrams import DatagramRelay
 from rainhitch.rehearsal.fakes.endpoint_lists import EndpointLists
 from rainhitch.rehearsal.fakes.worker import Worker, seconds_until
-from rainhitch.rehearsal.fakes.worker_messages import FaultAction, FaultTarget, Json
+from rainhitch.rehearsal.fakes.worker_messages import Json
+from rainhitch.rehearsal.plan_model import Command, Component, FaultAction
 
 FREE_UNTIL_S = 0.1  # before the plan's time 0: until then the database answers at once and at no cost
 NANOSECONDS_PER_MILLISECOND = 1_000_000
@@ -102,50 +104,50 @@
 
     def act(self, action: FaultAction) -> None:
         """A fault acts on the database, on etcd, on discovery or on the datagrams."""
-        match action.target:
-            case FaultTarget.DATABASE:
+        match action.component:
+            case Component.DATABASE:
                 self._act_on_database(action)
-            case FaultTarget.ETCD if self._lists.etcd is not None:
+            case Component.ETCD if self._lists.etcd is not None:
                 self._lists.etcd.act(action)
-            case FaultTarget.DISCOVERY if action.action in ("silent", "speak"):
+            case Component.ENDPOINT_LIST if action.command in (Command.SILENCE, Command.SPEAK):
                 # The other actions on discovery are in the plan's changes.
-                self._lists.set_discovery_silent(action.action == "silent")
-            case FaultTarget.DATAGRAMS:
+                self._lists.set_discovery_silent(action.command is Command.SILENCE)
+            case Component.GOSSIP:
                 self._act_on_datagrams(action)
 
     def _act_on_database(self, action: FaultAction) -> None:
         database = self._database
-        acts: dict[str, Callable[[], None]] = {
-            "slow": lambda: database.slow(action.factor),
-            "quick": lambda: database.slow(NORMAL_TIME_FACTOR),
-            "stop": database.stop,
-            "go": database.start,
+        acts: dict[Command, Callable[[], None]] = {
+            Command.SLOW: lambda: database.slow(fault_parameters.factor(action)),
+            Command.SLOW_NO_MORE: lambda: database.slow(NORMAL_TIME_FACTOR),
+            Command.STOP: database.stop,
+            Command.STOP_NO_MORE: database.start,
         }
-        acts[action.action]()
+        acts[action.command]()
 
     def _act_on_datagrams(self, action: FaultAction) -> None:
         faults = self._datagrams.faults
-        match action.action:
-            case "cut":
-                faults.isolated = set(action.name)
-                faults.one_way = action.one_way
-            case "heal":
+        match action.command:
+            case Command.PARTITION:
+                faults.isolated = fault_parameters.routers(action)
+                faults.one_way = fault_parameters.is_one_way(action)
+            case Command.HEAL:
                 faults.isolated = set()
                 faults.one_way = False
-            case "lose":
-                faults.loss_fraction = action.fraction
-            case "keep":
+            case Command.LOSE:
+                faults.loss_fraction = fault_parameters.fraction(action)
+            case Command.LOSE_NO_MORE:
                 faults.loss_fraction = 0.0
-            case "double":
-                faults.duplicate_fraction = action.fraction
-            case "single":
+            case Command.DUPLICATE:
+                faults.duplicate_fraction = fault_parameters.fraction(action)
+            case Command.DUPLICATE_NO_MORE:
                 faults.duplicate_fraction = 0.0
-            case "shuffle":
-                faults.reorder_delay_s = action.delay_s
-            case "order":
+            case Command.REORDER:
+                faults.reorder_delay_s = fault_parameters.delay_s(action)
+            case Command.REORDER_NO_MORE:
                 faults.reorder_delay_s = 0.0
-            case "delay":
-                faults.extra_delay_s = action.delay_s
+            case Command.DELAY:
+                faults.extra_delay_s = fault_parameters.delay_s(action)
             case _:
                 faults.extra_delay_s = 0.0
 
--- a/rainhitch/rehearsal/fakes/worker.py
+++ b/rainhitch/rehearsal/fakes/worker.py
@@ -12,7 +12,8 @@
 
 from rainhitch import system
 from rainhitch.rehearsal.fakes import worker_messages as messages
-from rainhitch.rehearsal.fakes.worker_messages import FaultAction, Json
+from rainhitch.rehearsal.fakes.worker_messages import Json
+from rainhitch.rehearsal.plan_model import FaultAction
 
 STALL_CHECK_INTERVAL_S = 0.02
 SHORTEST_STALL_S = 0.01  # that is noted
--- a/rainhitch/rehearsal/fakes/worker_messages.py
+++ b/rainhitch/rehearsal/fakes/worker_messages.py
@@ -1,12 +1,10 @@
 """The messages between the environment and the workers, and among workers: the one place where they are JSON.
 
 A message is one line of JSON on a pipe (environment) or on a Unix socket (workers). The environment's side,
-`rainhitch/rehearsal/environment.py`, builds and reads the same JSON. The plan's fault actions, which come
-with plan.json, are read here too.
+`rainhitch/rehearsal/environment.py`, builds and reads the same JSON.
 """
 
 from dataclasses import dataclass
-from enum import StrEnum
 from typing import Any
 
 import orjson
@@ -200,58 +198,3 @@
         case {"void": key}:
             return KeyInvalidated(key)
     raise WorkerMessageError(f"expected a message of a worker, got one with the keys {list(row)}")
-
-
-# the plan's fault actions
-
-
-class FaultTarget(StrEnum):
-    """What a fault acts on, as the plan writes it."""
-
-    NODE = "node"
-    LINK = "link"
-    ROUTER = "router"
-    DATABASE = "database"
-    DISCOVERY = "list"
-    ETCD = "etcd"
-    DATAGRAMS = "messages"
-    CLIENTS = "clients"
-
-
-@dataclass(frozen=True, slots=True)
-class FaultAction:
-    """One action of a fault: its begin or its end.
-
-    Attributes:
-        at_us: when, in microseconds of the plan's time.
-        target: what it acts on.
-        action: what it does, in the plan's words, whose meaning depends on the target.
-        name: which of the targets: a node's uid, (router, node's uid) of a link, a list of routers, or "".
-        fraction: of what it acts on, where the action has one.
-        delay_s: in seconds, where the action has one.
-        factor: where the action has one.
-        one_way: only what the named routers send is lost.
-    """
-
-    at_us: int
-    target: FaultTarget
-    action: str
-    name: Any
-    fraction: float = 0.0
-    delay_s: float = 0.0
-    factor: float = 1.0
-    one_way: bool = False
-
-    @classmethod
-    def from_row(cls, row: Json) -> "FaultAction":
-        """An action as the plan has it."""
-        return cls(
-            at_us=row["at"],
-            target=FaultTarget(row["who"]),
-            action=row["what"],
-            name=row["name"],
-            fraction=row.get("share", 0.0),
-            delay_s=row.get("delay", 0) / 1e6,
-            factor=row.get("factor", 1.0),
-            one_way=row.get("oneway", False),
-        )
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -18,10 +18,8 @@
 from rainhitch.node.configuration import load_operator_config, parse_configuration
 from rainhitch.node.router import Router as NodeRouter
 from rainhitch.rehearsal.environment import Environment, ProgressCallback, WorkerProcess
-from rainhitch.rehearsal.fakes.cache_node_worker import CacheNodeWorker
-from rainhitch.rehearsal.fakes.client_worker import ClientWorker
-from rainhitch.rehearsal.fakes.shared_services_worker import SharedServicesWorker
 from rainhitch.rehearsal.fakes.worker import Worker
+from rainhitch.rehearsal.fakes.worker_roles import make_worker
 from rainhitch.rehearsal.plan import Plan, random_stream
 from rainhitch.rehearsal.router_process import Json, LastCommand, RehearsalError, RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
@@ -50,15 +48,7 @@
 
     async def start(self) -> None:
         """Makes the worker for its role, from the files that a process would read."""
-        plan_rows: Json = orjson.loads((self.folder / "plan.json").read_bytes())
-        name, _, number = self.role.partition(":")
-        if name == "nodes":
-            self.worker = CacheNodeWorker(self.folder, plan_rows, int(number))
-        elif name == "clients":
-            plan_rows["addresses"] = orjson.loads((self.folder / "addresses.json").read_bytes())
-            self.worker = ClientWorker(self.folder, plan_rows, int(number))
-        else:
-            self.worker = SharedServicesWorker(self.folder, plan_rows)
+        self.worker = make_worker(self.role, self.folder)
         self.worker.send = self.messages.put_nowait
         self.worker.on_failure = self.environment.failed
         self.messages.put_nowait({"ready": self.worker.ready()})
