--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from lossy import SECOND, World
+from lossy import SECOND, LossyNetwork
 
 from rainhitch.fleet.failure_detector import (
     HEADER,
@@ -20,111 +20,111 @@
 )
 
 
-def fleet(routers: int, seed: int) -> World:
-    return World(
+def fleet(routers: int, seed: int) -> LossyNetwork:
+    return LossyNetwork(
         routers,
         lambda me, generation, now: FailureDetector(me, routers, generation, now, seed * 100 + me),
         seed,
     )
 
 
-def agreed(world: World) -> bool:
+def agreed(network: LossyNetwork) -> bool:
     """Whether all that run hold the same, and it is true."""
-    truth = list(world.up)
+    truth = list(network.up)
     return all(
         [part.is_alive(n) for n in range(len(truth))] == truth
-        for router, part in enumerate(world.parts)
-        if world.runs(router)
+        for router, part in enumerate(network.parts)
+        if network.runs(router)
     )
 
 
 @pytest.mark.parametrize("routers", [3, 12, 60])
 def test_a_failure_is_known_to_all_and_a_restart_soon_after_it(routers: int) -> None:
-    world = fleet(routers, 1)
-    world.go(10 * SECOND)
-    assert agreed(world)
-    world.kill(1)
-    world.go((20 if routers < 60 else 60) * SECOND)
-    assert agreed(world)
-    world.start(1)
-    world.go((10 if routers < 60 else 40) * SECOND)
-    assert agreed(world)
+    network = fleet(routers, 1)
+    network.go(10 * SECOND)
+    assert agreed(network)
+    network.kill(1)
+    network.go((20 if routers < 60 else 60) * SECOND)
+    assert agreed(network)
+    network.start(1)
+    network.go((10 if routers < 60 else 40) * SECOND)
+    assert agreed(network)
 
 
 def test_what_a_router_sends_does_not_grow_with_the_fleet() -> None:
     rates = []
     for routers in (3, 60, 200):
-        world = fleet(routers, 2)
-        world.go(20 * SECOND)
-        rates.append(world.sent / routers / 20)
-        assert world.bytes <= HEADER.size + MAX_UPDATES * UPDATE.size <= 256
-    assert max(rates) < 4 and agreed(world)
+        network = fleet(routers, 2)
+        network.go(20 * SECOND)
+        rates.append(network.sent / routers / 20)
+        assert network.bytes <= HEADER.size + MAX_UPDATES * UPDATE.size <= 256
+    assert max(rates) < 4 and agreed(network)
 
 
 def test_with_a_third_of_messages_lost_few_routers_are_declared_dead() -> None:
-    world = fleet(12, 3)
-    world.loss = 0.3
-    world.go(60 * SECOND)
-    wrong = sum(not part.is_alive(n) for part in world.parts for n in range(12))
+    network = fleet(12, 3)
+    network.loss = 0.3
+    network.go(60 * SECOND)
+    wrong = sum(not part.is_alive(n) for part in network.parts for n in range(12))
     assert wrong <= 0.1 * 144
-    world.loss = 0.0
-    world.go(30 * SECOND)
-    assert agreed(world)
+    network.loss = 0.0
+    network.go(30 * SECOND)
+    assert agreed(network)
 
 
 def test_two_halves_each_see_the_other_gone_and_heal() -> None:
-    world = fleet(8, 4)
-    world.go(5 * SECOND)
-    world.cut = lambda source, to: (source < 4) != (to < 4)
-    world.go(60 * SECOND)
-    assert world.parts[0].live_routers() == [0, 1, 2, 3] and world.parts[7].live_routers() == [4, 5, 6, 7]
-    world.cut = lambda source, to: False
-    world.go(40 * SECOND)
-    assert agreed(world)
+    network = fleet(8, 4)
+    network.go(5 * SECOND)
+    network.cut = lambda source, to: (source < 4) != (to < 4)
+    network.go(60 * SECOND)
+    assert network.parts[0].live_routers() == [0, 1, 2, 3] and network.parts[7].live_routers() == [4, 5, 6, 7]
+    network.cut = lambda source, to: False
+    network.go(40 * SECOND)
+    assert agreed(network)
 
 
 def test_a_paused_router_distrusts_itself_before_the_others() -> None:
     """A router that was stopped had heard nobody, and told all others that all were dead."""
-    world = fleet(6, 5)
-    world.go(5 * SECOND)
-    world.stopped[0] = True
-    world.go(30 * SECOND)
-    assert not world.parts[1].is_alive(0)
-    world.stopped[0] = False
-    before = [part.changes for part in world.parts]
-    world.go(SECOND)
-    assert world.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and world.parts[0].local_health_score > 0
-    world.go(20 * SECOND)
-    assert agreed(world)
-    assert sum(part.changes for part in world.parts) - sum(before) <= 12, "it alone was gone, and is back"
+    network = fleet(6, 5)
+    network.go(5 * SECOND)
+    network.stopped[0] = True
+    network.go(30 * SECOND)
+    assert not network.parts[1].is_alive(0)
+    network.stopped[0] = False
+    before = [part.changes for part in network.parts]
+    network.go(SECOND)
+    assert network.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and network.parts[0].local_health_score > 0
+    network.go(20 * SECOND)
+    assert agreed(network)
+    assert sum(part.changes for part in network.parts) - sum(before) <= 12, "it alone was gone, and is back"
 
 
 def test_a_router_that_restarts_with_a_clock_gone_back_takes_a_higher_generation() -> None:
-    world = fleet(4, 6)
-    world.generations[2] = 1000
-    world.start(2)
-    world.go(10 * SECOND)
-    world.kill(2)
-    world.go(30 * SECOND)
-    world.generations[2] = 3
-    world.start(2)
-    world.go(30 * SECOND)
-    assert agreed(world) and world.parts[2].generation > 1001
+    network = fleet(4, 6)
+    network.generations[2] = 1000
+    network.start(2)
+    network.go(10 * SECOND)
+    network.kill(2)
+    network.go(30 * SECOND)
+    network.generations[2] = 3
+    network.start(2)
+    network.go(30 * SECOND)
+    assert agreed(network) and network.parts[2].generation > 1001
 
 
 @pytest.mark.parametrize("routers", [3, 5, 9])
 def test_after_the_last_fault_all_agree(routers: int) -> None:
     """Schedules at random: loss, cuts both ways and one way, doubling, delay, stops, deaths, starts."""
     for seed in range(8):
-        world = fleet(routers, seed)
+        network = fleet(routers, seed)
         for _ in range(40):
-            world.any_fault()
-            world.go(world.random.randrange(1, 3 * SECOND))
-        world.heal()
-        world.go(60 * SECOND)
-        assert agreed(world), f"seed {seed}"
+            network.any_fault()
+            network.go(network.random.randrange(1, 3 * SECOND))
+        network.heal()
+        network.go(60 * SECOND)
+        assert agreed(network), f"seed {seed}"
         assert all(
-            len(part.pings) < 64 and len(part.update_queue.transmissions) <= routers for part in world.parts
+            len(part.pings) < 64 and len(part.update_queue.transmissions) <= routers for part in network.parts
         )
 
 
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from lossy import SECOND, World
+from lossy import SECOND, LossyNetwork
 
 from rainhitch.fleet.datagram import Datagram
 from rainhitch.fleet.quota_escrow import (
@@ -28,17 +28,17 @@
 class Meter:
     """What all have spent, against the total: a bucket that leaks at the total's rate."""
 
-    def __init__(self, world: World, total: float, drift: float) -> None:
-        self.world, self.total, self.drift = world, total * (1 + drift), drift
+    def __init__(self, network: LossyNetwork, total: float, drift: float) -> None:
+        self.network, self.total, self.drift = network, total * (1 + drift), drift
         self.level = self.worst = 0.0
-        self.at = world.now
+        self.at = network.now
         self.spent = 0
 
     def spend(self, router: int) -> bool:
-        world = self.world
-        self.level = max(0.0, self.level - self.total * (world.now - self.at) / SECOND)
-        self.at = world.now
-        if not world.parts[router].take(world.clock(router)):
+        network = self.network
+        self.level = max(0.0, self.level - self.total * (network.now - self.at) / SECOND)
+        self.at = network.now
+        if not network.parts[router].take(network.clock(router)):
             return False
         self.level += 1
         self.spent += 1
@@ -47,11 +47,11 @@
 
     def bound(self) -> float:
         """What their buckets held: a second of the total, a unit of each router, and the rest of a unit."""
-        return self.total + 2 * len(self.world.parts)
+        return self.total + 2 * len(self.network.parts)
 
 
-def fleet(routers: int, seed: int, drift: float = 0.0, every: int = ROUND_INTERVAL_NS // 4) -> World:
-    return World(
+def fleet(routers: int, seed: int, drift: float = 0.0, every: int = ROUND_INTERVAL_NS // 4) -> LossyNetwork:
+    return LossyNetwork(
         routers,
         lambda me, generation, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + generation),
         seed,
@@ -60,30 +60,30 @@
     )
 
 
-def chaos(seed: int, steps: int, routers: int) -> tuple[Meter, World]:
+def chaos(seed: int, steps: int, routers: int) -> tuple[Meter, LossyNetwork]:
     """Faults at random, with demand that is now here and now there."""
-    world = fleet(routers, seed, CLOCK_DRIFT_FRACTION)
-    meter = Meter(world, TOTAL, CLOCK_DRIFT_FRACTION)
+    network = fleet(routers, seed, CLOCK_DRIFT_FRACTION)
+    meter = Meter(network, TOTAL, CLOCK_DRIFT_FRACTION)
     wants = [0.0] * routers
 
     def demand() -> None:
         for router in range(routers):
-            if not world.runs(router):
+            if not network.runs(router):
                 continue
-            many = wants[router] * world.every / SECOND
-            for _ in range(int(many) + (world.random.random() < many % 1)):
+            many = wants[router] * network.every / SECOND
+            for _ in range(int(many) + (network.random.random() < many % 1)):
                 meter.spend(router)
 
     for _ in range(steps):
-        if world.random.random() < 0.3:
-            world.any_fault()
-        if world.random.random() < 0.3:
-            wants = [world.random.choice([0.0, 5.0, TOTAL, 3 * TOTAL]) for _ in range(routers)]
-        world.go(world.random.randrange(1, 3 * SECOND), demand)
+        if network.random.random() < 0.3:
+            network.any_fault()
+        if network.random.random() < 0.3:
+            wants = [network.random.choice([0.0, 5.0, TOTAL, 3 * TOTAL]) for _ in range(routers)]
+        network.go(network.random.randrange(1, 3 * SECOND), demand)
         assert all(
-            max(len(one.lent), len(one.requests), len(one.borrowed)) <= MAX_LEASES for one in world.parts
+            max(len(one.lent), len(one.requests), len(one.borrowed)) <= MAX_LEASES for one in network.parts
         )
-    return meter, world
+    return meter, network
 
 
 @pytest.mark.parametrize(
@@ -94,10 +94,10 @@
     starts."""
     asked = 0
     for seed in range(seeds):
-        meter, world = chaos(seed, 120, routers)
+        meter, network = chaos(seed, 120, routers)
         assert meter.worst <= meter.bound(), f"seed {seed}"
         assert meter.spent > 1000
-        asked += meter.spent + sum(one.refused for one in world.parts)
+        asked += meter.spent + sum(one.refused for one in network.parts)
     assert asked > least
 
 
@@ -146,36 +146,36 @@
 
 @pytest.mark.parametrize("routers", [3, 12, 60])
 def test_one_router_with_all_the_demand_soon_holds_most_of_the_quota_and_it_comes_back(routers: int) -> None:
-    world = fleet(routers, 1, every=ROUND_INTERVAL_NS // 16)
-    meter = Meter(world, TOTAL, 0.0)
-    world.go(6 * SECOND)
+    network = fleet(routers, 1, every=ROUND_INTERVAL_NS // 16)
+    meter = Meter(network, TOTAL, 0.0)
+    network.go(6 * SECOND)
 
     def all_at_first() -> None:
-        for _ in range(int(2 * TOTAL * world.every / SECOND)):
+        for _ in range(int(2 * TOTAL * network.every / SECOND)):
             meter.spend(0)
 
-    world.go(8 * SECOND, all_at_first)
+    network.go(8 * SECOND, all_at_first)
     before = meter.spent
-    world.go(8 * SECOND, all_at_first)
+    network.go(8 * SECOND, all_at_first)
     reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # a few are asked in a round, and each lends for a time
     assert (meter.spent - before) / 8 > reached * TOTAL
-    world.go(2 * LEASE_NS + 4 * SECOND)  # the last questions are asked while the need fades
-    assert all(not one.borrowed and not one.lent for one in world.parts if one._fill(world.now) is None)
-    assert sum(one.available_per_s(world.now) for one in world.parts) == pytest.approx(TOTAL)
+    network.go(2 * LEASE_NS + 4 * SECOND)  # the last questions are asked while the need fades
+    assert all(not one.borrowed and not one.lent for one in network.parts if one._fill(network.now) is None)
+    assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(TOTAL)
 
 
 def test_a_router_that_hears_nothing_falls_back_to_its_own_part_when_its_leases_end() -> None:
-    world = fleet(3, 2)
-    world.go(6 * SECOND)
-    rich = world.parts[0]
+    network = fleet(3, 2)
+    network.go(6 * SECOND)
+    rich = network.parts[0]
     for _ in range(8):
         for _ in range(100):
-            rich.take(world.clock(0))
-        world.go(ROUND_INTERVAL_NS)
-    assert rich.available_per_s(world.clock(0)) > 1.5 * rich.own_per_s
-    world.loss = 1.0
-    world.go(LEASE_NS)
-    assert rich.available_per_s(world.clock(0)) == rich.own_per_s
+            rich.take(network.clock(0))
+        network.go(ROUND_INTERVAL_NS)
+    assert rich.available_per_s(network.clock(0)) > 1.5 * rich.own_per_s
+    network.loss = 1.0
+    network.go(LEASE_NS)
+    assert rich.available_per_s(network.clock(0)) == rich.own_per_s
 
 
 def test_a_router_paused_past_its_leases_resumes_with_its_own_part_and_one_bucket() -> None:
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from lossy import SECOND, World
+from lossy import SECOND, LossyNetwork
 
 from rainhitch.fleet.datagram import EVERYONE
 from rainhitch.fleet.gossip_exchange import GossipExchange
@@ -46,8 +46,8 @@
         return [(other, word) for other in range(self.routers) if other != self.me]
 
 
-def fleet(rates: list[list[float]], seed: int = 1, drift: float = 0.0) -> World:
-    return World(
+def fleet(rates: list[list[float]], seed: int = 1, drift: float = 0.0) -> LossyNetwork:
+    return LossyNetwork(
         len(rates),
         lambda me, generation, now: Publisher(me, len(rates), rates[me], generation, now),
         seed,
@@ -55,41 +55,41 @@
     )
 
 
-def parts(world: World, router: int) -> list[float]:
-    made: list[float] = world.parts[router].usage.fractions(world.clock(router))
+def parts(network: LossyNetwork, router: int) -> list[float]:
+    made: list[float] = network.parts[router].usage.fractions(network.clock(router))
     return made
 
 
 def test_fractions_follow_each_tenants_traffic_and_add_up_to_one() -> None:
     """Eighty percent of a customer's requests come to one router, and half of another's to each of two."""
-    world = fleet([[80.0, 20.0], [10.0, 0.0], [10.0, 20.0]])
-    world.go(3 * WINDOW_NS)
+    network = fleet([[80.0, 20.0], [10.0, 0.0], [10.0, 20.0]])
+    network.go(3 * WINDOW_NS)
     for customer, wanted in enumerate([[0.8, 0.1, 0.1], [0.5, 0.0, 0.5]]):
-        found = [parts(world, router)[customer] for router in range(3)]
+        found = [parts(network, router)[customer] for router in range(3)]
         assert found == pytest.approx(wanted, abs=0.03)
         assert sum(found) == pytest.approx(1, abs=0.03)
 
 
 def test_traffic_that_moves_is_known_within_a_window_and_a_report() -> None:
-    world = fleet([[90.0], [10.0], [0.0]])
-    world.go(3 * WINDOW_NS)
-    for publisher, rate in zip(world.parts, (0.0, 10.0, 90.0), strict=True):
+    network = fleet([[90.0], [10.0], [0.0]])
+    network.go(3 * WINDOW_NS)
+    for publisher, rate in zip(network.parts, (0.0, 10.0, 90.0), strict=True):
         publisher.rates = [rate]
-    world.go(WINDOW_NS + 2 * MIN_INTERVAL_NS)
-    assert [parts(world, router)[0] for router in range(3)] == pytest.approx([0.0, 0.1, 0.9], abs=0.03)
+    network.go(WINDOW_NS + 2 * MIN_INTERVAL_NS)
+    assert [parts(network, router)[0] for router in range(3)] == pytest.approx([0.0, 0.1, 0.9], abs=0.03)
 
 
 @pytest.mark.parametrize("fault", ["loss", "doubled", "late", "all"])
 def test_lost_doubled_and_late_reports_leave_the_sum_as_it_is(fault: str) -> None:
     rates = [[40.0], [20.0], [20.0], [20.0]]
-    world = fleet(rates, 3, 1 / 16)
-    world.loss = 0.3 if fault in ("loss", "all") else 0.0
-    world.doubled = 0.5 if fault in ("doubled", "all") else 0.0
-    world.late = 3 * SECOND if fault in ("late", "all") else SECOND // 100
-    world.go(5 * WINDOW_NS)
+    network = fleet(rates, 3, 1 / 16)
+    network.loss = 0.3 if fault in ("loss", "all") else 0.0
+    network.doubled = 0.5 if fault in ("doubled", "all") else 0.0
+    network.late = 3 * SECOND if fault in ("late", "all") else SECOND // 100
+    network.go(5 * WINDOW_NS)
     for _ in range(20):
-        world.go(SECOND)
-        assert [parts(world, router)[0] for router in range(4)] == pytest.approx(
+        network.go(SECOND)
+        assert [parts(network, router)[0] for router in range(4)] == pytest.approx(
             [0.4, 0.2, 0.2, 0.2], abs=0.08
         )
 
@@ -97,32 +97,32 @@
 @pytest.mark.parametrize("heard_half", [False, True])
 def test_half_of_a_fleet_takes_the_other_half_for_still_running(heard_half: bool) -> None:
     """Two halves of a cut fleet each took the whole: routers that are not heard count as busy as the mean."""
-    world = fleet([[20.0]] * 8)
-    world.go(3 * WINDOW_NS)
-    world.cut = lambda source, to: (source < 4) != (to < 4) or not heard_half
-    world.go((EXPIRY_INTERVALS + 2) * MIN_INTERVAL_NS)
+    network = fleet([[20.0]] * 8)
+    network.go(3 * WINDOW_NS)
+    network.cut = lambda source, to: (source < 4) != (to < 4) or not heard_half
+    network.go((EXPIRY_INTERVALS + 2) * MIN_INTERVAL_NS)
     for router in range(8):
-        found = parts(world, router)
+        found = parts(network, router)
         assert found == (pytest.approx([1 / 8], abs=0.02) if heard_half else []), "alone it tells no fraction"
 
 
 def test_a_router_that_restarts_or_resumes_counts_once_and_its_earlier_generation_not_at_all() -> None:
-    world = fleet([[30.0], [30.0], [30.0]])
-    world.go(2 * WINDOW_NS)
-    old = world.parts[1].usage.encode()
-    world.kill(1)
-    world.go(2 * SECOND)
-    world.start(1)
-    world.go(2 * WINDOW_NS)
-    listener = world.parts[0].usage
-    assert not listener.receive(world.clock(0), 1, old), "a report from an earlier generation"
-    again = world.parts[1].usage.encode()
-    assert listener.receive(world.clock(0), 1, again) and not listener.receive(world.clock(0), 1, again)
-    world.stopped[2] = True
-    world.go((EXPIRY_INTERVALS + 1) * MIN_INTERVAL_NS)
-    world.stopped[2] = False
-    world.go(2 * WINDOW_NS)
-    assert [parts(world, router)[0] for router in range(3)] == pytest.approx([1 / 3] * 3, abs=0.04)
+    network = fleet([[30.0], [30.0], [30.0]])
+    network.go(2 * WINDOW_NS)
+    old = network.parts[1].usage.encode()
+    network.kill(1)
+    network.go(2 * SECOND)
+    network.start(1)
+    network.go(2 * WINDOW_NS)
+    listener = network.parts[0].usage
+    assert not listener.receive(network.clock(0), 1, old), "a report from an earlier generation"
+    again = network.parts[1].usage.encode()
+    assert listener.receive(network.clock(0), 1, again) and not listener.receive(network.clock(0), 1, again)
+    network.stopped[2] = True
+    network.go((EXPIRY_INTERVALS + 1) * MIN_INTERVAL_NS)
+    network.stopped[2] = False
+    network.go(2 * WINDOW_NS)
+    assert [parts(network, router)[0] for router in range(3)] == pytest.approx([1 / 3] * 3, abs=0.04)
 
 
 @budget(max_examples=300)
--- a/tests/lossy.py
+++ b/tests/lossy.py
@@ -1,6 +1,7 @@
-"""A simulated fleet of any number of routers' parts: their datagrams are lost, late, doubled and out of
-order, and the routers are paused, killed and restarted. No sockets; each router has a clock with a drift of
-its own.
+"""A simulated network between any number of routers, with faults. No sockets.
+
+Datagrams are lost, late, doubled and out of order, and the routers are paused, killed and restarted; each
+router has a clock with a drift of its own.
 """
 
 import heapq
@@ -13,10 +14,13 @@
 SECOND = 1_000_000_000
 
 
-class World:
-    """The fleet. `make(me, generation, now)` returns a router's part, which has `receive` and `step`.
+class LossyNetwork:
+    """The routers and what is on its way between them.
 
-    `loss` and `doubled` are fractions of the datagrams, `late` is the longest delay, ns.
+    `make(router, generation, now)` returns what runs in a router: it has `receive` and `step`. `drift` is the
+    most by which two clocks' rates differ, as a fraction; `every` is the time between two steps, ns.
+    `loss` and `doubled` are fractions of the datagrams, `late` is the longest delay, ns; `cut` says whether
+    datagrams from one router to another are dropped. `sent` counts datagrams, `bytes` is the longest of them.
     """
 
     def __init__(
@@ -45,9 +49,11 @@
         self.bytes = 0
 
     def clock(self, router: int) -> int:
+        """A router's own time, ns."""
         return round(self.now * self.rates[router])
 
     def carry(self, source: int, sent: Iterable[Datagram]) -> None:
+        """Puts a router's datagrams on their way, each as the faults have it."""
         for to, data in sent:
             self.sent += 1
             self.bytes = max(self.bytes, len(data))
@@ -59,6 +65,7 @@
                 heapq.heappush(self.queue, (at, self.order, source, to, data))
 
     def runs(self, router: int) -> bool:
+        """Whether a router's process is up and not paused."""
         return self.up[router] and not self.stopped[router]
 
     def go(self, span: int, each: Callable[[], None] = lambda: None) -> None:
@@ -77,16 +84,18 @@
             each()
 
     def kill(self, router: int) -> None:
+        """Ends a router's process; what it held is lost."""
         self.up[router] = False
 
     def start(self, router: int) -> None:
+        """Starts a router anew, as a later generation."""
         self.generations[router] += 1
         self.up[router] = True
         self.stopped[router] = False
         self.parts[router] = self.make(router, self.generations[router], self.clock(router))
 
     def any_fault(self) -> None:
-        """One fault of some kind, or the end of one."""
+        """Draws one fault, or the end of one."""
         router = self.random.randrange(len(self.parts))
         kind = self.random.randrange(8)
         if kind == 0:
@@ -111,7 +120,7 @@
             self.start(router)
 
     def heal(self) -> None:
-        """The last fault is over; what was on its way may still come."""
+        """Ends all faults; what was on its way may still come."""
         self.loss = self.doubled = 0.0
         self.late = SECOND // 100
         self.cut = lambda source, to: False
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,8 @@
-"""Loopback peers of the router under test: clients, cache servers, an origin and discovery, all scripted."""
+"""Scripted peers of the router under test on loopback sockets: clients, cache servers, an origin, discovery.
+
+A peer's script takes what it was asked, and the connection to answer on; it gives the bytes to answer with,
+or None to send nothing.
+"""
 
 import asyncio
 import contextlib
@@ -19,11 +23,13 @@
 from rainhitch.settings import read_ceilings, read_names, read_settings
 
 PATIENCE = 20.0  # s; every wait of these tests is on an event, and this long at the most
+SOON_INTERVAL_S = 0.005  # between two looks at what a test waits for
 Json = dict[str, Any]
+Script = Callable[[Any, asyncio.StreamWriter], bytes | None]
 
 
 def info(**ceilings: Any) -> Json:
-    """Settings as a router is told them."""
+    """Settings in the platform's words, as a configuration has them; with the given ceilings changed."""
     second = 1_000_000_000
     return {
         "azs": ["a", "b"],
@@ -51,17 +57,20 @@
 
 
 async def soon(what: Callable[[], Any]) -> Any:
-    """Waits until something is so."""
+    """Waits until something is true; gives it. Raises TimeoutError after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not (value := what()):
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(SOON_INTERVAL_S)
         return value
 
 
 class Peer:
-    """A listener that keeps what came and answers as its script says; None: with nothing."""
+    """A listener that keeps what came, in `got`, and answers as its script says.
+
+    `lines` are its connections in the order in which they came.
+    """
 
-    def __init__(self, answer: Callable[[Any, asyncio.StreamWriter], bytes | None]) -> None:
+    def __init__(self, answer: Script) -> None:
         self.answer = answer
         self.got: list[Any] = []
         self.lines: list[asyncio.StreamWriter] = []
@@ -71,6 +80,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listens on a free port of 127.0.0.1."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
@@ -87,9 +97,11 @@
         writer.close()
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
+        """Reads one request; None where the connection has ended."""
         raise NotImplementedError
 
     async def stop(self) -> None:
+        """Stops listening and breaks all connections."""
         assert self.server is not None
         self.server.close()
         for line in self.lines:
@@ -101,6 +113,7 @@
     """A cache server; `got` holds the commands as lists of bytes."""
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
+        """Reads one command of RESP2."""
         count = await reader.readline()
         if not count:
             return None
@@ -112,29 +125,30 @@
 
 
 def dressed(answer: bytes) -> bytes:
-    """A plain answer as a server of RESP3 gives it, how the read went in a map; others as they are."""
+    """An answer of RESP2 as a server of RESP3 gives it, with how the read went in a map; others unchanged."""
     reader = resp3.Reader()
     reader.feed(answer)
     try:
-        told = reader.next()
+        parts = reader.next()
     except FramingError:
         return answer
-    if not isinstance(told, list) or len(told) != 3 or not reader.idle():
+    if not isinstance(parts, list) or len(parts) != 3 or not reader.idle():
         return answer
-    value, note, report = told
+    value, note, report = parts
     return resp3.encode([value, resp3.Map(((b"note", note), (b"load", report)))], 3)
 
 
 class Cache3(Cache):
-    """A cache server that speaks RESP3 where it is greeted so; the greetings are not among what it got."""
+    """A cache server that speaks RESP3 where HELLO asks for it; HELLO is counted and not in `got`."""
 
     greeting = resp3.encode(resp3.Map(((b"server", b"cache"), (b"proto", 3))), 3)
 
-    def __init__(self, answer: Callable[[Any, asyncio.StreamWriter], bytes | None]) -> None:
-        super().__init__(lambda asked, line: (told := answer(asked, line)) and dressed(told))
+    def __init__(self, answer: Script) -> None:
+        super().__init__(lambda asked, line: (plain := answer(asked, line)) and dressed(plain))
         self.greeted = 0
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
+        """Reads one command, and answers greetings before it."""
         while (asked := await super().read(reader)) is not None and asked[0] == b"HELLO":
             self.greeted += 1
             self.line_of[reader].write(self.greeting)
@@ -145,6 +159,7 @@
     """An HTTP server; `got` holds method, target, headers and body."""
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
+        """Reads one request."""
         line = await reader.readline()
         if not line:
             return None
@@ -158,10 +173,12 @@
 
 
 def http(status: int, body: bytes = b"", extra: bytes = b"") -> bytes:
+    """An HTTP answer; `extra`: whole header lines."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), extra, body)
 
 
 def entry(name: str, address: str, **changes: Any) -> Json:
+    """An entry of the endpoint list in the platform's words: a ready cache server, with fields changed."""
     fields: Json = {
         "uid": name,
         "endpoint": address,
@@ -179,15 +196,20 @@
     """A client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.parser = reader, writer, hiredis.Reader()
+        self.reader = reader
+        self.writer = writer
+        self.parser = hiredis.Reader()
 
     def send(self, *parts: bytes) -> None:
+        """Sends a command."""
         self.writer.write(command(*parts))
 
     def get(self, key: bytes = b"k", name: bytes = b"i1", info: bytes = b"c=read,t=acme,d=9000") -> None:
+        """Sends C.GET with the id `name`."""
         self.send(b"C.GET", key, name, info)
 
     async def answer_to_ping(self) -> None:
+        """Sends PING, and checks that the router says PONG."""
         self.send(b"PING")
         assert await self.answer() == b"PONG"
 
@@ -206,7 +228,7 @@
 
 @dataclass
 class Bench:
-    """A router with its peers."""
+    """A router in this process with its peers; `clients` and `pools` are its two sides."""
 
     cache: Cache
     origin: Web
@@ -219,6 +241,7 @@
     version: int = 2  # the protocol of the clients
 
     async def caller(self, version: int = 0) -> Caller:
+        """Connects a client, which greets where it speaks RESP3; `version` 0: the bench's."""
         caller = Caller(*await asyncio.open_connection("127.0.0.1", self.port))
         self.callers.append(caller)
         if (version or self.version) == 3:
@@ -228,6 +251,7 @@
 
 
 def hit(value: bytes = b"v") -> bytes:
+    """A cache server's answer in RESP2 that has the value."""
     return b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value)
 
 
@@ -237,34 +261,38 @@
 
 @contextlib.asynccontextmanager
 async def router(
-    cache: Callable[[Any, asyncio.StreamWriter], bytes | None] = lambda asked, line: hit(),
-    origin: Callable[[Any, asyncio.StreamWriter], bytes | None] = lambda asked, line: http(
-        200, b"from origin"
-    ),
+    cache: Script = lambda asked, line: hit(),
+    origin: Script = lambda asked, line: FETCHED,
     entries: Callable[[Cache, Web], list[Json]] | None = None,
     sockets: int = 64,
     memory: int = 8 << 20,
     versions: tuple[int, int] = (2, 2),
     **ceilings: Any,
 ) -> AsyncIterator[Bench]:
-    """One router with one cache server and one origin, wired as the program does it; `versions` are the
-    protocols of clients and cache servers."""
+    """One router with one cache server and one origin, put together as the program does it.
+
+    `cache` and `origin` are their scripts, `entries` gives another endpoint list, `sockets` is the cap of each
+    side, `memory` the bytes that may be held, `versions` the protocols of clients and cache servers.
+    """
     from rainhitch.policy.balancer import Balancer
 
-    peers = (Cache if versions[1] == 2 else Cache3)(cache), Web(origin)
+    cache_class = Cache if versions[1] == 2 else Cache3
+    peers = cache_class(cache), Web(origin)
     for peer in peers:
         await peer.start()
-    told = info(**ceilings)
-    settings, limits, names = read_settings(told), read_ceilings(told), read_names(told)
+    configured = info(**ceilings)
+    settings = read_settings(configured)
+    limits = read_ceilings(configured)
+    names = read_names(configured)
     pools = ConnectionPools(sockets, limits.connect_timeout_ns / 1e9, limits.keepalive_ns / 1e9)
-    damper = OverloadController(settings, 1)
-    driver = RequestDriver(Balancer(settings, 1, damper), pools, limits.max_requests, memory)
+    overload = OverloadController(settings, 1)
+    driver = RequestDriver(Balancer(settings, 1, overload), pools, limits.max_requests, memory)
     directory = EndpointDirectory(names, 1, pools, driver.endpoints_updated)
 
     def can_serve() -> bool:
         return directory.can_serve and not clients.draining
 
-    clients = ClientConnections(driver, names, sockets, memory, can_serve=can_serve, overload=damper)
+    clients = ClientConnections(driver, names, sockets, memory, can_serve=can_serve, overload=overload)
     if versions[1] == 3:
         directory.cache_connection_class = Resp3Connection
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
