--- a/tests/admin/test_compatibility.py
+++ b/tests/admin/test_compatibility.py
@@ -73,7 +73,7 @@
         return RouterControl(driver, clients, directory, folder, "r")
 
 
-def test_each_admin_command_replies_what_it_did_before_the_renaming() -> None:
+def test_each_admin_command_replies_the_recorded_bytes() -> None:
     router = FixedRouter()
     control = router.control()
     for row in json.loads((FIXTURES / "replies.json").read_text()):
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -60,7 +60,7 @@
         assert int(told["app.tries"].split("|")[0]) == len(bench.cache.got) + len(bench.origin.got)
 
 
-async def test_silent_callers_hold_up_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_callers_delay_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
     """Callers that connect and send nothing must not keep an operator from the endpoint."""
     monkeypatch.setattr(admin_server, "MAX_CALLERS", 4)
     async with router() as bench, attended(bench) as address:
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -72,7 +72,7 @@
     assert agreed(network)
 
 
-def test_two_halves_each_see_the_other_gone_and_heal() -> None:
+def test_two_halves_each_declare_the_other_dead_and_recover() -> None:
     network = fleet(8, 4)
     network.go(5 * SECOND)
     network.cut = lambda source, to: (source < 4) != (to < 4)
--- a/tests/fleet/test_gossip_transport.py
+++ b/tests/fleet/test_gossip_transport.py
@@ -14,7 +14,7 @@
 from rainhitch.fleet.options import FleetOptions
 
 
-async def test_peers_hear_one_another_and_nobody_else() -> None:
+async def test_datagrams_of_peers_are_read_and_no_others() -> None:
     heard: asyncio.Queue[Any] = asyncio.Queue()
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as friend,
@@ -51,7 +51,7 @@
         peers.close()
 
 
-async def test_a_port_that_is_taken_leaves_the_router_alone_but_running() -> None:
+async def test_a_router_whose_gossip_port_is_taken_runs_without_gossip() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         peers = GossipTransport(
--- a/tests/fleet/test_many_routers.py
+++ b/tests/fleet/test_many_routers.py
@@ -3,7 +3,7 @@
 from benchmarks.fleet import in_share, played
 
 
-def test_sixty_routers_do_not_talk_one_another_out_of_idle_servers() -> None:
+def test_gossip_among_sixty_routers_keeps_none_from_idle_servers() -> None:
     """Guards against a collapse with no fault at all: each full connection table was told to all as a slow
     server, who is slow was asked no more, and so all stayed slow while they idled. Service was 0.80."""
     service, broken, whole = played(60, "calm", lost=0.0, seed=1, length_s=4.0)
--- a/tests/fleet/test_peer_judgements.py
+++ b/tests/fleet/test_peer_judgements.py
@@ -78,14 +78,14 @@
     return server.latency.average_ns
 
 
-def test_one_faulty_router_shuts_no_server_for_the_others() -> None:
+def test_one_faulty_router_makes_no_server_overloaded_for_the_others() -> None:
     """One router with a bad link or a slow core shut a server for all: its latencies counted in full."""
     assert latency(believed=False) > 5 * SECOND
     assert latency(believed=True) <= MAX_FACTOR * 110 * MILLI
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 10**11)), max_size=30))
-def test_no_latency_counts_for_more_than_it_is_nor_than_twice_the_second_slowest(
+def test_no_latency_counts_for_more_than_observed_nor_than_twice_the_second_slowest(
     words: list[tuple[int, int]],
 ) -> None:
     judgements = PeerJudgements(ME)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -211,7 +211,7 @@
         assert sum(held) <= TOTAL * 4 / 3, "asked one after the other: a loan may end in between"
 
 
-def test_processes_lend_the_total_to_the_one_that_needs_it(ledgers: dict[str, Json]) -> None:
+def test_processes_lend_their_quota_to_the_one_that_needs_it(ledgers: dict[str, Json]) -> None:
     own = TOTAL / 4
     late = [router for at, router in reads(ledgers["total"]) if 5 <= at < 9]
     assert late.count(0) > 1.5 * (4 * own + own), "its own part and a full bank give 4 s and 1 s of it"
@@ -219,7 +219,7 @@
     assert max(held) > 2 * own and min(held) >= own, "the rest was lent to it"
 
 
-def test_processes_without_a_total_send_the_database_all(ledgers: dict[str, Json]) -> None:
+def test_processes_without_a_total_send_the_database_all_reads(ledgers: dict[str, Json]) -> None:
     """The bound above is the mechanism's: without it the same load goes over it."""
     times = [at for at, _ in reads(ledgers["no total"]) if at >= 0]
     assert most_within(times, 4.0) > TOTAL * 4.0 + TOTAL + 2 * 4
@@ -242,7 +242,7 @@
     return marked / of
 
 
-def test_processes_a_customer_within_its_share_is_not_marked_where_its_load_comes_to_one(
+def test_processes_a_tenant_within_its_quota_is_not_over_quota_where_its_load_comes_to_one_router(
     ledgers: dict[str, Json],
 ) -> None:
     """Three processes; all of a small customer's load comes to one, and words are lost at times, doubled and
@@ -266,7 +266,9 @@
     return sum(one["first"] > over.get(one["id"], 1 << 62) + SECOND // 20 for one in mine), len(mine)
 
 
-def test_processes_a_router_that_was_stopped_sends_nothing_for_who_has_left(ledgers: dict[str, Json]) -> None:
+def test_processes_a_router_that_was_stopped_starts_no_attempt_for_clients_that_left(
+    ledgers: dict[str, Json],
+) -> None:
     """Three processes, one stopped for four seconds under load: nothing goes out for clients that have given
     up meanwhile, though its timers come before its sockets are read, and what waits there looks new. The
     program without its sense of absence does send for them."""
@@ -275,7 +277,7 @@
     assert any("router resumed after a pause" in line for line in ledgers["stopped"]["logs"][0].splitlines())
 
 
-def test_processes_send_nothing_for_clients_that_have_left(ledgers: dict[str, Json]) -> None:
+def test_processes_start_no_attempt_for_clients_that_left(ledgers: dict[str, Json]) -> None:
     """Half of the clients leave early, as a server is silent, a link slow, the database jammed and a router
     told to end: no attempt, first or further, comes to any server for one that has been gone for so long that
     a slow machine can't explain it. On an idle one none comes after its client has left."""
@@ -288,7 +290,9 @@
     assert len(left) > 100 and len(begun) > 100 and not late
 
 
-def test_processes_find_out_who_is_gone_and_a_late_waker_talks_nobody_away(ledgers: dict[str, Json]) -> None:
+def test_processes_detect_a_dead_router_and_one_resumed_late_declares_nobody_dead(
+    ledgers: dict[str, Json],
+) -> None:
     """Five processes: one is killed for good, one is stopped and comes back. All others find out; who was
     stopped doubts itself, not them; and it is held as there again soon after."""
     views = ledgers["gone"]["views"]
--- a/tests/ground/test_operator_config.py
+++ b/tests/ground/test_operator_config.py
@@ -80,7 +80,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(["clients", "servers", "x"]), VALUES))
-def test_whatever_stands_there_is_taken_or_told_in_one_line_each(source: dict[str, Any]) -> None:
+def test_any_value_is_accepted_or_reported_in_one_line(source: dict[str, Any]) -> None:
     problems: list[str] = []
     told = read(OperatorConfig, source, "f", problems)
     assert (told is None) == bool(problems)
@@ -111,7 +111,7 @@
     assert ended.returncode == 2 and ended.stderr.count("\n") == 1 and "No such file" in ended.stderr
 
 
-def test_the_command_line_tells_its_version_and_its_commands() -> None:
+def test_the_command_line_prints_its_version_and_its_commands() -> None:
     assert program(dict(os.environ), "--version").stdout == "rainhitch 0.2.0\n"
     shown = program(dict(os.environ), "--help")
     assert shown.returncode == 0 and "rehearse" in shown.stdout
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -87,7 +87,7 @@
     assert (POLLED_TIMES if settings.endpoints_polled else PUSHED_TIMES).longest() < 6
 
 
-def test_each_class_of_a_site_is_served_and_refused_or_failed_as_its_effect_allows(site: Json) -> None:
+def test_each_class_of_a_site_is_served_and_rejected_or_failed_as_its_idempotency_allows(site: Json) -> None:
     options = read_settings(told(site))
     kinds = len(site["tier"][0]["kind"])
     members = [api.Endpoint(f"c{n}", kind=n % kinds, zone=n % 2) for n in range(4)]
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -60,7 +60,7 @@
     assert made.moved == 0 and made.reads == 0 and set(made.seconds.values()) == {0.0}
 
 
-def test_the_time_is_that_of_a_drawn_course_of_moves() -> None:
+def test_the_forecast_time_is_that_of_a_simulated_course_of_moves() -> None:
     """Tokens that go to the next request for a key that has not moved, drawn one by one."""
     weights = read_fractions(ReadWorkload(600, 1.0, 5.0, 300))
     random, left = Random(3), dict(enumerate(weights))
@@ -76,11 +76,11 @@
     assert all(abs(told[goal] - at[goal]) < 0.2 * at[goal] for goal in (0.5, 0.9))
 
 
-def test_a_pace_of_nothing_never_ends() -> None:
+def test_a_migration_without_a_pace_never_ends() -> None:
     assert seconds_until_moved([0.5, 0.5], 1.0, 0.0, (0.5,)) == {0.5: float("inf")}
 
 
-def test_what_is_lost_is_told_apart_and_what_retires_is_not_lost() -> None:
+def test_lost_keys_are_counted_apart_and_retiring_servers_lose_none() -> None:
     servers = [Server(uid) for uid in "abcdefghi"]
     gone = forecast(servers, servers[:4] + servers[5:], ReadWorkload(), 10.0)
     assert abs(gone.lost - 1 / 9) < 1e-9 and gone.moved > gone.lost
@@ -105,7 +105,7 @@
     return str(path)
 
 
-def test_the_command_tells_what_a_join_moves(listed: str) -> None:
+def test_the_command_prints_what_a_join_moves(listed: str) -> None:
     made = plan("--from", listed, "--join", "n9:b:2", "--json")
     assert made.returncode == 0, made.stderr
     told = json.loads(made.stdout)
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines where the process is held up at any reading of its clock, over loopback sockets."""
+"""Deadlines of a process that may be delayed at any reading of its clock; some over loopback sockets."""
 
 import asyncio
 import socket
@@ -30,33 +30,38 @@
 
 
 NOW = 10**12
-UNSEEN = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS  # the longest hold-up that no heartbeat tells
+MAX_UNDETECTED_NS = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS  # the longest delay that no heartbeat detects
 
 
-def held_up(*delays: int) -> DelayReserve:
+def delayed(*delays: int) -> DelayReserve:
+    """The reserve after such delays, ns, all at NOW."""
     made = DelayReserve()
     for delay in delays:
         made.delay_found(NOW, delay)
     return made
 
 
-@given(wait=st.integers(2 * UNSEEN, 10_000 * NS_PER_MS), unseen=st.integers(0, UNSEEN), calm=st.booleans())
-def test_an_unseen_hold_up_before_a_request_is_read_is_borne_by_the_slack(
-    wait: int, unseen: int, calm: bool
+@given(
+    wait=st.integers(2 * MAX_UNDETECTED_NS, 10_000 * NS_PER_MS),
+    undetected=st.integers(0, MAX_UNDETECTED_NS),
+    calm=st.booleans(),
+)
+def test_an_undetected_delay_before_a_read_is_covered_by_the_protocols_slack(
+    wait: int, undetected: int, calm: bool
 ) -> None:
-    kept = (DelayReserve() if calm else held_up(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
-    assert unseen + wait - kept + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    kept = (DelayReserve() if calm else delayed(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
+    assert undetected + wait - kept + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(
     wait=st.integers(MIN_RESERVE_NS * MAX_RESERVE_DIVISOR, 10_000 * NS_PER_MS),
     late=st.integers(0, HOST_DELAY_NS),
 )
-def test_a_hold_up_behind_the_deadline_is_borne_by_the_reserve_once_one_was_found(
+def test_a_delay_after_the_deadline_is_covered_by_the_reserve_once_one_was_detected(
     wait: int, late: int
 ) -> None:
     assert (
-        wait - held_up(MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
+        wait - delayed(MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
         <= wait + PROTOCOL_SLACK_NS
     )
 
@@ -65,31 +70,31 @@
     longest=st.integers(HOST_DELAY_NS, MAX_RESERVE_NS),
     wait=st.integers(4 * MAX_RESERVE_NS, 10_000 * NS_PER_MS),
 )
-def test_longer_hold_ups_want_a_longer_reserve(longest: int, wait: int) -> None:
-    kept = held_up(MIN_NOTICED_DELAY_NS, longest, MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait)
+def test_longer_delays_get_a_longer_reserve(longest: int, wait: int) -> None:
+    kept = delayed(MIN_NOTICED_DELAY_NS, longest, MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait)
     assert wait - kept + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(wait=st.integers(1, 10_000 * NS_PER_MS), delay=st.integers(0, 10_000 * NS_PER_MS))
 def test_the_reserve_leaves_a_short_wait_its_greater_part(wait: int, delay: int) -> None:
-    assert held_up(delay).reserve_ns(NOW + 1, wait) <= max(ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR)
+    assert delayed(delay).reserve_ns(NOW + 1, wait) <= max(ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR)
 
 
-def test_without_hold_ups_nothing_is_kept_but_the_way_back() -> None:
+def test_without_delays_only_the_answers_delivery_is_reserved() -> None:
     assert (
         DelayReserve().reserve_ns(NOW, 500 * NS_PER_MS)
-        == held_up(MIN_NOTICED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
+        == delayed(MIN_NOTICED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
         == ANSWER_DELIVERY_NS
     )
-    made = held_up(HOST_DELAY_NS)
+    made = delayed(HOST_DELAY_NS)
     assert made.reserve_ns(NOW + DELAY_MEMORY_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
     assert made.reserve_ns(NOW + DELAY_MEMORY_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
     made.delay_found(NOW + DELAY_MEMORY_NS, MIN_NOTICED_DELAY_NS)  # the longer one is forgotten
     assert made.longest_delay_ns == MIN_NOTICED_DELAY_NS
 
 
-class Readings:
-    """Counts the readings of a router's clock, and does something behind one of them."""
+class ClockReadings:
+    """Counts the readings of a router's clock, and calls `act` right after the reading numbered `at`."""
 
     def __init__(self, bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
         self.count = 0
@@ -100,11 +105,12 @@
         monkeypatch.setattr(bench.pools.system, "now", self.read)
 
     def read(self) -> int:
-        told = self.now()
+        """The time, ns."""
+        now_ns = self.now()
         self.count += 1
         if self.count == self.at:
             self.act()
-        return told
+        return now_ns
 
 
 async def newcomer(bench: Bench) -> tuple[socket.socket, ClientConnection]:
@@ -116,10 +122,10 @@
     return raw, client
 
 
-async def test_nothing_is_begun_for_a_client_that_leaves_behind_any_reading_of_the_clock(
+async def test_no_attempt_starts_for_a_client_that_leaves_after_any_reading_of_the_clock(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process may be held up behind each of them: what was asked before it is old."""
+    """The process may be delayed after each reading of the clock: what was found out before is old then."""
     async with router() as bench:
         warm = await bench.caller()
         warm.get(name=b"warm")
@@ -136,7 +142,7 @@
                 seen.append(bench.pools.attempts_written)
 
             with monkeypatch.context() as patched:
-                readings = Readings(bench, patched)
+                readings = ClockReadings(bench, patched)
                 readings.at, readings.act = at, leave
                 client.data_received(command(b"C.GET", b"k", b"leaves%d" % at, INFO % 900))
             raw.close()
@@ -147,7 +153,7 @@
         assert left_before >= 4
 
 
-async def test_a_newcomer_is_timed_from_when_an_accept_pause_began_where_the_system_does_not_tell(
+async def test_a_new_client_is_charged_with_an_accept_pause_where_the_system_reports_no_age(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with router(lambda asked, line: None) as bench:
@@ -171,16 +177,19 @@
             assert held.client_request.wait_ms > 900 - 100
 
 
-async def test_a_connection_is_not_used_that_its_server_may_close_during_a_hold_up() -> None:
+async def test_an_idle_connection_is_retired_before_its_server_may_close_it_during_a_delay() -> None:
     async with router(keepalive=300 * NS_PER_MS) as bench:
         bench.pools.set_max_idle(10.0)
         assert bench.pools.max_idle_s == pytest.approx(0.3 - HOST_DELAY_NS / 1e9)
 
 
-async def test_what_lay_unread_because_reading_was_paused_is_not_charged_with_it(
+async def test_a_command_left_unread_by_flow_control_is_not_charged_with_that_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client that sends more at once than may be in work: what comes behind waits for those before it."""
+    """A client sends more at once than may be in work.
+
+    What lies unread behind its own earlier commands waits for these, and is not old for that.
+    """
     async with router(lambda asked, line: None if asked[2] == b"first" else hit()) as bench:
         raw, client = await newcomer(bench)
         raw.sendall(command(b"C.GET", b"k", b"first", INFO % 900))
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -19,11 +19,13 @@
 
 
 def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
-    told: list[api.EndpointUpdate] = []
-    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append), told
+    """A directory, and the updates that it has published."""
+    updates: list[api.EndpointUpdate] = []
+    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append), updates
 
 
 def whole_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
+    """Discovery's answer over HTTP; `whole`: it holds all entries."""
     return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
 
 
@@ -41,7 +43,7 @@
     ]
     web = Web(lambda asked, line: script.pop(0) if script else None)
     await web.start()
-    one, told = directory()
+    one, updates = directory()
     host, _, port = web.address.partition(":")
     watch = DiscoveryWatch((host, int(port)), one, 1, polled=False)
     watch.times = PollTimes(
@@ -52,7 +54,7 @@
     targets = [asked[1] for asked in web.got[:9]]
     full, after = b"/api/targets", b"/api/targets?from=%d&hold_ms=100"
     assert targets == [full, after % 7, after % 8, full, after % 9, full, full, full, after % 10]
-    assert [event.kind for event in told] == [
+    assert [event.kind for event in updates] == [
         api.EndpointUpdateKind.FULL,
         api.EndpointUpdateKind.DELTA,
         api.EndpointUpdateKind.FULL,
@@ -65,15 +67,15 @@
 async def test_where_lists_are_polled_a_failure_is_reported_to_the_decisions() -> None:
     web = Web(lambda asked, line: http(503))
     await web.start()
-    one, told = directory()
+    one, updates = directory()
     host, _, port = web.address.partition(":")
     watch = DiscoveryWatch((host, int(port)), one, 1, polled=True)
     watch.start()
-    await soon(lambda: told)
-    assert told[0].kind is api.EndpointUpdateKind.FAILED and len(web.got) == 1
+    await soon(lambda: updates)
+    assert updates[0].kind is api.EndpointUpdateKind.FAILED and len(web.got) == 1
     await soon(lambda: watch.task is not None and watch.task.done())
     watch.start()
-    await soon(lambda: len(told) == 2)
+    await soon(lambda: len(updates) == 2)
     watch.stop()
     await web.stop()
 
--- a/tests/node/test_endpoint_directory.py
+++ b/tests/node/test_endpoint_directory.py
@@ -16,12 +16,13 @@
 
 
 def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
-    told: list[api.EndpointUpdate] = []
-    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append), told
+    """A directory, and the updates that it has published."""
+    updates: list[api.EndpointUpdate] = []
+    return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append), updates
 
 
 async def test_a_list_becomes_an_update_with_names_as_indexes_and_start_times_on_the_clock() -> None:
-    one, told = directory()
+    one, updates = directory()
     boot = time.time_ns() // 1_000_000 - 1000
     entries = (
         entry("c0", "127.0.0.1:1", az="b", pod_group=3, capacity_hint=1.5, boot_ms=boot),
@@ -29,28 +30,28 @@
     )
     one.apply(listing(1, *entries), cached=True)
     one.apply(listing(2, *entries))
-    member = told[0].entries[0]
+    member = updates[0].entries[0]
     assert (member.server, member.zone, member.cell, member.weight) == ("c0", 1, 3, 1.5)
     assert abs(time.monotonic_ns() - 1_000_000_000 - member.started_at_ns) < PATIENCE * 1e9
-    assert told[0].entries[1].started_at_ns == 0
-    assert [event.kind for event in told] == [api.EndpointUpdateKind.CACHED, api.EndpointUpdateKind.FULL]
-    assert told[1].entries[0].started_at_ns == member.started_at_ns  # the same start, not a restart
+    assert updates[0].entries[1].started_at_ns == 0
+    assert [event.kind for event in updates] == [api.EndpointUpdateKind.CACHED, api.EndpointUpdateKind.FULL]
+    assert updates[1].entries[0].started_at_ns == member.started_at_ns  # the same start, not a restart
 
 
 async def test_an_older_version_changes_nothing() -> None:
-    """An answer that was delayed may hold an older list: it must not bring back endpoints that are gone."""
-    one, told = directory()
+    """A delayed answer may hold an older list: it must not bring back endpoints that are gone."""
+    one, updates = directory()
     one.apply(listing(5, entry("c0", "127.0.0.1:1")))
     one.apply(listing(4))
     one.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
-    assert len(told) == 1 and one.version == 5 and one.can_serve
+    assert len(updates) == 1 and one.version == 5 and one.can_serve
 
 
 async def test_an_unreadable_entry_is_skipped_and_logged_and_the_others_stand(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """One bad entry must not cost the whole list, and an operator must see which one it was."""
-    one, told = directory()
+    one, updates = directory()
     odd: list[Any] = [
         entry("x1", "127.0.0.1:1", model="m99"),
         entry("x2", "127.0.0.1:1", az="z"),
@@ -61,7 +62,7 @@
         "x7",
     ]
     one.apply(listing(1, *odd, entry("c0", "127.0.0.1:1")))
-    assert [member.server for member in told[0].entries] == ["c0"]
+    assert [member.server for member in updates[0].entries] == ["c0"]
     assert caplog.text.count("endpoint list entry skipped") == len(odd)
     answers: list[Any] = [None, [], {"targets": []}, {"rev": "1", "targets": []}, {"rev": 2}]
     for bad in answers:
@@ -72,7 +73,7 @@
 async def test_a_changed_address_or_start_time_drops_the_old_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A server that restarted has lost its requests: their clients must hear so, not wait."""
+    """A server that restarted has lost its requests: their clients must get an answer, and not wait."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
         caller = await bench.caller()
--- a/tests/node/test_hostile.py
+++ b/tests/node/test_hostile_peers.py
@@ -21,10 +21,13 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*2\r\n$5\r\nC.G", b"*"])
-async def test_a_client_that_sends_no_whole_command_is_told_so_in_time(
+async def test_a_client_that_sends_no_whole_command_gets_an_error_in_time(
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    """Connections that say nothing, or dribble, were kept for good."""
+    """Connections that sent nothing, or half a command, were kept for good.
+
+    Such a client gets an error within the limit; another one is served meanwhile.
+    """
     monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
         caller = await bench.caller()
@@ -38,7 +41,7 @@
         assert await usual.answer() == b"v"
 
 
-async def test_dribbling_gains_a_client_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_sending_byte_by_byte_gains_a_client_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
         caller = await bench.caller()
@@ -56,7 +59,10 @@
 
 
 async def test_at_the_cap_the_longest_idle_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A newcomer was turned away while others had asked once and stayed. Whose request is open stays."""
+    """A new client was rejected while others had sent one request and stayed.
+
+    The longest idle connection is closed for it; one with a request in flight is not.
+    """
     monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=3) as bench:
         busy = await bench.caller()
@@ -77,7 +83,10 @@
 
 
 async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that may hold a third of the descriptors had none left, while theirs stood idle here."""
+    """Clients ran out of connections of their own while those they had were idle here.
+
+    Past half of the cap, idle connections are closed.
+    """
     monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.2)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=6) as bench:
         busy = await bench.caller()
@@ -92,8 +101,11 @@
         assert await busy.answer() == b"open"
 
 
-async def test_what_the_servers_do_not_use_is_the_clients() -> None:
-    """A crowd was turned away at half of the descriptors while a third of them was free."""
+async def test_clients_may_use_the_descriptors_that_the_servers_side_leaves() -> None:
+    """Clients were rejected at half of the descriptors while a third of them was free.
+
+    Clients may use what the servers' side leaves, and both sides together no more than there are.
+    """
     async with router(sockets=2) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # who is idle makes room for nobody
         bench.pools.descriptors.shared = 4
@@ -115,7 +127,10 @@
 async def test_an_idle_connection_to_a_server_makes_room_for_a_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Newcomers were turned away while half the connections to servers were idle."""
+    """New clients were rejected while half of the connections to servers were idle.
+
+    One of those is closed for a new client, down to two thirds of their cap.
+    """
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 60.0)  # so that each request opens another
     async with router(sockets=3) as bench:
         bench.pools.descriptors.shared = 6  # as many as both sides' caps, and no more for either
@@ -129,8 +144,10 @@
         assert str(await (await bench.caller()).answer()) == "BUSY"
 
 
-async def test_what_a_client_has_sent_unread_keeps_its_place(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Closing it would have lost a request that lay in the socket."""
+async def test_a_connection_with_unread_bytes_is_not_closed_to_make_room(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A request that lay unread in the socket would be lost with its connection."""
     monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
     async with router(sockets=1) as bench:
         caller = await bench.caller()
@@ -146,8 +163,8 @@
         assert await caller.answer() == b"v"
 
 
-async def test_what_is_sent_after_the_last_answer_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client turned away that went on at full speed was read at full speed for a second."""
+async def test_what_is_read_after_the_last_answer_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that went on sending after its last answer was read at full speed for a second."""
     monkeypatch.setattr(client_socket, "MAX_LINGER_BYTES", 1 << 16)
     async with router() as bench:
         caller = await bench.caller()
@@ -160,7 +177,8 @@
         assert not bench.clients.activity.lingering and bench.clients.buffered_bytes == 0
 
 
-async def test_hundreds_of_commands_at_once_do_not_starve_the_others() -> None:
+async def test_hundreds_of_commands_at_once_do_not_starve_other_clients() -> None:
+    """A client sends a thousand commands at once: no more than a few of them are handled in one turn."""
     async with router() as bench:
         greedy, usual = await bench.caller(), await bench.caller()
         usual.send(b"PING")
@@ -183,7 +201,10 @@
 
 
 async def test_answers_whose_turn_has_not_come_are_counted_and_bounded() -> None:
-    """Behind one slow answer, others piled up uncounted; now those that find no room fail."""
+    """Behind one slow answer, others piled up uncounted.
+
+    They count against the limit, and those for which there is no memory fail.
+    """
     value = bytes(60_000)
 
     async with router(
@@ -223,7 +244,7 @@
         (b"C.GET", b"k" * 257, b"i", INFO),
     ],
 )
-def test_what_the_protocol_does_not_allow_is_not_taken(parts: Any) -> None:
+def test_commands_that_the_protocol_does_not_allow_are_rejected(parts: Any) -> None:
     names = read_names(info())
     with pytest.raises(ClientRequestError):
         parse_client_request(list(parts), names)
@@ -260,8 +281,11 @@
         b"-" + b"x" * 2000,
     ],
 )
-async def test_a_spoilt_answer_is_no_answer_and_may_have_run(reply: bytes) -> None:
-    """Noise behind -BUSY passed for proof that nothing ran, and an array of any length for a value."""
+async def test_a_malformed_answer_fails_and_counts_as_perhaps_executed(reply: bytes) -> None:
+    """Noise behind -BUSY passed for proof that nothing ran, and an array of any length for a value.
+
+    Only the exact words count; all else may have been executed.
+    """
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
         caller.get(info=ONCE)
@@ -278,7 +302,7 @@
         (b"-ERR failed inflight=7\r\n", "ERR failed"),
     ],
 )
-async def test_an_unreadable_load_report_spoils_nothing_but_itself(reply: bytes, answer: str) -> None:
+async def test_an_answer_with_an_unreadable_load_report_is_used(reply: bytes, answer: str) -> None:
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
         caller.get(info=ONCE)
@@ -298,7 +322,7 @@
         http(302, b""),
     ],
 )
-async def test_a_spoilt_answer_of_the_origin_is_a_failure(reply: bytes) -> None:
+async def test_a_malformed_answer_of_the_origin_is_a_failure(reply: bytes) -> None:
     """Without a length, an answer cut short passed for the whole value."""
 
     def answer(asked: Any, line: asyncio.StreamWriter) -> bytes:
@@ -313,7 +337,7 @@
         assert len(bench.origin.got) == 1
 
 
-async def test_answers_of_1xx_ahead_change_nothing() -> None:
+async def test_interim_1xx_answers_are_skipped() -> None:
     ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + b"HTTP/1.1 102 P\r\n\r\n"
     async with router(lambda asked, line: MISS, origin=lambda asked, line: ahead + FETCHED) as bench:
         caller = await bench.caller()
@@ -323,7 +347,7 @@
 
 
 async def reused(bench: Bench, behind: bytes) -> Any:
-    """One request, then something behind its answer that nobody reads, then another."""
+    """Sends a request, leaves bytes unread behind its answer, and gives the answer to another request."""
     caller = await bench.caller()
     caller.get(name=b"i1")
     assert await caller.answer() == b"i1"
@@ -346,8 +370,8 @@
         assert len(bench.cache.lines) == 2
 
 
-async def test_a_connection_rests_after_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What comes right behind an answer may come a little after it."""
+async def test_a_connection_is_not_reused_right_after_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A second copy may come a little after an answer: a connection rests before it is reused."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 1000.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         caller = await bench.caller()
@@ -357,8 +381,10 @@
         assert len(bench.cache.lines) == 2
 
 
-async def test_a_full_table_of_our_own_is_no_fault_of_a_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A dial that found no descriptor left counted as a server that is down."""
+async def test_a_shortage_of_own_descriptors_is_not_counted_against_the_server(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A connect that found no descriptor left counted as a server that is down."""
     async with router() as bench:
 
         async def none_left(*_: Any, **__: Any) -> None:
@@ -372,7 +398,7 @@
         assert not bench.pools.pools["c0"].all
 
 
-async def test_a_new_server_at_an_old_address_owes_nothing_of_the_old_ones(
+async def test_a_new_server_at_an_old_address_inherits_no_failures(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
@@ -394,8 +420,8 @@
         assert not any(one.all for one in pools.draining_pools)
 
 
-async def test_the_sockets_hold_nothing_once_all_is_answered() -> None:
-    """After every way an attempt can end, its connection, its place and the module's count are free."""
+async def test_nothing_is_in_flight_once_all_is_answered() -> None:
+    """Attempts end in every way: no connection, request or count stays taken."""
     replies = [hit(), MISS, b"-BUSY\r\n", b"-ERR failed\r\n", b"noise", None]
 
     def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
@@ -436,8 +462,8 @@
         assert REAL.readable(Bare(one))  # type: ignore[arg-type]
 
 
-async def test_a_connection_that_falls_silent_costs_no_more_than_a_try() -> None:
-    """The request waited there until its time was up."""
+async def test_a_silent_connection_costs_one_attempt_and_not_the_request() -> None:
+    """A request waited on a silent connection until its time was over; now another server is asked."""
     other = Cache(lambda asked, line: hit(b"other"))
     await other.start()
 
@@ -463,8 +489,11 @@
     await other.stop()
 
 
-async def test_who_is_turned_away_hears_it_even_with_a_command_on_the_way() -> None:
-    """A reset would overtake the answer: the client then has none, though its command was taken."""
+async def test_a_rejected_client_gets_its_answer_though_its_commands_are_unread() -> None:
+    """A close with commands unread is a reset, which can overtake the answer.
+
+    The client then has none, though its command was read.
+    """
     async with router(sockets=1) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600.0  # a slow machine makes no room for the late
         await (await bench.caller()).answer_to_ping()
@@ -481,7 +510,7 @@
         assert len(bench.clients.open) == 1 and not bench.cache.got
 
 
-async def test_few_of_those_turned_away_are_heard_out_at_a_time() -> None:
+async def test_the_number_of_rejected_connections_kept_open_is_bounded() -> None:
     async with router(sockets=1) as bench:
         bench.clients.idle_s = bench.clients.at_need_s = 3600  # the first one makes room for nobody
         await (await bench.caller()).answer_to_ping()
--- a/tests/node/test_growth.py
+++ b/tests/node/test_leaks.py
@@ -1,4 +1,4 @@
-"""What a long churn leaves behind, by counts: of objects, places, timers and descriptors."""
+"""Leaks: what long use leaves behind, by counts of objects, connections, timers and descriptors."""
 
 import asyncio
 import gc
@@ -42,13 +42,16 @@
 
 
 def alive() -> Counter[str]:
+    """How many objects of each of KINDS there are."""
     gc.collect()
     return Counter(kind.__name__ for one in gc.get_objects() for kind in KINDS if isinstance(one, kind))
 
 
 async def churn(bench: Bench, rounds: range) -> None:
-    """In each round a server leaves and a new one stands at its address, with new ids, keys and clients, and
-    attempts end in every way."""
+    """Plays rounds: a server leaves, a new one is at its address, and attempts end in every way.
+
+    Ids, keys and clients are new in each.
+    """
     for n in rounds:
         new = entry(f"c{n}", bench.cache.address, boot_ms=1)
         origin = entry("o", bench.origin.address, model="origin")
@@ -68,7 +71,7 @@
         await soon(lambda: not bench.clients.open and not bench.driver.requests)
 
 
-async def test_nothing_grows_in_a_long_churn(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_long_churn_leaves_no_objects_behind(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     replies = [hit(), MISS, b"-BUSY\r\n", b"-ERR failed\r\n", b"noise", None]
 
@@ -103,8 +106,8 @@
         assert grown.keys() <= {"PendingRequest"}
 
 
-async def test_a_dial_that_never_comes_up_leaves_no_descriptor() -> None:
-    """The listener's queue is full, so that the system drops what would connect."""
+async def test_a_connect_that_never_comes_up_leaves_no_descriptor() -> None:
+    """A server's backlog is full, so that the system drops what would connect: no descriptor may be lost."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = full.getsockname()
         queued = [socket.socket() for _ in range(4)]
@@ -131,7 +134,7 @@
             one.close()
 
 
-async def test_a_full_descriptor_table_is_recovered_from(tmp_path: Path) -> None:
+async def test_the_router_recovers_from_a_full_descriptor_table(tmp_path: Path) -> None:
     def few() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (30, 30))
 
@@ -163,8 +166,11 @@
     await cache.stop()
 
 
-async def test_a_burst_of_newcomers_leaves_descriptors_to_answer_each_of_them(tmp_path: Path) -> None:
-    """Beyond its last descriptor a listener accepts and closes without a word: the requests are lost."""
+async def test_each_client_of_a_burst_is_answered_though_descriptors_are_short(tmp_path: Path) -> None:
+    """Requests were lost: beyond its last descriptor a listener accepts and closes, with no answer.
+
+    Each client of a burst must get one.
+    """
 
     def few() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
--- a/tests/node/test_lag.py
+++ b/tests/node/test_loop_lag.py
@@ -22,11 +22,15 @@
         self.lag.report_to(self.delays.append)
 
     def call_soon(self, callback: Callable[[], Any]) -> None:
+        """Keeps a callback for the next turn."""
         self.soon.append(callback)
 
     def turn(self, waited: int = 0, held_up: int = 0) -> None:
-        """The end of a turn and the poll of the next one, in which the process is held up: then what is read
-        comes before the timers."""
+        """Ends a turn and polls for the next one; times are ns.
+
+        `waited` is for how long the poll waits in time, `held_up` for how long the process is delayed then:
+        what is read comes before the timers.
+        """
         ready, self.soon = self.soon, []
         for callback in ready:
             callback()
@@ -37,7 +41,7 @@
         self.now += waited + held_up
 
     def read(self, takes: int = 0) -> int:
-        """A callback; gives the age of what it reads."""
+        """Runs a callback for so many ns; gives the age of what it reads, ns."""
         self.lag.callback_begins()
         age = self.lag.age_ns()
         self.now += takes
@@ -45,7 +49,7 @@
         return age
 
 
-def test_what_a_punctual_loop_reads_has_no_age() -> None:
+def test_what_a_loop_in_time_reads_has_no_age() -> None:
     loop = ScriptedLoop()
     for waited in (0, MILLI, 20 * MILLI, 90 * MILLI, 450 * MILLI):
         loop.turn(waited)
@@ -65,7 +69,7 @@
     assert loop.delays == [120 * MILLI]
 
 
-def test_a_process_that_was_held_up_in_the_poll_is_known_by_its_heartbeat() -> None:
+def test_a_delay_in_the_poll_is_detected_by_the_heartbeat() -> None:
     loop = ScriptedLoop()
     loop.read()
     held_up = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS + 1
@@ -86,11 +90,13 @@
 
 
 @given(st.lists(steps))
-def test_nothing_is_taken_for_younger_than_what_can_be_seen_of_its_age(
+def test_an_age_is_never_less_than_the_detected_delay(
     turns: list[tuple[int, int, list[int]]],
 ) -> None:
-    """What comes as the poll begins, or as a callback does, is at least as old as the delay that it lay
-    through, less what no heartbeat tells."""
+    """What comes as the poll or a callback begins is at least as old as the delay behind it.
+
+    Delays that no heartbeat detects are left out.
+    """
     loop = ScriptedLoop()
     for waited, held_up, callbacks in turns:
         loop.turn(waited, held_up)
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -1,5 +1,8 @@
-"""Which call to discovery is due, and when: no change stays unknown for as long as MAX_STALENESS_S, whatever
-failed before, wherever outages and silences fall."""
+"""Which call to discovery is due, and when.
+
+No change stays unknown for as long as MAX_STALENESS_S, whatever failed before, wherever outages and silences
+are.
+"""
 
 import itertools
 
@@ -12,7 +15,7 @@
 from rainhitch.node.polling import MAX_STALENESS_S, POLLED_TIMES, PUSHED_TIMES, PollSchedule, PollTimes
 from rainhitch.policy.server_registry import MAX_POLL_RETRY_NS
 
-ALL = 1.0  # the longest that a pause may be: no jitter
+NO_JITTER = 1.0  # the longest that a pause may be
 
 
 def known_after(
@@ -22,11 +25,13 @@
     outages: list[tuple[float, float]],
     silent_from: float,
     begin: float = 0.0,
-    jitter: float = ALL,
+    jitter: float = NO_JITTER,
 ) -> float:
-    """For how long a change stayed unknown since discovery had it and could be reached, after the last outage
-    until then. A watch that is open at `silent_from` is never answered. Discovery answers at once while it is
-    up, and not at all, also to what is out, while it is down."""
+    """For how long a change stayed unknown since discovery had it and could be reached, s.
+
+    That is after the last outage until then. A call that is held at `silent_from` is never answered.
+    Discovery answers at once while it is up, and not at all while it is down, also to calls that it holds.
+    """
 
     def up_at(at: float) -> float:
         for start, end in outages:
@@ -65,7 +70,7 @@
 
 
 @pytest.mark.parametrize(("times", "polled"), [(PUSHED_TIMES, False), (POLLED_TIMES, True)])
-def test_no_interleaving_of_outages_and_silences_hides_a_change_for_longer(
+def test_no_interleaving_of_outages_and_silences_hides_a_change_for_longer_than_stated(
     times: PollTimes, polled: bool
 ) -> None:
     grid = [n * 0.4 for n in range(18)]
@@ -85,7 +90,7 @@
     st.floats(0, 30),
     st.floats(0.5, 1),
 )
-def test_no_history_of_outages_hides_a_change_for_longer(
+def test_no_history_of_outages_hides_a_change_for_longer_than_stated(
     kind: tuple[PollTimes, bool],
     change: float,
     outages: list[tuple[float, float]],
@@ -105,7 +110,7 @@
 
 
 def test_a_failed_watch_is_followed_by_a_call_for_the_whole_list_even_where_polled() -> None:
-    polling = PollSchedule(POLLED_TIMES, True, lambda: ALL)
+    polling = PollSchedule(POLLED_TIMES, True, lambda: NO_JITTER)
     polling.succeeded()
     assert polling.call().hold_s == POLLED_TIMES.hold_s
     assert polling.failed() == POLLED_TIMES.first_pause_s  # it may be the watch alone that broke
--- a/tests/node/test_hold_ups.py
+++ b/tests/node/test_process_delays.py
@@ -1,8 +1,8 @@
-"""Routers that are held up for a while: stopped as they stand, or between the poll and the program. What lies
-in their sockets meanwhile ages, and its client waits no longer for it. Processes of the program.
+"""Processes of the program that are delayed: stopped by a signal, or between the poll and a callback.
 
-Each hold-up is HELD s long and each wait WAIT s; an answer is in time up to IN_TIME, far from both a router
-that counts the hold-up and one that does not.
+What lies in their sockets meanwhile ages, and its client waits no longer for it. Each delay is HELD s long
+and each wait WAIT s; an answer is in time up to IN_TIME, far from both a router that counts the delay and one
+that does not.
 """
 
 import asyncio
@@ -33,10 +33,11 @@
     address: tuple[str, int]
 
     async def caller(self) -> Caller:
+        """Connects a client."""
         return Caller(*await asyncio.open_connection(*self.address))
 
     async def held_up(self, seconds: float = HELD) -> None:
-        """Stops it as it stands for so long."""
+        """Stops the process for so long."""
         self.running.send_signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
@@ -95,11 +96,14 @@
 
 
 @pytest.mark.parametrize("faults", ["", "blind"])
-async def test_processes_a_stopped_router_answers_what_lay_in_its_sockets_in_its_clients_time(
+async def test_processes_a_stopped_router_answers_what_lay_unread_within_its_clients_wait(
     tmp_path: Path, faults: str
 ) -> None:
-    """Two routers, one of them stopped for less than it takes for an absence. It timed what lay there from
-    when it read it, and answered when its clients had left."""
+    """Clients had left when their answers came, after their router had been stopped for a moment.
+
+    It timed what lay unread from when it read it. Two routers run, one of them stopped for less than it takes
+    to detect a pause: each client must be answered within its wait.
+    """
     async with routers(tmp_path, silent_but_for_warm(), 2, faults) as (stopped, other):
         callers = [await warm(one) for one in (stopped, other)]
         newcomer = await stopped.caller()
@@ -114,8 +118,10 @@
         assert max(times) < IN_TIME
 
 
-async def test_processes_a_router_held_up_behind_its_poll_answers_in_its_clients_time(tmp_path: Path) -> None:
-    """The request that it was reading, and one that came meanwhile and is read right after it."""
+async def test_processes_a_router_delayed_after_its_poll_answers_within_its_clients_wait(
+    tmp_path: Path,
+) -> None:
+    """Neither the request that it was reading nor one that came meanwhile may be answered late."""
     async with routers(tmp_path, silent_but_for_warm(), 1, "blind late") as (router,):
         first, second = await warm(router), await warm(router)
         held = asyncio.create_task(seconds_to_answer(first, LATE, b"held"))
@@ -124,11 +130,13 @@
         assert max(await held, behind) < IN_TIME
 
 
-async def test_processes_an_answer_that_came_in_time_is_taken_though_its_time_out_runs_first(
+async def test_processes_an_answer_that_came_in_time_is_used_though_its_timeout_fires_first(
     tmp_path: Path,
 ) -> None:
-    """A late loop runs its timers before it reads its sockets: the answer that waited there was thrown away,
-    and the server taken for one that had not answered."""
+    """Answers that had come in time were thrown away, and their servers counted as silent.
+
+    A late loop runs its timers before it reads its sockets.
+    """
     asked_first: list[asyncio.StreamWriter] = []
 
     def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -15,10 +15,12 @@
 
 
 def whole_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
+    """Discovery's answer over HTTP; `whole`: it holds all entries."""
     return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
 
 
 async def program(env: dict[str, str]) -> asyncio.subprocess.Process:
+    """Starts the program with this environment."""
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
     )
@@ -90,8 +92,11 @@
     await cache.stop()
 
 
-async def test_sighup_moves_the_watch_and_nothing_else(tmp_path: Path) -> None:
-    """The program ended on SIGHUP, with all that it held. The new address counts its versions anew."""
+async def test_sighup_moves_the_discovery_watch_and_nothing_else(tmp_path: Path) -> None:
+    """The program ended on SIGHUP, and all requests in flight were lost.
+
+    It moves to the new discovery, which counts its versions anew; a bad file changes nothing.
+    """
     cache = Cache(lambda asked, line: None if asked[2] == b"slow" else hit())
     second = Cache(lambda asked, line: hit(b"second"))
     await cache.start()
@@ -136,5 +141,6 @@
 
 
 async def pong(caller: Caller) -> Any:
+    """The answer to a PING."""
     caller.send(b"PING")
     return await caller.answer()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_races.py
@@ -1,5 +1,6 @@
-"""Where two events cross: each of these tests brings the second about in the moment between, over loopback
-sockets. docs/design/acceptance.md lists the crossings.
+"""Races: two events that may come in either order, or in the same turn of the loop, over loopback sockets.
+
+Each test brings the second event about right behind the first. docs/design/acceptance.md lists these races.
 """
 
 import asyncio
@@ -38,12 +39,16 @@
 
 
 def get(name: bytes, info: bytes = READ) -> bytes:
+    """A C.GET command with this id."""
     return command(b"C.GET", b"k", name, info)
 
 
-class Gate:
-    """Holds the connections that a router opens to a server until it is opened; a dial that was given up
-    meanwhile comes up all the same, in the turn in which that happens."""
+class DelayedConnects:
+    """Delays the connections that a router opens to a server until `let_through`.
+
+    A connect that was given up meanwhile comes up all the same, in the turn in which that happens. `waiting` has
+    the delayed connects.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: Peer) -> None:
         self.open = asyncio.Event()
@@ -65,6 +70,7 @@
         return await self.connect(*args)
 
     async def let_through(self) -> None:
+        """Has all delayed connections come up, and waits until they have."""
         self.open.set()
         await asyncio.gather(*self.waiting)
 
@@ -72,20 +78,23 @@
 @asynccontextmanager
 async def two_servers(
     monkeypatch: pytest.MonkeyPatch, dial: int = 10_000_000_000
-) -> AsyncIterator[tuple[Bench, Cache, Gate]]:
-    """A router with one listed cache server, whose connections come up late, and another one for later."""
+) -> AsyncIterator[tuple[Bench, Cache, DelayedConnects]]:
+    """A router with one listed cache server, whose connections come up late, and another not listed yet.
+
+    `dial` is the connect timeout, ns.
+    """
     second = Cache(lambda asked, line: hit(b"second"))
     await second.start()
     try:
         async with router(dialTimeout=dial) as bench:
-            yield bench, second, Gate(monkeypatch, bench.cache)
+            yield bench, second, DelayedConnects(monkeypatch, bench.cache)
     finally:
         monkeypatch.undo()
         await second.stop()
 
 
 def send_all(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Decisions that send all that comes, and again what was not answered."""
+    """Makes the decisions start an attempt for each request, and another one where that was not answered."""
 
     def decide(at: int, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request) or (
@@ -104,10 +113,10 @@
 async def test_a_connection_that_comes_up_after_its_server_left_service_carries_nothing(
     monkeypatch: pytest.MonkeyPatch, news: str
 ) -> None:
-    async with two_servers(monkeypatch) as (bench, second, gate):
+    async with two_servers(monkeypatch) as (bench, second, connects):
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: gate.waiting)
+        await soon(lambda: connects.waiting)
         origin = entry("o", bench.origin.address, model="origin")
         others = [entry("c1", second.address, boot_ms=1), origin]
         if news != "gone":
@@ -115,36 +124,39 @@
             address = {"drains": bench.cache.address, "moved": second.address}[news]
             others.append(entry("c0", address, state=state))
         bench.directory.apply(listing(6, *others))
-        await gate.let_through()  # in the same turn, before the decisions could do anything about it
+        await connects.let_through()  # in the same turn, before the decisions could do anything about it
         assert await caller.answer() == b"second"
         await soon(lambda: bench.cache.ended == 1)
         assert not bench.cache.got
 
 
-async def test_a_client_that_leaves_while_a_connection_comes_up_is_not_sent_for_and_the_next_one_uses_it(
+async def test_no_attempt_is_written_for_a_client_that_left_during_the_connect_and_the_connection_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
-    async with two_servers(monkeypatch) as (bench, _, gate):
+    async with two_servers(monkeypatch) as (bench, _, connects):
         first, second = await bench.caller(), await bench.caller()
         first.get(name=b"left")
-        await soon(lambda: gate.waiting)
+        await soon(lambda: connects.waiting)
         first.writer.close()
         await soon(lambda: not bench.driver.requests)
-        await gate.let_through()
+        await connects.let_through()
         await soon(lambda: bench.pools.pools["c0"].idle)
         second.get(name=b"stays")
         assert await second.answer() == b"v"
         assert [asked[2] for asked in bench.cache.got] == [b"stays"]
-        assert len(bench.cache.lines) == len(gate.waiting) == 1
+        assert len(bench.cache.lines) == len(connects.waiting) == 1
 
 
-async def test_a_repeat_whose_connection_comes_up_after_its_window_is_never_begun(
+async def test_a_retry_whose_connection_comes_up_after_its_dedup_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seed 109 of the short days: one was decided 0.68 s after the first attempt and written at 0.92 s, in a
-    window of 1 s; another came too late."""
-    async with two_servers(monkeypatch) as (bench, _, gate):
+    """Seed 109 of the short days: a retry was written near the end of its window, and another one after it.
+
+    The first was decided 0.68 s after the first attempt and written at 0.92 s, in a dedup window of 1 s. What
+    can't be written within the window must never be: its server may have forgotten the first attempt.
+    """
+    async with two_servers(monkeypatch) as (bench, _, connects):
         now, told = [bench.driver.clock.now()], []
         monkeypatch.setattr(bench.driver.clock, "now", lambda: now[0])
 
@@ -157,32 +169,35 @@
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: gate.waiting)
+        await soon(lambda: connects.waiting)
         now[0] += 50_000_000
-        await gate.let_through()
+        await connects.let_through()
         assert str(await caller.answer()) == "ERR failed"
         assert not bench.cache.got
         outcome = next(event for event in told if isinstance(event, api.AttemptFinished))
         assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
 
 
-async def test_a_dial_given_up_in_the_turn_in_which_it_comes_up_carries_nothing_and_leaves_nothing(
+async def test_a_connect_given_up_in_the_turn_in_which_it_comes_up_carries_nothing_and_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with two_servers(monkeypatch, dial=1_000_000) as (bench, _, gate):
+    async with two_servers(monkeypatch, dial=1_000_000) as (bench, _, connects):
         caller = await bench.caller()
         caller.get()
         assert str(await caller.answer()) == "BUSY"  # never up in time, and nowhere else to go
-        await gate.let_through()
+        await connects.let_through()
         await soon(lambda: bench.cache.lines and bench.cache.ended == len(bench.cache.lines))
         assert not bench.cache.got and not bench.pools.open() and not bench.pools.pools["c0"].all
 
 
-async def test_a_dial_that_comes_up_as_its_time_is_over_carries_its_attempt(
+async def test_a_connect_that_comes_up_as_its_timeout_fires_carries_its_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A time-out that is delivered to a connect that has just succeeded closes its socket without a word."""
-    async with two_servers(monkeypatch) as (bench, _, gate):
+    """A timeout that is delivered to a connect which has just succeeded closes its socket, with no error.
+
+    Such a connect has either not come up, or it carries its attempt.
+    """
+    async with two_servers(monkeypatch) as (bench, _, connects):
         made = upstream_connection.UpstreamConnection.connection_made
 
         def made_as_time_is_over(one: upstream_connection.UpstreamConnection, transport: Any) -> None:
@@ -192,8 +207,8 @@
         monkeypatch.setattr(upstream_connection.UpstreamConnection, "connection_made", made_as_time_is_over)
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: gate.waiting)
-        await gate.let_through()
+        await soon(lambda: connects.waiting)
+        await connects.let_through()
         assert await caller.answer() == b"v"
         assert len(bench.cache.got) == 1
 
@@ -212,10 +227,13 @@
     return raw
 
 
-async def test_who_leaves_with_many_commands_in_work_is_sent_for_no_more(
+async def test_no_attempt_starts_for_a_client_that_left_while_its_reading_was_paused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reading is paused at so many; the end lies behind what is not read, and the loop does not tell."""
+    """Reading is paused at so many commands, so that the loop does not report the end behind them.
+
+    Before an attempt the system is asked for it.
+    """
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
         raw.close()
@@ -226,8 +244,10 @@
         assert len(bench.cache.got) == MAX_PIPELINED_COMMANDS
 
 
-async def test_what_is_taken_up_from_one_that_has_left_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that sends much and goes at once."""
+async def test_commands_read_from_a_client_that_has_left_start_no_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A client sends 64 commands and closes at once: none of them may reach a server."""
     async with router() as bench:
         send_all(bench, monkeypatch)
         raw = socket.create_connection(("127.0.0.1", bench.port))
@@ -244,11 +264,12 @@
 LARGE = b"x" * 60_000
 
 
-class Deaf:
-    """A server that takes connections and reads nothing, so that a large request stays on its way."""
+class NotReading:
+    """A server that accepts connections and reads nothing, so that a large request is written in part only."""
 
     def __init__(self, bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.bench, self.listener = bench, socket.socket()
+        self.bench = bench
+        self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen()
@@ -271,36 +292,36 @@
         ]
 
     async def half_written(self) -> Caller:
-        """A client whose request is written in part."""
+        """A client whose request has been written in part."""
         caller = await self.bench.caller()
         caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=o1", LARGE)
         await soon(self.writing)
         return caller
 
     def got(self) -> int:
-        """How many bytes came on the one connection, which has ended by now."""
+        """How many bytes came on the one connection, once it has ended."""
         line, _ = self.listener.accept()
         with line:
             line.settimeout(PATIENCE)
             return sum(len(piece) for piece in iter(lambda: line.recv(65_536), b""))
 
 
-async def test_a_request_whose_client_leaves_while_it_is_written_is_not_finished(
+async def test_a_request_whose_client_leaves_while_it_is_written_is_not_written_whole(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It begins at its server with its last byte, which may come seconds after the client has gone."""
+    """A request begins at its server with its last byte, which may come seconds after its client has left."""
     async with router() as bench:
         send_all(bench, monkeypatch)
-        deaf = Deaf(bench, monkeypatch)
-        caller = await deaf.half_written()
+        server = NotReading(bench, monkeypatch)
+        caller = await server.half_written()
         caller.writer.transport.abort()
         await soon(lambda: not bench.clients.open)
         assert not bench.driver.requests and not bench.pools.open()  # at once
-        assert await asyncio.to_thread(deaf.got) < len(LARGE)
-        deaf.listener.close()
+        assert await asyncio.to_thread(server.got) < len(LARGE)
+        server.listener.close()
 
 
-async def test_a_repeat_that_is_still_being_written_as_its_window_ends_is_not_finished(
+async def test_a_retry_still_being_written_as_its_dedup_window_ends_is_not_written_whole(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with router() as bench:
@@ -316,35 +337,35 @@
         monkeypatch.setattr(
             bench.driver.attempts, "time_out", lambda attempt: None
         )  # the window alone ends it
-        deaf = Deaf(bench, monkeypatch)
-        caller = await deaf.half_written()
+        server = NotReading(bench, monkeypatch)
+        caller = await server.half_written()
         assert str(await caller.answer()) == "ERR failed"
         outcome = next(event for event in told if isinstance(event, api.AttemptFinished))
         assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
-        assert await asyncio.to_thread(deaf.got) < len(LARGE)
-        deaf.listener.close()
+        assert await asyncio.to_thread(server.got) < len(LARGE)
+        server.listener.close()
 
 
-async def test_a_connection_that_answers_before_the_last_byte_is_written_is_not_used_again(
+async def test_a_connection_that_answers_before_the_last_byte_is_written_is_not_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is left of the first request would be taken for the next one's beginning by whom it reaches."""
+    """The rest of the first request would be read as the beginning of the next one."""
     async with router() as bench:
         send_all(bench, monkeypatch)
-        deaf = Deaf(bench, monkeypatch)
-        caller = await deaf.half_written()
-        line, _ = deaf.listener.accept()
+        server = NotReading(bench, monkeypatch)
+        caller = await server.half_written()
+        line, _ = server.listener.accept()
         line.sendall(hit())
         assert await caller.answer() == b"v"
         assert not bench.pools.open()
         line.close()
-        deaf.listener.close()
+        server.listener.close()
 
 
 # A connection is closed as something comes on it
 
 
-async def test_a_request_that_crosses_the_close_of_an_idle_connection_meets_an_end_and_no_reset() -> None:
+async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_end_and_no_reset() -> None:
     async with router() as bench:
         raw = socket.create_connection(("127.0.0.1", bench.port))
         raw.settimeout(PATIENCE)
@@ -362,7 +383,7 @@
 
 
 async def test_a_connection_that_its_server_is_about_to_close_carries_nothing() -> None:
-    """Where a keepalive is short, what has idled through it is not swept yet."""
+    """Where a keepalive is short, the sweep comes too late: what has idled too long is passed over."""
     async with router() as bench:
         caller = await bench.caller()
         for name in (b"one", b"two"):
@@ -374,10 +395,10 @@
         assert len(bench.cache.lines) == 2
 
 
-async def test_commands_read_and_not_taken_up_are_refused_when_the_connection_ends(
+async def test_commands_read_and_not_handled_are_rejected_when_the_connection_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They lay behind those in work: to the client they did not cross the end."""
+    """They lay behind those in work: to the client they did not cross the end, so each has to be answered."""
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
         [client] = bench.clients.open
@@ -392,7 +413,9 @@
         raw.close()
 
 
-async def test_who_reads_slowly_gets_the_rest_of_the_last_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_slow_reader_gets_the_rest_of_the_last_answer_after_the_half_close(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(close_timer, "LINGER_S", 0.05)
     value = b"x" * 60_000
     async with router(lambda asked, line: hit(value)) as bench:
@@ -418,11 +441,13 @@
 # The router was stopped, and its sockets are read before its timers
 
 
-async def test_an_answer_that_is_the_first_thing_read_after_a_stop_tells_of_no_slow_server(
+async def test_an_answer_read_first_after_a_pause_does_not_count_the_pause_as_latency(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Three processes, one stopped for 4 s: its origin had answered at once, and was taken for one that takes
-    4 s, so that reads of the next second were refused."""
+    """Reads were rejected for a second after a router had been stopped for 4 s.
+
+    Its origin had answered at once, and the answer counted as one of 4 s.
+    """
     async with router(lambda asked, line: None) as bench:
         now = [bench.driver.clock.now()]
         told: list[api.AttemptFinished] = []
@@ -444,7 +469,7 @@
         assert told[0].elapsed_ns < 1_000_000_000
 
 
-async def test_a_request_that_is_the_first_thing_read_after_a_stop_is_as_old_as_it_lay(
+async def test_a_request_read_first_after_a_pause_is_charged_with_the_time_it_lay_unread(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with router(lambda asked, line: None) as bench:
@@ -470,13 +495,13 @@
     await old.start()
     await new.start()
     async with router() as bench:
-        gate = Gate(monkeypatch, old)
+        connects = DelayedConnects(monkeypatch, old)
         first, second = (read_address(web.address) for web in (old, new))
         watch = DiscoveryWatch(first, bench.directory, 1, polled=False)
         watch.start()
-        await soon(lambda: gate.waiting)
-        gate.open.set()
-        await gate.waiting[0]  # up; who waits for it goes on in this turn or the next
+        await soon(lambda: connects.waiting)
+        connects.open.set()
+        await connects.waiting[0]  # up; who waits for it goes on in this turn or the next
         watch.move(second)
         await soon(lambda: new.got)
         await soon(lambda: old.ended == len(old.lines) == 1)
@@ -490,8 +515,13 @@
 # Idle clients, and discovery that is down
 
 
-async def test_processes_idle_clients_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
-    """The call that reaches discovery again, and connections to servers, still get theirs."""
+async def test_processes_discovery_and_servers_get_descriptors_though_idle_clients_fill_the_cap(
+    tmp_path: Path,
+) -> None:
+    """Idle clients fill the cap while discovery is down.
+
+    The call that reaches discovery again, and connections to servers, must still get descriptors.
+    """
 
     def few() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (96, 96))
@@ -549,9 +579,11 @@
 # The end of the program
 
 
-async def test_with_short_deadlines_all_is_over_before_sigkill() -> None:
-    """The longest deadline and 0.7 s after SIGTERM comes SIGKILL: at half a second that is before the 2.2 s
-    that stood here, in which the router went on taking requests."""
+async def test_with_short_deadlines_the_shutdown_ends_before_sigkill() -> None:
+    """SIGKILL comes the longest deadline and 0.7 s after SIGTERM.
+
+    With a deadline of half a second that was before the 2.2 s for which the router went on taking requests.
+    """
     told = info()
     for one in told["classes"]:
         one["aim"], one["deadline"] = 200_000_000, 400_000_000
@@ -565,10 +597,13 @@
     await ending
 
 
-async def test_a_newcomer_that_a_late_loop_finds_as_it_stops_listening_is_heard(
+async def test_a_client_in_the_backlog_of_a_late_loop_is_answered_when_the_router_stops_listening(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Timers run before sockets are read: who came while the loop was late would be reset in the backlog."""
+    """A late loop runs its timers before it reads its sockets.
+
+    Who connected while it was late would be reset in the backlog: the listener is read before it is closed.
+    """
     service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     assert service.clients.listener is not None
@@ -595,7 +630,9 @@
     await ending
 
 
-async def test_a_newcomer_that_comes_in_a_pause_is_heard_when_the_router_stops_listening() -> None:
+async def test_a_client_that_connects_in_an_accept_pause_is_answered_when_the_router_stops_listening() -> (
+    None
+):
     service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
     listener = service.clients.listener
--- a/tests/node/test_long.py
+++ b/tests/node/test_relay.py
@@ -1,4 +1,4 @@
-"""Values too long to be kept: passed on as they come, over loopback sockets with scripted peers."""
+"""Values too long to be kept: relayed as they arrive, over loopback sockets with scripted peers."""
 
 import asyncio
 import itertools
@@ -22,8 +22,8 @@
 Script = Any
 
 
-def holding() -> tuple[list[asyncio.StreamWriter], Script]:
-    """A script that says nothing, and whom it has not answered."""
+def silent_script() -> tuple[list[asyncio.StreamWriter], Script]:
+    """A script that sends nothing, and the connections on which it was asked."""
     asked: list[asyncio.StreamWriter] = []
 
     def answer(parts: object, line: asyncio.StreamWriter) -> None:
@@ -33,12 +33,13 @@
 
 
 async def raw(caller: Caller, size: int) -> bytes:
+    """The next `size` bytes that come."""
     async with asyncio.timeout(PATIENCE):
         return await caller.reader.readexactly(size)
 
 
 async def rest(caller: Caller) -> bytes:
-    """What comes until the router ends the connection."""
+    """All that comes until the router ends the connection."""
     got = b""
     async with asyncio.timeout(PATIENCE):
         try:
@@ -49,9 +50,9 @@
     return got
 
 
-async def test_a_long_value_goes_on_while_it_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_long_value_is_relayed_while_it_arrives(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
-    asked, script = holding()
+    asked, script = silent_script()
     async with router(script) as bench:
         caller = await bench.caller()
         caller.get()
@@ -70,7 +71,7 @@
         assert bench.driver.metrics.served[0] == 2 and not bench.driver.requests
 
 
-async def test_a_long_value_of_the_origin_goes_on_too(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_long_value_of_the_origin_is_relayed_too(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: MISS, lambda asked, line: http(200, VALUE)) as bench:
         caller = await bench.caller()
@@ -90,7 +91,7 @@
         HEAD + VALUE + b"\r\n$70000\r\n",
     ],
 )
-async def test_a_client_can_tell_a_spoilt_long_value_from_a_whole_one(sent: bytes) -> None:
+async def test_a_malformed_long_value_never_looks_whole_to_its_client(sent: bytes) -> None:
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
         caller.get()
@@ -99,8 +100,8 @@
         assert bench.driver.metrics.failed[0] == 1 and not bench.driver.metrics.served[0]
 
 
-async def test_a_server_that_ends_in_the_middle_ends_its_client_too() -> None:
-    asked, script = holding()
+async def test_a_server_that_closes_in_the_middle_of_a_value_ends_its_clients_connection() -> None:
+    asked, script = silent_script()
     async with router(script) as bench:
         caller = await bench.caller()
         caller.get()
@@ -112,11 +113,11 @@
         await soon(lambda: not bench.driver.requests and not bench.clients.open)
 
 
-async def test_a_server_that_stops_in_the_middle_is_waited_for_so_long(
+async def test_a_server_that_stalls_in_the_middle_of_a_value_is_waited_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(relay_module, "STALL_LIMIT_S", 0.1)
-    asked, script = holding()
+    asked, script = silent_script()
     async with router(script) as bench:
         caller = await bench.caller()
         caller.get()
@@ -126,8 +127,8 @@
         await soon(lambda: not bench.pools.open() and not bench.driver.requests)
 
 
-async def test_a_client_that_goes_in_the_middle_frees_the_servers_side() -> None:
-    asked, script = holding()
+async def test_a_client_that_leaves_in_the_middle_of_a_value_frees_the_servers_connection() -> None:
+    asked, script = silent_script()
     async with router(script) as bench:
         caller = await bench.caller()
         caller.get()
@@ -139,8 +140,8 @@
         assert bench.driver.metrics.failed[0] == 1 and bench.driver.metrics.in_flight == 0
 
 
-async def test_a_client_that_had_left_before_costs_no_more_than_the_connection() -> None:
-    asked, script = holding()
+async def test_a_long_value_for_a_client_that_has_left_is_dropped() -> None:
+    asked, script = silent_script()
     async with router(script) as bench:
         caller = await bench.caller()
         caller.get()
@@ -152,17 +153,17 @@
 
 
 async def slow_caller(bench: Bench) -> tuple[Caller, socket.socket]:
-    """A client whose system takes in next to nothing for it."""
-    door = socket.socket()
-    door.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    door.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(door, ("127.0.0.1", bench.port))
-    reader, writer = await asyncio.open_connection(sock=door, limit=2048)
+    """A client whose receive buffers hold next to nothing, and its socket."""
+    small = socket.socket()
+    small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    small.setblocking(False)
+    await asyncio.get_running_loop().sock_connect(small, ("127.0.0.1", bench.port))
+    reader, writer = await asyncio.open_connection(sock=small, limit=2048)
     bench.callers.append(Caller(reader, writer))
-    return bench.callers[-1], door
+    return bench.callers[-1], small
 
 
-async def test_who_reads_slowly_holds_a_piece_and_not_the_value() -> None:
+async def test_memory_for_a_slow_reader_is_bounded_by_a_piece_of_the_value() -> None:
     long = VALUE * 13  # near 4 MiB
     sent = b"*3\r\n$%d\r\n%b%b" % (len(long), long, TAIL)
     async with router(lambda asked, line: sent) as bench:
@@ -179,7 +180,7 @@
             assert await caller.answer() == long
 
 
-async def test_answers_keep_their_order_round_a_long_one() -> None:
+async def test_answers_keep_their_order_around_a_long_value() -> None:
     first: list[asyncio.StreamWriter] = []
 
     def script(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
@@ -197,7 +198,7 @@
         assert [await caller.answer() for _ in range(3)] == [b"first", VALUE, b"third"]
 
 
-async def test_a_long_value_for_which_there_is_no_room_fails_whole() -> None:
+async def test_a_long_value_for_which_there_is_no_memory_fails() -> None:
     first: list[asyncio.StreamWriter] = []
 
     def script(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
@@ -218,7 +219,7 @@
 
 
 @pytest.mark.parametrize("size", [resp.MOST_LONG + 1, 3 << 30])
-async def test_a_value_that_says_to_be_huge_is_spoilt(size: int) -> None:
+async def test_a_value_with_an_oversized_length_fails(size: int) -> None:
     async with router(lambda asked, line: b"*3\r\n$%d\r\n" % size + VALUE) as bench:
         caller = await bench.caller()
         caller.get()
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -20,14 +20,15 @@
 
 
 def unwanted(source: object, size: int) -> None:
-    """Nobody wants a long value."""
+    """Says that nobody wants a long value."""
 
 
 def once(wait: int = 9000) -> bytes:
+    """The info list of a request that is not idempotent, whose client waits for so many ms."""
     return b"c=once,t=acme,d=%d" % wait
 
 
-async def test_a_hit_goes_on_as_it_came_and_the_command_but_for_the_time() -> None:
+async def test_a_hit_is_forwarded_unchanged_and_so_is_the_command_but_for_its_wait() -> None:
     async with router(lambda asked, line: hit(b"a\r\n\0b")) as bench:
         caller = await bench.caller()
         caller.send(b"PING")
@@ -41,7 +42,7 @@
         assert fields == {b"c": b"read", b"t": b"acme", b"size": b"7"}
 
 
-async def test_a_miss_is_fetched_from_the_origin() -> None:
+async def test_a_miss_is_read_from_the_origin() -> None:
     async with router(lambda asked, line: MISS) as bench:
         caller = await bench.caller()
         caller.get(b"a/b")
@@ -54,8 +55,8 @@
         assert fields[2][:2] == b"d=" and 0 < int(fields[2][2:]) <= 9000
 
 
-async def test_a_further_attempt_tells_no_more_time_than_its_client_has_left() -> None:
-    """Day roll+brink: 639 of 691 further attempts told 0.15 s more than that, all of them at the origin."""
+async def test_a_later_attempt_is_given_no_more_time_than_its_client_has_left() -> None:
+    """Day roll+brink: 639 of 691 later attempts were given 0.15 s more than that, all of them at the origin."""
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
         caller.get()
@@ -67,7 +68,7 @@
         assert 0 < int(told.rpartition(b"d=")[2]) <= 9000 - 300 - ANSWER_DELIVERY_NS // 1_000_000
 
 
-async def test_a_write_goes_to_the_origin_alone() -> None:
+async def test_a_write_goes_to_the_origin_only() -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", b"value")
@@ -105,7 +106,7 @@
         assert len(bench.cache.lines) == 1
 
 
-async def test_an_attempt_given_up_is_closed_and_fails_before_the_client_leaves() -> None:
+async def test_an_attempt_that_times_out_is_closed_and_fails_before_its_client_leaves() -> None:
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
         begun = time.monotonic()
@@ -118,7 +119,7 @@
 
 
 @pytest.mark.parametrize("info", [once(), INFO])
-async def test_a_refused_connection_proves_that_nothing_ran(info: bytes) -> None:
+async def test_a_refused_connect_means_not_executed(info: bytes) -> None:
     def nowhere(cache: Cache, origin: Web) -> list[dict[str, Any]]:
         return [entry("c0", "127.0.0.1:1"), entry("o", origin.address, model="origin")]
 
@@ -128,7 +129,7 @@
         assert str(await caller.answer()).startswith("BUSY")
 
 
-async def test_a_break_after_the_last_byte_may_have_run() -> None:
+async def test_a_break_after_the_last_byte_means_perhaps_executed() -> None:
     def cut(asked: Any, line: asyncio.StreamWriter) -> None:
         line.transport.abort()
 
@@ -139,8 +140,8 @@
         assert len(bench.cache.got) == 1
 
 
-async def test_a_break_before_the_last_byte_proves_that_nothing_ran() -> None:
-    """The value is more than the sockets hold, and the origin reads none of it before it breaks."""
+async def test_a_break_before_the_last_byte_means_not_executed() -> None:
+    """A value is larger than the sockets' buffers, and the origin reads none of it before it breaks."""
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -170,7 +171,7 @@
         await soon(lambda: bench.cache.ended == 1)
 
 
-async def test_what_comes_behind_an_answer_ends_the_connection() -> None:
+async def test_bytes_behind_an_answer_end_the_connection() -> None:
     async with router(lambda asked, line: hit() + hit(b"again")) as bench:
         caller = await bench.caller()
         for n in range(2):
@@ -188,7 +189,7 @@
         (b"garbage\r\n\r\n", "ERR failed"),
     ],
 )
-async def test_only_the_origin_itself_can_say_that_a_call_never_ran(reply: bytes, answer: str) -> None:
+async def test_only_the_origins_own_rejection_means_not_executed(reply: bytes, answer: str) -> None:
     async with router(origin=lambda asked, line: reply) as bench:
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", once(900), b"value")
@@ -196,7 +197,7 @@
         await soon(lambda: not bench.driver.requests)
 
 
-async def test_a_client_that_leaves_is_withdrawn_and_its_attempt_runs_on(
+async def test_a_request_whose_client_leaves_is_withdrawn_and_its_attempt_runs_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
@@ -227,7 +228,7 @@
         (b"FLUSHALL",),
     ],
 )
-async def test_a_command_that_makes_no_sense_gets_an_error_and_the_next_is_served(parts: Any) -> None:
+async def test_an_invalid_command_gets_an_error_and_the_next_is_served(parts: Any) -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.send(*parts)
@@ -250,7 +251,7 @@
         b"*2\r\n$1\r\na\r\n" * 100_000,
     ],
 )
-async def test_where_framing_is_lost_an_error_and_a_close_follow(sent: bytes) -> None:
+async def test_a_framing_error_gets_an_error_and_a_close(sent: bytes) -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.get()
@@ -260,7 +261,7 @@
         assert await caller.answer() is None
 
 
-async def test_an_id_in_use_is_not_taken_twice() -> None:
+async def test_a_request_with_an_id_in_use_is_rejected() -> None:
     async with router(lambda asked, line: None if len(bench.cache.got) < 2 else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
@@ -272,7 +273,7 @@
         assert await caller.answer() == b"v"
 
 
-async def test_more_than_may_be_held_is_refused() -> None:
+async def test_a_request_beyond_the_limit_of_held_requests_is_rejected() -> None:
     async with router(lambda asked, line: None, mostHeld=2) as bench:
         caller = await bench.caller()
         for n in range(2):
@@ -283,7 +284,7 @@
         assert str(await other.answer()) == "BUSY"
 
 
-async def test_a_reader_that_takes_nothing_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_client_that_reads_no_answers_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     from rainhitch.node import client_connections
 
     monkeypatch.setattr(client_connections, "UNREAD_ANSWERS_LIMIT_S", 0.2)
@@ -318,7 +319,7 @@
         assert "ZeroDivisionError" in caplog.text and not bench.driver.requests
 
 
-async def test_a_request_that_the_decisions_lose_fails_in_time() -> None:
+async def test_a_request_that_no_decision_ends_fails_in_time() -> None:
     async with router() as bench:
         bench.driver.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
         caller = await bench.caller()
@@ -366,8 +367,8 @@
         assert sum(len(pool.all) for pool in bench.pools.pools.values()) == 1
 
 
-async def test_two_attempts_of_a_request_are_never_out_at_once() -> None:
-    """The second one's bytes come only after the end of the first one's connection."""
+async def test_two_attempts_of_a_request_are_never_in_flight_at_once() -> None:
+    """The second attempt's bytes come only after the end of the first one's connection."""
     order: list[str] = []
 
     class Ordered(Cache):
@@ -401,7 +402,7 @@
 
 
 async def test_thousands_of_commands_at_once_are_all_answered() -> None:
-    """Writing answers made room for commands that had come already, each time one call deeper."""
+    """Writing answers made room for commands that had come already, each time one call deeper in the stack."""
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(resp.command(b"PING") * 40_000)
@@ -410,8 +411,8 @@
 
 
 @pytest.mark.parametrize("sent", [b"*1\r\n-\xff\xfe\r\n", b"-\xff\r\n"])
-async def test_an_error_line_that_is_no_text_is_a_lost_framing(sent: bytes) -> None:
-    """To a client the framing is lost; to a cache server it is an error like others."""
+async def test_an_error_line_that_is_no_text_is_a_framing_error(sent: bytes) -> None:
+    """From a client it is a framing error; from a cache server it is an error like others."""
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
         caller.get(info=once())
@@ -421,8 +422,8 @@
         assert await caller.answer() is None
 
 
-async def test_the_time_told_to_a_server_is_what_is_left_when_it_is_written() -> None:
-    """A dial takes time too; the server was told to work for an answer that nobody waited for."""
+async def test_the_wait_given_to_a_server_is_what_is_left_when_it_is_written() -> None:
+    """The time of the connect was not taken off: a server worked for an answer that nobody waited for."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         dial = pool._dial
@@ -439,8 +440,8 @@
         assert int(fields[b"d"]) <= 8800
 
 
-async def test_a_connection_that_has_just_ended_is_not_used() -> None:
-    """The end of an idle connection is known before it is cleared away: a send in between had to fail."""
+async def test_a_connection_that_has_just_been_closed_is_not_reused() -> None:
+    """The end of an idle connection is known before the connection is dropped: a write in between failed."""
     async with router() as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
@@ -456,8 +457,8 @@
         assert endings[0].status is api.AttemptStatus.OK
 
 
-async def test_answered_requests_leave_no_cycles() -> None:
-    """Values of up to 64 KiB were kept until the collector came by."""
+async def test_answered_requests_leave_no_reference_cycles() -> None:
+    """Values of up to 64 KiB were kept until the garbage collector ran."""
 
     def kept() -> list[InFlightRequest]:
         return [one for one in gc.get_objects() if isinstance(one, InFlightRequest)]
@@ -477,7 +478,7 @@
             gc.enable()
 
 
-async def test_a_client_too_many_is_told_so_and_its_place_is_free_again_later() -> None:
+async def test_a_client_beyond_the_cap_is_rejected_and_a_later_one_is_admitted() -> None:
     async with router(sockets=2) as bench:
         for _ in range(2):
             caller = await bench.caller()
@@ -493,7 +494,7 @@
         assert await fourth.answer() == b"PONG"
 
 
-async def test_no_room_for_a_connection_means_that_nothing_ran() -> None:
+async def test_no_descriptor_for_a_connection_means_not_executed() -> None:
     async with router(lambda asked, line: None, sockets=1) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -15,7 +15,7 @@
 
 
 @given(st.floats(0.001, 60))
-def test_all_comes_in_order_and_before_sigkill(deadline: float) -> None:
+def test_all_phases_come_in_order_and_before_sigkill(deadline: float) -> None:
     times = shutdown_schedule(deadline)
     assert (
         NEW_CONNECTIONS_S
@@ -29,15 +29,18 @@
     assert times.kill_s - times.all_answered_s >= 0.3 - 1e-9
 
 
-def test_a_long_deadline_is_used_and_a_short_one_kept() -> None:
+def test_the_schedule_uses_a_long_deadline_and_keeps_within_a_short_one() -> None:
     long, short = shutdown_schedule(5.0), shutdown_schedule(0.5)
     assert long.all_answered_s > 3.0  # it was 2.2 s for all: requests were cut a second before they had to be
     assert short.exit_s < 1.2  # where SIGKILL comes at 1.2 s
     assert short.stop_reading_s < 0.8
 
 
-async def test_processes_told_to_end_again_and_again_end_with_0(tmp_path: Path) -> None:
-    """Also between the end of the loop and that of the process: it ended with -15 after a second SIGTERM."""
+async def test_processes_that_get_many_sigterms_end_with_exit_code_0(tmp_path: Path) -> None:
+    """The program ended with -15 after a second SIGTERM.
+
+    It may come at any time, also between the end of the loop and that of the process.
+    """
     running = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -79,7 +79,7 @@
 
 
 @given(st.sampled_from([0.1, 0.2, 0.4]), st.integers(10, 400), st.booleans())
-def test_neither_first_tries_nor_retries_starve_the_other(
+def test_neither_first_attempts_nor_retries_starve_the_other(
     reserved_fraction: float, size: int, flood: bool
 ) -> None:
     """Retries that came first, and many, took every place; or the other way round."""
--- a/tests/overload/test_storm_detector.py
+++ b/tests/overload/test_storm_detector.py
@@ -75,7 +75,7 @@
     assert detector.storm_active and detector.usual_connects_per_s == before
 
 
-def test_a_router_that_has_just_started_takes_its_first_crowd_for_no_storm() -> None:
+def test_the_first_clients_of_a_router_that_has_just_started_are_no_storm() -> None:
     """It knows of no usual number, and everybody connects to it."""
     detector = RetryStormDetector()
     detector.step(START)
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_storms_on_sockets.py
@@ -31,7 +31,7 @@
         assert await second.answer() == b"receipt"
 
 
-async def test_a_connection_without_room_is_given_a_retry_after_time() -> None:
+async def test_a_rejected_connection_is_given_a_retry_after_time() -> None:
     async with router(sockets=2, retryAfter=True, maxRetryAfter=2_000_000_000) as bench:
         for _ in range(2):
             await (await bench.caller()).answer_to_ping()
@@ -44,7 +44,7 @@
         assert len(set(times)) > 1
 
 
-async def test_the_time_that_a_newcomer_lay_in_the_backlog_is_its_clients_time() -> None:
+async def test_a_new_client_is_charged_with_its_time_in_the_backlog() -> None:
     """A request that had waited there was answered after its client had left."""
     async with router(lambda asked, line: None) as bench:
         assert bench.clients.listener is not None
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("asked", "go"), [(1, 2), (2, 1)])
-async def test_a_newcomer_past_the_quarter_sends_off_the_longest_idle(
+async def test_a_new_client_past_half_of_the_cap_closes_the_longest_idle_connection(
     monkeypatch: pytest.MonkeyPatch, asked: int, go: int
 ) -> None:
     """Clients that keep what they open ran out of connections of their own, long before the cap here; those
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -271,8 +271,8 @@
 ) -> AsyncIterator[Bench]:
     """One router with one cache server and one origin, put together as the program does it.
 
-    `cache` and `origin` are their scripts, `entries` gives another endpoint list, `sockets` is the cap of each
-    side, `memory` the bytes that may be held, `versions` the protocols of clients and cache servers.
+    `cache` and `origin` are their scripts, `entries` gives another endpoint list, `sockets` is the cap of
+    each side, `memory` the bytes that may be held, `versions` the protocols of clients and cache servers.
     """
     from rainhitch.policy.balancer import Balancer
 
--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -7,7 +7,7 @@
 S = api.AttemptStatus
 
 
-def test_a_full_connection_table_is_no_load_and_another_server_is_tried() -> None:
+def test_a_full_connection_table_is_not_overload_and_another_server_is_tried() -> None:
     """Servers' connection tables were smaller than the number of routers. Each new connection that was
     rejected made the server look overloaded to all routers, and after two of them a request was rejected
     while servers were idle. Such a rejection has to leave latency and gossip alone, and the request goes on
@@ -27,7 +27,7 @@
     assert [seen.server for one in told for seen in one.observations] == [send.server]  # type: ignore[union-attr]
 
 
-def test_a_full_queue_is_load() -> None:
+def test_a_full_queue_is_overload() -> None:
     router = Router()
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -22,14 +22,14 @@
 
 @pytest.fixture(autouse=True)
 def no_key_is_hot(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a handful of requests each repeated key would be a hot one; test_found.py has those."""
+    """With a handful of requests each repeated key would be a hot one; test_regressions.py has those."""
     monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
 
 
 # Placement
 
 
-def test_ranges_are_equal_and_blind_to_the_order_of_hearing() -> None:
+def test_ranges_are_equal_and_independent_of_the_lists_order() -> None:
     one = Router(endpoints=[api.Endpoint(name) for name in "abcd"])
     other = Router(endpoints=[api.Endpoint(name) for name in "cadb"])
     owners = [one.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
@@ -37,7 +37,7 @@
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
 
 
-def test_origin_draining_and_gone_members_own_no_range() -> None:
+def test_the_origin_and_draining_or_gone_servers_own_no_range() -> None:
     members = fleet(4)
     members[1].state = api.EndpointState.DRAINING
     router = Router(endpoints=members)
@@ -47,7 +47,7 @@
     assert router.balancer.placement.ranges.names == ["c0", "c3"]
 
 
-def test_a_full_list_removes_whom_it_does_not_name() -> None:
+def test_a_full_list_removes_the_servers_it_does_not_name() -> None:
     router = Router()
     router.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, fleet(2)))
     assert router.balancer.placement.ranges.names == ["c0", "c1"]
@@ -84,7 +84,7 @@
     assert not router.balancer.key_memory.likely_miss("k", router.now)
 
 
-def test_overload_of_likely_misses_waits_then_is_refused_by_its_aim() -> None:
+def test_likely_misses_beyond_the_tokens_wait_and_are_rejected_by_the_end_of_their_objective() -> None:
     router = Router()
     router.throttle_on()
     throttle = router.balancer.origin_admission.monitor.throttle
@@ -103,7 +103,7 @@
     assert refused | sent == set(asked) and not refused & sent
 
 
-def test_the_origin_read_of_a_miss_spends_a_token_too() -> None:
+def test_the_origin_read_of_an_unexpected_miss_takes_a_token_too() -> None:
     router = Router()
     router.throttle_on()
     router.wait(SECOND)
@@ -133,7 +133,7 @@
     assert router.log[0].startswith("throttle on likely_misses_per_s=") and router.log[-1] == "throttle off"
 
 
-def test_marked_work_does_not_wait_for_tokens() -> None:
+def test_work_over_quota_does_not_wait_for_tokens() -> None:
     router = Router(settings(tenants=[api.Tenant(3.0), api.Tenant(3.0)]))
     router.throttle_on()
     for n in range(40):
@@ -141,7 +141,7 @@
     assert [type(action) for action in actions] == [api.Reject]
 
 
-def test_a_short_past_is_no_sign_of_a_low_rate() -> None:
+def test_a_short_history_is_not_taken_for_a_low_rate() -> None:
     monitor = OriginMonitor(SECOND)
     monitor.started_at_ns = START
     for n in range(100):  # fifty likely misses a second from the very start
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(
     ("seen", "bad", "acts"), [(2, 2, True), (10, 2, False), (10, 3, True), (50, 6, False)]
 )
-def test_a_slow_tail_within_chance_is_no_alarm(seen: int, bad: int, acts: bool) -> None:
+def test_a_slow_tail_within_chance_does_not_turn_the_throttle_on(seen: int, bad: int, acts: bool) -> None:
     monitor = OriginMonitor(SECOND)
     for n in range(seen):
         monitor.record_end(n >= bad, START)
@@ -160,7 +160,7 @@
     assert (monitor.throttle is not None) is acts
 
 
-def test_one_jam_cuts_r_once() -> None:
+def test_one_congestion_cuts_the_throttles_rate_once() -> None:
     """Guards against reads sent before a cut cutting r again."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
@@ -181,7 +181,7 @@
     assert throttle.bank > 2 and throttle.bank + throttle.buffer >= 10
 
 
-def test_r_does_not_rise_while_reads_hang_between_two_cuts() -> None:
+def test_the_throttles_rate_does_not_rise_while_reads_hang_between_two_cuts() -> None:
     """Guards against a jam that feeds itself."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
@@ -212,7 +212,7 @@
     assert router.balancer.origin_admission.monitor.throttle is not None
 
 
-def test_one_read_a_key_is_out_and_who_waits_is_served_by_the_cache() -> None:
+def test_one_read_of_a_key_is_in_flight_and_waiting_reads_are_served_by_the_cache() -> None:
     """Guards against a flood of reads for one key."""
     router = Router()
     _, (first,) = router.request("hot")
@@ -224,7 +224,7 @@
     assert (served.id, served.server) == (name, first.server)
 
 
-def test_who_waits_for_a_read_that_fails_takes_a_turn_and_none_outwaits_its_aim() -> None:
+def test_a_read_that_waits_for_a_failed_one_reads_itself_and_none_waits_past_its_objective() -> None:
     router = Router()
     _, (first,) = router.request("hot")
     (read,) = router.end_attempt(first, S.MISS)
@@ -242,7 +242,7 @@
 # Server view
 
 
-def test_full_answers_make_a_server_swamped_not_quick() -> None:
+def test_full_answers_count_as_overload_and_not_as_quick_answers() -> None:
     """Guards against a storm of full answers: work spills once, to a calm server, or is refused."""
     router = Router()
     home = router.balancer.servers.servers[router.fetch_and_store("k")]
@@ -265,7 +265,7 @@
     assert [type(action) for action in router.end_attempt(second, S.FULL, 1)] == [api.Reject]
 
 
-def test_a_swamped_server_gets_a_trial_an_answer_time() -> None:
+def test_an_overloaded_server_gets_one_probe_per_answer_time() -> None:
     one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND)))
     assert not one.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
     assert one.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
@@ -273,14 +273,14 @@
     assert one.latency.average_ns < 0.6 * SECOND, "a trial's answer counts for half"
 
 
-def test_trials_of_a_swamped_server_add_up_over_all_routers() -> None:
+def test_probes_of_an_overloaded_server_are_shared_by_all_routers() -> None:
     """Forty routers with one trial an answer time each were more than a server's whole work."""
     one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), uncrowded_ns=SECOND / 10))
     assert not one.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
     assert one.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
 
 
-def test_a_first_answer_is_waited_for_by_what_is_usual_in_the_fleet() -> None:
+def test_a_first_attempts_timeout_follows_the_fleets_usual_latency() -> None:
     """Two quick answers of a server made a router give up on the third, and read the key elsewhere."""
     waits = []
     for usual in (SECOND // 100, SECOND // 10):
@@ -305,7 +305,7 @@
     assert sends(router.request("k")[1]) != [one.endpoint.server]
 
 
-def test_an_unreachable_server_is_left_alone_then_tried_once() -> None:
+def test_an_ejected_server_gets_one_attempt_after_its_backoff() -> None:
     router = Router()
     _, (first,) = router.request("k")
     (second,) = router.end_attempt(first, S.CONNECT_FAILED)
@@ -322,7 +322,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 40])
-def test_a_cold_server_takes_up_its_part_evenly_however_many_routers(routers: int) -> None:
+def test_a_starting_server_gets_its_part_evenly_however_many_routers(routers: int) -> None:
     """Guards against a first token for each router, which pushed cold servers over at full size."""
     fresh = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
     several = [Router() for _ in range(routers)]
@@ -342,9 +342,7 @@
 
 
 @pytest.mark.parametrize(("instant", "after"), [(0.25, 0.1), (0.45, 2.5), (0.9, 9.0)])
-def test_a_cold_server_is_used_from_its_start_by_the_part_that_it_starts_with(
-    instant: float, after: float
-) -> None:
+def test_a_starting_server_is_used_by_its_initial_fraction(instant: float, after: float) -> None:
     """Six in ten servers new within 7 s left all the work to the others, as if they began from nothing."""
     for wait, taken in ((after, True), (after - 2, False)):
         router = Router(settings(slow_start_initial_fraction=0.3))
@@ -360,7 +358,7 @@
             assert (sends(router.request(key)[1]) == ["c1"]) is taken
 
 
-def test_a_server_listed_with_a_newer_start_is_cold_again() -> None:
+def test_a_server_listed_with_a_newer_start_is_in_slow_start_again() -> None:
     router = Router()
     for _ in range(2):
         router.handle(
@@ -378,7 +376,7 @@
         router.end_attempt(actions[0], S.OK)
 
 
-def test_a_server_that_was_away_for_long_is_taken_as_cold() -> None:
+def test_a_server_that_was_down_for_long_is_in_slow_start() -> None:
     router = Router()
     _, (first,) = router.request("k")
     router.end_attempt(first, S.RESET)
@@ -390,7 +388,7 @@
     assert router.log[-1].startswith("server answers again ")
 
 
-def test_what_joins_the_list_later_without_a_start_time_is_taken_as_cold() -> None:
+def test_a_server_that_joins_later_without_a_start_time_is_in_slow_start() -> None:
     router = Router()
     router.handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c9")]))
     assert router.balancer.servers.servers["c9"].slow_start.started_at_ns == router.now
@@ -401,17 +399,17 @@
 
 
 @pytest.mark.parametrize("members", [[], fleet(0), [api.Endpoint("c0", api.EndpointState.DRAINING)]])
-def test_without_a_server_a_read_is_refused_at_once(members: list[api.Endpoint]) -> None:
+def test_without_a_server_a_read_is_rejected_at_once(members: list[api.Endpoint]) -> None:
     _, actions = Router(endpoints=members).request()
     assert [type(action) for action in actions] == [api.Reject]
 
 
-def test_without_an_origin_a_write_is_refused_at_once() -> None:
+def test_without_an_origin_a_write_is_rejected_at_once() -> None:
     _, actions = Router(endpoints=fleet(3, origin=False)).request(class_index=2, write=True)
     assert [type(action) for action in actions] == [api.Reject]
 
 
-def test_a_write_goes_to_the_origin_and_tries_again_while_its_aim_lasts() -> None:
+def test_a_write_goes_to_the_origin_and_is_retried_within_its_latency_objective() -> None:
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
     assert sends([first]) == ["origin"]
@@ -419,7 +417,7 @@
     assert sends(router.wait(SECOND // 4)) == ["origin"]
 
 
-def test_reads_do_not_keep_a_swamped_origin_swamped() -> None:
+def test_reads_do_not_keep_an_overloaded_origin_overloaded() -> None:
     """Guards against the second's excess that is out before the first slow read shows."""
     router = Router()
     origin = router.balancer.servers.origin
@@ -436,7 +434,7 @@
     assert [type(one) for one in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
 
 
-def test_writes_do_not_keep_a_swamped_origin_swamped() -> None:
+def test_writes_do_not_keep_an_overloaded_origin_overloaded() -> None:
     """Guards against writes that keep a jammed origin jammed; a trial still shows when it recovers."""
     router = Router()
     origin = router.balancer.servers.origin
@@ -447,14 +445,14 @@
     assert sends(router.request(class_index=2, write=True)[1]) == ["origin"]
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+def test_a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried() -> None:
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "no time-out of our own cuts it off"
     assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
 
 
-def test_a_keyed_request_is_sent_again_only_within_its_window() -> None:
+def test_a_request_with_an_idempotency_key_is_retried_only_within_its_dedup_window() -> None:
     router = Router()
     _, (first,) = router.request(class_index=1, write=True)
     router.wait(SECOND // 2)
@@ -473,7 +471,7 @@
 
 
 @pytest.mark.parametrize(("cls", "same"), [(3, "zone"), (4, "cell")])
-def test_a_keyed_request_stays_in_its_group(cls: int, same: str) -> None:
+def test_a_request_with_an_idempotency_key_stays_in_its_dedup_scope(cls: int, same: str) -> None:
     for n in range(20):
         router = Router(settings(cache_aside=False), fleet(6, origin=False))
         _, (first,) = router.request(f"k{n}", cls)
@@ -501,7 +499,7 @@
     assert (first.timeout_ns, read.timeout_ns) == (SECOND, 2 * SECOND)
 
 
-def test_neighbours_that_fail_together_are_passed_by() -> None:
+def test_neighbours_that_fail_together_are_skipped() -> None:
     router = Router(endpoints=fleet(6))
     owner, *rest = router.candidates("k")
     for one in [owner, *rest[:2]]:  # slow with nothing of ours out, and a trial is out at each
@@ -509,7 +507,7 @@
     assert sends(router.request("k")[1]) == [rest[2].endpoint.server]
 
 
-def test_a_trial_that_is_out_stays_one() -> None:
+def test_no_second_probe_starts_while_one_is_in_flight() -> None:
     """Guards against a long memory of a jam: its answer counts half, whoever asked meanwhile."""
     tested = Server(api.Endpoint("c"), LatencyEstimator(4.0 * SECOND))
     assert tested.admits_or_starts_probe(START, SECOND, 4, 1, 1) and tested.is_probing
@@ -529,7 +527,7 @@
     assert (often.latency.average_ns, seldom.latency.average_ns) == (SECOND * 7 / 8, SECOND / 2)
 
 
-def test_a_trial_that_misses_shows_recovery() -> None:
+def test_a_probe_that_misses_shows_recovery() -> None:
     """Guards against a swamped server whose keys went elsewhere: it would never be seen to recover."""
     router = Router()
     owner = router.candidates("k")[0]
@@ -540,14 +538,14 @@
     assert owner.latency.average_ns < 2.1 * SECOND
 
 
-def test_what_was_out_is_forgotten_slowly() -> None:
+def test_the_estimate_of_what_was_in_flight_decays_slowly() -> None:
     """Guards against a crowded server that looks slow by itself as soon as it gets one request at a time."""
     one = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
     one.record_answer(START, 2 * SECOND, SECOND, 1, 1)
     assert one.latency.mean_in_flight == 8 and one.expected_latency_ns(START, 1) < SECOND / 4
 
 
-def test_never_two_attempts_are_out() -> None:
+def test_two_attempts_of_a_request_are_never_in_flight() -> None:
     router = Router()
     name, (first,) = router.request("k")
     router.balancer._proceed(router.balancer.requests[name])
@@ -555,7 +553,7 @@
     assert sends([first])
 
 
-def test_an_early_alarm_does_not_stop_the_timers() -> None:
+def test_a_timer_that_fires_early_does_not_stop_the_others() -> None:
     router = Router()
     _, (first,) = router.request("k")
     router.end_attempt(first, S.MISS)  # its origin read is out
@@ -568,7 +566,7 @@
     assert [one.id for one in answers if isinstance(one, api.Reject)] == [waits]
 
 
-def test_an_alarm_that_never_came_is_asked_for_anew() -> None:
+def test_a_timer_that_never_fired_is_set_anew() -> None:
     router = Router()
     router.request("k")
     router.timers.clear()
@@ -577,7 +575,7 @@
     assert min(router.timers)[0] > router.now
 
 
-def test_withdrawn_and_late_news_of_ended_requests_are_passed_over() -> None:
+def test_late_events_of_ended_requests_are_ignored() -> None:
     router = Router()
     name, (first,) = router.request("k")
     assert router.handle(api.ClientGone(name)) == []
@@ -586,7 +584,7 @@
     assert router.balancer.requests == {}
 
 
-def test_a_stream_that_has_begun_is_left_to_the_client() -> None:
+def test_a_streamed_request_that_has_begun_is_not_timed_out() -> None:
     spec = api.RequestClass(SECOND, 2 * SECOND, is_streamed=True)
     router = Router(settings(classes=[spec]))
     name, (first,) = router.request("k")
@@ -604,7 +602,7 @@
     assert sends(actions)
 
 
-def test_through_mode_takes_a_key_not_lately_sent_as_a_likely_miss() -> None:
+def test_where_caches_read_the_origin_a_key_not_sent_lately_is_a_likely_miss() -> None:
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     assert router.balancer.key_memory.likely_miss("k", router.now)
     _, (first,) = router.request("k")
@@ -617,7 +615,7 @@
     assert router.balancer.origin_admission.monitor.throttle is not None
 
 
-def test_refusals_tell_when_to_come_back_only_where_clients_are_told() -> None:
+def test_rejections_have_a_retry_after_time_only_where_the_settings_allow_it() -> None:
     told = Router(settings(retry_after_allowed=True, max_retry_after_ns=SECOND // 2), [])
     assert told.request()[1] == [api.Reject("r1", SECOND // 2)]
     assert Router(endpoints=[]).request()[1] == [api.Reject("r1", 0)]
@@ -626,7 +624,7 @@
 # The list on request
 
 
-def test_a_list_on_request_is_watched_and_asked_again_after_a_failure() -> None:
+def test_a_polled_list_is_asked_for_again_after_a_failure() -> None:
     router = Router(settings(endpoints_polled=True))
     asked = 0
     for _ in range(4):
@@ -638,20 +636,20 @@
     assert router.wait(60 * SECOND) == []
 
 
-def test_a_restart_asks_at_once_and_keeps_the_restored_list() -> None:
+def test_a_restarted_router_asks_for_the_list_at_once_and_uses_the_cached_one() -> None:
     router = Router(settings(endpoints_polled=True), [])
     actions = router.handle(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
     assert actions == [api.WatchEndpoints()]
     assert sends(router.request()[1])
 
 
-def test_time_that_passes_with_no_event_brings_about_nothing_by_itself() -> None:
+def test_advancing_time_without_due_timers_does_nothing() -> None:
     router = Router()
     assert router.advance() == []
     assert router.now == START and router.balancer.settings.origin_kind == ORIGIN_KIND
 
 
-def test_one_broken_connection_marks_no_server_that_has_just_answered() -> None:
+def test_one_broken_connection_does_not_eject_a_server_that_has_just_answered() -> None:
     """Where connections broke now and then, each break put a server aside for a third of a second."""
     router = Router()
     owner = router.fetch_and_store("k")
@@ -665,7 +663,7 @@
     assert server.connection.consecutive_failures > 0  # the second in a row
 
 
-def test_a_server_that_has_not_answered_lately_is_marked_by_the_first_break() -> None:
+def test_a_server_that_has_not_answered_lately_is_ejected_by_the_first_break() -> None:
     router = Router()
     owner = router.fetch_and_store("k")
     router.wait(SECOND)
@@ -674,7 +672,7 @@
     assert router.balancer.servers.servers[owner].connection.consecutive_failures == 1
 
 
-def test_a_repeat_may_begin_only_within_what_is_left_of_its_window() -> None:
+def test_a_retry_may_begin_only_within_what_is_left_of_its_dedup_window() -> None:
     """Seed 109 of the short days: a repeat that was decided in time was written after its window, behind a
     connection that came up late. What a hold-up between the decision and the write may take is kept."""
     router = Router()
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -44,7 +44,7 @@
     return [seen.elapsed_ns for seen in told if seen.server == name and seen.is_in_flight]
 
 
-def test_an_overdue_attempt_tells_of_an_overload_before_its_answer_comes() -> None:
+def test_an_overdue_attempt_is_published_before_its_answer_comes() -> None:
     """All routers learned of an overload with its answers, seconds late: on days without faults, sixty
     routers' answers took four times what was expected when the requests were sent. An attempt that is in
     flight for far longer than expected has to raise the latency at once, here and by gossip."""
@@ -68,13 +68,13 @@
     )
 
 
-def test_an_attempt_younger_than_expected_tells_nothing() -> None:
+def test_an_attempt_that_is_not_overdue_is_not_published() -> None:
     router, send, server = router_with_late_attempt()
     server.latency.average_ns = server.latency.uncrowded_ns = float(SECOND)
     assert ages_published(router.wait(1500 * MILLI), send.server) == []
 
 
-def test_a_silent_connection_to_a_server_that_answers_later_attempts_tells_nothing() -> None:
+def test_a_silent_connection_to_a_server_that_answers_later_attempts_is_not_published() -> None:
     """One lost answer was taken for an overload. Where the server has answered what was sent later, the late
     attempt must tell nothing of it."""
     router, send, server = router_with_late_attempt()
@@ -87,7 +87,7 @@
     )
 
 
-def test_an_overdue_attempt_tells_nothing_while_the_other_routers_are_silent() -> None:
+def test_an_overdue_attempt_is_not_published_while_other_routers_are_silent() -> None:
     """Answers were lost in a fleet whose gossip was lost as well. Then nothing proves that the server answers
     others, and an overdue attempt must tell nothing."""
     router, send, server = router_with_late_attempt()
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_invariants.py
@@ -215,11 +215,11 @@
 
 @settings(derandomize=True, max_examples=120, deadline=None)
 @given(seed=st.integers(0, 2**32), mode=st.sampled_from(["aside", "through", "asked", "tenants"]))
-def test_rules_hold_over_random_legal_sequences(seed: int, mode: str) -> None:
+def test_invariants_hold_over_random_legal_event_sequences(seed: int, mode: str) -> None:
     World(seed, mode).run(150)
 
 
-def test_the_origin_dies_and_every_server_is_cut_off_at_once() -> None:
+def test_invariants_hold_when_the_origin_and_every_server_fail_at_once() -> None:
     world = World(5, "aside")
     world.trouble = 1.0
     world.known = {one.server: one for one in fleet(6)}
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture(autouse=True)
 def no_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A key that a few requests repeat would count as hot; test_found.py has those."""
+    """A key that a few requests repeat would count as hot; test_regressions.py has those."""
     monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
 
 
@@ -194,7 +194,7 @@
     assert len(world.origin) == 3
 
 
-def test_a_move_is_one_origin_read_and_the_others_find_the_key_moved() -> None:
+def test_a_key_moves_by_one_origin_read_and_later_reads_find_it_moved() -> None:
     world = World(routers=3)
     for number in range(3):
         world.read(number, "k1")
--- a/tests/policy/test_found.py
+++ b/tests/policy/test_regressions.py
@@ -9,7 +9,7 @@
 from rainhitch.policy.origin_monitor import OriginMonitor
 
 
-def test_what_still_earns_something_late_is_waited_for() -> None:
+def test_an_answer_that_is_worth_something_late_is_waited_for() -> None:
     """Kochi's retry storm: reads sent again half-way to their deadline doubled the work in a jam."""
     router = Router()
     for one in router.balancer.servers.servers.values():
@@ -39,7 +39,7 @@
     assert again.timeout_ns == 2 * SECOND - send.timeout_ns
 
 
-def test_one_silent_connection_is_no_swamped_server() -> None:
+def test_one_silent_connection_does_not_count_as_overload() -> None:
     """Each was learnt as an answer of 660 ms, and the server's range refused until trials had undone it."""
     router = Router()
     first, second, third = quick(router)[:3]
@@ -65,7 +65,7 @@
     assert server.latency.average_ns > 2 * before  # nothing sent later was answered
 
 
-def test_no_attempt_is_made_that_no_server_could_answer_in_time() -> None:
+def test_no_attempt_starts_that_no_server_could_answer_in_time() -> None:
     """After a time-out at the deadline another attempt went out, and its end after 0.2 ms was learnt."""
     router = Router()
     router.fetch_and_store("k")
@@ -134,7 +134,7 @@
     assert slow.range_share == 1
 
 
-def test_a_server_that_warms_up_gets_no_work_of_others() -> None:
+def test_a_server_in_slow_start_takes_no_work_of_others() -> None:
     """Malabar's deploys: work that left other servers came on top of a cold server's own range."""
     router = Router(endpoints=[*fleet(3), api.Endpoint("c3", started_at_ns=START - SECOND)])
     router.wait(7 * SECOND)
@@ -152,7 +152,7 @@
     assert owned > 5
 
 
-def test_hot_keys_that_a_warming_server_takes_up_do_not_push_it_over() -> None:
+def test_hot_keys_do_not_overload_a_server_in_slow_start() -> None:
     """Kaohsiung in a release: two hot keys moved to a cold server, 95 of its 124 requests in two seconds."""
     router = Router(endpoints=[*fleet(7), api.Endpoint("c7", started_at_ns=START - SECOND)])
     router.wait(8 * SECOND)
@@ -168,14 +168,14 @@
     assert 0 < sent < 400 / 8
 
 
-def test_a_read_that_a_cache_could_not_fetch_is_not_sent_to_another() -> None:
+def test_a_read_that_a_cache_could_not_read_from_the_origin_is_not_sent_to_another() -> None:
     """Kochi with a slow origin: each failed fetch was tried again at a second cache."""
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     name, (send,) = router.request("k")
     assert router.end_attempt(send, api.AttemptStatus.ERROR) == [api.Reject(name)]
 
 
-def test_a_small_machine_bears_a_small_part_of_its_range() -> None:
+def test_a_small_machine_gets_a_small_part_of_its_range() -> None:
     """Kochi's slow boxes, listed at half a weight, had the same range as those of three times their speed."""
     members = [api.Endpoint(f"c{n}", weight=0.5 if n == 1 else 1.5) for n in range(6)]
     router = Router(settings(cache_aside=False), members)
@@ -199,7 +199,7 @@
         router.end_attempt(send, api.AttemptStatus.OK)
 
 
-def test_while_most_connects_are_refused_a_router_keeps_to_the_connections_it_has() -> None:
+def test_while_most_connects_are_refused_a_router_uses_the_connections_it_has() -> None:
     """Vedi at full size: 417 routers, and each server takes 105 connections; 66% of attempts got none."""
     router = Router(endpoints=fleet(20))
     taken = {f"c{n}" for n in range(0, 20, 4)}
@@ -235,7 +235,7 @@
         router.wait(SECOND // 10)
 
 
-def test_a_clock_younger_than_the_warm_up_makes_no_server_cold() -> None:
+def test_a_clock_younger_than_slow_start_puts_no_server_in_slow_start() -> None:
     """Found by the adapter's tests: at second 1 a server warm since long ago was refused as a cold one."""
     balancer = Balancer(settings(), 7)
     balancer.handle(0, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
@@ -243,7 +243,7 @@
     assert any(isinstance(action, api.StartAttempt) for action in actions)
 
 
-def test_evidence_of_a_sick_origin_is_kept_until_there_is_enough() -> None:
+def test_failures_of_the_origin_are_counted_until_there_are_enough() -> None:
     """Full size: one of 400 routers sees a likely miss in two seconds, never two within one period."""
     monitor = OriginMonitor(SECOND // 2)
     monitor.started_at_ns = 0
@@ -256,7 +256,7 @@
     assert monitor.throttle.rate_per_s < 1
 
 
-def test_a_healthy_origin_clears_the_evidence() -> None:
+def test_answers_of_the_origin_clear_its_counted_failures() -> None:
     monitor = OriginMonitor(SECOND // 2)
     monitor.started_at_ns = 0
     for n in range(1, 60):
--- a/tests/policy/test_sums.py
+++ b/tests/policy/test_shared_limits.py
@@ -26,7 +26,7 @@
     return beyond / (rate * seconds)
 
 
-def test_a_customer_within_its_share_is_never_marked_however_unevenly_its_traffic_comes() -> None:
+def test_a_tenant_within_its_quota_is_never_over_quota_however_unevenly_its_traffic_comes() -> None:
     """Guards small customers: nearly all of one's requests come to this router, which took a tenth of its
     share for its part of it, or the median customer's for all."""
     assert marked(of_two(), 30, 20, [0.0, 0.9]) == 0
@@ -34,15 +34,15 @@
 
 
 @pytest.mark.parametrize(("part", "wanted"), [(0.5, 0.5), (1.0, 0.0), (0.25, 0.75), (0.0, 0.9)])
-def test_what_is_beyond_the_part_that_the_counts_tell_is_marked(part: float, wanted: float) -> None:
+def test_requests_beyond_the_routers_fraction_of_the_quota_are_over_quota(part: float, wanted: float) -> None:
     assert marked(of_two(), int(QUOTA), 30, [0.0, part]) == pytest.approx(wanted, abs=0.05)
 
 
-def test_one_part_stands_for_all_customers_where_one_is_told() -> None:
+def test_a_single_fraction_holds_for_all_tenants() -> None:
     assert marked(of_two(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
 
 
-def test_a_surge_of_all_customers_gives_no_router_more_than_the_whole() -> None:
+def test_a_surge_of_all_tenants_gives_no_router_more_than_the_whole_quota() -> None:
     """Guards a router that hears nobody: ten times the load of all customers was taken for ten times its
     part, and nothing was marked for seconds."""
     router = of_two()
@@ -53,14 +53,14 @@
     assert router.balancer.tenant_quotas.traffic_fractions == [1]
 
 
-def test_a_told_part_ends() -> None:
+def test_a_traffic_fraction_expires() -> None:
     router = of_two()
     router.handle(api.TrafficFractions([1.0, 1.0], SECOND))
     router.wait(2 * SECOND)
     assert marked(router, int(QUOTA), 10, None) > 0.5
 
 
-def test_work_that_finds_no_connection_of_the_routers_own_is_refused_at_once() -> None:
+def test_a_request_without_a_local_connection_is_rejected_at_once() -> None:
     """Guards the budget for retries: a full table of its own was tried five times a request at as many
     servers, and nothing was left for those whose server had failed."""
     router = Router(settings(), fleet(6))
@@ -77,14 +77,14 @@
     )
 
 
-def test_a_write_waits_for_room_while_its_aim_lasts() -> None:
+def test_a_write_waits_for_a_local_connection_within_its_latency_objective() -> None:
     router = Router(settings(), fleet(6))
     _, (send,) = router.request("k", 1, write=True)
     assert router.end_attempt(send, S.NO_LOCAL_CONNECTION, 0, 1) == []
     assert [type(one) for one in router.wait(200 * MILLI)] == [api.StartAttempt]
 
 
-def test_reads_of_the_origin_end_where_the_total_of_all_routers_does() -> None:
+def test_reads_of_the_origin_stop_at_the_fleets_read_allowance() -> None:
     router = Router(settings(), fleet(6))
     left = [1]
 
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -17,7 +17,7 @@
     return PendingRequest(Request(name, 0, 2 * SECOND), SPEC, SECOND)
 
 
-def test_few_tokens_then_waiting_then_refusal() -> None:
+def test_requests_take_tokens_then_wait_and_then_are_rejected() -> None:
     throttle = Throttle(0, 10.0, LEAST_TOTAL)
     offers = [throttle.offer(job(str(n))) for n in range(LEAST_TOTAL + 2)]
     admitted = [TokenOffer.ADMITTED] * FEW_TOKENS
@@ -26,7 +26,7 @@
     assert throttle.level == -(LEAST_TOTAL - FEW_TOKENS)
 
 
-def test_tokens_come_evenly_and_free_jobs_in_order() -> None:
+def test_tokens_come_evenly_and_go_to_waiting_requests_in_order() -> None:
     throttle = Throttle(0, 10.0, LEAST_TOTAL)
     for n in range(4):
         throttle.offer(job(str(n)))
@@ -36,13 +36,13 @@
     assert throttle.level == 0
 
 
-def test_a_full_bank_loses_tokens() -> None:
+def test_a_full_token_bank_loses_tokens() -> None:
     throttle = Throttle(0, 10.0, LEAST_TOTAL)
     assert throttle.refill(5 * SECOND) == []
     assert throttle.level == throttle.bank == FEW_TOKENS
 
 
-def test_sustained_overload_turns_buffer_into_bank_and_keeps_who_waits() -> None:
+def test_lasting_overload_turns_buffer_into_bank_and_keeps_waiting_requests() -> None:
     throttle = Throttle(0, 10.0, LEAST_TOTAL)
     for n in range(6):
         throttle.offer(job(str(n)))
@@ -53,7 +53,7 @@
     assert throttle.level == 6
 
 
-def test_a_job_that_leaves_gives_its_place_back() -> None:
+def test_a_request_that_leaves_frees_its_place_in_the_buffer() -> None:
     throttle = Throttle(0, 10.0, LEAST_TOTAL)
     jobs = [job(str(n)) for n in range(4)]
     for one in jobs:
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -57,7 +57,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 5), st.integers(0, 2)), max_size=200))
-def test_a_zone_gets_a_trial_within_sixteen_seconds_and_is_unreachable_on_enough_failures_only(
+def test_a_zone_gets_an_attempt_within_sixteen_seconds_and_is_unreachable_on_enough_failures_only(
     course: list[tuple[bool, int, int]],
 ) -> None:
     zones, now, row = ZoneReachability(SECOND), START, {zone: set[int]() for zone in range(3)}
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -39,7 +39,7 @@
     assert counts.cut(3.0, 0.75) is None
 
 
-def test_a_flood_of_bad_ends_is_told_of_by_a_few_ids() -> None:
+def test_a_flood_of_failed_requests_is_recorded_by_a_few_ids() -> None:
     counts = Counts()
     for number in range(1000):
         counts.add_bad(Bad(1.0, str(number), "failed:late", ["s timeout"]))
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize(
     ("words", "code"), [(["sum", "{}"], 1), (["sum", "{}/none"], 2), (["follow", "{}", "x"], 1)]
 )
-def test_nothing_to_add_up_is_said(words: list[str], code: int, tmp_path: Path) -> None:
+def test_logs_that_cannot_be_summed_give_their_exit_code(words: list[str], code: int, tmp_path: Path) -> None:
     assert run(["logs", *(word.format(tmp_path) for word in words)]) == code
 
 
@@ -107,7 +107,7 @@
     return fleet, ledgers
 
 
-def test_the_sums_of_a_virtual_day_are_what_clients_saw_and_words_reach_the_other_routers() -> None:
+def test_the_sums_of_a_virtual_day_are_what_clients_saw_and_datagrams_arrive() -> None:
     """Guards against a kit whose routers are mute: words were carried and never arrived."""
     fleet, ledgers = played()
     rows = [one for name, part in ledgers["parts"].items() if name[0] == "c" for one in part.get("sent", ())]
@@ -118,7 +118,7 @@
     assert not ledgers["problems"]
 
 
-def test_words_that_are_lost_are_heard_by_nobody_and_the_day_holds() -> None:
+def test_lost_datagrams_are_counted_as_sent_and_not_as_received() -> None:
     fleet, ledgers = played(messages={"loss": 1.0})
     assert fleet.whole.counts["words"]["told"] and not fleet.whole.counts["words"]["heard"]
     assert not ledgers["problems"]
