--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -46,8 +46,8 @@
 class DelayedConnects:
     """Delays the connections that a router opens to a server until `let_through`.
 
-    A connect that was given up meanwhile comes up all the same, in the turn in which that happens. `waiting` has
-    the delayed connects.
+    A connect that was given up meanwhile comes up all the same, in the turn in which that happens. `waiting`
+    has the delayed connects.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: Peer) -> None:
