--- a/tests/fleet/test_many_routers.py
+++ b/tests/fleet/test_many_routers.py
@@ -4,8 +4,11 @@
 
 
 def test_gossip_among_sixty_routers_keeps_none_from_idle_servers() -> None:
-    """Guards against a collapse with no fault at all: each full connection table was told to all as a slow
-    server, who is slow was asked no more, and so all stayed slow while they idled. Service was 0.80."""
+    """Guards against a collapse with no fault at all.
+
+    Each full connection table was told to all as a slow server, who is slow was asked no more, and so all
+    stayed slow while they idled. Service was 0.80.
+    """
     service, broken, whole = played(60, "calm", lost=0.0, seed=1, length_s=4.0)
     assert service > 0.92 and not broken
     assert in_share(whole) < 0.02 * whole.taken
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,6 +1,7 @@
-"""Several processes of the program, in a world of stand-ins, with faults between them: what they share stays
-within its bounds. Counted where it counts: at the stand-in database, at the stand-in nodes, and in what each
-router believes.
+"""Several processes of the program, in a world of stand-ins, with faults between them.
+
+What they share stays within its bounds. Counted where it counts: at the stand-in database, at the stand-in
+nodes, and in what each router believes.
 """
 
 import asyncio
@@ -198,10 +199,12 @@
 
 @pytest.mark.parametrize("name", ["total", "total, faults"])
 def test_processes_reads_of_the_database_stay_within_the_total(ledgers: dict[str, Json], name: str) -> None:
-    """Four processes, nine tenths of the load at one of them: loans move the total there, and through words
-    that come twice and late, cuts both ways and one way, a process that is stopped past its loans' end and
-    one that is killed and started anew, the database gets no more in any stretch than the total and what the
-    banks hold."""
+    """Four processes, nine tenths of the load at one of them.
+
+    Loans move the total there, and through words that come twice and late, cuts both ways and one way, a
+    process that is stopped past its loans' end and one that is killed and started anew, the database gets no
+    more in any stretch than the total and what the banks hold.
+    """
     times = [at for at, _ in reads(ledgers[name]) if at >= 0]
     for span in (0.5, 1.0, 2.0, 4.0, 8.0):
         assert most_within(times, span) <= TOTAL * span + TOTAL + 2 * 4, f"in {span} s"
@@ -252,8 +255,10 @@
 
 
 def sent_for_nobody(told: Json, router: int) -> tuple[int, int]:
-    """Of a router's attempts in the second after it was let go on: those for tries whose client had given up
-    before, and all."""
+    """Of a router's attempts in the second after it was let go on.
+
+    Those for tries whose client had given up before, and all.
+    """
     clients = [one for part, rows in told["parts"].items() if part[:7] == "clients" for one in rows["sent"]]
     over = {one["id"]: one["left"] or one["sent"] + one["wait"] for one in clients if one["sent"]}
     (woke,) = [at for what, at in told["routers"][router]["events"] if what == "wake"]
@@ -269,9 +274,11 @@
 def test_processes_a_router_that_was_stopped_starts_no_attempt_for_clients_that_left(
     ledgers: dict[str, Json],
 ) -> None:
-    """Three processes, one stopped for four seconds under load: nothing goes out for clients that have given
-    up meanwhile, though its timers come before its sockets are read, and what waits there looks new. The
-    program without its sense of absence does send for them."""
+    """Three processes, one stopped for four seconds under load.
+
+    Nothing goes out for clients that have given up meanwhile, though its timers come before its sockets are
+    read, and what waits there looks new. The program without its sense of absence does send for them.
+    """
     late, sent = sent_for_nobody(ledgers["stopped"], 0)
     assert late == 0 and sent > 0
     assert any("router resumed after a pause" in line for line in ledgers["stopped"]["logs"][0].splitlines())
@@ -293,8 +300,10 @@
 def test_processes_detect_a_dead_router_and_one_resumed_late_declares_nobody_dead(
     ledgers: dict[str, Json],
 ) -> None:
-    """Five processes: one is killed for good, one is stopped and comes back. All others find out; who was
-    stopped doubts itself, not them; and it is held as there again soon after."""
+    """Five processes: one is killed for good, one is stopped and comes back.
+
+    All others find out; who was stopped doubts itself, not them; and it is held as there again soon after.
+    """
     views = ledgers["gone"]["views"]
     away = [told for at, told in views if 11 <= at < 12.5]
     assert any(all(one.get("gone") == [3, 4] for one in told[:3]) for told in away), away
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -215,8 +215,11 @@
 
 
 def test_every_order_of_messages_failures_and_time_keeps_the_sum() -> None:
-    """All interleavings to a depth: three routers, each may ask for all, answers come, are lost, or come
-    again after any of it, routers die and start anew, and half a term passes."""
+    """All interleavings to a depth.
+
+    Three routers, each may ask for all, answers come, are lost, or come again after any of it, routers die
+    and start anew, and half a term passes.
+    """
     depth, start = 5, 10 * SECOND
     first = tuple(QuotaEscrow(n, 3, 12.0, 0, n) for n in range(3))
     seen: set[object] = set()
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -265,7 +265,7 @@
 
 
 class NotReading:
-    """A server that accepts connections and reads nothing, so that a large request is written in part only."""
+    """A server that accepts connections and reads nothing: a large request is written in part only."""
 
     def __init__(self, bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
         self.bench = bench
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -56,7 +56,7 @@
 
 
 async def test_a_later_attempt_is_given_no_more_time_than_its_client_has_left() -> None:
-    """Day roll+brink: 639 of 691 later attempts were given 0.15 s more than that, all of them at the origin."""
+    """Day roll+brink: 639 of 691 later attempts were given 0.15 s more than that, all at the origin."""
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
         caller.get()
@@ -402,7 +402,7 @@
 
 
 async def test_thousands_of_commands_at_once_are_all_answered() -> None:
-    """Writing answers made room for commands that had come already, each time one call deeper in the stack."""
+    """Writing answers made room for commands that had come already, each time one stack frame deeper."""
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(resp.command(b"PING") * 40_000)
--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -8,10 +8,12 @@
 
 
 def test_a_full_connection_table_is_not_overload_and_another_server_is_tried() -> None:
-    """Servers' connection tables were smaller than the number of routers. Each new connection that was
-    rejected made the server look overloaded to all routers, and after two of them a request was rejected
-    while servers were idle. Such a rejection has to leave latency and gossip alone, and the request goes on
-    to the next server."""
+    """Servers' connection tables were smaller than the number of routers.
+
+    Each new connection that was rejected made the server look overloaded to all routers, and after two of
+    them a request was rejected while servers were idle. Such a rejection has to leave latency and gossip
+    alone, and the request goes on to the next server.
+    """
     router = Router(settings(gossip_interval_ns=SECOND), fleet(6))
     _, (send,) = router.request("k")
     tried = set()
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -673,8 +673,11 @@
 
 
 def test_a_retry_may_begin_only_within_what_is_left_of_its_dedup_window() -> None:
-    """Seed 109 of the short days: a repeat that was decided in time was written after its window, behind a
-    connection that came up late. What a hold-up between the decision and the write may take is kept."""
+    """Seed 109 of the short days.
+
+    A repeat that was decided in time was written after its window, behind a connection that came up late.
+    What a hold-up between the decision and the write may take is kept.
+    """
     router = Router()
     _, (first,) = router.request(class_index=1)
     assert isinstance(first, api.StartAttempt) and first.write_within_ns == 0
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -45,9 +45,12 @@
 
 
 def test_an_overdue_attempt_is_published_before_its_answer_comes() -> None:
-    """All routers learned of an overload with its answers, seconds late: on days without faults, sixty
-    routers' answers took four times what was expected when the requests were sent. An attempt that is in
-    flight for far longer than expected has to raise the latency at once, here and by gossip."""
+    """All routers learned of an overload with its answers, seconds late.
+
+    On days without faults, sixty routers' answers took four times what was expected when the requests were
+    sent. An attempt that is in flight for far longer than expected has to raise the latency at once, here and
+    by gossip.
+    """
     router, send, server = router_with_late_attempt()
     before = server.latency.average_ns
     assert ages_published(router.wait(100 * MILLI), send.server) == [] and server.latency.average_ns == before
@@ -59,8 +62,10 @@
 
 
 def test_a_server_that_answers_nobody_is_unreachable_and_not_overloaded() -> None:
-    """A zone was cut off, and its servers were taken for overloaded ones long after the cut. Attempts at a
-    server that answers nobody must not raise its latency."""
+    """A zone was cut off, and its servers were taken for overloaded ones long after the cut.
+
+    Attempts at a server that answers nobody must not raise its latency.
+    """
     router, send, server = router_with_late_attempt(goes_on=False)
     before = server.latency.average_ns
     assert (
@@ -75,8 +80,10 @@
 
 
 def test_a_silent_connection_to_a_server_that_answers_later_attempts_is_not_published() -> None:
-    """One lost answer was taken for an overload. Where the server has answered what was sent later, the late
-    attempt must tell nothing of it."""
+    """One lost answer was taken for an overload.
+
+    Where the server has answered what was sent later, the late attempt must tell nothing of it.
+    """
     router, send, server = router_with_late_attempt()
     router.wait(50 * MILLI)
     router.handle(api.AttemptFinished("x", 0, send.server, S.OK, True, 20 * MILLI))
@@ -88,8 +95,10 @@
 
 
 def test_an_overdue_attempt_is_not_published_while_other_routers_are_silent() -> None:
-    """Answers were lost in a fleet whose gossip was lost as well. Then nothing proves that the server answers
-    others, and an overdue attempt must tell nothing."""
+    """Answers were lost in a fleet whose gossip was lost as well.
+
+    Then nothing proves that the server answers others, and an overdue attempt must tell nothing.
+    """
     router, send, server = router_with_late_attempt()
     router.balancer.servers.gossip.received_at_ns = -SECOND * 1000
     before = server.latency.average_ns
@@ -102,9 +111,11 @@
 def test_a_read_whose_answer_is_lost_is_cancelled_and_sent_elsewhere(
     cls: int, write: bool, ends: bool
 ) -> None:
-    """Answers were lost on the way, and such reads waited seven seconds, until their clients were gone. A
-    read has to be cancelled once its server has answered what was sent much later; what may have an effect is
-    waited for."""
+    """Answers were lost on the way, and such reads waited seven seconds, until their clients were gone.
+
+    A read has to be cancelled once its server has answered what was sent much later; what may have an effect
+    is waited for.
+    """
     router = Router(
         settings(gossip_interval_ns=200 * MILLI, router_count=60, cache_aside=False), fleet(3, origin=False)
     )
--- a/tests/policy/test_latency_estimator.py
+++ b/tests/policy/test_latency_estimator.py
@@ -14,8 +14,11 @@
 
 
 def test_a_queue_is_forgotten_in_the_time_in_which_it_drains() -> None:
-    """An idle fleet collapsed: each server's last answer was slow, nobody asked it again, and so it stayed
-    slow for all routers. A queue that nobody adds to has to be forgotten as it drains."""
+    """An idle fleet collapsed.
+
+    Each server's last answer was slow, nobody asked it again, and so it stayed slow for all routers. A queue
+    that nobody adds to has to be forgotten as it drains.
+    """
     assert not queueing().admits_or_starts_probe(START + SECOND // 10, SECOND, 4, 1, 1)
     assert queueing().admits_or_starts_probe(START + SECOND, SECOND, 4, 1, 1)
     assert not queueing().is_probing, "it has capacity, and is not probed"
@@ -32,16 +35,21 @@
 
 
 def test_a_quick_answer_after_a_long_silence_is_added_to_what_is_left_of_the_queue() -> None:
-    """One quick answer after a long silence changed the average little, though the queue was long gone. What
-    has drained has to be left out first."""
+    """One quick answer after a long silence changed the average little, though the queue was long gone.
+
+    What has drained has to be left out first.
+    """
     one = queueing()
     one.latency.record_latency(START + 10 * SECOND, 2 * SECOND, SECOND // 10, 1)
     assert one.latency.average_ns < 0.11 * SECOND
 
 
 def test_a_lasting_queue_is_not_forgotten_between_frequent_answers() -> None:
-    """A bit of a lasting queue was forgotten between any two answers: ten answers a second left a third of it
-    unseen. Only a silence longer than an answer time may shorten a queue."""
+    """A bit of a lasting queue was forgotten between any two answers.
+
+    Ten answers a second left a third of it unseen. Only a silence longer than an answer time may shorten a
+    queue.
+    """
     one = queueing()
     for step in range(1, 200):
         one.latency.record_latency(START + step * 100 * MILLI, 2 * SECOND, 700 * MILLI, 1)
--- a/tests/policy/test_server.py
+++ b/tests/policy/test_server.py
@@ -12,9 +12,11 @@
 def test_all_routers_together_probe_an_overloaded_server_once_in_an_answer_time(
     routers: int,
 ) -> None:
-    """Each router probed an overloaded server once in an answer time: from sixty routers that was a third of
-    all that such servers were sent, and kept them overloaded. All routers share one probe, also while gossip
-    comes."""
+    """Each router probed an overloaded server once in an answer time.
+
+    From sixty routers that was a third of all that such servers were sent, and kept them overloaded. All
+    routers share one probe, also while gossip comes.
+    """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=routers), fleet(1))
     server = router.balancer.servers.servers["c0"]
     server.latency.uncrowded_ns, server.latency.average_ns, server.latency.updated_at_ns = (
--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -1,5 +1,7 @@
-"""What is shared by all routers, as the decisions heed it: parts of a customer's share, totals, and this
-router's own connections, of which no other server has more."""
+"""What is shared by all routers, as the decisions heed it.
+
+Parts of a customer's share, totals, and this router's own connections, of which no other server has more.
+"""
 
 import pytest
 from support import MILLI, SECOND, Router, fleet, settings
@@ -27,8 +29,11 @@
 
 
 def test_a_tenant_within_its_quota_is_never_over_quota_however_unevenly_its_traffic_comes() -> None:
-    """Guards small customers: nearly all of one's requests come to this router, which took a tenth of its
-    share for its part of it, or the median customer's for all."""
+    """Guards small customers.
+
+    Nearly all of one's requests come to this router, which took a tenth of its share for its part of it, or
+    the median customer's for all.
+    """
     assert marked(of_two(), 30, 20, [0.0, 0.9]) == 0
     assert marked(of_two(), 30, 20, None) > 0.5, "what it reckons alone"
 
@@ -43,8 +48,10 @@
 
 
 def test_a_surge_of_all_tenants_gives_no_router_more_than_the_whole_quota() -> None:
-    """Guards a router that hears nobody: ten times the load of all customers was taken for ten times its
-    part, and nothing was marked for seconds."""
+    """Guards a router that hears nobody.
+
+    Ten times the load of all customers was taken for ten times its part, and nothing was marked for seconds.
+    """
     router = of_two()
     for n in range(4000):
         router.wait(SECOND // 800)
@@ -61,8 +68,11 @@
 
 
 def test_a_request_without_a_local_connection_is_rejected_at_once() -> None:
-    """Guards the budget for retries: a full table of its own was tried five times a request at as many
-    servers, and nothing was left for those whose server had failed."""
+    """Guards the budget for retries.
+
+    A full table of its own was tried five times a request at as many servers, and nothing was left for those
+    whose server had failed.
+    """
     router = Router(settings(), fleet(6))
     before = {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()}
     for n in range(20):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -213,8 +213,10 @@
 
 
 def test_a_starting_small_machine_is_measured_by_warm_ones_of_its_kind() -> None:
-    """Thirty routers measured a small machine by what the mean server serves: it got 1.09 times what is
-    allowed. Only warm servers of its kind count."""
+    """Thirty routers measured a small machine by what the mean server serves.
+
+    It got 1.09 times what is allowed. Only warm servers of its kind count.
+    """
     world = World(1, 30, 2.4, 0.6, (0.6, 3.6), 0.7, small=True)
     world.run(7.0, 3.0)
     assert world.over() <= 1
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -94,8 +94,10 @@
 
 
 def test_a_zone_cut_off_costs_a_few_attempts_and_not_some_at_each_server() -> None:
-    """A link to a zone was cut, and requests spent all their attempts on servers behind it. After failures at
-    a few of its servers the zone has to be passed over."""
+    """A link to a zone was cut, and requests spent all their attempts on servers behind it.
+
+    After failures at a few of its servers the zone has to be passed over.
+    """
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     assert cut_off(router) <= FAILED_SERVERS_TO_EJECT_ZONE + 1
     assert any(line == "zone unreachable zone=1" for line in router.log)
@@ -117,8 +119,10 @@
 
 
 def test_a_zone_that_comes_back_is_in_slow_start_until_a_server_proves_otherwise() -> None:
-    """A zone that was lost came back with cold caches at all its servers, before the list said so. Each of
-    them has to be taken as started anew (rule 4)."""
+    """A zone that was lost came back with cold caches at all its servers, before the list said so.
+
+    Each of them has to be taken as started anew (rule 4).
+    """
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=False)
     assert router.balancer.servers.servers[first.server].slow_start.started_at_ns == router.now
