--- a/tests/admin/test_compatibility.py
+++ b/tests/admin/test_compatibility.py
@@ -25,6 +25,7 @@
 
 
 def fixed_metrics() -> RouterMetrics:
+    """Metrics with known counts."""
     metrics = RouterMetrics(["menu-read", "order-place"])
     metrics.served[0] = 812
     metrics.rejected[1] = 3
@@ -67,6 +68,7 @@
         self.clients.draining = False
 
     def control(self, folder: str | None = None) -> RouterControl:
+        """The commands on this router."""
         driver: Any = self.driver
         clients: Any = self.clients
         directory: Any = self.directory
--- a/tests/admin/test_cordons.py
+++ b/tests/admin/test_cordons.py
@@ -11,6 +11,7 @@
 
 
 def followed(folder: Path | None) -> tuple[Cordons, list[tuple[set[str], set[str]]]]:
+    """Cordons in a folder, and the changes that they have reported."""
     seen: list[tuple[set[str], set[str]]] = []
     return Cordons(str(folder) if folder else None, "r", lambda out, back: seen.append((out, back))), seen
 
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -32,6 +32,7 @@
 
 @contextlib.asynccontextmanager
 async def attended(bench: Bench, folder: Path | None = None) -> AsyncIterator[tuple[str, int]]:
+    """Opens an operators' endpoint on a bench; gives its address."""
     control = RouterControl(
         bench.driver, bench.clients, bench.directory, str(folder) if folder else None, "r"
     )
@@ -43,6 +44,7 @@
 
 
 async def served(bench: Bench, caller: Caller, name: bytes) -> object:
+    """The answer to a request with this id."""
     caller.get(name=name)
     return await caller.answer()
 
@@ -159,12 +161,14 @@
 
 @contextlib.contextmanager
 def shared_listener() -> Iterator[socket.socket]:
+    """A listening socket for two processes."""
     with socket.create_server(("127.0.0.1", 0), backlog=64) as held:
         held.set_inheritable(True)
         yield held
 
 
 async def second_address(running: asyncio.subprocess.Process) -> tuple[str, int]:
+    """The admin address that a process logs."""
     assert running.stderr is not None
     async with asyncio.timeout(PATIENCE):
         while b"admin endpoint opened address=" not in (line := await running.stderr.readline()):
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -21,6 +21,7 @@
 
 
 def fleet(routers: int, seed: int) -> LossyNetwork:
+    """Routers with a failure detector each."""
     return LossyNetwork(
         routers,
         lambda me, generation, now: FailureDetector(me, routers, generation, now, seed * 100 + me),
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -35,6 +35,7 @@
         self.spent = 0
 
     def spend(self, router: int) -> bool:
+        """A router spends a unit, if it may; gives whether it did."""
         network = self.network
         self.level = max(0.0, self.level - self.total * (network.now - self.at) / SECOND)
         self.at = network.now
@@ -51,6 +52,7 @@
 
 
 def fleet(routers: int, seed: int, drift: float = 0.0, every: int = ROUND_INTERVAL_NS // 4) -> LossyNetwork:
+    """Routers with a part of the quota each."""
     return LossyNetwork(
         routers,
         lambda me, generation, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + generation),
--- a/tests/fleet/test_router_gossip.py
+++ b/tests/fleet/test_router_gossip.py
@@ -1,6 +1,7 @@
 """A router put together as the program does it, with another router's socket beside it."""
 
 import socket
+from collections.abc import Iterator
 from functools import partial
 from typing import Any
 
@@ -16,6 +17,7 @@
 
 
 def configuration(friend: socket.socket, **changes: Any) -> dict[str, Any]:
+    """A router's configuration with `friend` as the first of its peers, and fields changed."""
     host, port = friend.getsockname()
     address = f"{host}:{port}"
     return {
@@ -31,7 +33,8 @@
 
 
 @pytest.fixture
-def friend() -> Any:
+def friend() -> Iterator[socket.socket]:
+    """Another router's socket."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
         one.bind(("127.0.0.1", 0))
         one.settimeout(20)
@@ -39,6 +42,7 @@
 
 
 def slower(server: Server, before: float) -> bool:
+    """Whether a server's latency is above what it was."""
     return server.latency.average_ns > before
 
 
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -25,28 +25,31 @@
     def __init__(self, me: int, routers: int, rates: list[float], generation: int, now: int) -> None:
         self.usage = TenantUsage(me, routers, len(rates), generation, now)
         self.me, self.routers, self.rates = me, routers, rates
-        self.at = self.told = now
+        self.at = self.reported_at = now
         self.owed = [0.0] * len(rates)
 
     def receive(self, now: int, sender: int, data: bytes) -> None:
+        """Reads another router's report."""
         self.usage.receive(now, sender, data)
 
     def step(self, now: int) -> list[tuple[int, bytes]]:
+        """Counts the requests since the last step; gives the reports that are due."""
         passed, self.at = now - self.at, now
-        for customer, rate in enumerate(self.rates):
-            self.owed[customer] += rate * passed / SECOND
-            for _ in range(int(self.owed[customer])):
-                self.usage.add(customer)
-            self.owed[customer] %= 1
+        for tenant, rate in enumerate(self.rates):
+            self.owed[tenant] += rate * passed / SECOND
+            for _ in range(int(self.owed[tenant])):
+                self.usage.add(tenant)
+            self.owed[tenant] %= 1
         self.usage.mark(now)
-        if now - self.told < self.usage.interval_ns:
+        if now - self.reported_at < self.usage.interval_ns:
             return []
-        self.told = now
-        word = self.usage.encode()
-        return [(other, word) for other in range(self.routers) if other != self.me]
+        self.reported_at = now
+        report = self.usage.encode()
+        return [(other, report) for other in range(self.routers) if other != self.me]
 
 
 def fleet(rates: list[list[float]], seed: int = 1, drift: float = 0.0) -> LossyNetwork:
+    """Routers with such rates of requests, by tenant."""
     return LossyNetwork(
         len(rates),
         lambda me, generation, now: Publisher(me, len(rates), rates[me], generation, now),
@@ -56,16 +59,17 @@
 
 
 def parts(network: LossyNetwork, router: int) -> list[float]:
+    """A router's fraction of each tenant's requests."""
     made: list[float] = network.parts[router].usage.fractions(network.clock(router))
     return made
 
 
 def test_fractions_follow_each_tenants_traffic_and_add_up_to_one() -> None:
-    """Eighty percent of a customer's requests come to one router, and half of another's to each of two."""
+    """Eighty percent of a tenant's requests come to one router, and half of another's to each of two."""
     network = fleet([[80.0, 20.0], [10.0, 0.0], [10.0, 20.0]])
     network.go(3 * WINDOW_NS)
-    for customer, wanted in enumerate([[0.8, 0.1, 0.1], [0.5, 0.0, 0.5]]):
-        found = [parts(network, router)[customer] for router in range(3)]
+    for tenant, wanted in enumerate([[0.8, 0.1, 0.1], [0.5, 0.0, 0.5]]):
+        found = [parts(network, router)[tenant] for router in range(3)]
         assert found == pytest.approx(wanted, abs=0.03)
         assert sum(found) == pytest.approx(1, abs=0.03)
 
@@ -135,14 +139,14 @@
     for generation, number, taken in words:
         told[generation, number] = taken  # an author tells one thing under one generation and number
 
-    def word(generation: int, number: int) -> bytes:
+    def report(generation: int, number: int) -> bytes:
         one = TenantUsage(1, 2, 1, generation, 0)
         one.sequence = number - 1
         for _ in range(told[generation, number]):
             one.add(0)
         return one.encode()
 
-    made = [word(generation, number) for generation, number in told]
+    made = [report(generation, number) for generation, number in told]
     shuffled = made * 2
     random.shuffle(shuffled)  # type: ignore[attr-defined]
     here, there = TenantUsage(0, 2, 1, 1, 0), TenantUsage(0, 2, 1, 1, 0)
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -39,6 +39,7 @@
 
 
 def rows(seen: list[LatencyObservation]) -> list[Any]:
+    """Observations as the recording has them."""
     return [[one.server, one.elapsed_ns, one.is_in_flight] for one in seen]
 
 
--- a/tests/ground/test_operator_config.py
+++ b/tests/ground/test_operator_config.py
@@ -20,6 +20,7 @@
 
 
 def written(tmp_path: Path, text: str) -> Path:
+    """An operator's file with this text."""
     path = tmp_path / "operator.toml"
     path.write_text(text)
     return path
@@ -88,6 +89,7 @@
 
 
 def program(env: dict[str, str], *words: str) -> subprocess.CompletedProcess[str]:
+    """Runs the program with this environment."""
     return subprocess.run(
         [sys.executable, "-m", "rainhitch", *words],
         env=env,
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -62,6 +62,7 @@
 
 @pytest.fixture(params=SITES, ids=lambda path: path.parent.name)
 def site(request: pytest.FixtureRequest) -> Json:
+    """A site of deploy/sites."""
     return tomllib.loads(request.param.read_text())
 
 
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -91,12 +91,14 @@
 
 
 def plan(*words: str) -> subprocess.CompletedProcess[str]:
+    """Runs `rainhitch plan` with these arguments."""
     command = [sys.executable, "-m", "rainhitch", "plan", *words]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
 
 @pytest.fixture
 def listed(tmp_path: Path) -> str:
+    """A file with an endpoint list."""
     rows = [{"uid": f"n{n}", "az": "ab"[n % 2], "state": "Ready", "model": "full-node"} for n in range(6)]
     rows.append({"uid": "o", "az": "a", "state": "Ready", "model": "origin"})
     rows.append({"uid": "leaving", "az": "a", "state": "Terminating", "model": "full-node"})
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -26,6 +26,7 @@
 
 @pytest_asyncio.fixture
 async def etcd() -> AsyncIterator[Etcd]:
+    """An etcd with two entries."""
     made = Etcd()
     await made.start()
     for name in ("c0", "c1"):
@@ -35,6 +36,7 @@
 
 
 def operator(tmp_path: Path, etcd: Etcd, more: str = "") -> Path:
+    """An operator's file that names this etcd."""
     path = tmp_path / "operator.toml"
     endpoints = json.dumps(etcd.endpoints)
     path.write_text(f'[membership]\nsource = "etcd"\nendpoints = {endpoints}\n{more}')
@@ -42,6 +44,7 @@
 
 
 async def members(path: Path, *words: str) -> tuple[int, str, str]:
+    """Runs `rainhitch members`; gives exit code, output and errors."""
     running = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -25,20 +25,25 @@
 
 
 def row(name: str, state: str = "Ready", **changes: Any) -> bytes:
+    """An entry as etcd stores it."""
     return orjson.dumps(entry(name, "127.0.0.1:1", state=state, **changes))
 
 
 @dataclass
 class Scene:
+    """An etcd, and a router's source and list that follow it; `updates` are those published."""
+
     etcd: Etcd
     source: EtcdSource
     directory: EndpointDirectory
-    told: list[api.EndpointUpdate]
+    updates: list[api.EndpointUpdate]
 
     def put(self, name: str, state: str = "Ready", **changes: Any) -> None:
+        """Stores an entry."""
         self.etcd.store.put(PREFIX.encode() + name.encode(), row(name, state, **changes))
 
     def states(self) -> dict[str, str]:
+        """The state of each server that the router holds."""
         return {uid: target.endpoint.state.value for uid, target in self.directory.targets.items()}
 
     async def until(self, **states: str) -> None:
@@ -50,14 +55,15 @@
 async def scene(
     members: int = 1, known: list[str] | None = None, start: bool = True, **options: Any
 ) -> AsyncIterator[Scene]:
+    """A source that follows an etcd of so many members with three entries, c0 to c2."""
     etcd = Etcd(members)
     await etcd.start()
-    told: list[api.EndpointUpdate] = []
-    directory = EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), told.append)
-    roster = EndpointListBuilder(directory.apply, lambda: directory.version)
+    updates: list[api.EndpointUpdate] = []
+    directory = EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append)
+    builder = EndpointListBuilder(directory.apply, lambda: directory.version)
     endpoints = [("127.0.0.1", one.port) for one in etcd.members]
-    source = EtcdSource(EtcdOptions(endpoints, PREFIX, **options), roster.publish, 1, known)
-    made = Scene(etcd, source, directory, told)
+    source = EtcdSource(EtcdOptions(endpoints, PREFIX, **options), builder.publish, 1, known)
+    made = Scene(etcd, source, directory, updates)
     for name in ("c0", "c1", "c2"):
         made.put(name)
     try:
@@ -72,6 +78,7 @@
 
 
 def lines(caplog: pytest.LogCaptureFixture, part: str) -> int:
+    """How many log lines have this text."""
     return sum(part in record.getMessage() for record in caplog.records)
 
 
@@ -91,11 +98,11 @@
 
 async def test_two_changes_of_one_transaction_come_together() -> None:
     async with scene() as one:
-        before = len(one.told)
+        before = len(one.updates)
         key = PREFIX.encode()
         one.etcd.store.commit([(key + b"c0", row("c0", "Terminating"), 0), (key + b"c9", row("c9"), 0)])
         await one.until(c0="draining", c1="ready", c2="ready", c9="ready")
-        assert len(one.told) == before + 1
+        assert len(one.updates) == before + 1
 
 
 async def test_a_dropped_stream_resumes_and_no_change_is_published_twice() -> None:
@@ -104,7 +111,7 @@
             one.etcd.drop()
             one.put("c0", "Terminating" if n % 2 == 0 else "Ready")
             await one.until(c0="ready" if n % 2 else "draining", c1="ready", c2="ready")
-        assert [event.kind for event in one.told] == [api.EndpointUpdateKind.FULL] + [
+        assert [event.kind for event in one.updates] == [api.EndpointUpdateKind.FULL] + [
             api.EndpointUpdateKind.DELTA
         ] * 4
 
@@ -148,7 +155,7 @@
 
 
 async def test_progress_reported_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A drain below a progress that came first was taken for known, and never told."""
+    """A drain below a progress that came first was taken for known, and never updates."""
     monkeypatch.setattr(watch_state_machine, "PROGRESS_INTERVAL_NS", 100_000_000)
     async with scene() as one:
         await soon(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
@@ -284,16 +291,16 @@
 
     server = await asyncio.start_server(noise, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    told: list[bool] = []
+    updates: list[bool] = []
     source = EtcdSource(
-        EtcdOptions([("127.0.0.1", port)], PREFIX, timeout_s=0.5), lambda a, b: told.append(b), 1
+        EtcdOptions([("127.0.0.1", port)], PREFIX, timeout_s=0.5), lambda a, b: updates.append(b), 1
     )
     source.start()
     async with asyncio.timeout(PATIENCE):
         await soon(lambda: lines(caplog, "etcd unavailable"))
     source.stop()
     server.close()
-    assert not told
+    assert not updates
 
 
 logging.getLogger("rainhitch").setLevel(logging.INFO)
--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -11,6 +11,7 @@
 
 
 def router_with_overload_control(**changes: object) -> tuple[Router, OverloadController]:
+    """A balancer, and its overload control."""
     options = settings(**changes)
     overload = OverloadController(options, 7)
     return Router(options, overload_control=overload), overload
@@ -31,6 +32,7 @@
 
 
 def rejections(actions: list[api.Action]) -> list[api.Reject]:
+    """The rejections among actions."""
     return [one for one in actions if isinstance(one, api.Reject)]
 
 
--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -23,10 +23,12 @@
 def order(
     router: Router, name: str, key: str = "o1", cls: int = 1, live: int = 2 * SECOND
 ) -> list[api.Action]:
+    """A write with this idempotency key arrives, and waits for `live` ns."""
     return router.handle(api.Request(name, cls, router.now + live, "k", True, 0, False, key))
 
 
 def kinds(actions: list[api.Action]) -> list[str]:
+    """Each action's type and request."""
     return [f"{type(one).__name__} {getattr(one, 'id', '')}" for one in actions]
 
 
@@ -144,6 +146,7 @@
 
     @rule(key=st.sampled_from("abc"))
     def come(self, key: str) -> None:
+        """A request arrives."""
         self.count += 1
         name = f"r{self.count}"
         entry = self.guard.admit(self.now, key, name)
@@ -155,6 +158,7 @@
     @precondition(lambda self: self.may_send)
     @rule(data=st.data())
     def send(self, data: st.DataObject) -> None:
+        """An attempt starts for a request that may have one."""
         name = data.draw(st.sampled_from(sorted(self.may_send)))
         if any(whose == name for whose, _ in self.out):
             return
@@ -166,6 +170,7 @@
     @precondition(lambda self: self.out)
     @rule(data=st.data(), status=st.sampled_from([S.OK, S.TIMEOUT, S.FULL, S.RESET]))
     def finish(self, data: st.DataObject, status: S) -> None:
+        """An attempt ends."""
         name, number = data.draw(st.sampled_from(sorted(self.out)))
         del self.out[name, number]
         self._turn(self.guard.attempt_finished(name, number, status))
@@ -173,6 +178,7 @@
     @precondition(lambda self: self.open)
     @rule(data=st.data())
     def answer(self, data: st.DataObject) -> None:
+        """A request gets its final answer, or its client leaves."""
         name = data.draw(st.sampled_from(sorted(self.open)))
         del self.open[name]
         self.may_send.discard(name)
@@ -180,10 +186,12 @@
 
     @rule(seconds=st.sampled_from([0.01, 1.0, 4.0]))
     def wait(self, seconds: float) -> None:
+        """Time passes."""
         self.now += int(seconds * SECOND)
 
     @invariant()
     def one_holder_each_and_nobody_stuck(self) -> None:
+        """At most one request of a key may have attempts; none waits for nothing."""
         for key in "abc":
             holders = [name for name in self.may_send if self.open[name] == key]
             waiting = [name for name, of in self.open.items() if of == key and name not in self.may_send]
@@ -192,6 +200,7 @@
                 assert holders or key in self.out.values()
 
     def teardown(self) -> None:
+        """Ends all that is open: nothing may be left."""
         for name, number in list(self.out):
             self.guard.attempt_finished(name, number, S.OK)
         for name in list(self.open):
--- a/tests/overload/test_retry_after.py
+++ b/tests/overload/test_retry_after.py
@@ -14,6 +14,7 @@
 
 
 def asked(number: int = 0, key: str = "k") -> api.Request:
+    """A request by its number."""
     return api.Request(f"r{number}", 0, START + SECOND, key)
 
 
--- a/tests/overload/test_storm_detector.py
+++ b/tests/overload/test_storm_detector.py
@@ -6,6 +6,7 @@
 
 
 def period(detector: RetryStormDetector, now: int, **counts: int) -> str:
+    """Ends a period with these counts; gives the detector's log line."""
     for name, value in counts.items():
         setattr(detector.current, name, value)
     detector.open_connections = counts.get("connects", 0) + 200
@@ -13,6 +14,7 @@
 
 
 def storm_period(detector: RetryStormDetector) -> None:
+    """Counts what a period in a storm has."""
     counts = detector.current
     counts.connects = 200
     counts.arrivals = 200
@@ -21,6 +23,7 @@
 
 
 def usual(detector: RetryStormDetector, seconds: int = 30) -> int:
+    """Plays so many seconds of normal periods; gives the time, ns."""
     now = START
     detector.step(now)
     for _ in range(4 * seconds):
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -17,6 +17,7 @@
 
 
 def sends(actions: list[api.Action]) -> list[str]:
+    """The servers at which attempts start."""
     return [action.server for action in actions if isinstance(action, api.StartAttempt)]
 
 
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Rules 1 to 3 over random legal event sequences, judged by an oracle that shares no code with the module."""
+"""Rules 1 to 3 over random legal event sequences, checked by a model that shares no code with the module."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass
 class Held:
-    """A request as the oracle sees it."""
+    """A request as the model sees it."""
 
     cls: int
     deadline: int
@@ -27,35 +27,36 @@
     ended: bool = False
 
 
-class World:
+class RandomSimulation:
     """Plays clients, list and servers at random but legally, and checks every action."""
 
     def __init__(self, seed: int, mode: str) -> None:
-        self.dice = random.Random(seed)
-        self.coarse = self.dice.random() < 0.5
+        self.random = random.Random(seed)
+        self.coarse = self.random.random() < 0.5
         self.options = router_settings(
             cache_aside=mode != "through",
             endpoints_polled=mode == "asked",
             tenants=[api.Tenant(5.0), api.Tenant(5.0)] if mode == "tenants" else [],
         )
         self.now = 100 * SECOND
-        self.alarms: list[tuple[int, str]] = []
+        self.timers: list[tuple[int, str]] = []
         self.due: list[tuple[int, str, int]] = []  # when, request, attempt
         self.start()
 
     def start(self) -> None:
         """A fresh instance with its restored list; whatever the old one held is the clients' business."""
-        self.router = Balancer(self.options, self.dice.getrandbits(64))
+        self.router = Balancer(self.options, self.random.getrandbits(64))
         self.held: dict[str, Held] = {}
         self.due.clear()
-        self.alarms.clear()
+        self.timers.clear()
         self.left: dict[str, int] = {}  # servers told as draining or gone, and when
         self.known = {
-            one.server: one for one in fleet(self.dice.choice([0, 1, 4, 7]), self.dice.random() < 0.9)
+            one.server: one for one in fleet(self.random.choice([0, 1, 4, 7]), self.random.random() < 0.9)
         }
         self.play(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.known.values())))
 
     def play(self, event: api.Event) -> None:
+        """Handles an event, and checks each action."""
         for action in self.router.handle(self.now, event):
             if isinstance(action, api.StartAttempt):
                 self.check_send(action)
@@ -63,11 +64,12 @@
                 self.check_answer(action)
             elif isinstance(action, api.SetTimer):
                 assert action.delay_ns >= 0
-                # Timers are coarser than the clock: an alarm may come a little early, never at once.
+                # Timers are coarser than the clock: an timer may come a little early, never at once.
                 delay = action.delay_ns // MICRO * MICRO if self.coarse else action.delay_ns
-                self.alarms.append((self.now + max(1, delay), action.token))
+                self.timers.append((self.now + max(1, delay), action.token))
 
     def check_send(self, action: api.StartAttempt) -> None:
+        """Checks an attempt against rules 1 to 3, and plans its end."""
         one = self.held[action.id]
         assert not one.ended, "rule 1: sent for an ended request"
         assert action.server in self.known, "sent to a server no list named"
@@ -89,11 +91,12 @@
                         )
         one.attempts.append((action.server, self.now, ""))
         limit = one.deadline if action.timeout_ns == 0 else min(one.deadline, self.now + action.timeout_ns)
-        spread = self.dice.choice([MILLI, 100 * MILLI, 3 * SECOND])
-        when = min(limit, self.now + self.dice.randrange(1, spread))
+        spread = self.random.choice([MILLI, 100 * MILLI, 3 * SECOND])
+        when = min(limit, self.now + self.random.randrange(1, spread))
         self.due.append((when, action.id, len(one.attempts) - 1))
 
     def check_answer(self, action: api.Reject | api.Fail) -> None:
+        """Checks a final answer against rules 1 and 2."""
         one = self.held[action.id]
         assert not one.ended, "rule 1: a second final answer"
         assert self.now <= one.deadline + 20 * MILLI, "rule 1: late"
@@ -106,36 +109,38 @@
         one.ended = True
 
     def arrive(self) -> None:
-        cls = self.dice.randrange(len(self.options.classes))
+        """A client sends a request."""
+        cls = self.random.randrange(len(self.options.classes))
         spec = self.options.classes[cls]
         name = f"r{len(self.held)}"
-        deadline = self.now + int(spec.deadline_ns * self.dice.uniform(0.05, 1))
+        deadline = self.now + int(spec.deadline_ns * self.random.uniform(0.05, 1))
         self.held[name] = Held(cls, deadline)
-        key = self.dice.choice([None, "hot", f"k{self.dice.randrange(60)}"])
+        key = self.random.choice([None, "hot", f"k{self.random.randrange(60)}"])
         write = spec.idempotency is not api.Idempotency.IDEMPOTENT and self.options.cache_aside
         self.play(
-            api.Request(name, cls, deadline, key, write, self.dice.randrange(2), self.dice.random() < 0.2)
+            api.Request(name, cls, deadline, key, write, self.random.randrange(2), self.random.random() < 0.2)
         )
 
     def relist(self) -> None:
-        if self.options.endpoints_polled and self.dice.random() < 0.3:
+        """The endpoint list changes, or can't be read."""
+        if self.options.endpoints_polled and self.random.random() < 0.3:
             self.play(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
             return
         entries = []
         for name in (
-            self.dice.sample(sorted(self.known), self.dice.randrange(1, 4)) if len(self.known) > 3 else []
+            self.random.sample(sorted(self.known), self.random.randrange(1, 4)) if len(self.known) > 3 else []
         ):
             old = self.known[name]
-            state = self.dice.choice(
+            state = self.random.choice(
                 [api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.GONE]
             )
-            since = self.dice.choice([old.started_at_ns, self.now])
+            since = self.random.choice([old.started_at_ns, self.now])
             entries.append(api.Endpoint(name, state, old.kind, old.zone, old.cell, since))
-        if self.dice.random() < 0.4:
-            name = f"n{self.dice.randrange(8)}"
+        if self.random.random() < 0.4:
+            name = f"n{self.random.randrange(8)}"
             entries.append(
                 api.Endpoint(
-                    name, zone=self.dice.randrange(2), cell=self.dice.randrange(3), started_at_ns=self.now
+                    name, zone=self.random.randrange(2), cell=self.random.randrange(3), started_at_ns=self.now
                 )
             )
         for entry in entries:
@@ -145,7 +150,7 @@
             else:
                 self.left.setdefault(entry.server, self.now)
         kind = api.EndpointUpdateKind.DELTA
-        if self.dice.random() < 0.2:
+        if self.random.random() < 0.2:
             kind = api.EndpointUpdateKind.FULL
             entries = [one for one in self.known.values() if one.server not in self.left]
             for name in self.known:
@@ -154,19 +159,20 @@
         self.play(api.EndpointUpdate(kind, entries))
 
     def finish(self, when: int, name: str, attempt: int) -> None:
+        """Ends an attempt, with a drawn outcome."""
         one = self.held[name]
         server, sent, _ = one.attempts[attempt]
-        trouble = self.dice.random() < self.trouble
-        outcome = self.dice.choice(ENDS) if trouble else "ok"
+        trouble = self.random.random() < self.trouble
+        outcome = self.random.choice(ENDS) if trouble else "ok"
         if when >= one.deadline:
             outcome = "timeout"
-        if outcome == "ok" and server != "origin" and self.dice.random() < 0.4:
+        if outcome == "ok" and server != "origin" and self.random.random() < 0.4:
             outcome = "miss"
         one.attempts[attempt] = (server, sent, outcome)
         closed = one.ended or outcome == "ok"
         one.ended = closed
         load = (
-            api.LoadReport(in_flight=self.dice.randrange(30), latency_ms=50, served_per_s=20)
+            api.LoadReport(in_flight=self.random.randrange(30), latency_ms=50, served_per_s=20)
             if trouble
             else None
         )
@@ -177,23 +183,24 @@
         )
 
     def run(self, steps: int) -> None:
-        self.trouble = self.dice.choice([0.02, 0.3, 0.95])
+        """Plays so many drawn steps, and then until all is answered."""
+        self.trouble = self.random.choice([0.02, 0.3, 0.95])
         for _ in range(steps):
-            self.advance(self.now + self.dice.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
-            self.dice.choices([self.arrive, self.relist, self.withdraw, self.restart], [40, 4, 2, 0.3])[0]()
+            self.advance(self.now + self.random.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
+            self.random.choices([self.arrive, self.relist, self.withdraw, self.restart], [40, 4, 2, 0.3])[0]()
         self.advance(self.now + 10 * SECOND)
         assert all(one.ended for one in self.held.values()), "rule 1: no answer"
 
     def advance(self, end: int) -> None:
-        """Outcomes and alarms come in the order of their times; nobody may be left without an answer."""
+        """Outcomes and timers come in the order of their times; nobody may be left without an answer."""
         while True:
             when, name, attempt = min(self.due, default=(end + 1, "", 0))
-            alarm, token = min(self.alarms, default=(end + 1, ""))
-            if min(when, alarm) > end:
+            timer, token = min(self.timers, default=(end + 1, ""))
+            if min(when, timer) > end:
                 break
-            self.now = min(when, alarm)
-            if alarm <= when:
-                self.alarms.remove((alarm, token))
+            self.now = min(when, timer)
+            if timer <= when:
+                self.timers.remove((timer, token))
                 self.play(api.TimerFired(token))
             else:
                 self.due.remove((when, name, attempt))
@@ -203,35 +210,37 @@
         self.now = end
 
     def withdraw(self) -> None:
+        """A client leaves."""
         open_ones = [name for name, one in self.held.items() if not one.ended]
         if open_ones:
-            name = self.dice.choice(open_ones)
+            name = self.random.choice(open_ones)
             self.held[name].ended = True
             self.play(api.ClientGone(name))
 
     def restart(self) -> None:
+        """The router is started anew."""
         self.start()
 
 
 @settings(derandomize=True, max_examples=120, deadline=None)
 @given(seed=st.integers(0, 2**32), mode=st.sampled_from(["aside", "through", "asked", "tenants"]))
 def test_invariants_hold_over_random_legal_event_sequences(seed: int, mode: str) -> None:
-    World(seed, mode).run(150)
+    RandomSimulation(seed, mode).run(150)
 
 
 def test_invariants_hold_when_the_origin_and_every_server_fail_at_once() -> None:
-    world = World(5, "aside")
-    world.trouble = 1.0
-    world.known = {one.server: one for one in fleet(6)}
-    world.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(world.known.values())))
+    simulation = RandomSimulation(5, "aside")
+    simulation.trouble = 1.0
+    simulation.known = {one.server: one for one in fleet(6)}
+    simulation.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(simulation.known.values())))
     for _ in range(300):
-        world.advance(world.now + 5 * MILLI)
-        world.arrive()
-    world.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, []))
-    world.left.update(dict.fromkeys(world.known, world.now))
+        simulation.advance(simulation.now + 5 * MILLI)
+        simulation.arrive()
+    simulation.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, []))
+    simulation.left.update(dict.fromkeys(simulation.known, simulation.now))
     for _ in range(50):
-        world.advance(world.now + 5 * MILLI)
-        world.arrive()
-    world.advance(world.now + 10 * SECOND)
-    assert all(one.ended for one in world.held.values())
-    assert world.router.requests == {} and world.options.origin_kind == ORIGIN_KIND
+        simulation.advance(simulation.now + 5 * MILLI)
+        simulation.arrive()
+    simulation.advance(simulation.now + 10 * SECOND)
+    assert all(one.ended for one in simulation.held.values())
+    assert simulation.router.requests == {} and simulation.options.origin_kind == ORIGIN_KIND
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router
-from support import settings as told
+from support import settings as router_settings
 
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import DecisionContext
@@ -28,7 +28,7 @@
     monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
 
 
-class World:
+class SimulatedFleet:
     """Caches that hold the latest keys, an origin that counts, and routers that read through them."""
 
     def __init__(self, nodes: int = 9, routers: int = 3, share: float = 0.5, memory: int = 200) -> None:
@@ -38,7 +38,7 @@
         self.versions: dict[str, int] = {}
         self.origin: list[int] = []  # when it was asked
         self.asked: list[tuple[int, str, str]] = []  # when, which server, and "hit" or "miss"
-        options = told(
+        options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
         origin = api.Endpoint("origin", kind=ORIGIN_KIND)
@@ -46,13 +46,16 @@
 
     @property
     def now(self) -> int:
+        """The routers' time, ns."""
         return self.routers[0].now
 
     def wait(self, delay: int) -> None:
+        """Lets so many ns pass at all routers."""
         for router in self.routers:
             router.wait(delay)
 
-    def tell(self, *members: api.Endpoint, to: Iterable[int] | None = None) -> None:
+    def update_list(self, *members: api.Endpoint, to: Iterable[int] | None = None) -> None:
+        """Changes the endpoint list, at all routers or at those named."""
         for member in members:
             self.listed[member.server] = member
             if member.state is api.EndpointState.GONE:
@@ -64,10 +67,12 @@
             self.routers[number].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(members)))
 
     def join(self, name: str, to: Iterable[int] | None = None) -> None:
-        self.tell(api.Endpoint(name), to=to)
+        """Lists a new server."""
+        self.update_list(api.Endpoint(name), to=to)
 
     def leave(self, name: str) -> None:
-        self.tell(api.Endpoint(name, api.EndpointState.GONE))
+        """Takes a server off the list."""
+        self.update_list(api.Endpoint(name, api.EndpointState.GONE))
 
     def order(self, key: str) -> None:
         """A write is carried out: the origin drops the copies."""
@@ -112,6 +117,7 @@
             cache.popitem(last=False)
 
     def owner(self, key: str) -> str:
+        """The owner of a key, as the first router has it."""
         return self.routers[0].balancer.placement.ranges.locate(key)[2][0]
 
     def run(self, seconds: float, rate: int, keys: "Zipf") -> None:
@@ -138,6 +144,7 @@
         self.drawn: list[int] = []
 
     def pick(self) -> str:
+        """Draws a key."""
         if self.random.random() < self.once:
             self.count += 1
             return f"once{self.count}"
@@ -146,153 +153,154 @@
         return f"k{self.drawn.pop()}"
 
 
-def no_tokens(world: World) -> None:
-    for router in world.routers:
+def no_tokens(fleet: SimulatedFleet) -> None:
+    """Takes all routers' migration tokens."""
+    for router in fleet.routers:
         bucket = router.balancer.migration.bucket
         bucket.tokens = 0.0
         bucket.refilled_at_ns = router.now
 
 
-def grown(share: float) -> tuple[float, int, World]:
+def grown(share: float) -> tuple[float, int, SimulatedFleet]:
     """A third more nodes in a warm fleet; the steady origin load, and the most in a second afterwards."""
-    world, keys = World(share=share), Zipf(800)
-    world.run(30, 200, keys)
-    steady = sum(world.load(world.now - 10 * SECOND, world.now)) / 10
-    begin = world.now
+    fleet, keys = SimulatedFleet(share=share), Zipf(800)
+    fleet.run(30, 200, keys)
+    steady = sum(fleet.load(fleet.now - 10 * SECOND, fleet.now)) / 10
+    begin = fleet.now
     for name in ("a00", "c04x", "d00"):
-        world.join(name)
-    world.run(100, 200, keys)
-    return steady, max(world.load(begin, world.now)), world
+        fleet.join(name)
+    fleet.run(100, 200, keys)
+    return steady, max(fleet.load(begin, fleet.now)), fleet
 
 
 def test_a_third_more_nodes_keep_the_origin_below_twice_its_steady_load() -> None:
-    steady, most, world = grown(0.5)
+    steady, most, fleet = grown(0.5)
     assert most < 2 * steady
     assert grown(-1.0)[1] > 3 * steady  # all at once: what it guards against
     # And the fleet ends on the new ranges.
-    assert all(router.balancer.migration.began_at_ns < 0 for router in world.routers)
-    assert any("key migration finished" in line for line in world.routers[0].log)
+    assert all(router.balancer.migration.began_at_ns < 0 for router in fleet.routers)
+    assert any("key migration finished" in line for line in fleet.routers[0].log)
     for n in range(100):
         for number in range(3):
-            assert world.read(number, f"k{n}")[-1] == world.owner(f"k{n}")
-    fresh = [one for one in world.asked[-4000:] if one[1] in ("a00", "c04x", "d00")]
+            assert fleet.read(number, f"k{n}")[-1] == fleet.owner(f"k{n}")
+    fresh = [one for one in fleet.asked[-4000:] if one[1] in ("a00", "c04x", "d00")]
     assert len(fresh) > 400  # three of twelve
 
 
 def test_until_it_moves_a_key_is_read_where_it_is_held() -> None:
-    world = World(share=0.0, routers=1)
+    fleet = SimulatedFleet(share=0.0, routers=1)
     for key in ("k1", "k2", "k3"):
-        world.read(0, key)
-    held = {key: world.owner(key) for key in ("k1", "k2", "k3")}
+        fleet.read(0, key)
+    held = {key: fleet.owner(key) for key in ("k1", "k2", "k3")}
     for n in range(9):
-        world.join(f"a{n:02}")
-    away = [key for key in held if world.owner(key) != held[key]]
+        fleet.join(f"a{n:02}")
+    away = [key for key in held if fleet.owner(key) != held[key]]
     assert away
-    no_tokens(world)
+    no_tokens(fleet)
     for key in away:
-        assert world.read(0, key) == [held[key]]
-    assert len(world.origin) == 3
+        assert fleet.read(0, key) == [held[key]]
+    assert len(fleet.origin) == 3
 
 
 def test_a_key_moves_by_one_origin_read_and_later_reads_find_it_moved() -> None:
-    world = World(routers=3)
+    fleet = SimulatedFleet(routers=3)
     for number in range(3):
-        world.read(number, "k1")
-    before = world.owner("k1")
-    world.join(next(f"a{n:02}" for n in range(20)))
+        fleet.read(number, "k1")
+    before = fleet.owner("k1")
+    fleet.join(next(f"a{n:02}" for n in range(20)))
     for n in range(20):
-        if world.owner("k1") != before:
+        if fleet.owner("k1") != before:
             break
-        world.join(f"b{n:02}")
-    after = world.owner("k1")
-    for router in world.routers:
+        fleet.join(f"b{n:02}")
+    after = fleet.owner("k1")
+    for router in fleet.routers:
         router.balancer.migration.bucket.tokens = 1.0
-    assert world.read(0, "k1") == [after, "origin"]
-    assert world.read(1, "k1") == [after] and world.read(2, "k1") == [after]
-    assert len(world.origin) == 2
-    assert world.routers[1].balancer.migration.bucket.tokens >= 1  # it cost the origin nothing
+    assert fleet.read(0, "k1") == [after, "origin"]
+    assert fleet.read(1, "k1") == [after] and fleet.read(2, "k1") == [after]
+    assert len(fleet.origin) == 2
+    assert fleet.routers[1].balancer.migration.bucket.tokens >= 1  # it cost the origin nothing
 
 
-def moved_away(world: World, key: str) -> str:
+def moved_away(fleet: SimulatedFleet, key: str) -> str:
     """Lists servers until the key has another owner; gives who holds it."""
-    before = world.owner(key)
+    before = fleet.owner(key)
     for n in range(40):
-        world.join(f"a{n:02}")
-        if world.owner(key) != before:
+        fleet.join(f"a{n:02}")
+        if fleet.owner(key) != before:
             break
-    no_tokens(world)
-    assert world.owner(key) != before
+    no_tokens(fleet)
+    assert fleet.owner(key) != before
     return before
 
 
 def test_a_key_that_its_holder_lacks_is_read_at_its_owner_before_the_origin() -> None:
-    world = World(routers=2)
+    fleet = SimulatedFleet(routers=2)
     for number in range(2):
-        world.read(number, "k1")
-    holder = moved_away(world, "k1")
-    world.caches[holder].clear()
-    world._store(world.owner("k1"), "k1")  # another router has moved it
-    assert world.read(0, "k1") == [holder, world.owner("k1")]
-    world.caches[world.owner("k1")].clear()
-    assert world.read(1, "k1") == [holder, world.owner("k1"), "origin"]  # and stored at both
-    assert "k1" in world.caches[world.owner("k1")]
+        fleet.read(number, "k1")
+    holder = moved_away(fleet, "k1")
+    fleet.caches[holder].clear()
+    fleet._store(fleet.owner("k1"), "k1")  # another router has moved it
+    assert fleet.read(0, "k1") == [holder, fleet.owner("k1")]
+    fleet.caches[fleet.owner("k1")].clear()
+    assert fleet.read(1, "k1") == [holder, fleet.owner("k1"), "origin"]  # and stored at both
+    assert "k1" in fleet.caches[fleet.owner("k1")]
 
 
 def test_the_last_attempt_is_left_for_the_origin() -> None:
     for attempts, asked in ((2, 2), (3, 3)):
-        world = World(routers=1)
-        world.routers[0].balancer.settings.max_attempts = attempts
-        world.read(0, "k1")
-        holder = moved_away(world, "k1")
-        world.caches[holder].clear()
-        sent = world.read(0, "k1")
+        fleet = SimulatedFleet(routers=1)
+        fleet.routers[0].balancer.settings.max_attempts = attempts
+        fleet.read(0, "k1")
+        holder = moved_away(fleet, "k1")
+        fleet.caches[holder].clear()
+        sent = fleet.read(0, "k1")
         assert len(sent) == asked and sent[0] == holder and sent[-1] == "origin"
 
 
 def test_a_key_whose_holder_left_the_list_is_not_asked_for_there() -> None:
-    world = World(routers=1)
-    world.read(0, "k1")
-    holder = moved_away(world, "k1")
-    world.leave(holder)
-    assert holder not in world.read(0, "k1")
+    fleet = SimulatedFleet(routers=1)
+    fleet.read(0, "k1")
+    holder = moved_away(fleet, "k1")
+    fleet.leave(holder)
+    assert holder not in fleet.read(0, "k1")
 
 
 def test_a_retiring_server_owns_nothing_and_is_read_until_it_drains() -> None:
-    world = World(routers=1)
-    world.read(0, "k1")
-    holder = world.owner("k1")
-    no_tokens(world)
-    world.tell(api.Endpoint(holder, api.EndpointState.RETIRING))
-    assert world.owner("k1") != holder and world.read(0, "k1") == [holder]
-    assert holder not in world.read(0, "never seen")
-    world.tell(api.Endpoint(holder, api.EndpointState.DRAINING))
-    assert world.read(0, "k1") == [world.owner("k1"), "origin"]
+    fleet = SimulatedFleet(routers=1)
+    fleet.read(0, "k1")
+    holder = fleet.owner("k1")
+    no_tokens(fleet)
+    fleet.update_list(api.Endpoint(holder, api.EndpointState.RETIRING))
+    assert fleet.owner("k1") != holder and fleet.read(0, "k1") == [holder]
+    assert holder not in fleet.read(0, "never seen")
+    fleet.update_list(api.Endpoint(holder, api.EndpointState.DRAINING))
+    assert fleet.read(0, "k1") == [fleet.owner("k1"), "origin"]
 
 
 def test_a_holder_that_was_restarted_holds_nothing() -> None:
-    world = World(routers=1)
-    world.read(0, "k1")
-    holder = moved_away(world, "k1")
-    world.wait(MILLI)
-    world.tell(api.Endpoint(holder, started_at_ns=world.now))
-    assert world.read(0, "k1")[0] == world.owner("k1")
+    fleet = SimulatedFleet(routers=1)
+    fleet.read(0, "k1")
+    holder = moved_away(fleet, "k1")
+    fleet.wait(MILLI)
+    fleet.update_list(api.Endpoint(holder, started_at_ns=fleet.now))
+    assert fleet.read(0, "k1")[0] == fleet.owner("k1")
 
 
 def test_a_write_in_transition_leaves_no_old_value_to_be_read() -> None:
-    """The origin drops the copies at both; World fails on an old value."""
-    world = World(routers=2)
+    """The origin drops the copies at both; SimulatedFleet fails on an old value."""
+    fleet = SimulatedFleet(routers=2)
     for number in range(2):
-        world.read(number, "k1")
-    holder = moved_away(world, "k1")
-    world._store(world.owner("k1"), "k1")
-    world.order("k1")
+        fleet.read(number, "k1")
+    holder = moved_away(fleet, "k1")
+    fleet._store(fleet.owner("k1"), "k1")
+    fleet.order("k1")
     for number in (0, 1, 0, 1):
-        assert world.read(number, "k1")
-    assert holder in world.caches
+        assert fleet.read(number, "k1")
+    assert holder in fleet.caches
 
 
 def test_no_key_moves_while_the_throttle_is_short_and_they_go_on_afterwards() -> None:
-    context = DecisionContext(told(), 1)
+    context = DecisionContext(router_settings(), 1)
     admission = OriginAdmission(context, lambda pending: None, lambda pending: None)
     migration = KeyMigration(context, admission)
     context.now_ns = START
@@ -311,7 +319,7 @@
 def test_in_any_window_moves_are_a_part_of_what_the_origin_is_sent_besides(
     steps: list[tuple[int, bool]], share: float
 ) -> None:
-    context = DecisionContext(told(migration_fraction=share), 1)
+    context = DecisionContext(router_settings(migration_fraction=share), 1)
     migration = KeyMigration(context, OriginAdmission(context, lambda pending: None, lambda pending: None))
     context.now_ns = START
     besides, taken = [], []
@@ -335,41 +343,41 @@
 def test_after_any_history_the_keys_are_at_their_owners_and_none_moved_twice_for_nothing(
     history: list[tuple[str, int]],
 ) -> None:
-    world, keys = World(nodes=5, routers=2, memory=400), Zipf(60, 0.1)
-    world.run(4, 100, keys)
+    fleet, keys = SimulatedFleet(nodes=5, routers=2, memory=400), Zipf(60, 0.1)
+    fleet.run(4, 100, keys)
     owners: dict[str, set[str]] = {}
     for what, number in history:
         name = f"{'abc'[number % 3]}{number:02}"
-        if what == "leave" and name in world.listed and len(world.listed) > 2:
-            world.leave(name)
-        elif what == "late" and name not in world.listed:
-            world.join(name, to=[0])
-            world.run(0.5, 100, keys)
-            world.routers[1].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint(name)]))
-        elif what == "join" and name not in world.listed:
-            world.join(name)
+        if what == "leave" and name in fleet.listed and len(fleet.listed) > 2:
+            fleet.leave(name)
+        elif what == "late" and name not in fleet.listed:
+            fleet.join(name, to=[0])
+            fleet.run(0.5, 100, keys)
+            fleet.routers[1].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint(name)]))
+        elif what == "join" and name not in fleet.listed:
+            fleet.join(name)
         for n in range(60):
-            owners.setdefault(f"k{n}", set()).add(world.owner(f"k{n}"))
-        world.run(1, 100, keys)
-    world.run(40, 100, keys)
+            owners.setdefault(f"k{n}", set()).add(fleet.owner(f"k{n}"))
+        fleet.run(1, 100, keys)
+    fleet.run(40, 100, keys)
     for n in range(60):
         for number in range(2):
             for _ in range(3):
-                last = world.read(number, f"k{n}")
-                world.wait(4 * SECOND)
-            assert last == [world.owner(f"k{n}")]
-    moved = sum(router.balancer.migration.moved_keys for router in world.routers)
+                last = fleet.read(number, f"k{n}")
+                fleet.wait(4 * SECOND)
+            assert last == [fleet.owner(f"k{n}")]
+    moved = sum(router.balancer.migration.moved_keys for router in fleet.routers)
     assert moved <= 2 * sum(len(one) for one in owners.values())
 
 
 def test_what_is_remembered_of_keys_is_bounded_whatever_the_churn() -> None:
-    world = World(nodes=4, routers=1)
-    memory = world.routers[0].balancer.key_memory
+    fleet = SimulatedFleet(nodes=4, routers=1)
+    memory = fleet.routers[0].balancer.key_memory
     for n in range(KEYS_KEPT + 100):
         memory.remember(f"k{n}", n, "c00")
     for n in range(50):
-        world.join(f"d{n:02}")
-        world.leave(f"d{n:02}")
+        fleet.join(f"d{n:02}")
+        fleet.leave(f"d{n:02}")
     assert len(memory.seen) == KEYS_KEPT
-    assert len(world.routers[0].balancer.placement.ranges.chains) <= 5
-    assert len(world.routers[0].balancer.context.timers) < 10
+    assert len(fleet.routers[0].balancer.placement.ranges.chains) <= 5
+    assert len(fleet.routers[0].balancer.context.timers) < 10
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -41,7 +41,7 @@
         return self.free[0]
 
 
-class World:
+class StartingFleet:
     """Routers' decisions over one fleet in which a server starts cold, driven event by event."""
 
     def __init__(
@@ -81,17 +81,20 @@
         self.sent: list[int] = []  # when something went to the cold server
 
     def members(self, cold: bool) -> list[api.Endpoint]:
+        """The endpoint list, with the starting server or without."""
         since = self.servers[COLD].cold_since
         one = [api.Endpoint(COLD, kind=COLD in self.small, started_at_ns=since)] if cold else []
         rest = [api.Endpoint(name, kind=name in self.small) for name in self.servers if name != COLD]
         return [*one, *rest, api.Endpoint("origin", kind=ORIGIN_KIND)]
 
     def begin(self, number: int, cold: bool) -> Balancer:
+        """Starts a router anew."""
         balancer = Balancer(self.options, number)
         balancer.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, self.members(cold)))
         return balancer
 
     def push(self, at: int, router: int, event: api.Event) -> None:
+        """Plans an event."""
         self.count += 1
         heapq.heappush(self.events, (at, self.count, router, event))
 
@@ -120,9 +123,10 @@
                 hot = self.random.random() < self.hot
                 key = "hot" if hot else f"k{int(self.random.paretovariate(1.0)) % 2000}"
                 event = api.Request(f"r{number}", 0, now + 4 * SECOND, key)
-            self.tell(now, router, event)
+            self.handle(now, router, event)
 
-    def tell(self, now: int, router: int, event: api.Event) -> None:
+    def handle(self, now: int, router: int, event: api.Event) -> None:
+        """Has a router handle an event, and carries out its actions."""
         balancer = self.balancers[router]
         for action in balancer.handle(now, event):
             if isinstance(action, api.SetTimer):
@@ -132,6 +136,7 @@
                 self.attempt(now, router, action, pending.attempts_started - 1, pending.request.key or "")
 
     def attempt(self, now: int, router: int, send: api.StartAttempt, number: int, key: str) -> None:
+        """Plays an attempt; its outcome is what its server does."""
         if send.server == "origin":
             self.outcome(now, router, send, number, api.AttemptStatus.OK, now + 20 * MILLI)
             self.servers[self.balancers[router].requests[send.id].missed_at or "c1"].held.add(key)
@@ -150,6 +155,7 @@
     def outcome(
         self, now: int, router: int, send: api.StartAttempt, number: int, status: api.AttemptStatus, at: int
     ) -> None:
+        """Plans the end of an attempt."""
         closed = status is api.AttemptStatus.OK
         event = api.AttemptFinished(
             send.id, number, send.server, status, closed, at - now, connection_reused=True
@@ -157,6 +163,7 @@
         self.push(at, router, event)
 
     def part(self, name: str, now: int) -> float:
+        """The part of its capacity that a server has by then, 0 to 1."""
         since = self.servers[name].cold_since
         if not since:
             return 1.0
@@ -198,18 +205,18 @@
     restarted: float,
     small: bool,
 ) -> None:
-    world = World(seed, routers, load, hot, cold, restarted, small)
-    world.run(7.0, 3.0)
-    assert world.over() <= 1
+    fleet = StartingFleet(seed, routers, load, hot, cold, restarted, small)
+    fleet.run(7.0, 3.0)
+    assert fleet.over() <= 1
 
 
 def test_hundreds_of_routers_do_not_send_a_hot_key_to_a_starting_server_at_once() -> None:
     """A hot key's range went to a starting server, and each of 200 routers had one token saved up when the
     list told all of them: it got 1.59 times what is allowed. What is far beyond its budget has to be left to
     chance."""
-    world = World(1, 200, 1.6, 0.6, restarted=0.7)
-    world.run(7.0, 3.0)
-    assert world.over() <= 1
+    fleet = StartingFleet(1, 200, 1.6, 0.6, restarted=0.7)
+    fleet.run(7.0, 3.0)
+    assert fleet.over() <= 1
 
 
 def test_a_starting_small_machine_is_measured_by_warm_ones_of_its_kind() -> None:
@@ -217,13 +224,13 @@
 
     It got 1.09 times what is allowed. Only warm servers of its kind count.
     """
-    world = World(1, 30, 2.4, 0.6, (0.6, 3.6), 0.7, small=True)
-    world.run(7.0, 3.0)
-    assert world.over() <= 1
+    fleet = StartingFleet(1, 30, 2.4, 0.6, (0.6, 3.6), 0.7, small=True)
+    fleet.run(7.0, 3.0)
+    assert fleet.over() <= 1
 
 
 @pytest.mark.parametrize("routers", [3, 30])
 def test_a_server_in_slow_start_is_used(routers: int) -> None:
-    world = World(4, routers, 0.8, cold=(0.6, 3.6))
-    world.run(7.0, 3.0)
-    assert len(world.sent) >= 5
+    fleet = StartingFleet(4, routers, 0.8, cold=(0.6, 3.6))
+    fleet.run(7.0, 3.0)
+    assert len(fleet.sent) >= 5
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -14,6 +14,7 @@
 
 
 def job(name: str) -> PendingRequest:
+    """A request that waits for a token."""
     return PendingRequest(Request(name, 0, 2 * SECOND), SPEC, SECOND)
 
 
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -26,6 +26,7 @@
 
 
 def second(at: float, **counts: Any) -> str:
+    """A log line with a record of one second."""
     return f"2026-12-01 INFO second {orjson.dumps(Second(at, **counts)).decode()}"
 
 
@@ -99,6 +100,7 @@
 
 
 def played(**changes: object) -> tuple[sums.FleetSums, dict[str, Any]]:
+    """The sums of a virtual day's logs, and all that the day has recorded."""
     day = scenario_of({**DAY, **changes}, "day")
     ledgers = run_day(day, draw_plan(day, "day", 1))
     fleet = sums.FleetSums()
