--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,6 +1,7 @@
-"""Several processes of the program, in a world of stand-ins, with faults between them: what they share stays
-within its bounds. Counted where it counts: at the stand-in database, at the stand-in nodes, and in what each
-router believes.
+"""Several processes of the program, in a world of stand-ins, with faults between them.
+
+What they share stays within its bounds. Counted where it counts: at the stand-in database, at the stand-in
+nodes, and in what each router believes.
 """
 
 import asyncio
@@ -198,10 +199,12 @@
 
 @pytest.mark.parametrize("name", ["total", "total, faults"])
 def test_processes_reads_of_the_database_stay_within_the_total(ledgers: dict[str, Json], name: str) -> None:
-    """Four processes, nine tenths of the load at one of them: loans move the total there, and through words
-    that come twice and late, cuts both ways and one way, a process that is stopped past its loans' end and
-    one that is killed and started anew, the database gets no more in any stretch than the total and what the
-    banks hold."""
+    """Four processes, nine tenths of the load at one of them.
+
+    Loans move the total there, and through words that come twice and late, cuts both ways and one way, a
+    process that is stopped past its loans' end and one that is killed and started anew, the database gets no
+    more in any stretch than the total and what the banks hold.
+    """
     times = [at for at, _ in reads(ledgers[name]) if at >= 0]
     for span in (0.5, 1.0, 2.0, 4.0, 8.0):
         assert most_within(times, span) <= TOTAL * span + TOTAL + 2 * 4, f"in {span} s"
@@ -211,7 +214,7 @@
         assert sum(held) <= TOTAL * 4 / 3, "asked one after the other: a loan may end in between"
 
 
-def test_processes_lend_the_total_to_the_one_that_needs_it(ledgers: dict[str, Json]) -> None:
+def test_processes_lend_their_quota_to_the_one_that_needs_it(ledgers: dict[str, Json]) -> None:
     own = TOTAL / 4
     late = [router for at, router in reads(ledgers["total"]) if 5 <= at < 9]
     assert late.count(0) > 1.5 * (4 * own + own), "its own part and a full bank give 4 s and 1 s of it"
@@ -219,7 +222,7 @@
     assert max(held) > 2 * own and min(held) >= own, "the rest was lent to it"
 
 
-def test_processes_without_a_total_send_the_database_all(ledgers: dict[str, Json]) -> None:
+def test_processes_without_a_total_send_the_database_all_reads(ledgers: dict[str, Json]) -> None:
     """The bound above is the mechanism's: without it the same load goes over it."""
     times = [at for at, _ in reads(ledgers["no total"]) if at >= 0]
     assert most_within(times, 4.0) > TOTAL * 4.0 + TOTAL + 2 * 4
@@ -242,7 +245,7 @@
     return marked / of
 
 
-def test_processes_a_customer_within_its_share_is_not_marked_where_its_load_comes_to_one(
+def test_processes_a_tenant_within_its_quota_is_not_over_quota_where_its_load_comes_to_one_router(
     ledgers: dict[str, Json],
 ) -> None:
     """Three processes; all of a small customer's load comes to one, and words are lost at times, doubled and
@@ -252,8 +255,10 @@
 
 
 def sent_for_nobody(told: Json, router: int) -> tuple[int, int]:
-    """Of a router's attempts in the second after it was let go on: those for tries whose client had given up
-    before, and all."""
+    """Of a router's attempts in the second after it was let go on.
+
+    Those for tries whose client had given up before, and all.
+    """
     clients = [one for part, rows in told["parts"].items() if part[:7] == "clients" for one in rows["sent"]]
     over = {one["id"]: one["left"] or one["sent"] + one["wait"] for one in clients if one["sent"]}
     (woke,) = [at for what, at in told["routers"][router]["events"] if what == "wake"]
@@ -266,16 +271,20 @@
     return sum(one["first"] > over.get(one["id"], 1 << 62) + SECOND // 20 for one in mine), len(mine)
 
 
-def test_processes_a_router_that_was_stopped_sends_nothing_for_who_has_left(ledgers: dict[str, Json]) -> None:
-    """Three processes, one stopped for four seconds under load: nothing goes out for clients that have given
-    up meanwhile, though its timers come before its sockets are read, and what waits there looks new. The
-    program without its sense of absence does send for them."""
+def test_processes_a_router_that_was_stopped_starts_no_attempt_for_clients_that_left(
+    ledgers: dict[str, Json],
+) -> None:
+    """Three processes, one stopped for four seconds under load.
+
+    Nothing goes out for clients that have given up meanwhile, though its timers come before its sockets are
+    read, and what waits there looks new. The program without its sense of absence does send for them.
+    """
     late, sent = sent_for_nobody(ledgers["stopped"], 0)
     assert late == 0 and sent > 0
     assert any("router resumed after a pause" in line for line in ledgers["stopped"]["logs"][0].splitlines())
 
 
-def test_processes_send_nothing_for_clients_that_have_left(ledgers: dict[str, Json]) -> None:
+def test_processes_start_no_attempt_for_clients_that_left(ledgers: dict[str, Json]) -> None:
     """Half of the clients leave early, as a server is silent, a link slow, the database jammed and a router
     told to end: no attempt, first or further, comes to any server for one that has been gone for so long that
     a slow machine can't explain it. On an idle one none comes after its client has left."""
@@ -288,9 +297,13 @@
     assert len(left) > 100 and len(begun) > 100 and not late
 
 
-def test_processes_find_out_who_is_gone_and_a_late_waker_talks_nobody_away(ledgers: dict[str, Json]) -> None:
-    """Five processes: one is killed for good, one is stopped and comes back. All others find out; who was
-    stopped doubts itself, not them; and it is held as there again soon after."""
+def test_processes_detect_a_dead_router_and_one_resumed_late_declares_nobody_dead(
+    ledgers: dict[str, Json],
+) -> None:
+    """Five processes: one is killed for good, one is stopped and comes back.
+
+    All others find out; who was stopped doubts itself, not them; and it is held as there again soon after.
+    """
     views = ledgers["gone"]["views"]
     away = [told for at, told in views if 11 <= at < 12.5]
     assert any(all(one.get("gone") == [3, 4] for one in told[:3]) for told in away), away
--- a/tests/overload/test_storm_detector.py
+++ b/tests/overload/test_storm_detector.py
@@ -6,6 +6,7 @@
 
 
 def period(detector: RetryStormDetector, now: int, **counts: int) -> str:
+    """Ends a period with these counts; gives the detector's log line."""
     for name, value in counts.items():
         setattr(detector.current, name, value)
     detector.open_connections = counts.get("connects", 0) + 200
@@ -13,6 +14,7 @@
 
 
 def storm_period(detector: RetryStormDetector) -> None:
+    """Counts what a period in a storm has."""
     counts = detector.current
     counts.connects = 200
     counts.arrivals = 200
@@ -21,6 +23,7 @@
 
 
 def usual(detector: RetryStormDetector, seconds: int = 30) -> int:
+    """Plays so many seconds of normal periods; gives the time, ns."""
     now = START
     detector.step(now)
     for _ in range(4 * seconds):
@@ -75,7 +78,7 @@
     assert detector.storm_active and detector.usual_connects_per_s == before
 
 
-def test_a_router_that_has_just_started_takes_its_first_crowd_for_no_storm() -> None:
+def test_the_first_clients_of_a_router_that_has_just_started_are_no_storm() -> None:
     """It knows of no usual number, and everybody connects to it."""
     detector = RetryStormDetector()
     detector.step(START)
