--- a/rainhitch/rehearsal/faults.py
+++ b/rainhitch/rehearsal/faults.py
@@ -1,10 +1,13 @@
-"""The kinds of faults, what each needs, and which of them can't stand together."""
+"""The kinds of faults, the keys that each needs, and which of them can't overlap.
+
+What each kind does stands in `fault_actions`.
+"""
 
 from dataclasses import dataclass
 
 from rainhitch import toml_schema
 
-# kind: what of `room`, `node`, `router` it needs, and which of the other keys it heeds
+# By kind: which of `room`, `node`, `router` it needs, and which of the other keys have a meaning for it.
 KINDS: dict[str, tuple[str, ...]] = {
     "room-loss": ("room", "for_s", "routers"),
     "partition": ("room", "for_s"),
@@ -43,11 +46,24 @@
     "etcd-delay": ("for_s", "delay_s"),
 }
 
-RESTARTS_S = 6.0  # a router that is told to stop may take so long, and can't be told again meanwhile
+ROUTER_RESTART_S = 6.0  # a router that is asked to stop may take so long; meanwhile it can't be asked again
+# Kinds of which two of the same kind (and room, where it has one) can't overlap.
+EXCLUSIVE_KINDS = (
+    "partition",
+    "routers-apart",
+    "database-stop",
+    "list-silent",
+    "etcd-silent",
+    "etcd-outage",
+)
+NODE_ENDING_KINDS = ("node-kill", "node-drain", "node-retire", "node-upgrade")
+ROUTER_ENDING_KINDS = ("router-kill", "router-restart", "router-pause")
 
 
 @dataclass(slots=True)
 class Fault:
+    """One fault of a scenario. The fields are the keys of the file's `[[faults]]`."""
+
     kind: str = toml_schema.text(toml_schema.REQUIRED, "what goes wrong", tuple(KINDS))
     at_s: float = toml_schema.number(toml_schema.REQUIRED, 0, 3600, "when, from the first scored second")
     for_s: float = toml_schema.number(0.0, 0, 3600, "for how long")
@@ -70,84 +86,121 @@
 
     @property
     def until_s(self) -> float:
-        return self.at_s + (RESTARTS_S if self.kind == "router-restart" else self.for_s)
+        """When it is over, from the first scored second."""
+        duration_s = ROUTER_RESTART_S if self.kind == "router-restart" else self.for_s
+        return self.at_s + duration_s
 
     @property
     def place(self) -> str:
-        """Where it acts, in a word."""
-        of_router = [f"router {self.router}"] if "router" in KINDS[self.kind] else []
-        return " ".join(of_router + [one for one in (self.room, self.node) if one]) or "all"
+        """Where it acts: its router, room and node, or `all`."""
+        places = []
+        if "router" in KINDS[self.kind]:
+            places.append(f"router {self.router}")
+        places += [name for name in (self.room, self.node) if name]
+        return " ".join(places) if places else "all"
 
 
 def check_faults(
     faults: list[Fault], rooms: list[str], nodes: list[str], routers: int, length_s: float
 ) -> list[str]:
-    """One line for each fault that acts nowhere, never, or on what another has taken away."""
+    """What is wrong with a scenario's faults.
+
+    One line for each fault that acts nowhere, never, or on what another fault has taken away. `rooms` and
+    `nodes` are the fleet's names, `routers` the count of routers, `length_s` the length of the run.
+    """
     lines = []
-    for number, one in enumerate(faults):
-        at, needs = f"faults[{number}]", KINDS[one.kind]
-        for key, value, names in (("room", one.room, rooms), ("node", one.node, nodes)):
-            if key in needs and value not in names:
-                lines.append(f"{at}.{key} = {value!r}: allowed is one of {', '.join(names)}")
-            elif key not in needs and value:
-                lines.append(f"{at}.{key} = {value!r}: {one.kind} has no {key}")
-        lines += _apart(one, at, routers)
-        if "router" in needs and not 0 <= one.router < routers:
-            lines.append(f"{at}.router = {one.router}: allowed is a whole number from 0 to {routers - 1}")
-        elif "router" not in needs and one.router >= 0:
-            lines.append(f"{at}.router = {one.router}: {one.kind} has no router")
-        if "for_s" in needs and one.for_s <= 0:
-            lines.append(f"{at}.for_s = {one.for_s:g}: {one.kind} needs a time over 0")
-        if one.at_s >= length_s:
-            lines.append(f"{at}.at_s = {one.at_s:g}: allowed is less than the day's {length_s:g}")
-    lines += _before_joining(faults)
-    for number, one in enumerate(faults):
-        for other in range(number):
-            two = faults[other]
-            if one.at_s < two.until_s and two.at_s < one.until_s and _clash(one, two):
-                lines.append(
-                    f"faults[{number}] ({one.kind} of {one.place}) overlaps faults[{other}] ({two.kind}): "
-                    "what is gone can't go again"
-                )
+    for number, fault in enumerate(faults):
+        label = f"faults[{number}]"
+        lines += _check_name(fault, label, "room", fault.room, rooms)
+        lines += _check_name(fault, label, "node", fault.node, nodes)
+        lines += _check_group(fault, label, routers)
+        lines += _check_router(fault, label, routers)
+        lines += _check_times(fault, label, length_s)
+    lines += _check_joins(faults)
+    lines += _check_overlaps(faults)
     return lines
 
 
-def _apart(one: Fault, at: str, routers: int) -> list[str]:
-    """A line for a group of routers that leaves nobody to be apart from."""
-    group = set(one.group)
-    if one.kind != "routers-apart" or (group <= set(range(routers)) and 0 < len(group) < routers):
+def _check_name(fault: Fault, label: str, key: str, value: str, names: list[str]) -> list[str]:
+    """A line for a room or node that is not there, or that this kind of fault has no use for."""
+    is_needed = key in KINDS[fault.kind]
+    if is_needed and value not in names:
+        return [f"{label}.{key} = {value!r}: allowed is one of {', '.join(names)}"]
+    if not is_needed and value:
+        return [f"{label}.{key} = {value!r}: {fault.kind} has no {key}"]
+    return []
+
+
+def _check_group(fault: Fault, label: str, routers: int) -> list[str]:
+    """A line for a group of routers that leaves none to be apart from."""
+    if fault.kind != "routers-apart":
         return []
-    return [f"{at}.group = {one.group}: allowed are some routers from 0 to {routers - 1}, not all"]
+    group = set(fault.group)
+    if group <= set(range(routers)) and 0 < len(group) < routers:
+        return []
+    return [f"{label}.group = {fault.group}: allowed are some routers from 0 to {routers - 1}, not all"]
+
+
+def _check_router(fault: Fault, label: str, routers: int) -> list[str]:
+    """A line for a router that is not there, or that this kind of fault has no use for."""
+    is_needed = "router" in KINDS[fault.kind]
+    if is_needed and not 0 <= fault.router < routers:
+        return [f"{label}.router = {fault.router}: allowed is a whole number from 0 to {routers - 1}"]
+    if not is_needed and fault.router >= 0:
+        return [f"{label}.router = {fault.router}: {fault.kind} has no router"]
+    return []
+
+
+def _check_times(fault: Fault, label: str, length_s: float) -> list[str]:
+    """Lines for a fault that lasts no time, or begins after the run."""
+    lines = []
+    if "for_s" in KINDS[fault.kind] and fault.for_s <= 0:
+        lines.append(f"{label}.for_s = {fault.for_s:g}: {fault.kind} needs a time over 0")
+    if fault.at_s >= length_s:
+        lines.append(f"{label}.at_s = {fault.at_s:g}: allowed is less than the day's {length_s:g}")
+    return lines
 
 
-def _before_joining(faults: list[Fault]) -> list[str]:
+def _check_joins(faults: list[Fault]) -> list[str]:
     """One line for each fault that acts on a node before that has joined."""
-    joins = {one.node: one.at_s for one in faults if one.kind == "node-join"}
-    return [
-        f"faults[{number}].at_s = {one.at_s:g}: {one.node} joins at {joins[one.node]:g} only"
-        for number, one in enumerate(faults)
-        if one.kind != "node-join" and one.at_s <= joins.get(one.node, -1.0)
-    ]
-
-
-def _clash(one: Fault, two: Fault) -> bool:
-    """Whether two overlapping faults take away the same process."""
-    if one.kind == two.kind == "room-loss":
-        return one.room == two.room
-    if one.kind == two.kind and one.kind in (
-        "partition",
-        "routers-apart",
-        "database-stop",
-        "list-silent",
-        "etcd-silent",
-        "etcd-outage",
-    ):
-        return one.room == two.room
-    taking = ("node-kill", "node-drain", "node-retire", "node-upgrade")
-    if one.kind in taking and two.kind in taking:
-        return one.node == two.node
-    for room, other in ((one, two), (two, one)):
-        if room.kind == "room-loss" and other.kind in taking:
-            return other.node.rsplit("-", 1)[0] == room.room
-    ends = ("router-kill", "router-restart", "router-pause")
-    return one.kind in ends and two.kind in ends and one.router == two.router
+    join_times_s = {fault.node: fault.at_s for fault in faults if fault.kind == "node-join"}
+    lines = []
+    for number, fault in enumerate(faults):
+        if fault.kind == "node-join" or fault.node not in join_times_s:
+            continue
+        joins_at_s = join_times_s[fault.node]
+        if fault.at_s <= joins_at_s:
+            lines.append(f"faults[{number}].at_s = {fault.at_s:g}: {fault.node} joins at {joins_at_s:g} only")
+    return lines
+
+
+def _check_overlaps(faults: list[Fault]) -> list[str]:
+    """One line for each two faults that take away the same thing at the same time."""
+    lines = []
+    for number, fault in enumerate(faults):
+        for earlier_number, earlier in enumerate(faults[:number]):
+            overlap = fault.at_s < earlier.until_s and earlier.at_s < fault.until_s
+            if overlap and _take_the_same(fault, earlier):
+                lines.append(
+                    f"faults[{number}] ({fault.kind} of {fault.place}) overlaps "
+                    f"faults[{earlier_number}] ({earlier.kind}): what is gone can't go again"
+                )
+    return lines
+
+
+def _take_the_same(one: Fault, other: Fault) -> bool:
+    """Whether two faults take away the same process, or the same part of the network."""
+    if one.kind == other.kind and (one.kind == "room-loss" or one.kind in EXCLUSIVE_KINDS):
+        return one.room == other.room
+    if one.kind in NODE_ENDING_KINDS and other.kind in NODE_ENDING_KINDS:
+        return one.node == other.node
+    if one.kind in ROUTER_ENDING_KINDS and other.kind in ROUTER_ENDING_KINDS:
+        return one.router == other.router
+    return _takes_room_of_node(one, other) or _takes_room_of_node(other, one)
+
+
+def _takes_room_of_node(room_loss: Fault, node_fault: Fault) -> bool:
+    """Whether the first is the loss of the room in which the second ends a node."""
+    if room_loss.kind != "room-loss" or node_fault.kind not in NODE_ENDING_KINDS:
+        return False
+    return node_fault.node.rsplit("-", 1)[0] == room_loss.room
--- a/rainhitch/rehearsal/scenario.py
+++ b/rainhitch/rehearsal/scenario.py
@@ -1,7 +1,9 @@
-"""A scenario file: fleet, work, clients, and a timeline of faults. Strict, as the operator's file.
+"""A scenario file: fleet, work, clients, and a timeline of faults. Read strictly, as the operator's file.
 
-Times are in seconds or milliseconds, as the key's end says; a range [a, b] is drawn from the seed. Defaults
-are those of the operators' own fleet, so that a file says only what its day is about.
+The dataclasses are the file's tables: their fields are its keys, and the texts beside them stand in the JSON
+Schema of `rainhitch schema`. Times are in seconds or milliseconds, as the key's end says; a range [a, b] is
+drawn from the seed. Defaults are those of the operators' own fleet, so that a file says only what its run is
+about.
 """
 
 from collections import Counter
@@ -17,6 +19,8 @@
 
 @dataclass(slots=True)
 class Day:
+    """The length of a run, and the limits of the routers: the table `[day]`."""
+
     length_s: float = toml_schema.number(16.0, 1, 3600, "how long clients come")
     prelude_s: float = toml_schema.number(
         4.0, 0.5, 60, "before it: each warm key is read once, at no cost; not scored"
@@ -27,6 +31,8 @@
 
 @dataclass(slots=True)
 class NodeClass:
+    """A class of cache nodes: a table of `[[fleet.nodes]]`."""
+
     name: str = toml_schema.text(toml_schema.REQUIRED, "as the list names it")
     count: int = toml_schema.whole(1, 1, 1000, "how many, dealt to the rooms in turn")
     cores: int = toml_schema.whole(7, 1, 256, "cores at work")
@@ -40,21 +46,23 @@
     )
 
 
-def _classes() -> list[NodeClass]:
-    return [
-        NodeClass("full-node", 5, 7, (0.85, 1.1)),
-        NodeClass("small-node", 4, 6, (0.51, 0.69)),
-    ]
+def _default_node_classes() -> list[NodeClass]:
+    """Those of the operators' own fleet."""
+    return [NodeClass("full-node", 5, 7, (0.85, 1.1)), NodeClass("small-node", 4, 6, (0.51, 0.69))]
 
 
 @dataclass(slots=True)
 class Fleet:
+    """Rooms, routers and cache nodes: the table `[fleet]`. The JSON Schema has the class's name."""
+
     rooms: list[str] = toml_schema.texts(["neihu", "banqiao", "taoyuan"], "machine rooms")
     routers: int = toml_schema.whole(3, 1, 300, "dealt to the rooms in turn; beyond 64 in virtual time only")
     first_port: int = toml_schema.whole(
         0, 0, 65000, "of the routers, one after the other; 0: any that are free"
     )
-    nodes: list[NodeClass] = toml_schema.tables(NodeClass, "the classes of cache nodes", _classes)
+    nodes: list[NodeClass] = toml_schema.tables(
+        NodeClass, "the classes of cache nodes", _default_node_classes
+    )
     memory_keys: int = toml_schema.whole(
         300, 1, 1 << 20, "keys that a node holds; the least lately used go first"
     )
@@ -79,6 +87,8 @@
 
 @dataclass(slots=True)
 class Database:
+    """The order database: the table `[database]`."""
+
     workers: int = toml_schema.whole(9, 1, 1024, "requests in work at once")
     time_ms: float = toml_schema.number(120.0, 0.1, 60000, "mean time of one")
     queue: int = toml_schema.whole(60, 0, 100000, "requests that wait; those beyond are turned away")
@@ -89,6 +99,8 @@
 
 @dataclass(slots=True)
 class WorkClass:
+    """A class of requests: a table of `[[classes]]`."""
+
     name: str = toml_schema.text(toml_schema.REQUIRED, "as requests name it")
     share: float = toml_schema.number(toml_schema.REQUIRED, 0, 100, "of the traffic, by weight")
     work_ms: float = toml_schema.number(
@@ -105,7 +117,8 @@
     write: bool = toml_schema.flag(False, "goes to the order database")
 
 
-def _work() -> list[WorkClass]:
+def _default_work_classes() -> list[WorkClass]:
+    """Those of the operators' own traffic."""
     return [
         WorkClass("menu-read", 38, 115, 1200, 5000, 1.0, 0.25),
         WorkClass("slot-read", 33, 115, 1000, 2000, 1.0, 0.5),
@@ -116,6 +129,8 @@
 
 @dataclass(slots=True)
 class Customer:
+    """One who shares the fleet: a table of `[[customers]]`."""
+
     name: str = toml_schema.text(toml_schema.REQUIRED, "as requests name it")
     share: float = toml_schema.number(
         toml_schema.REQUIRED, 0, 100, "of what the fleet is held for, by weight"
@@ -123,13 +138,21 @@
     usage: float = toml_schema.number(toml_schema.REQUIRED, 0, 100, "how many times its share it sends")
 
 
-def _customers() -> list[Customer]:
-    small = ("xinzhu-textile", 0.72), ("taichung-tools", 0.8), ("linkou-logis", 0.71), ("yilan-foods", 0.75)
-    return [Customer("nangang-chip", 43, 2.8)] + [Customer(name, 14, usage) for name, usage in small]
+def _default_customers() -> list[Customer]:
+    """Those of the operators: a large one beyond its share, and small ones within theirs."""
+    return [
+        Customer("nangang-chip", share=43, usage=2.8),
+        Customer("xinzhu-textile", share=14, usage=0.72),
+        Customer("taichung-tools", share=14, usage=0.8),
+        Customer("linkou-logis", share=14, usage=0.71),
+        Customer("yilan-foods", share=14, usage=0.75),
+    ]
 
 
 @dataclass(slots=True)
 class Traffic:
+    """What clients send: the table `[traffic]`."""
+
     rate: float = toml_schema.number(150.0, 0.1, 100000, "requests a second, first tries of all clients")
     shape: str = toml_schema.text("steady", "of the rate over the day", ("steady", "bursty", "wave"))
     swing: float = toml_schema.number(0.25, 0, 0.9, "how far bursts and waves go from the mean")
@@ -149,6 +172,8 @@
 
 @dataclass(slots=True)
 class Clients:
+    """How clients send it: the table `[clients]`."""
+
     retries: int = toml_schema.whole(1, 0, 4, "further tries of a request that failed or was refused")
     backoff_ms: tuple[float, float] = toml_schema.pair((30, 240), 0, 60000, "before a further try")
     honour: float = toml_schema.number(0.9, 0, 1, "part of the clients that heed `-BUSY MS`")
@@ -170,6 +195,8 @@
 
 @dataclass(slots=True)
 class Front:
+    """The front end, which spreads a room's clients over its routers: the table `[front]`."""
+
     notice_s: tuple[float, float] = toml_schema.pair(
         (1.6, 3.9), 0, 600, "until a dead router gets no new connections"
     )
@@ -177,6 +204,8 @@
 
 @dataclass(slots=True)
 class Discovery:
+    """How late the endpoint list is: the table `[discovery]`."""
+
     notice_s: tuple[float, float] = toml_schema.pair(
         (0.72, 3), 0, 600, "until the list tells of a process that died"
     )
@@ -190,12 +219,16 @@
 
 @dataclass(slots=True)
 class Messages:
+    """The network between routers: the table `[messages]`."""
+
     delay_ms: tuple[float, float] = toml_schema.pair((1.2, 31), 0, 60000, "of a datagram between routers")
     loss: float = toml_schema.number(0.0, 0, 1, "part of them that is lost")
 
 
 @dataclass(slots=True)
 class Virtual:
+    """What a run in virtual time has besides: the table `[virtual]`."""
+
     core: float = toml_schema.number(1.0, 0, 1000, "routers' cores are so many times as slow; 0: at no cost")
     chop: float = toml_schema.number(0.0, 0, 1, "part of the writes that is cut in pieces at drawn places")
     way_ms: tuple[float, float] = toml_schema.pair(
@@ -209,6 +242,8 @@
 
 @dataclass(slots=True)
 class Expect:
+    """What must hold besides the rules: the table `[expect]`."""
+
     service: float = toml_schema.number(
         0.001, 0, 1, "at least; a day on which nothing was served holds nothing"
     )
@@ -226,13 +261,15 @@
 
 @dataclass(slots=True)
 class Scenario:
+    """A scenario: the whole file."""
+
     about: str = toml_schema.text(toml_schema.REQUIRED, "what it rehearses, in a sentence")
     must: str = toml_schema.text(toml_schema.REQUIRED, "what must hold, in a sentence")
     day: Day = toml_schema.table(Day, "how long, and the routers' limits")
     fleet: Fleet = toml_schema.table(Fleet, "rooms, routers and cache nodes")
     database: Database = toml_schema.table(Database, "the order database")
-    classes: list[WorkClass] = toml_schema.tables(WorkClass, "classes of requests", _work)
-    customers: list[Customer] = toml_schema.tables(Customer, "who shares the fleet", _customers)
+    classes: list[WorkClass] = toml_schema.tables(WorkClass, "classes of requests", _default_work_classes)
+    customers: list[Customer] = toml_schema.tables(Customer, "who shares the fleet", _default_customers)
     traffic: Traffic = toml_schema.table(Traffic, "what clients send")
     clients: Clients = toml_schema.table(Clients, "how they send it")
     front: Front = toml_schema.table(Front, "spreads the clients of a room over its routers")
@@ -253,57 +290,91 @@
         return placed
 
     def router_room(self, number: int) -> str:
+        """The room of a router; routers are dealt to the rooms in turn."""
         return self.fleet.rooms[number % len(self.fleet.rooms)]
 
 
+class ScenarioError(toml_schema.TableError):
+    """A scenario that is not found, or makes no sense; `lines` holds one problem each."""
+
+
 def read_scenario(path: Path, changes: dict[str, object] | None = None) -> Scenario:
-    """A scenario from a file, with changes by dotted key; raises TableError with a line for each thing
-    wrong.
+    """A scenario from a file, with changes by dotted key.
+
+    Raises:
+        TableError: the file is no TOML, or there is a line for each thing that is wrong with it.
     """
     source = toml_schema.load(path)
-    for key, value in (changes or {}).items():
-        table, _, name = key.rpartition(".")
-        source.setdefault(table, {})[name] = value
+    if changes is not None:
+        for dotted_key, value in changes.items():
+            table, _, key = dotted_key.rpartition(".")
+            source.setdefault(table, {})[key] = value
     return scenario_of(source, path.name)
 
 
 def scenario_of(source: Mapping[str, object], where: str) -> Scenario:
-    """A scenario from a file's tables; raises TableError as read_scenario does."""
+    """A scenario from a file's tables; `where` begins each problem's line.
+
+    Raises:
+        ScenarioError: with a line for each thing that is wrong.
+    """
     problems: list[str] = []
-    told = toml_schema.read(Scenario, source, where, problems)
-    if told is None:
-        raise toml_schema.TableError(problems)
-    for label, names in (
-        ("classes", [one.name for one in told.classes]),
-        ("customers", [one.name for one in told.customers]),
-        ("fleet.nodes", [one.name for one in told.fleet.nodes]),
+    scenario = toml_schema.read(Scenario, source, where, problems)
+    if scenario is None:
+        raise ScenarioError(problems)
+    lines = _check_names(scenario) + _check_work(scenario) + _check_faults(scenario)
+    if lines:
+        raise ScenarioError([f"{where}: {line}" for line in lines])
+    return scenario
+
+
+def _check_names(scenario: Scenario) -> list[str]:
+    """Lines for lists that are empty, name something twice, or take the database's name."""
+    lines = []
+    for key, names in (
+        ("classes", [one.name for one in scenario.classes]),
+        ("customers", [one.name for one in scenario.customers]),
+        ("fleet.nodes", [one.name for one in scenario.fleet.nodes]),
     ):
-        twice = [name for name, count in Counter(names).items() if count > 1 or name == "database"]
-        if twice or not names:
-            problems.append(f"{where}: {label} = {twice}: allowed are different names, one at least")
-    for one in told.classes:
-        # The protocol reads what is safe and writes what is keyed: routers turn away all else.
-        if one.repeats != "unsafe" and one.write is not (one.repeats == "keyed"):
-            problems.append(
-                f"{where}: classes.{one.name}.write = {str(one.write).lower()}: "
-                f"allowed with repeats = {one.repeats!r} is {str(one.repeats == 'keyed').lower()}"
+        wrong = [name for name, count in Counter(names).items() if count > 1 or name == "database"]
+        if wrong or not names:
+            lines.append(f"{key} = {wrong}: allowed are different names, one at least")
+    return lines
+
+
+def _check_work(scenario: Scenario) -> list[str]:
+    """Lines for classes that the protocol can't carry, and for traffic that can't come about."""
+    lines = []
+    for work_class in scenario.classes:
+        # The protocol reads what is safe and writes what is keyed: routers reject all else.
+        is_keyed = work_class.repeats == "keyed"
+        if work_class.repeats != "unsafe" and work_class.write is not is_keyed:
+            lines.append(
+                f"classes.{work_class.name}.write = {str(work_class.write).lower()}: "
+                f"allowed with repeats = {work_class.repeats!r} is {str(is_keyed).lower()}"
             )
-    if not any(one.share for one in told.classes) or not any(one.share * one.usage for one in told.customers):
-        problems.append(f"{where}: no class or no customer sends anything")
-    if told.clients.connections == "reused" and told.clients.most < told.fleet.routers:
-        problems.append(
-            f"{where}: clients.most = {told.clients.most}: allowed is one for each router at least"
-        )
-    nodes = [uid for uid, _, _ in told.nodes()]
-    at_work = (told.fleet.rooms, nodes, told.fleet.routers, told.day.length_s)
-    problems += [f"{where}: {line}" for line in check_faults(told.faults, *at_work)]
-    if set(nodes) == {one.node for one in told.faults if one.kind == "node-join"}:
-        problems.append(f"{where}: all nodes join later: allowed is one at least that is there before")
-    if told.discovery.source != "etcd" and any(one.kind.startswith("etcd-") for one in told.faults):
-        problems.append(f"{where}: faults of etcd need discovery.source = 'etcd'")
-    if problems:
-        raise toml_schema.TableError(problems)
-    return told
+    sending_classes = any(work_class.share for work_class in scenario.classes)
+    sending_customers = any(customer.share * customer.usage for customer in scenario.customers)
+    if not sending_classes or not sending_customers:
+        lines.append("no class or no customer sends anything")
+    clients = scenario.clients
+    if clients.connections == "reused" and clients.most < scenario.fleet.routers:
+        lines.append(f"clients.most = {clients.most}: allowed is one for each router at least")
+    return lines
+
+
+def _check_faults(scenario: Scenario) -> list[str]:
+    """Lines for faults that make no sense, alone or together."""
+    fleet = scenario.fleet
+    nodes = [placed.uid for placed in scenario.nodes()]
+    lines = check_faults(scenario.faults, fleet.rooms, nodes, fleet.routers, scenario.day.length_s)
+    joining = {fault.node for fault in scenario.faults if fault.kind == "node-join"}
+    if set(nodes) == joining:
+        lines.append("all nodes join later: allowed is one at least that is there before")
+    has_etcd_faults = any(fault.kind.startswith("etcd-") for fault in scenario.faults)
+    if scenario.discovery.source != "etcd" and has_etcd_faults:
+        lines.append("faults of etcd need discovery.source = 'etcd'")
+    return lines
 
 
 def shipped() -> dict[str, Path]:
@@ -313,13 +384,16 @@
 
 
 def find(name: str) -> Path:
-    """The file of a shipped scenario, or the path itself; raises TableError for neither."""
+    """The file of a shipped scenario, or the path itself.
+
+    Raises:
+        ScenarioError: it is neither.
+    """
     known = shipped()
     if name in known:
         return known[name]
     path = Path(name)
     if path.suffix == ".toml" or path.exists():
         return path
-    raise toml_schema.TableError(
-        [f"{name}: no such scenario; shipped are {', '.join(known)}; or a file FILE.toml"]
-    )
+    known_names = ", ".join(known)
+    raise ScenarioError([f"{name}: no such scenario; shipped are {known_names}; or a file FILE.toml"])
