--- a/rainhitch/rehearsal/environment.py
+++ b/rainhitch/rehearsal/environment.py
@@ -14,10 +14,14 @@
 import orjson
 
 from rainhitch import system
-from rainhitch.rehearsal.plan_model import MICROSECONDS_PER_SECOND, Component, FaultAction, Plan
+from rainhitch.rehearsal.plan_model import MICROSECONDS_PER_SECOND, FaultAction, Plan
+from rainhitch.rehearsal.router_configuration import (
+    RouterIdentity,
+    operator_config_of_scenario,
+    router_configuration,
+)
 from rainhitch.rehearsal.router_faults import RouterFaults
 from rainhitch.rehearsal.router_process import RehearsalError, RouterProcess, hold_port
-from rainhitch.rehearsal.router_settings import router_settings
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.worker_process import READY_WITHIN_S, WorkerProcess
 
@@ -32,7 +36,6 @@
 NANOSECONDS_PER_SECOND = 1_000_000_000
 NANOSECONDS_PER_MICROSECOND = 1_000
 BYTES_PER_MB = 1 << 20
-SEED_MASK = (1 << 63) - 1  # seeds of routers are 63 bits
 
 
 class Environment:
@@ -155,8 +158,16 @@
         """Starts all routers, and waits until they are ready."""
         for number in range(self.scenario.fleet.routers):
             agent = agents[number]
-            router = self.make_router(number, self._router_config(number, agent, peers[number]))
-            router.operator_config += self._operator_config_of_day(number, agent)
+            first_port = self.scenario.fleet.first_port
+            listen_port = first_port + number if first_port else self.free_port()
+            config = router_configuration(
+                self.scenario,
+                RouterIdentity(number, self.plan.seed, listen_port, self.free_port()),
+                agent,
+                peers[number],
+            )
+            router = self.make_router(number, config)
+            router.operator_config += operator_config_of_scenario(self.scenario, number, agent)
             self.routers.append(router)
             await router.start()
         for router in self.routers:
@@ -166,35 +177,6 @@
                 last_line = lines[-1] if lines else "no word"
                 raise RehearsalError(f"the router's command failed: {reason}: {last_line}")
 
-    def _router_config(self, number: int, agent: Json, peers: list[str]) -> Json:
-        """The configuration file of a router; the last of `peers` reaches all of them at once."""
-        day = self.scenario.day
-        first_port = self.scenario.fleet.first_port
-        listen_port = first_port + number if first_port else self.free_port()
-        return {
-            "name": f"router-{number}",
-            "listen": f"127.0.0.1:{listen_port}",
-            "discovery": agent["agent"],
-            "seed": f"{self.plan.seed * 1000 + number & SEED_MASK:016x}",
-            "limits": {"cores": 1.0, "memory_mb": day.memory_mb, "sockets": day.sockets},
-            "peer_listen": f"127.0.0.1:{self.free_port()}",
-            "peers": peers[:-1],
-            "peers_all": peers[-1],
-            "known": agent["known"],
-            "settings": router_settings(self.scenario, number),
-        }
-
-    def _operator_config_of_day(self, number: int, agent: Json) -> str:
-        """What the scenario needs in the operator's file of a router."""
-        text = ""
-        if "etcd" in agent:
-            text += f'[membership]\nsource = "etcd"\nendpoints = ["{agent["etcd"]}"]\n'
-            text += f'prefix = "/rainhitch/members/{number}/"\n'
-        upgrades_nodes = any(fault.kind == "node-upgrade" for fault in self.scenario.faults)
-        if self.scenario.fleet.resp3 or upgrades_nodes:
-            text += "[servers]\nresp3 = true\n"
-        return text
-
     async def _start_clients(self) -> list[WorkerProcess]:
         """Starts the clients of each room, and waits until they are ready."""
         clients = [self.make_worker(f"clients:{room}") for room in range(len(self.plan.rooms))]
@@ -213,38 +195,21 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _apply(self, action: FaultAction) -> None:
-        """A fault acts on a router."""
-        self._spawn(self.router_faults.apply(action))
-
-    def _schedule_router_faults(self, actions: list[FaultAction]) -> None:
-        """Has each action on a router happen at its time; other actions are the fakes' own."""
-        loop = asyncio.get_running_loop()
-        for action in actions:
-            if action.component is Component.ROUTER:
-                at_ns = self.zero_ns + action.at_us * NANOSECONDS_PER_MICROSECOND
-                delay_s = max(0.0, (at_ns - system.now()) / NANOSECONDS_PER_SECOND)
-                loop.call_later(delay_s, self._apply, action)
-
     async def _run_timeline(self, clients: list[WorkerProcess]) -> None:
         """Applies the faults on routers, and notices crashes, until the clients are done."""
         loop = asyncio.get_running_loop()
         actions = [FaultAction.from_row(row) for row in self.plan.cues]
-        self._schedule_router_faults(actions)
+        self.router_faults.schedule(actions, self.zero_ns)
         longest_deadline_s = max(work_class.deadline_ms for work_class in self.scenario.classes) / 1000
         longest_s = self.scenario.day.length_s + 2 * longest_deadline_s + LONGEST_AFTER_END_S
         last_action_s = max((action.at_us for action in actions), default=0) / MICROSECONDS_PER_SECOND
         ends = [loop.create_task(worker.receive("over", longest_s + READY_WITHIN_S)) for worker in clients]
-        noticed_crashes: set[int] = set()
         while True:
             done, _ = await asyncio.wait(ends, timeout=PROGRESS_INTERVAL_S)
             at_s = (system.now() - self.zero_ns) / NANOSECONDS_PER_SECOND
             crashes = sum(1 for router in self.routers if router.crash is not None)
             self.on_progress(at_s, {"crashes": crashes})
-            for number, router in enumerate(self.routers):
-                if router.crash is not None and number not in noticed_crashes:
-                    noticed_crashes.add(number)
-                    self.router_faults.notice_down(number, self.scenario.front.notice_s[0])
+            self.router_faults.notice_crashes(self.scenario.front.notice_s[0])
             if len(done) == len(ends):
                 for end in ends:
                     end.result()  # raises what a client's process failed with
--- a/rainhitch/rehearsal/planned_requests.py
+++ b/rainhitch/rehearsal/planned_requests.py
@@ -59,7 +59,9 @@
         for _ in range(int(self.swaps_per_s)):
             one = self.drift_random.randrange(len(ranks))
             other = self.drift_random.randrange(len(ranks))
-            ranks[one], ranks[other] = ranks[other], ranks[one]
+            moved = ranks[one]
+            ranks[one] = ranks[other]
+            ranks[other] = moved
 
 
 @dataclass(slots=True)
--- a/rainhitch/rehearsal/router_faults.py
+++ b/rainhitch/rehearsal/router_faults.py
@@ -1,14 +1,17 @@
 """Fault actions on routers during a run, and when the front end notices that a router is down or up."""
 
 import asyncio
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Callable, Coroutine, Iterable, Sequence
 from typing import Any
 
-from rainhitch.rehearsal.plan_model import MICROSECONDS_PER_SECOND, Command, FaultAction
+from rainhitch import system
+from rainhitch.rehearsal.plan_model import MICROSECONDS_PER_SECOND, Command, Component, FaultAction
 from rainhitch.rehearsal.router_events import RouterEventKind
 from rainhitch.rehearsal.router_process import RouterProcess
 from rainhitch.rehearsal.worker_process import WorkerProcess
 
+NANOSECONDS_PER_SECOND = 1_000_000_000
+NANOSECONDS_PER_MICROSECOND = 1_000
 # Runs a coroutine as a task that the run waits for at its end.
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
@@ -25,6 +28,23 @@
         self.routers = routers
         self.workers = workers
         self.spawn = spawn
+        self.noticed_crashes: set[int] = set()
+
+    def schedule(self, actions: Iterable[FaultAction], zero_ns: int) -> None:
+        """Has each action on a router happen at its time; other actions are the fakes' own.
+
+        `zero_ns` is the plan's instant 0, in monotonic ns.
+        """
+        loop = asyncio.get_running_loop()
+        for action in actions:
+            if action.component is Component.ROUTER:
+                at_ns = zero_ns + action.at_us * NANOSECONDS_PER_MICROSECOND
+                delay_s = max(0.0, (at_ns - system.now()) / NANOSECONDS_PER_SECOND)
+                loop.call_later(delay_s, self._spawn_action, action)
+
+    def _spawn_action(self, action: FaultAction) -> None:
+        """A fault acts now."""
+        self.spawn(self.apply(action))
 
     async def apply(self, action: FaultAction) -> None:
         """Does to a router what an action says; returns when that is done."""
@@ -48,6 +68,13 @@
             await router.stop()
             await self._start(router)
 
+    def notice_crashes(self, after_s: float) -> None:
+        """The front end will notice after this time each crash that it has not noticed before."""
+        for number, router in enumerate(self.routers):
+            if router.crash is not None and number not in self.noticed_crashes:
+                self.noticed_crashes.add(number)
+                self.notice_down(number, after_s)
+
     def notice_down(self, number: int, after_s: float) -> None:
         """The front end will notice after this time that a router is down."""
         self.spawn(self._notice_down(number, after_s))
--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -1,4 +1,4 @@
-"""The closed loop of refusals, retries and returns, with thousands of clients in virtual time."""
+"""The closed loop of rejections, retries and returns, with thousands of clients in virtual time."""
 
 import pytest
 from support import SECOND
@@ -19,38 +19,48 @@
 )
 
 
-def played(seed: int = 1, **changes: object) -> SimulationResult:
-    values: dict[str, object] = {"rate": 150.0, "storm": 3000, "storm_at": 6.0, "length_s": 18.0}
-    crowd = ClientLoad(**{**values, **changes})  # type: ignore[arg-type]
-    return ClosedLoopSimulation(
-        crowd, SETTINGS, lambda told: Balancer(told, 7, OverloadController(told, 7)), seed
-    ).play()
+def play(seed: int = 1, **changes: object) -> SimulationResult:
+    """Plays a storm of 3000 clients from second 6 on against a router with overload control."""
+    values: dict[str, object] = {
+        "rate_per_s": 150.0,
+        "storm_clients": 3000,
+        "storm_at_s": 6.0,
+        "length_s": 18.0,
+    }
+    load = ClientLoad(**{**values, **changes})  # type: ignore[arg-type]
+
+    def make_router(settings: api.Settings) -> Balancer:
+        """The router under test."""
+        return Balancer(settings, 7, OverloadController(settings, 7))
+
+    return ClosedLoopSimulation(load, SETTINGS, make_router, seed).play()
 
 
 @pytest.mark.parametrize(
-    ("honour", "retries", "backoff"), [(1.0, 2, 0.05), (0.0, 2, 0.0), (0.5, 4, 0.02)], ids=str
+    ("honour_fraction", "retries", "backoff_s"), [(1.0, 2, 0.05), (0.0, 2, 0.0), (0.5, 4, 0.02)], ids=str
 )
 def test_service_comes_back_by_itself_when_the_storm_is_over(
-    honour: float, retries: int, backoff: float
+    honour_fraction: float, retries: int, backoff_s: float
 ) -> None:
     """A storm whose retries keep it going would outlast its trigger: a metastable failure."""
-    course = played(honour=honour, retries=retries, backoff_s=backoff)
-    before = course.service(2, 6)
+    result = play(honour_fraction=honour_fraction, retries=retries, backoff_s=backoff_s)
+    before = result.service(2, 6)
     assert before > 0.97
-    assert 0 <= course.recovered(7, before, 18, within=0.05) <= 5  # clients of the storm come for 3 s more
-    assert course.late == 0 and course.twice == 0
-    assert set(course.answers.values()) == {1}
+    assert 0 <= result.recovery_s(7, before, 18, within=0.05) <= 5  # clients of the storm come for 3 s more
+    assert result.late_answers == 0 and result.simultaneous_writes == 0
+    assert set(result.answers.values()) == {1}
 
 
 def test_clients_that_honour_retry_after_come_back_spread_out() -> None:
-    """All that are refused in a second come back over the time that may be told, not in one heap."""
-    waits = sorted(played(honour=1.0).waits)
-    assert len(waits) > 500 and waits[0] > 0 and waits[-1] <= 2000
-    tenth = len(waits) // 10
-    assert waits[-tenth] - waits[tenth] > 400
+    """All that are rejected in a second come back over the time that Retry-After may give, not at once."""
+    waits_ms = sorted(play(honour_fraction=1.0).retry_after_ms)
+    assert len(waits_ms) > 500 and waits_ms[0] > 0 and waits_ms[-1] <= 2000
+    tenth = len(waits_ms) // 10
+    assert waits_ms[-tenth] - waits_ms[tenth] > 400
 
 
 def test_the_fleets_load_is_not_multiplied_by_the_routers_own_attempts() -> None:
-    course = played(honour=0.0, retries=4)
-    asked = sum(course.ended.values())
-    assert sum(course.sends.values()) <= 1.2 * asked + 10 * 18
+    """Clients that never honour Retry-After and retry at once: attempts stay near the requests that ended."""
+    result = play(honour_fraction=0.0, retries=4)
+    ended = sum(result.tries_by_end.values())
+    assert sum(result.attempts.values()) <= 1.2 * ended + 10 * 18
