--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,40 +1,60 @@
 """What being many costs, in virtual time: the same load and servers behind 3 to 300 routers.
 
-    python -m benchmarks.fleet [--routers 3,12,30,60] [--days calm,over,cut] [--lost 0,1] [--seeds 5]
+    python -m benchmarks fleet [--routers 3,12,30,60] [--days calm,over,cut] [--lost 0,1] [--seeds 5]
     [--apart]
 
 calm   sixty servers with capacity to spare, and connection tables smaller than the number of routers
 over   the same with half as much load again as they can do
-cut    calm, and a room is cut off from the others for most of the day
+cut    calm, and a zone is cut off from the others for most of the run
 wide   72 full and 48 small servers, 1,200 requests a second, 40,000 keys: thin uneven traffic
 slow   the same, and the database is four times slower for four seconds
 
-`--apart` cuts words between two halves of the routers all day.
+`--apart` cuts datagrams between two halves of the routers for the whole run.
 
-Printed for each, with `lost` of the words between routers: service as the operators count it (mean, least and
-most over the seeds), and by try: refused within a customer's share, and connects that failed.
+Printed for each, with `--lost` of the datagrams between routers: service as the operators count it (mean,
+least and most over the seeds), and by request taken: rejected within a customer's quota, and connects that
+failed.
 """
 
-import argparse
 import statistics
+import sys
 import tempfile
 from concurrent.futures import ProcessPoolExecutor
 from itertools import product
 from pathlib import Path
+from typing import NamedTuple
 
+from benchmarks.rig import comma_list, parser_for, print_row, print_table_header
 from rainhitch.rehearsal.faults import Fault
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
 from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 from rainhitch.telemetry.sums import RecordSum, sum_folder
 
-Row = tuple[float, int, RecordSum]  # service, breaches of rules, what the routers wrote down
+LENGTH_S = 8.0
+APART_AFTER_S = 60  # for which `--apart` lasts beyond the run's length
 
 
-def day(routers: int, kind: str, lost: float = 0.0, length_s: float = 8.0) -> Scenario:
-    """A day of a kind, with so many routers."""
-    if kind in ("wide", "slow"):
-        return wide(routers, kind, lost)
-    cores = 1 if kind == "over" else 2
+class RunResult(NamedTuple):
+    """What is shown of one run."""
+
+    service: float
+    broken_rules: int
+    records: RecordSum  # of all routers
+
+
+class Case(NamedTuple):
+    """A row of the table: a kind of run, the fraction of datagrams that are lost, how many routers."""
+
+    kind: str
+    loss: float
+    routers: int
+
+
+def make_scenario(case: Case, length_s: float) -> Scenario:
+    """The scenario of a case; `wide` and `slow` have a length of their own."""
+    if case.kind in ("wide", "slow"):
+        return wide_scenario(case)
+    cores = 1 if case.kind == "over" else 2
     cut = {"kind": "partition", "room": "taoyuan", "at_s": length_s / 8, "for_s": length_s * 3 / 4}
     return scenario_of(
         {
@@ -42,15 +62,10 @@
             "must": "no rule broken",
             "day": {"length_s": length_s, "prelude_s": 2.0},
             "fleet": {
-                "routers": routers,
+                "routers": case.routers,
                 "memory_keys": 80,
                 "nodes": [
-                    {
-                        "name": "full-node",
-                        "count": 36,
-                        "cores": cores,
-                        "table_per_core": 20,
-                    },
+                    {"name": "full-node", "count": 36, "cores": cores, "table_per_core": 20},
                     {
                         "name": "small-node",
                         "count": 24,
@@ -62,14 +77,14 @@
             },
             "database": {"workers": 60, "queue": 400},
             "traffic": {"rate": 600.0, "quota_rps": 368.0, "keys": 10000},
-            "messages": {"loss": lost},
-            "faults": [cut] if kind == "cut" else [],
+            "messages": {"loss": case.loss},
+            "faults": [cut] if case.kind == "cut" else [],
         },
-        kind,
+        case.kind,
     )
 
 
-def wide(routers: int, kind: str, lost: float) -> Scenario:
+def wide_scenario(case: Case) -> Scenario:
     """A larger fleet, at rest or with a slow database."""
     slow = {"kind": "database-slow", "at_s": 3.0, "for_s": 4.0, "factor": 4.0}
     return scenario_of(
@@ -78,7 +93,7 @@
             "must": "no rule broken",
             "day": {"length_s": 14.0},
             "fleet": {
-                "routers": routers,
+                "routers": case.routers,
                 "nodes": [
                     {"name": "full-node", "count": 72, "cores": 3},
                     {"name": "small-node", "count": 48, "cores": 2, "speed": [0.51, 0.69]},
@@ -86,33 +101,53 @@
             },
             "database": {"workers": 60},
             "traffic": {"rate": 1200.0, "quota_rps": 700.0, "keys": 40000},
-            "messages": {"loss": lost},
-            "faults": [slow] if kind == "slow" else [],
+            "messages": {"loss": case.loss},
+            "faults": [slow] if case.kind == "slow" else [],
         },
-        kind,
+        case.kind,
     )
 
 
-def played(
-    routers: int, kind: str, lost: float, seed: int, length_s: float = 8.0, apart: bool = False
-) -> Row:
-    told = day(routers, kind, lost, length_s)
+def run_case(case: Case, seed: int, length_s: float = LENGTH_S, apart: bool = False) -> RunResult:
+    """Runs a case in virtual time; with `apart`, two halves of the routers get no datagrams of each other."""
+    scenario = make_scenario(case, length_s)
     if apart:
-        half = list(range(routers // 2))
-        told.faults.append(Fault("routers-apart", 0.0, told.day.length_s + 60, group=half))
+        half = list(range(case.routers // 2))
+        apart_s = scenario.day.length_s + APART_AFTER_S
+        scenario.faults.append(Fault("routers-apart", 0.0, apart_s, group=half))
     with tempfile.TemporaryDirectory() as folder:
-        made = run_virtual_scenario(told, kind, seed, logs=Path(folder))
-        return made["service"], sum(made["rules"].values()), sum_folder(Path(folder)).whole
-
-
-def in_share(whole: RecordSum) -> int:
-    """Tries refused though they were within their customer's share."""
-    ended = whole.counts["ended"].items()
-    return sum(many for how, many in ended if how.startswith("refused:") and how[-1] != "+")
-
-
-def main() -> None:
-    parser = argparse.ArgumentParser()
+        made = run_virtual_scenario(scenario, case.kind, seed, logs=Path(folder))
+        broken_rules = sum(made["rules"].values())
+        return RunResult(made["service"], broken_rules, sum_folder(Path(folder)).whole)
+
+
+def rejected_within_quota(records: RecordSum) -> int:
+    """Requests that were rejected though they were within their customer's quota."""
+    ended = records.counts["ended"].items()
+    return sum(count for how, count in ended if how.startswith("refused:") and how[-1] != "+")
+
+
+def case_row(case: Case, results: list[RunResult]) -> list[str]:
+    """The row of a case, from its runs over the seeds."""
+    services = [one.service for one in results]
+    taken = sum(one.records.taken for one in results)
+    rejected = sum(rejected_within_quota(one.records) for one in results) / taken
+    failed = sum(one.records.counts["tried"]["connect_failed"] for one in results) / taken
+    return [
+        case.kind,
+        f"{case.loss:g}",
+        str(case.routers),
+        f"{statistics.mean(services):.3f}",
+        f"{min(services):.3f}, {max(services):.3f}",
+        f"{rejected:.4f}",
+        f"{failed:.4f}",
+        str(sum(one.broken_rules for one in results)),
+    ]
+
+
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser = parser_for(__doc__)
     parser.add_argument("--routers", default="3,12,30,60")
     parser.add_argument("--days", default="calm,over,cut")
     parser.add_argument("--lost", default="0,1")
@@ -120,34 +155,31 @@
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--apart", action="store_true", help="two halves hear nothing of each other")
-    told = parser.parse_args()
-    sizes, losses = map(int, told.routers.split(",")), map(float, told.lost.split(","))
-    cases = list(product(told.days.split(","), losses, sizes))
-    print(
-        "| day | words lost | routers | service | least, most | refused in share | failed connects | rules |"
+    options = parser.parse_args(arguments)
+    losses = map(float, comma_list(options.lost))
+    sizes = map(int, comma_list(options.routers))
+    cases = [Case(*one) for one in product(comma_list(options.days), losses, sizes)]
+    seeds = range(options.first, options.first + options.seeds)
+    print_table_header(
+        [
+            "day",
+            "words lost",
+            "routers",
+            "service",
+            "least, most",
+            "refused in share",
+            "failed connects",
+            "rules",
+        ]
     )
-    print(f"| {' | '.join(['---'] * 8)} |")
-    with ProcessPoolExecutor(told.jobs) as pool:
-        runs = {
-            case: [
-                pool.submit(played, case[2], case[0], case[1], told.first + seed, apart=told.apart)
-                for seed in range(told.seeds)
-            ]
-            for case in cases
+    with ProcessPoolExecutor(options.jobs) as pool:
+        futures = {
+            case: [pool.submit(run_case, case, seed, apart=options.apart) for seed in seeds] for case in cases
         }
-        for (kind, lost, routers), futures in runs.items():
-            rows = [one.result() for one in futures]
-            service = [one[0] for one in rows]
-            taken = sum(one[2].taken for one in rows)
-            refused = sum(in_share(one[2]) for one in rows) / taken
-            failed = sum(one[2].counts["tried"]["connect_failed"] for one in rows) / taken
-            print(
-                f"| {kind} | {lost:g} | {routers} | {statistics.mean(service):.3f} "
-                f"| {min(service):.3f}, {max(service):.3f} | {refused:.4f} | {failed:.4f} "
-                f"| {sum(one[1] for one in rows)} |",
-                flush=True,
-            )
+        for case in cases:
+            print_row(case_row(case, [future.result() for future in futures[case]]))
+    return 0
 
 
 if __name__ == "__main__":
-    main()
+    sys.exit(main(sys.argv[1:]))
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,75 +1,64 @@
-"""What a word from another router costs beside a request: `python -m benchmarks.advice`.
+"""What a gossip datagram from another router costs beside a request.
 
-Side by side in one run, in turns: decisions on a request that is hit, one datagram written, and one read and
-taken up, with 9, 60 and 200 servers listed. Prints microseconds and the ratio to a request.
-"""
+    python -m benchmarks gossip
 
-import statistics
-import time
-from collections.abc import Callable
+Side by side in one run, in turns: decisions on a request that is a hit, one datagram encoded, and one decoded
+and taken into the decisions, with 9, 60 and 200 servers listed. Prints microseconds of CPU and the ratio to a
+request.
+"""
 
+import sys
+
+from benchmarks.rig import (
+    ATTEMPT_NS,
+    SERVER_COUNTS,
+    SERVERS_PER_DATAGRAM,
+    TIMED_ROUNDS,
+    DecisionBench,
+    median_cpu_us,
+    parser_for,
+)
 from rainhitch import interface as api
 from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
-from rainhitch.policy.balancer import Balancer
-
-SECOND = 1_000_000_000
-ROUNDS, TURNS = 15, 400
-SEEN = 20  # servers that a datagram tells of
 
 
-class Bench:
-    """One router's decisions, with so many servers."""
+class GossipBench(DecisionBench):
+    """One router's decisions, and datagrams on so many of its servers."""
 
     def __init__(self, servers: int) -> None:
-        classes = [api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]
-        told = api.Settings(classes, router_count=40, max_attempts=4, gossip_interval_ns=SECOND)
-        self.balancer = Balancer(told, 1)
-        self.names = [f"s-{n:08x}" for n in range(servers)]
-        self.now, self.count = 100 * SECOND, 0
-        self.balancer.handle(
-            self.now, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, [api.Endpoint(n) for n in self.names])
-        )
-        self.known = names_by_hash(self.names)
-        self.seen = [api.LatencyObservation(name, SECOND // 20) for name in self.names[:SEEN]]
-        self.word = encode(self.seen)
-
-    def request(self) -> None:
-        self.count += 1
-        self.now += SECOND // 25
-        name = f"r{self.count}"
-        actions = self.balancer.handle(
-            self.now, api.Request(name, 0, self.now + SECOND, f"k{self.count % 500}")
-        )
-        for action in actions:
-            if isinstance(action, api.StartAttempt):
-                answer = api.AttemptFinished(name, 0, action.server, api.AttemptStatus.OK, True, SECOND // 20)
-                self.balancer.handle(self.now, answer)
-
-    def write(self) -> None:
-        encode(self.seen)
-
-    def hear(self) -> None:
-        self.balancer.handle(self.now, api.GossipReceived(decode(self.word, self.known)))
-
-
-def cost(work: Callable[[], None]) -> float:
-    begun = time.process_time_ns()
-    for _ in range(TURNS):
-        work()
-    return (time.process_time_ns() - begun) / TURNS / 1000
-
-
-def main() -> None:
-    print(f"microseconds, median of {ROUNDS} rounds; {SEEN} servers a datagram, or all there are")
-    for servers in (9, 60, 200):
-        bench = Bench(servers)
-        rounds = [(cost(bench.request), cost(bench.write), cost(bench.hear)) for _ in range(ROUNDS)]
-        request, write, hear = (statistics.median(column) for column in zip(*rounds, strict=True))
+        super().__init__(servers)
+        self.known_names = names_by_hash(self.servers)
+        named = self.servers[:SERVERS_PER_DATAGRAM]
+        self.observations = [api.LatencyObservation(name, ATTEMPT_NS) for name in named]
+        self.datagram = encode(self.observations)
+
+    def send(self) -> None:
+        """Encodes a datagram."""
+        encode(self.observations)
+
+    def receive(self) -> None:
+        """Decodes a datagram, and gives it to the decisions."""
+        received = api.GossipReceived(decode(self.datagram, self.known_names))
+        self.balancer.handle(self.now_ns, received)
+
+
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser_for(__doc__).parse_args(arguments)
+    print(
+        f"microseconds, median of {TIMED_ROUNDS} rounds; {SERVERS_PER_DATAGRAM} servers a datagram, "
+        "or all there are"
+    )
+    for servers in SERVER_COUNTS:
+        bench = GossipBench(servers)
+        request_us, send_us, receive_us = median_cpu_us(bench.request, bench.send, bench.receive)
         print(
-            f"{servers:4} servers: request {request:6.1f}, written {write:6.1f} ({write / request:.2f}), "
-            f"heard {hear:6.1f} ({hear / request:.2f})"
+            f"{servers:4} servers: request {request_us:6.1f}, "
+            f"written {send_us:6.1f} ({send_us / request_us:.2f}), "
+            f"heard {receive_us:6.1f} ({receive_us / request_us:.2f})"
         )
+    return 0
 
 
 if __name__ == "__main__":
-    main()
+    sys.exit(main(sys.argv[1:]))
--- a/benchmarks/kit_lateness.py
+++ b/benchmarks/kit_lateness.py
@@ -1,59 +1,94 @@
-"""How late the kit itself runs, how much one seed's service spreads, and what a calm day gives.
+"""How late the kit itself runs, how much one seed's service spreads, and what a run without faults gives.
 
-    python -m benchmarks.rig [--repeats 5]
+    python -m benchmarks kit_lateness [--repeats 5]
 
-Three measurements in one run: the rig's lateness at 480 and at 2,000 requests a second, the spread of
+Three measurements in one run: the kit's lateness at 480 and at 2,000 requests a second, the spread of
 `service` over repeats of one seed of `lunch` and of `quiet`, and the plain router beside it.
 """
 
-import argparse
 import asyncio
 import os
+import sys
 from dataclasses import replace
-from typing import Any
 
+from benchmarks.rig import Json, parser_for, print_row, print_table_header
 from rainhitch.rehearsal import runner
 from rainhitch.rehearsal.scenario import Scenario, read_scenario, shipped
 
-Json = dict[str, Any]
+RATES_AND_SIZES = ((480.0, 2), (2000.0, 6))  # requests a second; the fleet, as a multiple of the usual one
+QUOTA_FRACTION = 0.617  # of the rate, that customers together may send
+LENGTH_S = 12.0
+MAX_ROUTERS = 9
+SPREAD_SCENARIOS = ("lunch", "quiet")
 
 
-def at_rate(rate: float, times: int) -> Scenario:
-    """The calm fleet, so many times as large, at this rate."""
-    day = read_scenario(shipped()["quiet"])
-    nodes = [replace(one, count=one.count * times) for one in day.fleet.nodes]
-    database = replace(day.database, workers=day.database.workers * times, queue=day.database.queue * times)
-    traffic = replace(day.traffic, rate=rate, quota_rps=rate * 0.617)
-    fleet = replace(day.fleet, nodes=nodes, routers=min(3 * times, 9))
-    return replace(day, fleet=fleet, traffic=traffic, database=database, day=replace(day.day, length_s=12.0))
+def scaled_scenario(rate_per_s: float, multiple: int) -> Scenario:
+    """`quiet` with a larger fleet and database, at this rate."""
+    quiet = read_scenario(shipped()["quiet"])
+    nodes = [replace(one, count=one.count * multiple) for one in quiet.fleet.nodes]
+    database = replace(
+        quiet.database, workers=quiet.database.workers * multiple, queue=quiet.database.queue * multiple
+    )
+    traffic = replace(quiet.traffic, rate=rate_per_s, quota_rps=rate_per_s * QUOTA_FRACTION)
+    fleet = replace(quiet.fleet, nodes=nodes, routers=min(3 * multiple, MAX_ROUTERS))
+    day = replace(quiet.day, length_s=LENGTH_S)
+    return replace(quiet, fleet=fleet, traffic=traffic, database=database, day=day)
 
 
-async def main() -> None:
-    parser = argparse.ArgumentParser()
-    parser.add_argument("--repeats", type=int, default=5)
-    repeats = parser.parse_args().repeats
+def lateness_cells(rate_per_s: float, scenario: Scenario, made: Json) -> list[str]:
+    """A row of the table on lateness, from a run's report."""
+    late = made["rig_late"]
+    return [
+        f"{rate_per_s:g}",
+        str(sum(one.count for one in scenario.fleet.nodes)),
+        str(scenario.fleet.routers),
+        f"{late['arrivals_p99_ms']} ms",
+        f"{late['arrivals_max_ms']} ms",
+        f"{late['longest_stall_ms']} ms",
+        f"{late['stalled_share']:.2%}",
+        f"{made['service']:.4f} {'void' if late['void'] else ''}",
+    ]
+
+
+async def measure(repeats: int) -> None:
+    """Runs and prints all three measurements."""
     print(f"{os.cpu_count()} cores; one day at a time\n")
-    print("| requests/s | nodes | routers | arrivals late p99 | max | longest stall | stalled | service |")
-    print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    for rate, times in ((480.0, 2), (2000.0, 6)):
-        day = at_rate(rate, times)
-        made = await runner.run_scenario(day, "rig", 1, runner.rainhitch_command())
-        late, size = made["rig_late"], sum(one.count for one in day.fleet.nodes)
-        figures = (
-            f"{late['arrivals_p99_ms']} ms | {late['arrivals_max_ms']} ms | {late['longest_stall_ms']} ms"
-        )
-        share = f"{late['stalled_share']:.2%} | {made['service']:.4f} {'void' if late['void'] else ''}"
-        print(f"| {rate:g} | {size} | {day.fleet.routers} | {figures} | {share} |", flush=True)
-    for name in ("lunch", "quiet"):
-        day = read_scenario(shipped()[name])
-        plain = await runner.run_scenario(day, name, 1, runner.plain_router_command())
-        plays = [await runner.run_scenario(day, name, 1, runner.rainhitch_command()) for _ in range(repeats)]
-        services = [float(one["service"]) for one in plays]
+    print_table_header(
+        [
+            "requests/s",
+            "nodes",
+            "routers",
+            "arrivals late p99",
+            "max",
+            "longest stall",
+            "stalled",
+            "service",
+        ]
+    )
+    for rate_per_s, multiple in RATES_AND_SIZES:
+        scenario = scaled_scenario(rate_per_s, multiple)
+        made = await runner.run_scenario(scenario, "rig", 1, runner.rainhitch_command())
+        print_row(lateness_cells(rate_per_s, scenario, made))
+    for name in SPREAD_SCENARIOS:
+        scenario = read_scenario(shipped()[name])
+        plain = await runner.run_scenario(scenario, name, 1, runner.plain_router_command())
+        services = []
+        for _ in range(repeats):
+            made = await runner.run_scenario(scenario, name, 1, runner.rainhitch_command())
+            services.append(float(made["service"]))
         shown = ", ".join(f"{one:.4f}" for one in services)
         spread = max(services) - min(services)
-        told = f"{repeats} plays of seed 1: {shown}; spread {spread:.4f}; plain {plain['service']:.4f}"
-        print(f"\n{name}, {told}", flush=True)
+        begin = f"{name}, {repeats} plays of seed 1: {shown}; spread {spread:.4f}"
+        print(f"\n{begin}; plain {plain['service']:.4f}", flush=True)
+
+
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser = parser_for(__doc__)
+    parser.add_argument("--repeats", type=int, default=5)
+    asyncio.run(measure(parser.parse_args(arguments).repeats))
+    return 0
 
 
 if __name__ == "__main__":
-    asyncio.run(main())
+    sys.exit(main(sys.argv[1:]))
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,12 +1,11 @@
-"""Whether exploring finds faults put into the router on purpose, and after how many days.
+"""Whether `rainhitch explore` finds faults put into the router on purpose, and after how many runs.
 
-    python -m benchmarks.mutants [--minutes 4] [--jobs 1] [--only NAME,NAME]
+    python -m benchmarks mutants [--minutes 4] [--jobs 1] [--only NAME,NAME]
 
 Each mutant is a change of one place in a copy of the package; all are explored side by side. A mutant is
-found when exploring keeps a case; what the router as it stands gives is told first.
+found when exploring keeps a case. The first row is the router as it stands.
 """
 
-import argparse
 import os
 import re
 import shutil
@@ -15,87 +14,114 @@
 import tempfile
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
+from typing import NamedTuple
 
 import rainhitch
+from benchmarks.rig import comma_list, parser_for, print_row, print_table_header
+from rainhitch.errors import RainhitchError
 
-# name: file, what stands there, what takes its place
-MUTANTS: dict[str, tuple[str, str, str]] = {
-    "leaving cuts off what is on its way": (
+UNCHANGED = "as it stands"
+SEED = 3
+KINDS_LENGTH = 90  # characters of the last column
+
+
+class Mutant(NamedTuple):
+    """A change of one place in the package."""
+
+    file: str
+    old: str
+    new: str
+
+    def apply(self, text: str) -> str:
+        """The file's text with the change; raises MutantError where its place is not there just once."""
+        count = text.count(self.old)
+        if count != 1:
+            raise MutantError(f"{self.file}: expected once, stands {count} times: {self.old!r}")
+        return text.replace(self.old, self.new)
+
+
+class MutantError(RainhitchError, ValueError):
+    """A mutant whose place in the package is gone."""
+
+
+# By name.
+MUTANTS: dict[str, Mutant] = {
+    "leaving cuts off what is on its way": Mutant(
         "node/client_connection.py",
         "return not self.commands.only_greeted and not self.frames.buffer and not self.has_unread_bytes()",
         "return True",
     ),
-    "a close behind a greeting": (
+    "a close behind a greeting": Mutant(
         "node/client_connection.py",
         "return not self.commands.only_greeted and",
         "return",
     ),
-    "a given-up attempt counts as unsent": (
+    "a given-up attempt counts as unsent": Mutant(
         "node/upstream_connection.py",
         "return may_have_run",
         "return False",
     ),
-    "a broken connection was never up": (
+    "a broken connection was never up": Mutant(
         "node/upstream_connection.py",
         "status = AttemptStatus.RESET if was_written else never_up",
         "status = never_up",
     ),
-    "the last answer is late": (
+    "the last answer is late": Mutant(
         "node/deadlines.py",
         "ANSWER_DELIVERY_NS = 8 * NS_PER_MS",
         "ANSWER_DELIVERY_NS = -120 * NS_PER_MS",
     ),
-    "a time-out leaves its connection": (
+    "a time-out leaves its connection": Mutant(
         "node/attempt_runner.py",
         "may_have_run = attempt.connection.abandon()",
         "may_have_run = True",
     ),
-    "a restart keeps old connections' attempts": (
+    "a restart keeps old connections' attempts": Mutant(
         "node/connection_pool.py",
         "for connection in [one for one in self.all if one.opened_at_s < time_s]:",
         "for connection in []:",
     ),
-    "an order's window does not end": (
+    "an order's window does not end": Mutant(
         "policy/retry_policy.py",
         "is api.Idempotency.NOT_IDEMPOTENT or not is_in_dedup_window(pending, now_ns):",
         "is api.Idempotency.NOT_IDEMPOTENT:",
     ),
-    "what may run once is repeated": (
+    "what may run once is repeated": Mutant(
         "policy/retry_policy.py",
         "is api.Idempotency.NOT_IDEMPOTENT or not is_in_dedup_window(pending, now_ns):",
         "is api.Idempotency.IDEMPOTENCY_KEY and not is_in_dedup_window(pending, now_ns):",
     ),
-    "all is refused": (
+    "all is refused": Mutant(
         "policy/retry_policy.py",
         "return recognized_everywhere and is_in_dedup_window(pending, now_ns)",
         "return True",
     ),
-    "two attempts of an order": (
+    "two attempts of an order": Mutant(
         "overload/idempotency_keys.py",
         "        if record.state is KeyState.HELD:\n            if len",
         "        if False:\n            if len",
     ),
-    "a drained server is used": (
+    "a drained server is used": Mutant(
         "policy/server.py",
         "is_in_use = self.endpoint.state in (api.EndpointState.READY, api.EndpointState.RETIRING)",
         "is_in_use = True",
     ),
-    "a draining pool takes back connections": (
+    "a draining pool takes back connections": Mutant(
         "node/connection_pool.py",
         "if self.draining or connection not in self.all:",
         "if connection not in self.all:",
     ),
-    "an id is held for ever": (
+    "an id is held for ever": Mutant(
         "node/request_driver.py",
         "if self.requests.pop(request.id, None) is not None:",
         "if False:",
     ),
-    "a slot leaks where a dial fails": (
+    "a slot leaks where a dial fails": Mutant(
         "node/upstream_connection.py",
         "        self.pool.drop(self)\n        exchange = self.exchange\n",
         "        exchange = self.exchange\n",
     ),
-    "a client that leaves is not told of": (
+    "a client that leaves is not told of": Mutant(
         "node/client_connection.py",
         "self.host.driver.withdraw(slot.request)",
         "pass",
@@ -103,52 +129,49 @@
 }
 
 
-class MutantError(ValueError):
-    """A mutant whose place in the package is gone."""
-
-
-def explored(name: str, minutes: float, jobs: int, folder: Path) -> str:
-    """Explores one mutant; gives its row."""
-    place = folder / re.sub(r"[^a-z]+", "-", name)
-    shutil.copytree(Path(rainhitch.__file__).parent, place / "rainhitch")
-    if name in MUTANTS:
-        file, old, new = MUTANTS[name]
-        path = place / "rainhitch" / file
-        text = path.read_text()
-        if text.count(old) != 1:
-            raise MutantError(
-                f"{name}: the text stands {text.count(old)} times in {file}, once is wanted: {old!r}"
-            )
-        path.write_text(text.replace(old, new))
-    words = [sys.executable, "-m", "rainhitch", "explore", "--minutes", str(minutes), "--jobs", str(jobs)]
+def explore(name: str, minutes: float, jobs: int, folder: Path) -> list[str]:
+    """Explores one mutant; gives its row: name, whether it was found, runs, kinds of failures."""
+    copy = folder / re.sub(r"[^a-z]+", "-", name)
+    shutil.copytree(Path(rainhitch.__file__).parent, copy / "rainhitch")
+    if name != UNCHANGED:
+        mutant = MUTANTS[name]
+        path = copy / "rainhitch" / mutant.file
+        path.write_text(mutant.apply(path.read_text()))
+    command = [sys.executable, "-m", "rainhitch", "explore", "--minutes", str(minutes), "--jobs", str(jobs)]
     done = subprocess.run(
-        [*words, "--as-drawn", "--seed", "3", "--keep", str(place / "found")],
-        env={**os.environ, "PYTHONPATH": str(place)},
-        cwd=place,
+        [*command, "--as-drawn", "--seed", str(SEED), "--keep", str(copy / "found")],
+        env={**os.environ, "PYTHONPATH": str(copy)},
+        cwd=copy,
         capture_output=True,
         text=True,
     )
     lines = done.stdout.splitlines()
-    days = next((line.split()[0] for line in lines if " days in " in line), "?")
+    runs = next((line.split()[0] for line in lines if " days in " in line), "?")
     kinds = [line.strip() for line in lines if re.match(r" +\d+  ", line)]
-    return f"| {name} | {'found' if kinds else 'not found'} | {days} | {'; '.join(kinds)[:90]} |"
+    return [name, "found" if kinds else "not found", runs, "; ".join(kinds)[:KINDS_LENGTH]]
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser()
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser = parser_for(__doc__)
     parser.add_argument("--minutes", type=float, default=4.0)
-    parser.add_argument("--jobs", type=int, default=1)
+    parser.add_argument("--jobs", type=int, default=1, help="processes for each mutant")
     parser.add_argument("--only", default="")
-    told = parser.parse_args()
-    names = told.only.split(",") if told.only else ["as it stands", *MUTANTS]
-    print(f"{os.cpu_count()} cores, {told.jobs} process each, {told.minutes:g} minutes each\n")
-    print("| mutant | | days | kinds |\n| --- | --- | --- | --- |")
+    options = parser.parse_args(arguments)
+    names = comma_list(options.only) or [UNCHANGED, *MUTANTS]
+    unknown = [name for name in names if name != UNCHANGED and name not in MUTANTS]
+    if unknown:
+        parser.error(f"no such mutant: {', '.join(unknown)}")
+    print(f"{os.cpu_count()} cores, {options.jobs} process each, {options.minutes:g} minutes each\n")
+    print_table_header(["mutant", "", "days", "kinds"])
     with tempfile.TemporaryDirectory() as folder:
-        at_once = max(1, (os.cpu_count() or 1) // told.jobs)
+        at_once = max(1, (os.cpu_count() or 1) // options.jobs)
         with ThreadPoolExecutor(at_once) as pool:
-            for row in pool.map(lambda name: explored(name, told.minutes, told.jobs, Path(folder)), names):
-                print(row, flush=True)
+            rows = pool.map(lambda name: explore(name, options.minutes, options.jobs, Path(folder)), names)
+            for row in rows:
+                print_row(row)
+    return 0
 
 
 if __name__ == "__main__":
-    main()
+    sys.exit(main(sys.argv[1:]))
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -1,93 +1,129 @@
 """Every shipped scenario over several seeds, rainhitch beside the kit's plain router, in one run.
 
-    python -m benchmarks.rehearsals [--seeds 5] [--at-once 2] [--only NAME,NAME] [--json FILE]
+    python -m benchmarks rehearsals [--seeds 5] [--at-once 2] [--only NAME,NAME] [--json FILE]
 
-Prints a table of means over the seeds: service, score, rules broken, and the plain router's. A day that the
-rig made void is played again, at most three times, and counted.
+Prints a table of means over the seeds: service, score, rules broken, and the plain router's. A run that the
+kit's own lateness made void is repeated, at most three times, and counted.
 """
 
 import argparse
 import asyncio
 import os
+import sys
 from pathlib import Path
-from typing import Any
 
 import orjson
 
+from benchmarks.rig import Json, comma_list, parser_for, print_row, print_table_header
 from rainhitch.rehearsal import report, runner
 from rainhitch.rehearsal.scenario import read_scenario, shipped
 
-Json = dict[str, Any]
-ROUTERS = {"rainhitch": runner.rainhitch_command(), "plain": runner.plain_router_command()}
-
-
-async def one(name: str, seed: int, router: str, free: asyncio.Semaphore, voids: list[str]) -> Json:
-    async with free:
-        for _ in range(3):
-            made = await runner.run_scenario(read_scenario(shipped()[name]), name, seed, ROUTERS[router])
-            if made["exit"] != report.VOID:
-                break
-            voids.append(f"{name} {seed} {router}")
-    row: Json = {
-        key: made[key] for key in ("service", "score", "net_score", "rules", "unmet", "database_stops")
-    }
-    row |= {
-        "scenario": name,
-        "seed": seed,
-        "router": router,
-        "exit": made["exit"],
-        "rig_late": made["rig_late"],
-    }
-    row["breaches"] = [
-        f"{b['at_s']} {b['rule']} {b['request']} {b['node']} {b['what']}" for b in made["breaches"][:5]
-    ]
-    broken = {rule: count for rule, count in made["rules"].items() if count}
-    print(f"{name} {seed} {router}: {made['service']:.4f} {made['score']:.4f} {broken or ''}", flush=True)
-    return row
+RAINHITCH = "rainhitch"
+ROUTERS = {RAINHITCH: runner.rainhitch_command(), "plain": runner.plain_router_command()}
+MAX_RUNS = 3  # of a scenario and seed that is void
+MAX_BREACHES_KEPT = 5  # in a row of the JSON file
+KEPT_FIGURES = ("service", "score", "net_score", "rules", "unmet", "database_stops")
+COLUMNS = (
+    "scenario",
+    "service",
+    "score",
+    "least score",
+    "rules broken",
+    "stops",
+    "plain: service",
+    "score",
+    "rules broken",
+)
+
+
+class Rehearsals:
+    """All runs of the benchmark, so many at once."""
+
+    def __init__(self, at_once: int) -> None:
+        self.free = asyncio.Semaphore(at_once)
+        self.void_runs = 0
+
+    async def run(self, name: str, seed: int, router: str) -> Json:
+        """One run, repeated while it is void; gives what is kept of it."""
+        async with self.free:
+            for _ in range(MAX_RUNS):
+                scenario = read_scenario(shipped()[name])
+                made = await runner.run_scenario(scenario, name, seed, ROUTERS[router])
+                if made["exit"] != report.VOID:
+                    break
+                self.void_runs += 1
+        broken = {rule: count for rule, count in made["rules"].items() if count}
+        print(f"{name} {seed} {router}: {made['service']:.4f} {made['score']:.4f} {broken or ''}", flush=True)
+        return {
+            **{key: made[key] for key in KEPT_FIGURES},
+            "scenario": name,
+            "seed": seed,
+            "router": router,
+            "exit": made["exit"],
+            "rig_late": made["rig_late"],
+            "breaches": [
+                f"{one['at_s']} {one['rule']} {one['request']} {one['node']} {one['what']}"
+                for one in made["breaches"][:MAX_BREACHES_KEPT]
+            ],
+        }
+
+
+def mean(rows: list[Json], key: str) -> str:
+    """Of a figure over the rows."""
+    return f"{sum(row[key] for row in rows) / len(rows):.3f}"
 
 
-def table(rows: list[Json], names: list[str]) -> list[str]:
-    lines = [
-        "| scenario | service | score | least score | rules broken | stops "
-        "| plain: service | score | rules broken |",
-        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+def broken_rules(rows: list[Json]) -> str:
+    """How often each rule was broken; 0 for none."""
+    counts = {rule: sum(row["rules"][rule] for row in rows) for rule in rows[0]["rules"]}
+    return ", ".join(f"{rule} {count}" for rule, count in counts.items() if count) or "0"
+
+
+def table_row(name: str, rows: list[Json]) -> list[str]:
+    """The row of a scenario, from its runs over the seeds by both routers."""
+    own = [row for row in rows if row["router"] == RAINHITCH]
+    plain = [row for row in rows if row["router"] != RAINHITCH]
+    return [
+        name,
+        mean(own, "service"),
+        mean(own, "score"),
+        f"{min(row['score'] for row in own):.3f}",
+        broken_rules(own),
+        str(sum(row["database_stops"] for row in own)),
+        mean(plain, "service"),
+        mean(plain, "score"),
+        broken_rules(plain),
     ]
+
+
+async def measure(options: argparse.Namespace) -> list[Json]:
+    """Runs all and prints the table; gives the rows."""
+    names = comma_list(options.only) or list(shipped())
+    seeds = range(1, options.seeds + 1)
+    rehearsals = Rehearsals(options.at_once)
+    runs = [(name, seed, router) for name in names for seed in seeds for router in ROUTERS]
+    rows = list(await asyncio.gather(*(rehearsals.run(*run) for run in runs)))
+    machine = f"{os.cpu_count()} cores, {options.at_once} days at once"
+    print(f"\n{machine}, {options.seeds} seeds, {rehearsals.void_runs} void plays\n")
+    print_table_header(COLUMNS)
     for name in names:
-        cells = [name]
-        for router in ROUTERS:
-            mine = [row for row in rows if row["scenario"] == name and row["router"] == router]
-            broken = [f"{rule} {sum(row['rules'][rule] for row in mine)}" for rule in mine[0]["rules"]]
-            told = ", ".join(one for one in broken if not one.endswith(" 0")) or "0"
-            mean = [sum(row[key] for row in mine) / len(mine) for key in ("service", "score")]
-            cells += [f"{mean[0]:.3f}", f"{mean[1]:.3f}"]
-            if router == "rainhitch":
-                cells.append(f"{min(row['score'] for row in mine):.3f}")
-            cells.append(told)
-            if router == "rainhitch":
-                cells.append(str(sum(row["database_stops"] for row in mine)))
-        lines.append("| " + " | ".join(cells) + " |")
-    return lines
-
-
-async def main() -> None:
-    parser = argparse.ArgumentParser()
+        print_row(table_row(name, [row for row in rows if row["scenario"] == name]))
+    return rows
+
+
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser = parser_for(__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--at-once", type=int, default=2)
     parser.add_argument("--only", default="")
     parser.add_argument("--json", type=Path)
-    told = parser.parse_args()
-    names = told.only.split(",") if told.only else list(shipped())
-    free = asyncio.Semaphore(told.at_once)
-    voids: list[str] = []
-    seeds = range(1, told.seeds + 1)
-    days = [(name, seed, router) for name in names for seed in seeds for router in ROUTERS]
-    rows = await asyncio.gather(*(one(*day, free, voids) for day in days))
-    machine = f"{os.cpu_count()} cores, {told.at_once} days at once"
-    print(f"\n{machine}, {told.seeds} seeds, {len(voids)} void plays\n")
-    print("\n".join(table(list(rows), names)))
-    if told.json:
-        told.json.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
+    options = parser.parse_args(arguments)
+    rows = asyncio.run(measure(options))
+    if options.json:
+        options.json.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
+    return 0
 
 
 if __name__ == "__main__":
-    asyncio.run(main())
+    sys.exit(main(sys.argv[1:]))
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -1,158 +1,200 @@
-"""A storm of reconnects with and without damping, and as it was before, side by side on the same seeds.
+"""A storm of reconnects with and without overload control, and with an earlier router, on the same seeds.
 
-    python -m benchmarks.storms [--seeds 5] [--before DIR] [--json FILE]
+    python -m benchmarks storms [--seeds 5] [--before DIR] [--json FILE]
 
-Plays `reconnect-storm` once for each seed, kind of client and router. DIR is a checkout of an earlier state,
-whose router is played too. Days are played one after the other. Prints means over the seeds:
+Runs `reconnect-storm` once for each seed, kind of client and router, one after the other. DIR is a checkout
+of an earlier state, whose router is run too. Prints means over the seeds:
 
-goodput    node work of answers that clients got in time, in the 3 s from the storm's begin, as a part of what
-           the nodes can do in them (returned nodes as warm as they are)
-back in    seconds from the storm's end until the ordinary load's service, from then to the day's end, is
+goodput    node work of answers that clients got in time, in the 3 s from the storm's begin, as a fraction of
+           what the nodes can do in them (returned nodes as warm as they are)
+back in    seconds from the storm's end until the ordinary load's service, from then to the run's end, is
            within 0.01 of what it was before anything went wrong; - for never
-database   most requests that it was sent in a second, as a part of what it can do
-twice      orders carried out more than once, by order key, over all routers and tries
+database   most requests that it was sent in a second, as a multiple of what it can do
+twice      orders executed more than once, by idempotency key, over all routers and attempts
 """
 
-import argparse
 import asyncio
 import os
 import sys
 import tempfile
 from collections import Counter
 from pathlib import Path
-from typing import Any
 
 import orjson
 
-from rainhitch.rehearsal import report, runner
+from benchmarks.rig import (
+    Json,
+    comma_list,
+    parser_for,
+    print_row,
+    print_table_header,
+    report_figures,
+    router_commands,
+    run_real,
+)
+from rainhitch.rehearsal import report
 from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
-from rainhitch.rehearsal.checker.service import request_outcomes
-from rainhitch.rehearsal.environment import Environment
-from rainhitch.rehearsal.plan import draw_plan
-from rainhitch.rehearsal.scenario import Scenario, read_scenario, shipped
+from rainhitch.rehearsal.checker.service import RequestOutcome, request_outcomes
+from rainhitch.rehearsal.scenario import read_scenario, shipped
 
-Json = dict[str, Any]
-KINDS: dict[str, dict[str, object]] = {
+SCENARIO = "reconnect-storm"
+# Kinds of clients, by the settings of the scenario that make them.
+CLIENT_KINDS: dict[str, dict[str, object]] = {
     "once, at once": {"clients.honour": 0.0, "clients.retries": 1},
     "as told": {"clients.honour": 1.0, "clients.retries": 2, "clients.told": True},
     "a mix": {"clients.honour": 0.5, "clients.retries": 2, "clients.told": True},
 }
-WINDOW = 3  # s from the storm's begin
-
-
-def capacity(evidence: Evidence, begin: int, end: int) -> float:
-    """Core seconds that the nodes can do between two instants of the day, in ns from its zero."""
-    fleet, whole, steps = evidence.scenario["fleet"], 0.0, 30
+GOODPUT_S = 3  # from the storm's begin
+BEFORE_S = 3  # of the run, in which nothing has gone wrong yet
+RECOVERED_WITHIN = 0.01  # of the service before
+CAPACITY_STEPS = 30
+UNCONTROLLED_OPERATOR = "[storms]\ndamping = false\n"
+COLUMNS = (
+    "clients",
+    "router",
+    "goodput",
+    "back in, s",
+    "storm served",
+    "ordinary",
+    "service",
+    "database",
+    "twice",
+    "rules broken",
+    "void",
+)
+FIGURES = ("goodput", "back", "storm", "ordinary", "service", "database", "twice")
+
+
+def node_capacity_core_s(evidence: Evidence, begin_s: float, end_s: float) -> float:
+    """Core seconds of work that the nodes can do between two seconds of the run."""
+    fleet = evidence.scenario["fleet"]
+    cold_fraction = fleet["cold_from"]
+    step_s = (end_s - begin_s) / CAPACITY_STEPS
+    capacity = 0.0
     for node in evidence.plan["nodes"]:
-        starts = [one - evidence.zero for one in evidence.nodes[node["uid"]]["starts"]]
-        for step in range(steps):
-            at = begin + (end - begin) * (step + 0.5) / steps
-            last = max((one for one in starts if one <= at), default=0)
-            warm = min(1.0, (at - last) / SECOND / fleet["warm_s"]) if last > SECOND else 1.0
-            part = fleet["cold_from"] + (1 - fleet["cold_from"]) * warm
-            whole += node["cores"] * node["speed"] * part * (end - begin) / SECOND / steps
-    return whole
-
-
-def figures(evidence: Evidence) -> Json:
-    """What the table shows of one day."""
+        starts_s = [(one - evidence.zero) / SECOND for one in evidence.nodes[node["uid"]]["starts"]]
+        for step in range(CAPACITY_STEPS):
+            at_s = begin_s + step_s * (step + 0.5)
+            started_s = max((one for one in starts_s if one <= at_s), default=0.0)
+            # One that started with the run is warm from the begin.
+            warm = min(1.0, (at_s - started_s) / fleet["warm_s"]) if started_s > 1 else 1.0
+            speed = node["speed"] * (cold_fraction + (1 - cold_fraction) * warm)
+            capacity += node["cores"] * speed * step_s
+    return capacity
+
+
+def useful_work_core_s(evidence: Evidence, begin_s: float, end_s: float) -> float:
+    """Core seconds of work of answers that clients got in time between two seconds of the run."""
+    begin_ns = evidence.zero + int(begin_s * SECOND)
+    end_ns = evidence.zero + int(end_s * SECOND)
+    work_us = 0
+    for row in evidence.tries:
+        in_time = row["answered"] <= row["sent"] + row["wait"]
+        if row["kind"] == "served" and begin_ns <= row["answered"] < end_ns and in_time:
+            work_us += evidence.plan["asks"][row["ask"]]["work_us"]
+    return work_us / 1e6
+
+
+def storm_figures(evidence: Evidence) -> Json:
+    """The figures of the table from one run's records, but for those of the report."""
     fault = next(one for one in evidence.scenario["faults"] if one["kind"] == "reconnect-storm")
-    begin, over = fault["at_s"], int(fault["at_s"] + fault["for_s"])
-    first = evidence.zero + int(begin * SECOND)
-    last = first + WINDOW * SECOND
-    useful = 0.0
-    for one in evidence.tries:
-        answered = one["kind"] == "served" and first <= one["answered"] < last
-        if answered and one["answered"] <= one["sent"] + one["wait"]:
-            useful += evidence.plan["asks"][one["ask"]]["work_us"] / 1e6
-    rows = [one for one in request_outcomes(evidence) if not one.ask["origin"]]
-    length = int(evidence.scenario["day"]["length_s"])
-
-    def service(start: int, end: int) -> float:
-        part = [one for one in rows if start <= one.ask["at"] / 1e6 < end]
-        return sum(one.earned for one in part) / (sum(one.worth for one in part) or 1.0)
-
-    before = service(0, 3)
-    back = next((s - over for s in range(over, length - 2) if service(s, length) >= before - 0.01), None)
-    sent: Counter[int] = Counter()
-    done: Counter[str] = Counter()
-    for sends in evidence.sends.values():
-        for send in sends:
-            if send.to == "database" and send.last >= evidence.zero:
-                sent[(send.last - evidence.zero) // SECOND] += 1
-                done[send.order] += bool(send.order and send.executed)
-    database = evidence.scenario["database"]
-    storm = [one for one in request_outcomes(evidence) if one.ask["origin"]]
+    begin_s = fault["at_s"]
+    over_s = int(fault["at_s"] + fault["for_s"])
+    length_s = int(evidence.scenario["day"]["length_s"])
+    outcomes = list(request_outcomes(evidence))
+    ordinary = [one for one in outcomes if not one.ask["origin"]]
+    storm = [one for one in outcomes if one.ask["origin"]]
+
+    def ordinary_service(from_s: int, to_s: int) -> float:
+        """Of the ordinary load that arrives between two seconds of the run."""
+        return service_of([one for one in ordinary if from_s <= one.ask["at"] / 1e6 < to_s])
+
+    recovered = ordinary_service(0, BEFORE_S) - RECOVERED_WITHIN
+    back_s = None
+    for second in range(over_s, length_s - 2):
+        if ordinary_service(second, length_s) >= recovered:
+            back_s = second - over_s
+            break
+    capacity = node_capacity_core_s(evidence, begin_s, begin_s + GOODPUT_S)
     return {
-        "goodput": useful / capacity(evidence, int(begin * SECOND), int((begin + WINDOW) * SECOND)),
-        "back": back,
-        "database": max(sent.values()) / (database["workers"] / database["time_ms"] * 1000),
-        "twice": sum(count > 1 for count in done.values()),
-        "storm": sum(one.earned for one in storm) / (sum(one.worth for one in storm) or 1.0),
-        "ordinary": service(0, length),
+        "goodput": useful_work_core_s(evidence, begin_s, begin_s + GOODPUT_S) / capacity,
+        "back": back_s,
+        **database_figures(evidence),
+        "storm": service_of(storm),
+        "ordinary": ordinary_service(0, length_s),
     }
 
 
-async def one_day(day: Scenario, seed: int, words: list[str]) -> Json:
-    plan = draw_plan(day, "reconnect-storm", seed)
-    ledgers = await Environment(day, plan, words, lambda at, row: None).play()
-    ledgers["plan_digest"] = plan.digest()
-    told, rows = orjson.loads(orjson.dumps(day)), plan.rows()
-    made = report.build("reconnect-storm", told, rows, ledgers)
+def service_of(outcomes: list[RequestOutcome]) -> float:
+    """The worth earned by some requests, as a fraction of what they were worth."""
+    return sum(one.earned for one in outcomes) / (sum(one.worth for one in outcomes) or 1.0)
+
+
+def database_figures(evidence: Evidence) -> Json:
+    """The busiest second at the database, and orders that were executed more than once."""
+    requests: Counter[int] = Counter()  # by second
+    executions: Counter[str] = Counter()  # by idempotency key
+    for attempts in evidence.sends.values():
+        for attempt in attempts:
+            if attempt.to == "database" and attempt.last >= evidence.zero:
+                requests[(attempt.last - evidence.zero) // SECOND] += 1
+                if attempt.order and attempt.executed:
+                    executions[attempt.order] += 1
+    database = evidence.scenario["database"]
+    capacity_per_s = database["workers"] / database["time_ms"] * 1000
     return {
-        **{key: made[key] for key in ("service", "rules", "exit", "database_stops", "rig_late")}
-    } | figures(Evidence(told, rows, ledgers))
+        "database": max(requests.values()) / capacity_per_s,
+        "twice": sum(count > 1 for count in executions.values()),
+    }
 
 
-def mean(rows: list[Json], key: str) -> str:
+def format_mean(rows: list[Json], key: str) -> str:
+    """The mean over the rows; where some have no figure, how many have none."""
     values = [row[key] for row in rows]
     if None in values:
         return f"- ({sum(one is None for one in values)} of {len(values)})"
     return f"{sum(values) / len(values):.3f}"
 
 
-async def main() -> None:
-    parser = argparse.ArgumentParser()
+async def run_all(client_kinds: list[str], routers: dict[str, list[str]], seeds: int) -> list[Json]:
+    """Runs all, one after the other, and prints the table; gives all rows."""
+    all_rows: list[Json] = []
+    for kind in client_kinds:
+        scenario = read_scenario(shipped()[SCENARIO], CLIENT_KINDS[kind])
+        for router, command in routers.items():
+            rows = []
+            for seed in range(1, seeds + 1):
+                evidence = await run_real(scenario, SCENARIO, seed, command)
+                rows.append({**report_figures(SCENARIO, evidence), **storm_figures(evidence)})
+            all_rows += [{"clients": kind, "router": router, **row} for row in rows]
+            broken_rules = sum(sum(row["rules"].values()) for row in rows)
+            void = sum(row["exit"] == report.VOID for row in rows)
+            figures = [format_mean(rows, key) for key in FIGURES]
+            print_row([kind, router, *figures, str(broken_rules), str(void)])
+    return all_rows
+
+
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser = parser_for(__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--before", type=Path)
     parser.add_argument("--only", default="", help="routers, with commas between")
     parser.add_argument("--kinds", default="", help="of clients, with semicolons between")
     parser.add_argument("--json", type=Path)
-    told = parser.parse_args()
+    options = parser.parse_args(arguments)
+    kinds = options.kinds.split(";") if options.kinds else list(CLIENT_KINDS)
     with tempfile.TemporaryDirectory() as folder:
-        undamped = Path(folder) / "operator.toml"
-        undamped.write_text("[storms]\ndamping = false\n")
-        routers = {"damped": runner.rainhitch_command()}
-        routers["not damped"] = ["env", f"RAINHITCH_OPERATOR={undamped}", *runner.rainhitch_command()]
-        if told.before is not None:
-            path = f"PYTHONPATH={told.before.resolve()}"
-            routers["before"] = ["env", path, sys.executable, "-P", "-m", "rainhitch"]
-        rows: list[Json] = []
-        print(f"{os.cpu_count()} cores, one day at a time, {told.seeds} seeds\n")
-        print(
-            "| clients | router | goodput | back in, s | storm served | ordinary | service | database "
-            "| twice | rules broken | void |"
-        )
-        print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-        for kind, changes in KINDS.items():
-            if told.kinds and kind not in told.kinds.split(";"):
-                continue
-            day = read_scenario(shipped()["reconnect-storm"], changes)
-            for name, words in routers.items():
-                if told.only and name not in told.only.split(","):
-                    continue
-                made = [await one_day(day, seed, words) for seed in range(1, told.seeds + 1)]
-                rows += [{"clients": kind, "router": name, **one} for one in made]
-                broken = sum(sum(one["rules"].values()) for one in made)
-                cells = [
-                    mean(made, key)
-                    for key in ("goodput", "back", "storm", "ordinary", "service", "database", "twice")
-                ]
-                void = sum(one["exit"] == report.VOID for one in made)
-                print(f"| {kind} | {name} | {' | '.join(cells)} | {broken} | {void} |", flush=True)
-        if told.json:
-            told.json.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
+        routers = router_commands(Path(folder), "damped", "not damped", UNCONTROLLED_OPERATOR, options.before)
+        wanted = comma_list(options.only) or list(routers)
+        routers = {name: command for name, command in routers.items() if name in wanted}
+        print(f"{os.cpu_count()} cores, one day at a time, {options.seeds} seeds\n")
+        print_table_header(COLUMNS)
+        rows = asyncio.run(run_all([one for one in CLIENT_KINDS if one in kinds], routers, options.seeds))
+    if options.json:
+        options.json.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
+    return 0
 
 
 if __name__ == "__main__":
-    asyncio.run(main())
+    sys.exit(main(sys.argv[1:]))
--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -1,28 +1,40 @@
-"""What a second's record costs beside the decisions on a request: `python -m benchmarks.telemetry`.
+"""What a second's record costs beside the decisions on a request.
 
-Side by side in one run, in turns: decisions on a request that is hit, what is counted of one, and one record
-cut and written out, with 9, 60 and 200 servers in it. Prints microseconds and the ratio to a request.
+    python -m benchmarks telemetry
+
+Side by side in one run, in turns: decisions on a request that is a hit, what is counted of one, and one
+record made and serialised, with 9, 60 and 200 servers in it. Prints microseconds of CPU and the ratio to a
+request.
 """
 
-import statistics
+import sys
 
 import orjson
 
-from benchmarks.advice import ROUNDS, Bench, cost
+from benchmarks.rig import (
+    SERVER_COUNTS,
+    DecisionBench,
+    median_cpu_us,
+    parser_for,
+    print_row,
+    print_table_header,
+)
 from rainhitch.telemetry.counts import Counts
 
 
-class Counting:
-    """The counts of a router that meets so many servers in a second."""
+class CountingBench:
+    """The counts of a router that has attempts at so many servers in a second."""
 
     def __init__(self, servers: int) -> None:
-        self.counts, self.names = Counts(), [f"s-{n:08x}" for n in range(servers)]
-        self.number = 0
+        self.counts = Counts()
+        self.servers = [f"s-{number:08x}" for number in range(servers)]
+        self.requests = 0
 
     def request(self) -> None:
-        """What the driver counts of a request with one attempt."""
-        add, server = self.counts.add, self.names[self.number % len(self.names)]
-        self.number += 1
+        """Counts what the driver counts of a request with one attempt."""
+        add = self.counts.add
+        server = self.servers[self.requests % len(self.servers)]
+        self.requests += 1
         self.counts.taken += 1
         add("sent", server)
         add("tried", "ok")
@@ -31,20 +43,28 @@
         add("ended", "served")
 
     def record(self) -> None:
-        for _ in self.names:
+        """Counts one request for each server, and makes the record of them."""
+        for _ in self.servers:
             self.request()
         orjson.dumps(self.counts.cut(0.0, 0.0))
 
 
-def main() -> None:
-    print("| servers | a request's decisions, us | its counts | ratio | a record with its counts, us |")
-    print("| --- | --- | --- | --- | --- |")
-    for servers in (9, 60, 200):
-        bench, counting = Bench(servers), Counting(servers)
-        rows = [(cost(bench.request), cost(counting.request), cost(counting.record)) for _ in range(ROUNDS)]
-        decided, counted, record = (statistics.median(column) for column in zip(*rows, strict=True))
-        print(f"| {servers} | {decided:.1f} | {counted:.2f} | {counted / decided:.3f} | {record:.0f} |")
+def main(arguments: list[str]) -> int:
+    """Runs the benchmark; gives the exit code."""
+    parser_for(__doc__).parse_args(arguments)
+    print_table_header(
+        ["servers", "a request's decisions, us", "its counts", "ratio", "a record with its counts, us"]
+    )
+    for servers in SERVER_COUNTS:
+        bench = DecisionBench(servers)
+        counting = CountingBench(servers)
+        decided_us, counted_us, record_us = median_cpu_us(bench.request, counting.request, counting.record)
+        ratio = counted_us / decided_us
+        print_row(
+            [str(servers), f"{decided_us:.1f}", f"{counted_us:.2f}", f"{ratio:.3f}", f"{record_us:.0f}"]
+        )
+    return 0
 
 
 if __name__ == "__main__":
-    main()
+    sys.exit(main(sys.argv[1:]))
--- a/rainhitch/rehearsal/virtual/costs.py
+++ b/rainhitch/rehearsal/virtual/costs.py
@@ -1,8 +1,8 @@
 """What a router's callbacks cost, by kind.
 
-The proportions and the spread were measured by `python -m benchmarks.callbacks lunch` on asyncio's loop,
+The proportions and the spread were measured by `python -m benchmarks callbacks lunch` on asyncio's loop,
 where a router is nearly idle; all are taken times 0.35, so that a served request costs the 266 us that a busy
-router on uvloop takes (`python -m benchmarks.refusals`). `scale` makes a slower or quicker core of it. A cost
+router on uvloop takes (`python -m benchmarks refusals`). `scale` makes a slower or quicker core of it. A cost
 is drawn from a lognormal about the median, so that a virtual day has the tail that a real router's loop has.
 """
 
@@ -24,7 +24,7 @@
     "connect": CallbackCost(23.5, 0.62),
     "timer": CallbackCost(24.6, 0.89),
     "task": CallbackCost(28.4, 1.28),
-    # from another router, with what reads it: `python -m benchmarks.advice`
+    # from another router, with what reads it: `python -m benchmarks gossip`
     "datagram": CallbackCost(33.0, 0.4),
     "other": CallbackCost(7.1, 0.68),
 }
--- a/tests/fleet/test_many_routers.py
+++ b/tests/fleet/test_many_routers.py
@@ -1,12 +1,12 @@
 """Sixty routers in virtual time: what is harmless in one and was not in all of them."""
 
-from benchmarks.fleet import in_share, played
+from benchmarks.fleet import Case, rejected_within_quota, run_case
 
 
 def test_sixty_routers_do_not_talk_one_another_out_of_idle_servers() -> None:
     """Guards against a collapse with no fault at all: each full connection table was told to all as a slow
     server, who is slow was asked no more, and so all stayed slow while they idled. Service was 0.80."""
-    service, broken, whole = played(60, "calm", lost=0.0, seed=1, length_s=4.0)
+    service, broken, whole = run_case(Case("calm", 0.0, 60), seed=1, length_s=4.0)
     assert service > 0.92 and not broken
-    assert in_share(whole) < 0.02 * whole.taken
+    assert rejected_within_quota(whole) < 0.02 * whole.taken
     assert whole.counts["words"]["heard"] > 40 * whole.counts["words"]["told"]
