--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -22,24 +22,31 @@
         return "done"
 
     def health(self) -> str:
+        """As `AdminCommands.health`; notes the call."""
         return self._do("health")
 
     def metrics(self) -> list[str]:
+        """Two metrics."""
         return ["app.active:1|g", "app.tries:2|c"]
 
     def cordon(self, server: str) -> str:
+        """As `AdminCommands.cordon`; notes the call."""
         return self._do("cordon", server)
 
     def uncordon(self, server: str) -> str:
+        """As `AdminCommands.uncordon`; notes the call."""
         return self._do("uncordon", server)
 
     def quiesce(self) -> str:
+        """As `AdminCommands.quiesce`; notes the call."""
         return self._do("quiesce")
 
     def resume(self) -> str:
+        """As `AdminCommands.resume`; notes the call."""
         return self._do("resume")
 
     def routers(self) -> str:
+        """As `AdminCommands.routers`; notes the call."""
         return self._do("routers")
 
 
@@ -60,15 +67,15 @@
 )
 def test_what_is_no_command_is_rejected_and_does_nothing(line: bytes) -> None:
     hands = Scripted()
-    told = answer(line, hands)
-    assert told.startswith(b"ERR ") and told.endswith(b"\n") and not hands.asked
+    reply = answer(line, hands)
+    assert reply.startswith(b"ERR ") and reply.endswith(b"\n") and not hands.asked
 
 
 @given(st.binary(max_size=64))
 def test_any_line_gets_one_reply_of_the_protocols_form(line: bytes) -> None:
-    told = answer(line, Scripted())
-    assert told.startswith((b"OK", b"ERR ")) or line.split() == [b"counters"]
-    assert told.endswith(b"\n") and (told.count(b"\n") == 1 or line.split() == [b"counters"])
+    reply = answer(line, Scripted())
+    assert reply.startswith((b"OK", b"ERR ")) or line.split() == [b"counters"]
+    assert reply.endswith(b"\n") and (reply.count(b"\n") == 1 or line.split() == [b"counters"])
 
 
 def test_every_documented_command_exists() -> None:
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -25,9 +25,9 @@
     async with asyncio.timeout(PATIENCE):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(line + b"\n")
-        told = await reader.read()
+        reply = await reader.read()
         writer.close()
-    return told.decode().splitlines()
+    return reply.decode().splitlines()
 
 
 @contextlib.asynccontextmanager
@@ -56,10 +56,10 @@
         assert await served(bench, caller, b"i1") == b"v"
         caller.get(name=b"i2")
         await caller.answer()
-        told = dict(line.split(":") for line in (await call(address, b"counters"))[:-1])
-        assert told["app.responses.0.ok"] == "1|c" and told["app.responses.0.shed"] == "1|c"
-        assert told["app.active"] == "0|g" and told["app.pool_size"] == "1|g"
-        assert int(told["app.tries"].split("|")[0]) == len(bench.cache.got) + len(bench.origin.got)
+        metrics = dict(line.split(":") for line in (await call(address, b"counters"))[:-1])
+        assert metrics["app.responses.0.ok"] == "1|c" and metrics["app.responses.0.shed"] == "1|c"
+        assert metrics["app.active"] == "0|g" and metrics["app.pool_size"] == "1|g"
+        assert int(metrics["app.tries"].split("|")[0]) == len(bench.cache.got) + len(bench.origin.got)
 
 
 async def test_silent_callers_delay_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -178,8 +178,10 @@
 
 
 async def test_an_upgrade_loses_no_request_and_keeps_the_cordons(tmp_path: Path) -> None:
-    """Two processes on one inherited socket and one folder; the first is told to stop once the second is
-    ready, while a client asks all the time."""
+    """Two processes share one inherited socket and one folder, while a client asks all the time.
+
+    The first is stopped once the second is ready.
+    """
     cache = Web(lambda asked, line: http(500))
     agent = Web(lambda asked, line: http(200, json.dumps(listing(2, *entries)).encode()))
     for peer in (cache, agent):
@@ -209,9 +211,9 @@
         async def ping() -> bool:
             reader, writer = await asyncio.open_connection(*held.getsockname())
             writer.write(command(b"PING"))
-            told = await reader.read(64)
+            received = await reader.read(64)
             writer.close()
-            return told == b"+PONG\r\n"
+            return received == b"+PONG\r\n"
 
         old = await start()
         try:
@@ -250,9 +252,11 @@
     running = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "rainhitch", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
     )
-    _, told = await asyncio.wait_for(running.communicate(), PATIENCE)
+    _, received = await asyncio.wait_for(running.communicate(), PATIENCE)
     assert (
-        running.returncode == 2 and told.decode().count("\n") == 1 and "BALANCER_SOCKET_FD" in told.decode()
+        running.returncode == 2
+        and received.decode().count("\n") == 1
+        and "BALANCER_SOCKET_FD" in received.decode()
     )
 
 
--- a/tests/fleet/test_peer_judgements.py
+++ b/tests/fleet/test_peer_judgements.py
@@ -62,8 +62,10 @@
 
 
 def latency(believed: bool) -> float:
-    """What a router expects of a server that answers it in 100 ms, while one other says 20 s in each
-    period."""
+    """The latency, ns, that a router expects of a server that answers it in 100 ms.
+
+    One other router says 20 s in each period.
+    """
     router = Router(settings(router_count=40, gossip_interval_ns=200 * MILLI))
     judgements = PeerJudgements(ME)
     server = router.balancer.servers.servers["c0"]
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -28,6 +28,7 @@
     """A day that keeps what its routers wrote, and asks them now and then what they believe."""
 
     def router(self, number: int, config: Json) -> RouterProcess:
+        """Makes a router's process, with an operators' endpoint that is asked later."""
         if not hasattr(self, "admins"):
             self.admins: list[tuple[str, int]] = []
             self.views: list[tuple[float, list[Json]]] = []  # seconds from the first scored one; by router
@@ -248,8 +249,11 @@
 def test_processes_a_tenant_within_its_quota_is_not_over_quota_where_its_load_comes_to_one_router(
     ledgers: dict[str, Json],
 ) -> None:
-    """Three processes; all of a small customer's load comes to one, and words are lost at times, doubled and
-    late. With the counts next to nothing of it is taken to be beyond its share; without them much is."""
+    """Three processes; all of a small tenant's load comes to one of them.
+
+    Datagrams are lost at times, doubled and late. With the counts next to nothing of it is taken to be beyond
+    its share; without them much is.
+    """
     assert beyond(ledgers["counted"], "xinzhu-textile") <= 0.05
     assert beyond(ledgers["not counted"], "xinzhu-textile") > 0.2
 
@@ -285,9 +289,12 @@
 
 
 def test_processes_start_no_attempt_for_clients_that_left(ledgers: dict[str, Json]) -> None:
-    """Half of the clients leave early, as a server is silent, a link slow, the database jammed and a router
-    told to end: no attempt, first or further, comes to any server for one that has been gone for so long that
-    a slow machine can't explain it. On an idle one none comes after its client has left."""
+    """Half of the clients leave early: no attempt starts for one that has been gone for long.
+
+    Meanwhile a server is silent, a link slow, the database congested and a router is shut down. No attempt,
+    first or later, comes to any server for a client that has been gone for so long that a slow machine can't
+    explain it. On an idle machine none comes after its client has left.
+    """
     parts = ledgers["left"]["parts"]
     clients = [one for name, rows in parts.items() if name[:7] == "clients" for one in rows["sent"]]
     left = {one["id"]: one["left"] for one in clients if one["left"]}
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -92,8 +92,10 @@
     ("routers", "seeds", "least"), [(2, 10, 100_000), (3, 10, 150_000), (12, 3, 150_000)]
 )
 def test_the_sum_stays_within_the_quota_through_any_faults(routers: int, seeds: int, least: int) -> None:
-    """Half a million units asked for, over schedules of loss, delay, doubling, cuts, stops, deaths and
-    starts."""
+    """Half a million units are asked for, over schedules of faults.
+
+    These are loss, delay, doubling, cuts, stops, deaths and starts.
+    """
     asked = 0
     for seed in range(seeds):
         meter, network = chaos(seed, 120, routers)
--- a/tests/ground/test_operator_config.py
+++ b/tests/ground/test_operator_config.py
@@ -27,9 +27,9 @@
 
 
 def test_the_example_shows_each_key_with_its_default() -> None:
-    told = load(EXAMPLE)
+    tables = load(EXAMPLE)
     assert read_operator_config(EXAMPLE) == OperatorConfig()
-    shown = {name: set(table) for name, table in told.items()}
+    shown = {name: set(table) for name, table in tables.items()}
     whole = dataclasses.asdict(OperatorConfig())
     assert shown == {name: set(table) for name, table in whole.items()}
 
@@ -83,8 +83,8 @@
 @given(st.dictionaries(st.sampled_from(["clients", "servers", "x"]), VALUES))
 def test_any_value_is_accepted_or_reported_in_one_line(source: dict[str, Any]) -> None:
     problems: list[str] = []
-    told = read(OperatorConfig, source, "f", problems)
-    assert (told is None) == bool(problems)
+    config = read(OperatorConfig, source, "f", problems)
+    assert (config is None) == bool(problems)
     assert all("\n" not in line and line.startswith("f: ") for line in problems)
 
 
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize(("kind", "key"), [("operator", "clients"), ("scenario", "faults")])
 def test_editors_get_a_schema_with_each_key_and_what_it_is_for(kind: str, key: str) -> None:
-    told = json.loads(program(dict(os.environ), "schema", kind).stdout)
-    assert key in told["properties"] and told["additionalProperties"] is False
-    keys = [one for made in told["$defs"].values() for one in made["properties"].values()]
+    schema = json.loads(program(dict(os.environ), "schema", kind).stdout)
+    assert key in schema["properties"] and schema["additionalProperties"] is False
+    keys = [one for made in schema["$defs"].values() for one in made["properties"].values()]
     assert len(keys) > 20 and all(one.get("description") for one in keys)
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -18,7 +18,7 @@
 Json = dict[str, Any]
 
 
-def told(site: Json) -> Json:
+def router_info(site: Json) -> Json:
     """The settings that a router of such a site is told, by the words of the wire's first message."""
     [tier] = site["tier"]
     rules, allow, link = site["rules"], site["allow"], tier["conn"]
@@ -67,7 +67,7 @@
 
 
 def test_the_sites_are_far_apart() -> None:
-    read = [read_settings(told(tomllib.loads(path.read_text()))) for path in SITES]
+    read = [read_settings(router_info(tomllib.loads(path.read_text()))) for path in SITES]
     assert len(read) >= 2
     longest = sorted(max(one.deadline_ns for one in settings.classes) for settings in read)
     assert longest[0] < SECOND and longest[-1] > 10 * SECOND
@@ -77,7 +77,11 @@
 
 
 def test_a_sites_settings_are_read_whole(site: Json) -> None:
-    settings, names, ceilings = read_settings(told(site)), read_names(told(site)), read_ceilings(told(site))
+    settings, names, ceilings = (
+        read_settings(router_info(site)),
+        read_names(router_info(site)),
+        read_ceilings(router_info(site)),
+    )
     assert list(names.classes) == [one["name"] for one in site["class"]]
     assert list(names.tenants) == [one["name"] for one in site["tenant"]]
     assert list(names.zones) == site["net"]["zones"]
@@ -89,7 +93,7 @@
 
 
 def test_each_class_of_a_site_is_served_and_rejected_or_failed_as_its_idempotency_allows(site: Json) -> None:
-    options = read_settings(told(site))
+    options = read_settings(router_info(site))
     kinds = len(site["tier"][0]["kind"])
     members = [api.Endpoint(f"c{n}", kind=n % kinds, zone=n % 2) for n in range(4)]
     router = Router(options, [*members, api.Endpoint("origin", kind=kinds)])
--- /dev/null
+++ b/tests/node/test_client_connection.py
@@ -0,0 +1,78 @@
+"""One client's connection: turns, memory, and what comes after the last answer, over loopback sockets."""
+
+import pytest
+from peers import hit, router, soon
+
+from rainhitch.node import client_connection as client_module
+from rainhitch.node import client_socket
+from rainhitch.node.client_connection import ClientConnection
+from rainhitch.protocol import resp
+
+
+async def test_what_is_read_after_the_last_answer_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that went on sending after its last answer was read at full speed for a second."""
+    monkeypatch.setattr(client_socket, "MAX_LINGER_BYTES", 1 << 16)
+    async with router() as bench:
+        caller = await bench.caller()
+        caller.writer.write(b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$5\r\nc=put\r\n$62914560\r\n")
+        (client,) = await soon(lambda: list(bench.clients.open))
+        caller.writer.write(bytes(16 << 20))
+        assert str(await caller.answer()) == "ERR Protocol error: invalid or oversized length"
+        await soon(lambda: client not in bench.clients.open)
+        assert client.lingered_bytes <= (1 << 16) + (256 << 10)
+        assert not bench.clients.activity.lingering and bench.clients.buffered_bytes == 0
+
+
+async def test_hundreds_of_commands_at_once_do_not_starve_other_clients() -> None:
+    """A client sends a thousand commands at once: no more than a few of them are handled in one turn."""
+    async with router() as bench:
+        greedy, usual = await bench.caller(), await bench.caller()
+        usual.send(b"PING")
+        assert await usual.answer() == b"PONG"
+        turns: list[int] = []
+        handle_commands = ClientConnection._handle_commands
+
+        def counted(self: ClientConnection, max_commands: int) -> int:
+            turns.append(handle_commands(self, max_commands))
+            return turns[-1]
+
+        ClientConnection._handle_commands = counted  # type: ignore[method-assign]
+        try:
+            greedy.writer.write(resp.command(b"PING") * 1000)
+            for _ in range(1000):
+                assert await greedy.answer() == b"PONG"
+        finally:
+            ClientConnection._handle_commands = handle_commands  # type: ignore[method-assign]
+        assert max(turns) <= client_module.MAX_COMMANDS_PER_TURN and sum(turns) == 1000
+
+
+async def test_answers_whose_turn_has_not_come_are_counted_and_bounded() -> None:
+    """Behind one slow answer, others piled up uncounted.
+
+    They count against the limit, and those for which there is no memory fail.
+    """
+    value = bytes(60_000)
+
+    async with router(
+        lambda asked, line: None if asked[2] == b"slow" else hit(value), memory=200_000
+    ) as bench:
+        caller = await bench.caller()
+        caller.get(name=b"slow")
+        seen = ["slow"]
+        for n in range(8):
+            seen.append(f"i{n}")
+            caller.get(name=b"i%d" % n)
+            await soon(lambda: len(bench.cache.got) == len(seen) and len(bench.driver.requests) == 1)
+        assert bench.clients.buffered_bytes <= 200_000
+        bench.cache.lines[0].write(hit(b"at last"))
+        answers = [await caller.answer() for _ in range(9)]
+        assert answers[0] == b"at last" and answers.count(value) == 3
+        assert [str(one) for one in answers[1:] if one != value] == ["ERR failed"] * 5
+        await soon(lambda: bench.clients.buffered_bytes == 0)
+
+
+async def test_a_command_without_parts_gets_an_error() -> None:
+    async with router() as bench:
+        caller = await bench.caller()
+        caller.writer.write(b"*0\r\n")
+        assert str(await caller.answer()).startswith("ERR ")
--- /dev/null
+++ b/tests/node/test_client_connections.py
@@ -0,0 +1,156 @@
+"""Which clients are admitted and which connections are closed to make room, over loopback sockets."""
+
+import asyncio
+
+import pytest
+from peers import hit, router, soon
+
+from rainhitch.node import client_connections, connection_pool
+from rainhitch.node.client_connection import ClientConnection
+from rainhitch.protocol import resp
+
+INFO = b"c=read,t=acme,d=9000"
+ONCE = b"c=once,t=acme,d=9000"
+
+
+@pytest.mark.parametrize("sent", [b"", b"*2\r\n$5\r\nC.G", b"*"])
+async def test_a_client_that_sends_no_whole_command_gets_an_error_in_time(
+    monkeypatch: pytest.MonkeyPatch, sent: bytes
+) -> None:
+    """Connections that sent nothing, or half a command, were kept for good.
+
+    Such a client gets an error within the limit; another one is served meanwhile.
+    """
+    monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
+    async with router() as bench:
+        caller = await bench.caller()
+        caller.writer.write(sent)
+        usual = await bench.caller()
+        usual.get()
+        assert await usual.answer() == b"v"
+        assert str(await caller.answer()) == "ERR no whole command in time"
+        assert await caller.answer() is None
+        usual.get(name=b"i2")
+        assert await usual.answer() == b"v"
+
+
+async def test_sending_byte_by_byte_gains_a_client_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
+    async with router() as bench:
+        caller = await bench.caller()
+        caller.get()
+        assert await caller.answer() == b"v"
+
+        async def dribble() -> None:
+            for byte in resp.command(b"C.GET", b"k" * 200, b"i2", INFO):
+                caller.writer.write(bytes([byte]))
+                await asyncio.sleep(0.02)
+
+        task = asyncio.create_task(dribble())
+        assert str(await caller.answer()) == "ERR no whole command in time"
+        task.cancel()
+
+
+async def test_at_the_cap_the_longest_idle_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A new client was rejected while others had sent one request and stayed.
+
+    The longest idle connection is closed for it; one with a request in flight is not.
+    """
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
+    async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=3) as bench:
+        busy = await bench.caller()
+        busy.get(name=b"open")
+        await soon(lambda: bench.cache.got)
+        first, second = await bench.caller(), await bench.caller()
+        for n, one in enumerate((first, second)):
+            one.get(name=b"i%d" % n)
+            assert await one.answer() == b"v"
+        late = await bench.caller()
+        late.get(name=b"late")
+        assert await late.answer() == b"v"
+        assert await first.answer() is None
+        second.get(name=b"i3")
+        assert await second.answer() == b"v"
+        bench.cache.lines[0].write(hit(b"open"))
+        assert await busy.answer() == b"open"
+
+
+async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients ran out of connections of their own while those they had were idle here.
+
+    Past half of the cap, idle connections are closed.
+    """
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.2)
+    async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=6) as bench:
+        busy = await bench.caller()
+        busy.get(name=b"open")
+        await soon(lambda: bench.cache.got)
+        others = [await bench.caller() for _ in range(4)]
+        for n, one in enumerate(others):
+            one.get(name=b"i%d" % n)
+            assert await one.answer() == b"v"
+        assert [await one.answer() for one in others[:2]] == [None, None]
+        bench.cache.lines[0].write(hit(b"open"))
+        assert await busy.answer() == b"open"
+
+
+async def test_clients_may_use_the_descriptors_that_the_servers_side_leaves() -> None:
+    """Clients were rejected at half of the descriptors while a third of them was free.
+
+    Clients may use what the servers' side leaves, and both sides together no more than there are.
+    """
+    async with router(sockets=2) as bench:
+        bench.clients.idle_s = bench.clients.at_need_s = 3600  # who is idle makes room for nobody
+        bench.pools.descriptors.shared = 4
+        bench.pools.descriptors.reserved_upstream = 0
+        many = [await bench.caller() for _ in range(4)]
+        for one in many:
+            one.send(b"PING")
+            assert await one.answer() == b"PONG"
+        assert str(await (await bench.caller()).answer()) == "BUSY"
+        many[0].get(info=ONCE)  # nothing is left for a connection to a server
+        assert str(await many[0].answer()).startswith("BUSY") and not bench.cache.lines
+        many[1].writer.close()
+        await soon(lambda: len(bench.clients.open) == 3)
+        many[0].get(name=b"i2")
+        assert await many[0].answer() == b"v"
+        assert str(await (await bench.caller()).answer()) == "BUSY"
+
+
+async def test_an_idle_connection_to_a_server_makes_room_for_a_client(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """New clients were rejected while half of the connections to servers were idle.
+
+    One of those is closed for a new client, down to two thirds of their cap.
+    """
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 60.0)  # so that each request opens another
+    async with router(sockets=3) as bench:
+        bench.pools.descriptors.shared = 6  # as many as both sides' caps, and no more for either
+        for n in range(3):
+            caller = await bench.caller()
+            caller.get(name=b"i%d" % n)
+            assert await caller.answer() == b"v"
+        assert bench.pools.open() == 3
+        await (await bench.caller()).answer_to_ping()
+        assert bench.pools.open() == 2  # and no more than two thirds are given up
+        assert str(await (await bench.caller()).answer()) == "BUSY"
+
+
+async def test_a_connection_with_unread_bytes_is_not_closed_to_make_room(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A request that lay unread in the socket would be lost with its connection."""
+    monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
+    async with router(sockets=1) as bench:
+        caller = await bench.caller()
+        caller.get()
+        assert await caller.answer() == b"v"
+        (one,) = bench.clients.open
+        taken = bench.clients.activity.idle.copy()
+        assert list(taken) == [one] and not one.has_unread_bytes()
+        caller.get(name=b"i2")
+        raw = caller.writer.get_extra_info("socket")
+        assert raw is not None and one.has_unread_bytes()
+        assert not bench.clients.admit(ClientConnection(bench.clients))
+        assert await caller.answer() == b"v"
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -202,10 +202,10 @@
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 700)
         line.write(hit())
         held = await soon(lambda: bench.driver.requests.get("behind") or bench.cache.got[-1][2] == b"behind")
-        told = (
+        info_list = (
             bench.cache.got[-1][3]
             if held is True
             else held.client_request.info_for(held.client_request.wait_ms * NS_PER_MS)
         )
-        assert int(told.rpartition(b"d=")[2]) > 900 - 100
+        assert int(info_list.rpartition(b"d=")[2]) > 900 - 100
         raw.close()
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -102,9 +102,9 @@
     await cache.start()
     await second.start()
     c0, c1 = (entry(f"c{n}", one.address, boot_ms=1) for n, one in enumerate((cache, second)))
-    told = [whole_list(50, c0)], [whole_list(3, {**c0, "state": "Terminating"}, c1)]
-    old = Web(lambda asked, line: told[0].pop() if told[0] else None)
-    new = Web(lambda asked, line: told[1].pop() if told[1] else None)
+    lists = [whole_list(50, c0)], [whole_list(3, {**c0, "state": "Terminating"}, c1)]
+    old = Web(lambda asked, line: lists[0].pop() if lists[0] else None)
+    new = Web(lambda asked, line: lists[1].pop() if lists[1] else None)
     await old.start()
     await new.start()
     running = await program(configuration(tmp_path, discovery=old.address))
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -157,11 +157,11 @@
     can't be written within the window must never be: its server may have forgotten the first attempt.
     """
     async with two_servers(monkeypatch) as (bench, _, connects):
-        now, told = [bench.driver.clock.now()], []
+        now, events = [bench.driver.clock.now()], []
         monkeypatch.setattr(bench.driver.clock, "now", lambda: now[0])
 
         def decide(at: int, event: api.Event) -> list[api.Action]:
-            told.append(event)
+            events.append(event)
             if isinstance(event, api.Request):
                 return [api.StartAttempt(event.id, "c0", 0, write_within_ns=50_000_000)]
             return [api.Fail(event.id)] if isinstance(event, api.AttemptFinished) else []
@@ -174,7 +174,7 @@
         await connects.let_through()
         assert str(await caller.answer()) == "ERR failed"
         assert not bench.cache.got
-        outcome = next(event for event in told if isinstance(event, api.AttemptFinished))
+        outcome = next(event for event in events if isinstance(event, api.AttemptFinished))
         assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
 
 
@@ -325,10 +325,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with router() as bench:
-        told: list[api.Event] = []
+        events: list[api.Event] = []
 
         def decide(at: int, event: api.Event) -> list[api.Action]:
-            told.append(event)
+            events.append(event)
             if isinstance(event, api.Request):
                 return [api.StartAttempt(event.id, "c0", 0, write_within_ns=200_000_000)]
             return [api.Fail(event.id)] if isinstance(event, api.AttemptFinished) else []
@@ -340,7 +340,7 @@
         server = NotReading(bench, monkeypatch)
         caller = await server.half_written()
         assert str(await caller.answer()) == "ERR failed"
-        outcome = next(event for event in told if isinstance(event, api.AttemptFinished))
+        outcome = next(event for event in events if isinstance(event, api.AttemptFinished))
         assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
         assert await asyncio.to_thread(server.got) < len(LARGE)
         server.listener.close()
@@ -450,12 +450,12 @@
     """
     async with router(lambda asked, line: None) as bench:
         now = [bench.driver.clock.now()]
-        told: list[api.AttemptFinished] = []
+        finished: list[api.AttemptFinished] = []
         monkeypatch.setattr(bench.driver.clock, "now", lambda: now[0])
 
         def decide(at: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.AttemptFinished):
-                told.append(event)
+                finished.append(event)
             return [api.StartAttempt(event.id, "c0")] if isinstance(event, api.Request) else []
 
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
@@ -465,8 +465,8 @@
         [connection] = bench.pools.pools["c0"].all
         now[0] += 4_000_000_000
         connection.data_received(hit())
-        await soon(lambda: told)
-        assert told[0].elapsed_ns < 1_000_000_000
+        await soon(lambda: finished)
+        assert finished[0].elapsed_ns < 1_000_000_000
 
 
 async def test_a_request_read_first_after_a_pause_is_charged_with_the_time_it_lay_unread(
@@ -584,10 +584,10 @@
 
     With a deadline of half a second that was before the 2.2 s for which the router went on taking requests.
     """
-    told = info()
-    for one in told["classes"]:
+    configured = info()
+    for one in configured["classes"]:
         one["aim"], one["deadline"] = 200_000_000, 400_000_000
-    service = Router(parse_configuration({**CONFIG, "settings": told}, "x"))
+    service = Router(parse_configuration({**CONFIG, "settings": configured}, "x"))
     await service.start()
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
--- /dev/null
+++ b/tests/node/test_rejected_connection.py
@@ -0,0 +1,38 @@
+"""Clients for which there is no room get their answer, over loopback sockets."""
+
+from peers import router, soon
+
+from rainhitch.node import rejected_connection
+from rainhitch.node.client_events import ClientEvent
+
+
+async def test_a_rejected_client_gets_its_answer_though_its_commands_are_unread() -> None:
+    """A close with commands unread is a reset, which can overtake the answer.
+
+    The client then has none, though its command was read.
+    """
+    async with router(sockets=1) as bench:
+        bench.clients.idle_s = bench.clients.at_need_s = 3600.0  # a slow machine makes no room for the late
+        await (await bench.caller()).answer_to_ping()
+        for n in range(20):
+            late = await bench.caller()
+            for _ in range(4):
+                late.get(name=b"late%d" % n)
+            assert str(await late.answer()) == "BUSY"
+            assert await late.answer() is None
+        await soon(lambda: bench.driver.metrics.rejected[0] == 20)  # each was refused, if at the door
+        await soon(
+            lambda: len(bench.clients.rejected.connections) <= rejected_connection.MAX_REJECTED_CONNECTIONS
+        )
+        assert len(bench.clients.open) == 1 and not bench.cache.got
+
+
+async def test_the_number_of_rejected_connections_kept_open_is_bounded() -> None:
+    async with router(sockets=1) as bench:
+        bench.clients.idle_s = bench.clients.at_need_s = 3600  # the first one makes room for nobody
+        await (await bench.caller()).answer_to_ping()
+        many = [await bench.caller() for _ in range(3 * rejected_connection.MAX_REJECTED_CONNECTIONS)]
+        await soon(lambda: bench.clients.events.counts[ClientEvent.REJECTED] == len(many))
+        await soon(
+            lambda: len(bench.clients.rejected.connections) <= rejected_connection.MAX_REJECTED_CONNECTIONS
+        )
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -64,8 +64,8 @@
         await asyncio.sleep(0.3)
         bench.cache.lines[0].write(MISS)
         assert await caller.answer() == b"from origin"
-        told = bench.origin.got[0][2][b"x-call-info"]
-        assert 0 < int(told.rpartition(b"d=")[2]) <= 9000 - 300 - ANSWER_DELIVERY_NS // 1_000_000
+        info_list = bench.origin.got[0][2][b"x-call-info"]
+        assert 0 < int(info_list.rpartition(b"d=")[2]) <= 9000 - 300 - ANSWER_DELIVERY_NS // 1_000_000
 
 
 async def test_a_write_goes_to_the_origin_only() -> None:
--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -51,8 +51,8 @@
     storm(router, overload)
     overload.concurrency_limit.limit = 3.0
     assert not rejections(router.request("a")[1]) and not rejections(router.request("b")[1])
-    told = [rejections(router.request(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
-    assert all(0 < one <= 2 * SECOND for one in told) and len(set(told)) == 5
+    retry_after_ns = [rejections(router.request(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
+    assert all(0 < one <= 2 * SECOND for one in retry_after_ns) and len(set(retry_after_ns)) == 5
 
 
 def test_outside_a_storm_the_limit_rejects_nothing() -> None:
--- a/tests/overload/test_storms_on_sockets.py
+++ b/tests/overload/test_storms_on_sockets.py
@@ -35,12 +35,12 @@
     async with router(sockets=2, retryAfter=True, maxRetryAfter=2_000_000_000) as bench:
         for _ in range(2):
             await (await bench.caller()).answer_to_ping()
-        told = []
+        answers = []
         for _ in range(3):
             caller = await bench.caller()
-            told.append(str(await caller.answer()))
-        times = [int(one.split(" ")[1]) for one in told]
-        assert all(one.startswith("BUSY ") for one in told) and all(0 < one <= 2000 for one in times)
+            answers.append(str(await caller.answer()))
+        times = [int(one.split(" ")[1]) for one in answers]
+        assert all(one.startswith("BUSY ") for one in answers) and all(0 < one <= 2000 for one in times)
         assert len(set(times)) > 1
 
 
@@ -84,8 +84,10 @@
 async def test_a_new_client_past_half_of_the_cap_closes_the_longest_idle_connection(
     monkeypatch: pytest.MonkeyPatch, asked: int, go: int
 ) -> None:
-    """Clients that keep what they open ran out of connections of their own, long before the cap here; those
-    that ask once and stay never grew fewer, with one going for one that came."""
+    """Clients that keep what they open ran out of connections of their own, long before the cap here.
+
+    Those that ask once and stay never grew fewer, with one closed for each that came.
+    """
     monkeypatch.setattr(client_connections, "IDLE_GRACE_NEAR_CAP_S", 0.05)
     async with router(sockets=8) as bench:
         old = [await bench.caller() for _ in range(5)]
--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -25,8 +25,8 @@
         assert all(router.balancer.servers.servers[name].latency.average_ns <= before for name in tried)
     assert len(tried) == 3
     router.end_attempt(send, S.OK, 3, 80 * MILLI)
-    told = [one for one in router.wait(3 * SECOND) if isinstance(one, api.PublishGossip)]
-    assert [seen.server for one in told for seen in one.observations] == [send.server]  # type: ignore[union-attr]
+    published = [one for one in router.wait(3 * SECOND) if isinstance(one, api.PublishGossip)]
+    assert [seen.server for one in published for seen in one.observations] == [send.server]  # type: ignore[union-attr]
 
 
 def test_a_full_queue_is_overload() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -617,8 +617,8 @@
 
 
 def test_rejections_have_a_retry_after_time_only_where_the_settings_allow_it() -> None:
-    told = Router(settings(retry_after_allowed=True, max_retry_after_ns=SECOND // 2), [])
-    assert told.request()[1] == [api.Reject("r1", SECOND // 2)]
+    router = Router(settings(retry_after_allowed=True, max_retry_after_ns=SECOND // 2), [])
+    assert router.request()[1] == [api.Reject("r1", SECOND // 2)]
     assert Router(endpoints=[]).request()[1] == [api.Reject("r1", 0)]
 
 
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -26,8 +26,10 @@
 
 
 def router_with_late_attempt(goes_on: bool = True) -> tuple[Router, api.StartAttempt, Server]:
-    """A router that gossips, with one attempt in flight at a server known to answer in 100 ms, which goes on
-    answering what was sent earlier if `goes_on`."""
+    """A router that gossips, with one attempt in flight.
+
+    Its server is known to answer in 100 ms, and goes on answering what was sent earlier if `goes_on`.
+    """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=60), fleet(2))
     router.handle(api.GossipReceived([api.LatencyObservation(f"c{n}", SECOND // 10) for n in (0, 1)]))
     _, (send,) = router.request("k")
@@ -40,8 +42,10 @@
 
 def ages_published(actions: list[api.Action], name: str) -> list[int]:
     """The ages that were gossiped of attempts in flight at this server."""
-    told = [seen for one in actions if isinstance(one, api.PublishGossip) for seen in one.observations]
-    return [seen.elapsed_ns for seen in told if seen.server == name and seen.is_in_flight]
+    observations = [
+        seen for one in actions if isinstance(one, api.PublishGossip) for seen in one.observations
+    ]
+    return [seen.elapsed_ns for seen in observations if seen.server == name and seen.is_in_flight]
 
 
 def test_an_overdue_attempt_is_published_before_its_answer_comes() -> None:
@@ -54,8 +58,8 @@
     router, send, server = router_with_late_attempt()
     before = server.latency.average_ns
     assert ages_published(router.wait(100 * MILLI), send.server) == [] and server.latency.average_ns == before
-    told = ages_published(router.wait(1500 * MILLI), send.server)
-    assert told and max(told) > SECOND and server.latency.average_ns > 2 * before
+    ages_ns = ages_published(router.wait(1500 * MILLI), send.server)
+    assert ages_ns and max(ages_ns) > SECOND and server.latency.average_ns > 2 * before
     router.end_attempt(send, S.OK, 0, 1650 * MILLI)
     assert ages_published(router.wait(3 * SECOND), send.server) == []
     assert not router.balancer.servers.gossip.in_flight
@@ -138,9 +142,11 @@
 
 @pytest.mark.parametrize("is_in_flight", [False, True])
 def test_a_lost_answer_is_no_overload_where_another_router_got_a_later_one(is_in_flight: bool) -> None:
-    """Answers were lost on the way; each was gossiped as overdue until its time-out by a router that sends
-    the server little, and three in four healthy servers got no more requests. Gossip of a later answer has to
-    stop that."""
+    """Answers were lost on the way, and three in four healthy servers got no more requests.
+
+    Each lost answer was gossiped as overdue until its timeout, by a router that sends the server little.
+    Gossip of a later answer has to stop that.
+    """
     router, send, server = router_with_late_attempt()
     router.wait(600 * MILLI)
     server.latency.average_ns, server.latency.uncrowded_ns = SECOND / 10, SECOND / 10
--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -17,13 +17,13 @@
     return Router(settings(router_count=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
 
 
-def marked(router: Router, rate: int, seconds: int, told: list[float] | None) -> float:
+def marked(router: Router, rate: int, seconds: int, fractions: list[float] | None) -> float:
     """Which part of the second customer's requests is taken to be beyond its share."""
     beyond = 0
     for n in range(rate * seconds):
         router.wait(SECOND // rate)
-        if told is not None:
-            router.handle(api.TrafficFractions(told, SECOND))
+        if fractions is not None:
+            router.handle(api.TrafficFractions(fractions, SECOND))
         beyond += router.balancer.tenant_quotas.is_over_quota(api.Request(str(n), 0, 0, "k", tenant=1))
     return beyond / (rate * seconds)
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -211,9 +211,11 @@
 
 
 def test_hundreds_of_routers_do_not_send_a_hot_key_to_a_starting_server_at_once() -> None:
-    """A hot key's range went to a starting server, and each of 200 routers had one token saved up when the
-    list told all of them: it got 1.59 times what is allowed. What is far beyond its budget has to be left to
-    chance."""
+    """A hot key's range went to a starting server: it got 1.59 times what is allowed.
+
+    Each of 200 routers had one token saved up when the list named it to all of them. What is far beyond its
+    budget has to be left to chance.
+    """
     fleet = StartingFleet(1, 200, 1.6, 0.6, restarted=0.7)
     fleet.run(7.0, 3.0)
     assert fleet.over() <= 1
