--- a/rainhitch/rehearsal/checker/cold_overload.py
+++ b/rainhitch/rehearsal/checker/cold_overload.py
@@ -104,7 +104,11 @@
 
 
 def _capacity_fraction(evidence: Evidence, uids: set[str], at_ns: int) -> float:
-    """The part of all nodes' capacity that these have at an instant; one that warms up has a part."""
+    """The part of all nodes' capacity that these have at an instant; one that warms up has a part.
+
+    Worked out here from the scenario, and not by the model of the fake nodes or the router's slow start: the
+    checker shares no code with what it checks.
+    """
     fleet = evidence.scenario["fleet"]
     whole = 0.0
     part = 0.0
--- a/rainhitch/rehearsal/checker/forbidden_retries.py
+++ b/rainhitch/rehearsal/checker/forbidden_retries.py
@@ -28,7 +28,7 @@
 )
 from rainhitch.rehearsal.checker.violations import TOLERANCE_NS, Rule, Violation, violation
 
-MAX_ATTEMPTS = 5  # of a request
+MAX_ATTEMPTS = 5  # of a request; the rule's own limit, not read from the settings that routers get
 
 
 def find_forbidden_retries(evidence: Evidence) -> Iterator[Violation]:
--- a/rainhitch/rehearsal/closed_loop_simulation.py
+++ b/rainhitch/rehearsal/closed_loop_simulation.py
@@ -4,6 +4,9 @@
 router only its public face (`handle(now, event) -> actions`). Servers share their cores among what they hold,
 reject what is beyond their table, and go on with what nobody waits for any more, which is what makes an
 overload last. Times are ns from 0.
+
+Its clients and servers are not those of `fakes`: they have no sockets, no records and no other fault than
+load, so that thousands of clients play in a second or two.
 """
 
 import heapq
--- a/rainhitch/rehearsal/environment.py
+++ b/rainhitch/rehearsal/environment.py
@@ -14,7 +14,13 @@
 import orjson
 
 from rainhitch import system
-from rainhitch.rehearsal.plan_model import MICROSECONDS_PER_SECOND, FaultAction, Plan
+from rainhitch.rehearsal.plan_model import (
+    MICROSECONDS_PER_SECOND,
+    NANOSECONDS_PER_MICROSECOND,
+    NANOSECONDS_PER_SECOND,
+    FaultAction,
+    Plan,
+)
 from rainhitch.rehearsal.router_configuration import (
     RouterIdentity,
     operator_config_of_scenario,
@@ -33,8 +39,6 @@
 LEAD_S = 0.6  # between all being ready and the prelude
 PROGRESS_INTERVAL_S = 0.25
 LONGEST_AFTER_END_S = 10  # beside two of the longest deadlines, that clients may take after the last arrival
-NANOSECONDS_PER_SECOND = 1_000_000_000
-NANOSECONDS_PER_MICROSECOND = 1_000
 BYTES_PER_MB = 1 << 20
 
 
--- a/rainhitch/rehearsal/faults.py
+++ b/rainhitch/rehearsal/faults.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from rainhitch import toml_schema
+from rainhitch import toml_schema as schema
 
 # By kind: which of `room`, `node`, `router` it needs, and which of the other keys have a meaning for it.
 KINDS: dict[str, tuple[str, ...]] = {
@@ -64,25 +64,25 @@
 class Fault:
     """One fault of a scenario. The fields are the keys of the file's `[[faults]]`."""
 
-    kind: str = toml_schema.text(toml_schema.REQUIRED, "what goes wrong", tuple(KINDS))
-    at_s: float = toml_schema.number(toml_schema.REQUIRED, 0, 3600, "when, from the first scored second")
-    for_s: float = toml_schema.number(0.0, 0, 3600, "for how long")
-    room: str = toml_schema.text("", "which room")
-    node: str = toml_schema.text("", "which node: ROOM-NUMBER")
-    router: int = toml_schema.whole(-1, 0, 299, "which router, from 0")
-    group: list[int] = toml_schema.numbers(
+    kind: str = schema.text(schema.REQUIRED, "what goes wrong", tuple(KINDS))
+    at_s: float = schema.number(schema.REQUIRED, 0, 3600, "when, from the first scored second")
+    for_s: float = schema.number(0.0, 0, 3600, "for how long")
+    room: str = schema.text("", "which room")
+    node: str = schema.text("", "which node: ROOM-NUMBER")
+    router: int = schema.whole(-1, 0, 299, "which router, from 0")
+    group: list[int] = schema.numbers(
         [], 0, 299, "routers-apart: which routers, from 0; the rest are the others"
     )
-    oneway: bool = toml_schema.flag(False, "routers-apart: only what the group sends is lost")
-    routers: bool = toml_schema.flag(True, "room-loss: its routers too")
-    share: float = toml_schema.number(0.1, 0, 1, "of all traffic, reads, messages or answers")
-    keys: int = toml_schema.whole(2, 1, 100, "hot-keys: how many")
-    away_s: float = toml_schema.number(
+    oneway: bool = schema.flag(False, "routers-apart: only what the group sends is lost")
+    routers: bool = schema.flag(True, "room-loss: its routers too")
+    share: float = schema.number(0.1, 0, 1, "of all traffic, reads, messages or answers")
+    keys: int = schema.whole(2, 1, 100, "hot-keys: how many")
+    away_s: float = schema.number(
         0.0, 0, 3600, "node-drain, node-upgrade: gone so long, then back cold; 0: for good"
     )
-    clients: int = toml_schema.whole(5000, 1, 100000, "reconnect-storm: so many connect anew and ask at once")
-    factor: float = toml_schema.number(4.0, 1, 1000, "database-slow: how many times slower")
-    delay_s: float = toml_schema.number(1.0, 0, 600, "how late")
+    clients: int = schema.whole(5000, 1, 100000, "reconnect-storm: so many connect anew and ask at once")
+    factor: float = schema.number(4.0, 1, 1000, "database-slow: how many times slower")
+    delay_s: float = schema.number(1.0, 0, 600, "how late")
 
     @property
     def until_s(self) -> float:
--- a/rainhitch/rehearsal/plain_router_protocol.py
+++ b/rainhitch/rehearsal/plain_router_protocol.py
@@ -1,6 +1,7 @@
 """What the plain router reads and writes: clients' requests, nodes' commands, and HTTP with the database.
 
-It shares no code with the router's own codecs, so that a mistake there does not hide itself in the yardstick.
+It shares no code with the router's own codecs, nor with the servers of `fakes`: a mistake of either would
+hide itself in the yardstick, which would then agree with it.
 """
 
 import asyncio
--- a/rainhitch/rehearsal/planned_requests.py
+++ b/rainhitch/rehearsal/planned_requests.py
@@ -74,12 +74,13 @@
 
 
 class CustomerQuotas:
-    """Which requests are beyond their customer's quota: a token bucket each, one second of its quota deep."""
+    """Which requests are beyond their customer's quota: a token bucket each, one second of its quota deep.
+
+    Not the router's bucket: the plan says what is beyond a quota without the code that is under test.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
-        whole_share = sum(customer.share for customer in scenario.customers)
-        if whole_share == 0:
-            whole_share = 1.0
+        whole_share = scenario.whole_customer_share()
         quotas = [
             scenario.traffic.quota_rps * customer.share / whole_share for customer in scenario.customers
         ]
--- a/rainhitch/rehearsal/router_faults.py
+++ b/rainhitch/rehearsal/router_faults.py
@@ -5,13 +5,18 @@
 from typing import Any
 
 from rainhitch import system
-from rainhitch.rehearsal.plan_model import MICROSECONDS_PER_SECOND, Command, Component, FaultAction
+from rainhitch.rehearsal.plan_model import (
+    MICROSECONDS_PER_SECOND,
+    NANOSECONDS_PER_MICROSECOND,
+    NANOSECONDS_PER_SECOND,
+    Command,
+    Component,
+    FaultAction,
+)
 from rainhitch.rehearsal.router_events import RouterEventKind
 from rainhitch.rehearsal.router_process import RouterProcess
 from rainhitch.rehearsal.worker_process import WorkerProcess
 
-NANOSECONDS_PER_SECOND = 1_000_000_000
-NANOSECONDS_PER_MICROSECOND = 1_000
 # Runs a coroutine as a task that the run waits for at its end.
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
--- a/rainhitch/rehearsal/router_settings.py
+++ b/rainhitch/rehearsal/router_settings.py
@@ -96,9 +96,7 @@
 
 def _tenants(scenario: Scenario) -> list[Json]:
     """The customers with their parts of the fleet and their quotas."""
-    whole_share = sum(customer.share for customer in scenario.customers)
-    if whole_share == 0:
-        whole_share = 1.0
+    whole_share = scenario.whole_customer_share()
     quota_per_share = scenario.traffic.quota_rps / whole_share
     return [
         {
--- a/rainhitch/rehearsal/scenario.py
+++ b/rainhitch/rehearsal/scenario.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from rainhitch import toml_schema
+from rainhitch import toml_schema as schema
 from rainhitch.rehearsal.faults import Fault, check_faults
 
 
@@ -21,29 +21,25 @@
 class Day:
     """The length of a run, and the limits of the routers: the table `[day]`."""
 
-    length_s: float = toml_schema.number(16.0, 1, 3600, "how long clients come")
-    prelude_s: float = toml_schema.number(
+    length_s: float = schema.number(16.0, 1, 3600, "how long clients come")
+    prelude_s: float = schema.number(
         4.0, 0.5, 60, "before it: each warm key is read once, at no cost; not scored"
     )
-    memory_mb: float = toml_schema.number(192.0, 32, 65536, "of each router, which ends over it")
-    sockets: int = toml_schema.whole(1024, 64, 1 << 20, "descriptors that each router may hold")
+    memory_mb: float = schema.number(192.0, 32, 65536, "of each router, which ends over it")
+    sockets: int = schema.whole(1024, 64, 1 << 20, "descriptors that each router may hold")
 
 
 @dataclass(slots=True)
 class NodeClass:
     """A class of cache nodes: a table of `[[fleet.nodes]]`."""
 
-    name: str = toml_schema.text(toml_schema.REQUIRED, "as the list names it")
-    count: int = toml_schema.whole(1, 1, 1000, "how many, dealt to the rooms in turn")
-    cores: int = toml_schema.whole(7, 1, 256, "cores at work")
-    speed: tuple[float, float] = toml_schema.pair((0.85, 1.1), 0.01, 100, "of a core, drawn for each node")
-    slots_per_core: int = toml_schema.whole(16, 1, 1024, "requests in work at once")
-    queue_per_core: float = toml_schema.number(
-        2.5, 0, 1024, "requests that wait; those beyond are turned away"
-    )
-    table_per_core: float = toml_schema.number(
-        13.0, 1, 10000, "connections that are held; others are turned away"
-    )
+    name: str = schema.text(schema.REQUIRED, "as the list names it")
+    count: int = schema.whole(1, 1, 1000, "how many, dealt to the rooms in turn")
+    cores: int = schema.whole(7, 1, 256, "cores at work")
+    speed: tuple[float, float] = schema.pair((0.85, 1.1), 0.01, 100, "of a core, drawn for each node")
+    slots_per_core: int = schema.whole(16, 1, 1024, "requests in work at once")
+    queue_per_core: float = schema.number(2.5, 0, 1024, "requests that wait; those beyond are turned away")
+    table_per_core: float = schema.number(13.0, 1, 10000, "connections that are held; others are turned away")
 
 
 def _default_node_classes() -> list[NodeClass]:
@@ -55,66 +51,52 @@
 class Fleet:
     """Rooms, routers and cache nodes: the table `[fleet]`. The JSON Schema has the class's name."""
 
-    rooms: list[str] = toml_schema.texts(["neihu", "banqiao", "taoyuan"], "machine rooms")
-    routers: int = toml_schema.whole(3, 1, 300, "dealt to the rooms in turn; beyond 64 in virtual time only")
-    first_port: int = toml_schema.whole(
-        0, 0, 65000, "of the routers, one after the other; 0: any that are free"
-    )
-    nodes: list[NodeClass] = toml_schema.tables(
-        NodeClass, "the classes of cache nodes", _default_node_classes
-    )
-    memory_keys: int = toml_schema.whole(
-        300, 1, 1 << 20, "keys that a node holds; the least lately used go first"
-    )
-    connection_ms: tuple[float, float] = toml_schema.pair(
+    rooms: list[str] = schema.texts(["neihu", "banqiao", "taoyuan"], "machine rooms")
+    routers: int = schema.whole(3, 1, 300, "dealt to the rooms in turn; beyond 64 in virtual time only")
+    first_port: int = schema.whole(0, 0, 65000, "of the routers, one after the other; 0: any that are free")
+    nodes: list[NodeClass] = schema.tables(NodeClass, "the classes of cache nodes", _default_node_classes)
+    memory_keys: int = schema.whole(300, 1, 1 << 20, "keys that a node holds; the least lately used go first")
+    connection_ms: tuple[float, float] = schema.pair(
         (17, 28), 0, 10000, "work that a new connection costs a node"
     )
-    probe_ms: tuple[float, float] = toml_schema.pair((2.8, 5.6), 0, 10000, "work that a probe costs a node")
-    keepalive_s: float = toml_schema.number(
-        60.0, 0.5, 3600, "a node closes a connection that is idle for so long"
-    )
-    cold_from: float = toml_schema.number(0.3, 0.01, 1, "part of its capacity that a node starts with")
-    warm_s: float = toml_schema.number(8.7, 0.1, 600, "until it has all of it")
-    tip_multiple: float = toml_schema.number(
+    probe_ms: tuple[float, float] = schema.pair((2.8, 5.6), 0, 10000, "work that a probe costs a node")
+    keepalive_s: float = schema.number(60.0, 0.5, 3600, "a node closes a connection that is idle for so long")
+    cold_from: float = schema.number(0.3, 0.01, 1, "part of its capacity that a node starts with")
+    warm_s: float = schema.number(8.7, 0.1, 600, "until it has all of it")
+    tip_multiple: float = schema.number(
         3.0, 1, 100, "sent so many times its capacity, a cold node falls over"
     )
-    tip_s: float = toml_schema.number(1.0, 0.1, 60, "within so long")
-    error_rate: float = toml_schema.number(0.0005, 0, 1, "answers that are errors")
-    resp3: float = toml_schema.number(
-        0.0, 0, 1, "part of the nodes that speak RESP3 where they are greeted so"
-    )
+    tip_s: float = schema.number(1.0, 0.1, 60, "within so long")
+    error_rate: float = schema.number(0.0005, 0, 1, "answers that are errors")
+    resp3: float = schema.number(0.0, 0, 1, "part of the nodes that speak RESP3 where they are greeted so")
 
 
 @dataclass(slots=True)
 class Database:
     """The order database: the table `[database]`."""
 
-    workers: int = toml_schema.whole(9, 1, 1024, "requests in work at once")
-    time_ms: float = toml_schema.number(120.0, 0.1, 60000, "mean time of one")
-    queue: int = toml_schema.whole(60, 0, 100000, "requests that wait; those beyond are turned away")
-    stop_multiple: float = toml_schema.number(2.5, 1, 100, "sent so many times its capacity it stops,")
-    stop_after_s: float = toml_schema.number(3.0, 0.1, 600, "if for so long,")
-    stop_s: float = toml_schema.number(5.0, 0.1, 600, "and for so long")
+    workers: int = schema.whole(9, 1, 1024, "requests in work at once")
+    time_ms: float = schema.number(120.0, 0.1, 60000, "mean time of one")
+    queue: int = schema.whole(60, 0, 100000, "requests that wait; those beyond are turned away")
+    stop_multiple: float = schema.number(2.5, 1, 100, "sent so many times its capacity it stops,")
+    stop_after_s: float = schema.number(3.0, 0.1, 600, "if for so long,")
+    stop_s: float = schema.number(5.0, 0.1, 600, "and for so long")
 
 
 @dataclass(slots=True)
 class WorkClass:
     """A class of requests: a table of `[[classes]]`."""
 
-    name: str = toml_schema.text(toml_schema.REQUIRED, "as requests name it")
-    share: float = toml_schema.number(toml_schema.REQUIRED, 0, 100, "of the traffic, by weight")
-    work_ms: float = toml_schema.number(
-        toml_schema.REQUIRED, 0.1, 60000, "mean work of one, on a core of speed 1"
-    )
-    aim_ms: float = toml_schema.number(
-        toml_schema.REQUIRED, 1, 600000, "answered in this time it is worth its full"
-    )
-    deadline_ms: float = toml_schema.number(toml_schema.REQUIRED, 1, 600000, "then the client gives up")
-    worth: float = toml_schema.number(1.0, 0, 1000, "of one answered within its aim")
-    late_worth: float = toml_schema.number(0.2, 0, 1, "part of it that a later answer earns")
-    repeats: str = toml_schema.text("safe", "what a second execution does", ("safe", "keyed", "unsafe"))
-    window_s: float = toml_schema.number(5.0, 0, 600, "keyed: for which repeats are dropped")
-    write: bool = toml_schema.flag(False, "goes to the order database")
+    name: str = schema.text(schema.REQUIRED, "as requests name it")
+    share: float = schema.number(schema.REQUIRED, 0, 100, "of the traffic, by weight")
+    work_ms: float = schema.number(schema.REQUIRED, 0.1, 60000, "mean work of one, on a core of speed 1")
+    aim_ms: float = schema.number(schema.REQUIRED, 1, 600000, "answered in this time it is worth its full")
+    deadline_ms: float = schema.number(schema.REQUIRED, 1, 600000, "then the client gives up")
+    worth: float = schema.number(1.0, 0, 1000, "of one answered within its aim")
+    late_worth: float = schema.number(0.2, 0, 1, "part of it that a later answer earns")
+    repeats: str = schema.text("safe", "what a second execution does", ("safe", "keyed", "unsafe"))
+    window_s: float = schema.number(5.0, 0, 600, "keyed: for which repeats are dropped")
+    write: bool = schema.flag(False, "goes to the order database")
 
 
 def _default_work_classes() -> list[WorkClass]:
@@ -131,11 +113,9 @@
 class Customer:
     """One who shares the fleet: a table of `[[customers]]`."""
 
-    name: str = toml_schema.text(toml_schema.REQUIRED, "as requests name it")
-    share: float = toml_schema.number(
-        toml_schema.REQUIRED, 0, 100, "of what the fleet is held for, by weight"
-    )
-    usage: float = toml_schema.number(toml_schema.REQUIRED, 0, 100, "how many times its share it sends")
+    name: str = schema.text(schema.REQUIRED, "as requests name it")
+    share: float = schema.number(schema.REQUIRED, 0, 100, "of what the fleet is held for, by weight")
+    usage: float = schema.number(schema.REQUIRED, 0, 100, "how many times its share it sends")
 
 
 def _default_customers() -> list[Customer]:
@@ -153,42 +133,38 @@
 class Traffic:
     """What clients send: the table `[traffic]`."""
 
-    rate: float = toml_schema.number(150.0, 0.1, 100000, "requests a second, first tries of all clients")
-    shape: str = toml_schema.text("steady", "of the rate over the day", ("steady", "bursty", "wave"))
-    swing: float = toml_schema.number(0.25, 0, 0.9, "how far bursts and waves go from the mean")
-    quota_rps: float = toml_schema.number(
+    rate: float = schema.number(150.0, 0.1, 100000, "requests a second, first tries of all clients")
+    shape: str = schema.text("steady", "of the rate over the day", ("steady", "bursty", "wave"))
+    swing: float = schema.number(0.25, 0, 0.9, "how far bursts and waves go from the mean")
+    quota_rps: float = schema.number(
         92.0, 0.1, 1e6, "requests a second within all customers' shares together"
     )
-    over_share_worth: float = toml_schema.number(
-        0.05, 0, 1, "part of its worth that a request beyond a share has"
-    )
-    keys: int = toml_schema.whole(6000, 1, 1 << 20, "different keys")
-    zipf: float = toml_schema.number(1.0, 0, 3, "exponent of their popularity")
-    offset: float = toml_schema.number(5.0, 0, 1000, "ranks by which the head is flattened")
-    drift: float = toml_schema.number(0.0, 0, 1, "part of the ranks that change hands each second")
-    value_bytes: int = toml_schema.whole(400, 64, 60000, "of a value")
-    room_skew: float = toml_schema.number(0.0, 0, 0.9, "how much more the first room has than the mean")
+    over_share_worth: float = schema.number(0.05, 0, 1, "part of its worth that a request beyond a share has")
+    keys: int = schema.whole(6000, 1, 1 << 20, "different keys")
+    zipf: float = schema.number(1.0, 0, 3, "exponent of their popularity")
+    offset: float = schema.number(5.0, 0, 1000, "ranks by which the head is flattened")
+    drift: float = schema.number(0.0, 0, 1, "part of the ranks that change hands each second")
+    value_bytes: int = schema.whole(400, 64, 60000, "of a value")
+    room_skew: float = schema.number(0.0, 0, 0.9, "how much more the first room has than the mean")
 
 
 @dataclass(slots=True)
 class Clients:
     """How clients send it: the table `[clients]`."""
 
-    retries: int = toml_schema.whole(1, 0, 4, "further tries of a request that failed or was refused")
-    backoff_ms: tuple[float, float] = toml_schema.pair((30, 240), 0, 60000, "before a further try")
-    honour: float = toml_schema.number(0.9, 0, 1, "part of the clients that heed `-BUSY MS`")
-    give_up: tuple[float, float] = toml_schema.pair(
-        (0.7, 1.0), 0.01, 1, "part of the deadline that a try waits"
-    )
-    told: bool = toml_schema.flag(False, "routers may say after how long to come back")
-    most_wait_ms: float = toml_schema.number(2000.0, 1, 60000, "the longest that they may say")
-    impatient: float = toml_schema.number(0.0, 0, 1, "part of the tries that leave early")
-    connections: str = toml_schema.text(
+    retries: int = schema.whole(1, 0, 4, "further tries of a request that failed or was refused")
+    backoff_ms: tuple[float, float] = schema.pair((30, 240), 0, 60000, "before a further try")
+    honour: float = schema.number(0.9, 0, 1, "part of the clients that heed `-BUSY MS`")
+    give_up: tuple[float, float] = schema.pair((0.7, 1.0), 0.01, 1, "part of the deadline that a try waits")
+    told: bool = schema.flag(False, "routers may say after how long to come back")
+    most_wait_ms: float = schema.number(2000.0, 1, 60000, "the longest that they may say")
+    impatient: float = schema.number(0.0, 0, 1, "part of the tries that leave early")
+    connections: str = schema.text(
         "reused", "or a new one for each request, the old kept", ("reused", "kept")
     )
-    resp3: float = toml_schema.number(0.0, 0, 1, "part of the connections that speak RESP3")
-    idle_s: float = toml_schema.number(30.0, 0.1, 3600, "a client closes a connection idle for so long")
-    most: int = toml_schema.whole(
+    resp3: float = schema.number(0.0, 0, 1, "part of the connections that speak RESP3")
+    idle_s: float = schema.number(30.0, 0.1, 3600, "a client closes a connection idle for so long")
+    most: int = schema.whole(
         2000, 1, 100000, "connections that the clients of a room hold; one that is idle goes first"
     )
 
@@ -197,7 +173,7 @@
 class Front:
     """The front end, which spreads a room's clients over its routers: the table `[front]`."""
 
-    notice_s: tuple[float, float] = toml_schema.pair(
+    notice_s: tuple[float, float] = schema.pair(
         (1.6, 3.9), 0, 600, "until a dead router gets no new connections"
     )
 
@@ -206,49 +182,45 @@
 class Discovery:
     """How late the endpoint list is: the table `[discovery]`."""
 
-    notice_s: tuple[float, float] = toml_schema.pair(
+    notice_s: tuple[float, float] = schema.pair(
         (0.72, 3), 0, 600, "until the list tells of a process that died"
     )
-    drain_s: tuple[float, float] = toml_schema.pair((0.2, 1), 0, 600, "or drains")
-    add_s: tuple[float, float] = toml_schema.pair((0.48, 1.8), 0, 600, "or came")
-    spread_ms: tuple[float, float] = toml_schema.pair((14, 110), 0, 60000, "more, for each router apart")
-    source: str = toml_schema.text(
-        "agents", "the platform's agents, or a stand-in for etcd", ("agents", "etcd")
-    )
+    drain_s: tuple[float, float] = schema.pair((0.2, 1), 0, 600, "or drains")
+    add_s: tuple[float, float] = schema.pair((0.48, 1.8), 0, 600, "or came")
+    spread_ms: tuple[float, float] = schema.pair((14, 110), 0, 60000, "more, for each router apart")
+    source: str = schema.text("agents", "the platform's agents, or a stand-in for etcd", ("agents", "etcd"))
 
 
 @dataclass(slots=True)
 class Messages:
     """The network between routers: the table `[messages]`."""
 
-    delay_ms: tuple[float, float] = toml_schema.pair((1.2, 31), 0, 60000, "of a datagram between routers")
-    loss: float = toml_schema.number(0.0, 0, 1, "part of them that is lost")
+    delay_ms: tuple[float, float] = schema.pair((1.2, 31), 0, 60000, "of a datagram between routers")
+    loss: float = schema.number(0.0, 0, 1, "part of them that is lost")
 
 
 @dataclass(slots=True)
 class Virtual:
     """What a run in virtual time has besides: the table `[virtual]`."""
 
-    core: float = toml_schema.number(1.0, 0, 1000, "routers' cores are so many times as slow; 0: at no cost")
-    chop: float = toml_schema.number(0.0, 0, 1, "part of the writes that is cut in pieces at drawn places")
-    way_ms: tuple[float, float] = toml_schema.pair(
+    core: float = schema.number(1.0, 0, 1000, "routers' cores are so many times as slow; 0: at no cost")
+    chop: float = schema.number(0.0, 0, 1, "part of the writes that is cut in pieces at drawn places")
+    way_ms: tuple[float, float] = schema.pair(
         (0.04, 0.04), 0.001, 10000, "one way between two machines, drawn for each connection"
     )
-    mb_s: float = toml_schema.number(1000.0, 0.001, 1e6, "of a connection, each way")
-    window_kb: float = toml_schema.number(256.0, 1, 1e6, "that an end holds unread")
-    drift: float = toml_schema.number(0.0, 0, 0.05, "routers' clocks run faster or slower by up to this part")
-    wall_s: float = toml_schema.number(0.0, 0, 1e6, "routers' wall clocks are off by up to so much")
+    mb_s: float = schema.number(1000.0, 0.001, 1e6, "of a connection, each way")
+    window_kb: float = schema.number(256.0, 1, 1e6, "that an end holds unread")
+    drift: float = schema.number(0.0, 0, 0.05, "routers' clocks run faster or slower by up to this part")
+    wall_s: float = schema.number(0.0, 0, 1e6, "routers' wall clocks are off by up to so much")
 
 
 @dataclass(slots=True)
 class Expect:
     """What must hold besides the rules: the table `[expect]`."""
 
-    service: float = toml_schema.number(
-        0.001, 0, 1, "at least; a day on which nothing was served holds nothing"
-    )
-    score: float = toml_schema.number(-10.0, -10, 1, "at least")
-    origin_stops: int = toml_schema.whole(1000, 0, 1000, "at most: how often the database stops")
+    service: float = schema.number(0.001, 0, 1, "at least; a day on which nothing was served holds nothing")
+    score: float = schema.number(-10.0, -10, 1, "at least")
+    origin_stops: int = schema.whole(1000, 0, 1000, "at most: how often the database stops")
 
 
 class PlacedNode(NamedTuple):
@@ -263,21 +235,21 @@
 class Scenario:
     """A scenario: the whole file."""
 
-    about: str = toml_schema.text(toml_schema.REQUIRED, "what it rehearses, in a sentence")
-    must: str = toml_schema.text(toml_schema.REQUIRED, "what must hold, in a sentence")
-    day: Day = toml_schema.table(Day, "how long, and the routers' limits")
-    fleet: Fleet = toml_schema.table(Fleet, "rooms, routers and cache nodes")
-    database: Database = toml_schema.table(Database, "the order database")
-    classes: list[WorkClass] = toml_schema.tables(WorkClass, "classes of requests", _default_work_classes)
-    customers: list[Customer] = toml_schema.tables(Customer, "who shares the fleet", _default_customers)
-    traffic: Traffic = toml_schema.table(Traffic, "what clients send")
-    clients: Clients = toml_schema.table(Clients, "how they send it")
-    front: Front = toml_schema.table(Front, "spreads the clients of a room over its routers")
-    discovery: Discovery = toml_schema.table(Discovery, "how late the list is")
-    messages: Messages = toml_schema.table(Messages, "between routers")
-    virtual: Virtual = toml_schema.table(Virtual, "what a day in virtual time has besides")
-    expect: Expect = toml_schema.table(Expect, "what else must hold")
-    faults: list[Fault] = toml_schema.tables(Fault, "what goes wrong, and when")
+    about: str = schema.text(schema.REQUIRED, "what it rehearses, in a sentence")
+    must: str = schema.text(schema.REQUIRED, "what must hold, in a sentence")
+    day: Day = schema.table(Day, "how long, and the routers' limits")
+    fleet: Fleet = schema.table(Fleet, "rooms, routers and cache nodes")
+    database: Database = schema.table(Database, "the order database")
+    classes: list[WorkClass] = schema.tables(WorkClass, "classes of requests", _default_work_classes)
+    customers: list[Customer] = schema.tables(Customer, "who shares the fleet", _default_customers)
+    traffic: Traffic = schema.table(Traffic, "what clients send")
+    clients: Clients = schema.table(Clients, "how they send it")
+    front: Front = schema.table(Front, "spreads the clients of a room over its routers")
+    discovery: Discovery = schema.table(Discovery, "how late the list is")
+    messages: Messages = schema.table(Messages, "between routers")
+    virtual: Virtual = schema.table(Virtual, "what a day in virtual time has besides")
+    expect: Expect = schema.table(Expect, "what else must hold")
+    faults: list[Fault] = schema.tables(Fault, "what goes wrong, and when")
 
     def nodes(self) -> list[PlacedNode]:
         """All cache nodes, dealt to the rooms in turn, so that each room has nodes of each class."""
@@ -289,12 +261,17 @@
             placed.append(PlacedNode(f"{room}-{number // len(rooms)}", node_class, room))
         return placed
 
+    def whole_customer_share(self) -> float:
+        """All customers' shares together; 1 where they are all 0."""
+        whole_share = sum(customer.share for customer in self.customers)
+        return whole_share if whole_share else 1.0
+
     def router_room(self, number: int) -> str:
         """The room of a router; routers are dealt to the rooms in turn."""
         return self.fleet.rooms[number % len(self.fleet.rooms)]
 
 
-class ScenarioError(toml_schema.TableError):
+class ScenarioError(schema.TableError):
     """A scenario that is not found, or makes no sense; `lines` holds one problem each."""
 
 
@@ -304,7 +281,7 @@
     Raises:
         TableError: the file is no TOML, or there is a line for each thing that is wrong with it.
     """
-    source = toml_schema.load(path)
+    source = schema.load(path)
     if changes is not None:
         for dotted_key, value in changes.items():
             table, _, key = dotted_key.rpartition(".")
@@ -319,7 +296,7 @@
         ScenarioError: with a line for each thing that is wrong.
     """
     problems: list[str] = []
-    scenario = toml_schema.read(Scenario, source, where, problems)
+    scenario = schema.read(Scenario, source, where, problems)
     if scenario is None:
         raise ScenarioError(problems)
     lines = _check_names(scenario) + _check_work(scenario) + _check_faults(scenario)
