--- a/tests/rehearsal/test_runner.py
+++ b/tests/rehearsal/test_runner.py
@@ -1,4 +1,4 @@
-"""Whole days: two short ones and the proof of the judge, played as a user does; records, Ctrl-C, crashes."""
+"""Whole runs, started as a user does: two short ones, the proof of the checker, records, signals, crashes."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
 from rainhitch.rehearsal.fakes.worker import Worker
 
 VOID = 3
-TRIES = 3  # of a day that the machine spoilt
+MAX_TRIES = 3  # of a run that is void since the machine was busy
 SMALL = """
 about = "a small fleet for a few seconds"
 must = "no rule broken"
@@ -76,13 +76,14 @@
 
 
 def command(*words: str) -> list[str]:
+    """The command line of `rainhitch rehearse` with these words."""
     return [sys.executable, "-m", "rainhitch", "rehearse", *words]
 
 
 def rehearse(*words: str, folder: Path | None = None) -> subprocess.CompletedProcess[str]:
-    """Plays; again where the rig itself ran late, which tells nothing of the router."""
+    """Runs it to its end; again where the rig itself ran late, which says nothing of the router."""
     env = {**os.environ, **({"TMPDIR": str(folder)} if folder else {})}
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         ended = subprocess.run(
             command(*words), cwd=ROOT, env=env, capture_output=True, text=True, timeout=240
         )
@@ -91,14 +92,15 @@
     return ended
 
 
-def written(tmp_path: Path, text: str) -> str:
+def write_scenario(tmp_path: Path, text: str) -> str:
+    """Writes a scenario file; gives its path."""
     path = tmp_path / "day.toml"
     path.write_text(text)
     return str(path)
 
 
-def left(folder: Path) -> list[str]:
-    """What a day that works in this folder has running, by the environment of each process, and its files."""
+def leftovers(folder: Path) -> list[str]:
+    """What a run that works in this folder has running, by each process's environment, and its files."""
     found = [str(one) for one in folder.iterdir()]
     for one in Path("/proc").iterdir():
         if one.name.isdigit() and int(one.name) != os.getpid():
@@ -110,36 +112,39 @@
     return found
 
 
-def test_a_calm_day_holds_and_its_report_is_made_again_byte_for_byte(tmp_path: Path) -> None:
-    day, made, again = written(tmp_path, SMALL), tmp_path / "made.json", tmp_path / "again.json"
+def test_a_calm_run_holds_and_its_report_is_made_again_byte_for_byte(tmp_path: Path) -> None:
+    scenario = write_scenario(tmp_path, SMALL)
+    made = tmp_path / "made.json"
+    again = tmp_path / "again.json"
     records = tmp_path / "records"
-    ended = rehearse(day, "--seed", "5", "--json", str(made), "--records", str(records))
+    ended = rehearse(scenario, "--seed", "5", "--json", str(made), "--records", str(records))
     assert ended.returncode == 0, ended.stdout + ended.stderr
-    told: dict[str, Any] = orjson.loads(made.read_bytes())
-    assert told["service"] > 0.8 and not told["breaches"] and told["seed"] == 5
+    report: dict[str, Any] = orjson.loads(made.read_bytes())
+    assert report["service"] > 0.8 and not report["breaches"] and report["seed"] == 5
     parts = orjson.loads((records / "ledgers.json").read_bytes())["parts"]
-    met = [
+    outcomes = [
         one["outcome"]
         for role, rows in parts.items()
         for one in rows.get("attempts", [])
         if one["cold"] is False
     ]
-    assert met.count("served") > 60  # what the database fetched was stored where it had been missed
+    assert outcomes.count("served") > 60  # what the database fetched was stored where it had been missed
     shown = rehearse("report", str(records), "--json", str(again))
     assert again.read_bytes() == made.read_bytes() and shown.stdout == ended.stdout
 
 
-def test_a_day_full_of_faults_breaks_no_rule_and_leaves_nothing_behind(tmp_path: Path) -> None:
-    made, folder = tmp_path / "made.json", tmp_path / "run"
+def test_a_run_full_of_faults_breaks_no_rule_and_leaves_nothing_behind(tmp_path: Path) -> None:
+    made = tmp_path / "made.json"
+    folder = tmp_path / "run"
     folder.mkdir()
-    ended = rehearse(written(tmp_path, SMALL + HARD), "--json", str(made), folder=folder)
-    told: dict[str, Any] = orjson.loads(made.read_bytes())
+    ended = rehearse(write_scenario(tmp_path, SMALL + HARD), "--json", str(made), folder=folder)
+    report: dict[str, Any] = orjson.loads(made.read_bytes())
     assert ended.returncode == 0, ended.stdout + ended.stderr
-    assert not any(told["rules"].values()) and len(told["timeline"]) == 6
-    assert not left(folder)
+    assert not any(report["rules"].values()) and len(report["timeline"]) == 6
+    assert not leftovers(folder)
 
 
-def test_the_proof_catches_each_bad_router_by_its_own_rule_and_accuses_no_good_one() -> None:
+def test_the_proof_finds_each_broken_router_by_its_own_rule_and_no_good_one() -> None:
     ended = rehearse("--prove")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     lines = ended.stdout.splitlines()
@@ -147,42 +152,43 @@
     assert lines[-1] == "each is caught by its own rule, and no good one is accused"
 
 
-def test_a_router_that_crashes_is_a_finding_with_its_last_lines_and_not_a_hang(tmp_path: Path) -> None:
+def test_a_router_that_crashes_is_a_violation_with_its_last_lines_and_not_a_hang(tmp_path: Path) -> None:
     made = tmp_path / "made.json"
     bad = f"{sys.executable} -m rainhitch.rehearsal.plain_router crashes"
-    ended = rehearse(written(tmp_path, SMALL), "--routers", "1", "--router", bad, "--json", str(made))
-    told: dict[str, Any] = orjson.loads(made.read_bytes())
-    assert ended.returncode == 1 and told["rules"]["crashed"] == 1
-    crash = next(one for one in told["breaches"] if one["rule"] == "crashed")
+    ended = rehearse(write_scenario(tmp_path, SMALL), "--routers", "1", "--router", bad, "--json", str(made))
+    report: dict[str, Any] = orjson.loads(made.read_bytes())
+    assert ended.returncode == 1 and report["rules"]["crashed"] == 1
+    crash = next(one for one in report["breaches"] if one["rule"] == "crashed")
     assert "ended with 3" in crash["what"] and crash["log"][-1] == "out of ideas"
 
 
-def test_a_router_over_its_memory_is_ended_and_found(tmp_path: Path) -> None:
+def test_a_router_over_its_memory_limit_is_ended_and_reported(tmp_path: Path) -> None:
     made = tmp_path / "made.json"
     hog = tmp_path / "hog.py"
     hog.write_text("import runpy, sys\nkept = bytearray(120 << 20)\nsys.argv = ['x']\n")
     hog.write_text(
         hog.read_text() + "runpy.run_module('rainhitch.rehearsal.plain_router', run_name='__main__')\n"
     )
-    day = written(tmp_path, SMALL.replace("prelude_s = 0.8", "prelude_s = 0.8\nmemory_mb = 96.0"))
+    day = write_scenario(tmp_path, SMALL.replace("prelude_s = 0.8", "prelude_s = 0.8\nmemory_mb = 96.0"))
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
     words = command(day, "--router", f"{sys.executable} {hog}", "--json", str(made))
     ended = subprocess.run(words, cwd=ROOT, env=env, capture_output=True, text=True, timeout=120)
-    # Ended either before the day, which is bad input, or in it, which is a finding: never a hang.
+    # Ended either before the run, which is bad input, or in it, which is a violation: never a hang.
     assert "over its memory" in ended.stdout + ended.stderr and ended.returncode in (1, 2)
 
 
 async def failing(folder: Path) -> None:
-    """A part of which a piece fails at once."""
+    """A worker of which a task fails at once."""
 
     async def end_badly() -> None:
+        """Fails as no task should."""
         raise RuntimeError("a piece of it is gone")
 
     Worker(folder, {"plan": {"cues": []}, "scenario": {}}).spawn(end_badly())
     await asyncio.sleep(30)
 
 
-def test_a_part_of_the_world_that_fails_is_told_and_no_day_goes_on_without_it() -> None:
+def test_a_worker_of_the_fakes_that_fails_ends_its_process_with_the_reason() -> None:
     code = "import asyncio, pathlib, test_runner\n"
     code += "asyncio.run(test_runner.failing(pathlib.Path('x')))"
     env = {**os.environ, "PYTHONPATH": f"{ROOT}:{Path(__file__).parent}:{ROOT / 'tests'}"}
@@ -194,19 +200,20 @@
 def test_an_interrupt_ends_all_that_was_started(tmp_path: Path, number: signal.Signals) -> None:
     folder = tmp_path / "run"
     folder.mkdir()
-    day = written(tmp_path, SMALL.replace("length_s = 4.0", "length_s = 60.0"))
+    day = write_scenario(tmp_path, SMALL.replace("length_s = 4.0", "length_s = 60.0"))
     env = {**os.environ, "TMPDIR": str(folder)}
     running = subprocess.Popen(command(day), cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
     limit = time.monotonic() + 60
-    while len(left(folder)) < 8 and time.monotonic() < limit:
+    while len(leftovers(folder)) < 8 and time.monotonic() < limit:
         time.sleep(0.05)
-    assert len(left(folder)) >= 8  # its folder, itself, the centre, two rooms, two routers, clients
+    # Its folder, itself, the shared services, two rooms, two routers, clients.
+    assert len(leftovers(folder)) >= 8
     running.send_signal(number)
-    _, told = running.communicate(timeout=30)
+    _, stderr = running.communicate(timeout=30)
     if number is signal.SIGKILL:
-        while len(left(folder)) > 1 and time.monotonic() < limit:
+        while len(leftovers(folder)) > 1 and time.monotonic() < limit:
             time.sleep(0.05)
-        assert [Path(one).parent for one in left(folder)] == [folder]  # all ends with it, its files stay
+        assert [Path(one).parent for one in leftovers(folder)] == [folder]  # all ends with it, its files stay
     else:
-        assert running.returncode == 130 and "interrupted" in told
-        assert not left(folder)
+        assert running.returncode == 130 and "interrupted" in stderr
+        assert not leftovers(folder)
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -37,6 +37,7 @@
 
 
 def problems(tmp_path: Path, text: str) -> list[str]:
+    """The lines of what is wrong with a scenario file of this text; none for a good one."""
     path = tmp_path / "day.toml"
     path.write_text('about = "a"\nmust = "b"\n' + text)
     try:
@@ -60,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("[fleet]\nroom = []", "fleet.room = []: no such key"),
         ("[fleet]\nrooms = []", "fleet.rooms = []: allowed is a list of different texts"),
@@ -98,23 +99,25 @@
     ],
 )
 def test_a_bad_key_is_one_line_with_key_value_and_what_is_allowed(
-    tmp_path: Path, text: str, told: str
+    tmp_path: Path, text: str, expected: str
 ) -> None:
     (line,) = problems(tmp_path, text)
-    assert line.startswith("day.toml: ") and told in line
+    assert line.startswith("day.toml: ") and expected in line
 
 
-def loss(room: str, at: float, for_s: float) -> str:
-    return f"[[faults]]\nkind = 'room-loss'\nat_s = {at}\nfor_s = {for_s}\nroom = '{room}'\n"
+def room_loss(room: str, at_s: float, for_s: float) -> str:
+    """The table of a room's loss."""
+    return f"[[faults]]\nkind = 'room-loss'\nat_s = {at_s}\nfor_s = {for_s}\nroom = '{room}'\n"
 
 
 def test_a_room_can_not_be_lost_twice_at_once(tmp_path: Path) -> None:
-    (line,) = problems(tmp_path, loss("neihu", 1, 5) + loss("neihu", 3, 5))
+    (line,) = problems(tmp_path, room_loss("neihu", 1, 5) + room_loss("neihu", 3, 5))
     assert "faults[1] (room-loss of neihu) overlaps faults[0]" in line
 
 
 def test_other_rooms_may_go_at_the_same_time_and_the_same_room_later(tmp_path: Path) -> None:
-    assert not problems(tmp_path, loss("neihu", 1, 5) + loss("banqiao", 3, 5) + loss("neihu", 6, 2))
+    losses = room_loss("neihu", 1, 5) + room_loss("banqiao", 3, 5) + room_loss("neihu", 6, 2)
+    assert not problems(tmp_path, losses)
 
 
 def test_a_node_can_not_die_in_a_room_that_is_lost() -> None:
@@ -125,6 +128,7 @@
 
 
 def rehearse(*words: str, before: Callable[[], None] | None = None) -> subprocess.CompletedProcess[str]:
+    """Runs `rainhitch rehearse` with these words; `before` is called in the new process."""
     command = [sys.executable, "-m", "rainhitch", "rehearse", *words]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, preexec_fn=before)
 
@@ -137,7 +141,7 @@
         taken.listen()
         port = tmp_path / "port.toml"
         port.write_text(f"about='a'\nmust='b'\n[fleet]\nfirst_port={taken.getsockname()[1]}\nrouters=1")
-        for words, told in (
+        for words, expected in (
             (["lunchtime"], "lunchtime: no such scenario"),
             ([str(bad)], "day.long = 3: no such key"),
             ([str(tmp_path / "none.toml")], "No such file"),
@@ -153,7 +157,9 @@
         ):
             ended = rehearse(*words)
             assert ended.returncode == 2, (words, ended)
-            assert ended.stderr.count("\n") == 1 and told in ended.stderr and not ended.stdout, (words, ended)
+            assert ended.stderr.count("\n") == 1, (words, ended)
+            assert expected in ended.stderr, (words, ended)
+            assert not ended.stdout, (words, ended)
 
 
 def test_too_few_descriptors_for_the_fleet_is_one_line() -> None:
@@ -162,7 +168,7 @@
     assert "too few descriptors: this fleet needs" in ended.stderr and "the limit is 256" in ended.stderr
 
 
-def test_a_router_that_does_not_come_up_is_one_line_with_its_last_word() -> None:
+def test_a_router_that_does_not_come_up_is_one_line_with_its_last_log_line() -> None:
     ended = rehearse("quiet", "--router", f"{sys.executable} -c 'import sys; sys.exit(\"no luck\")'")
     assert ended.returncode == 2 and ended.stderr.count("\n") == 1
     assert "the router's command failed: ended with 1: no luck" in ended.stderr
@@ -190,22 +196,22 @@
 def test_a_class_that_the_protocol_can_not_carry_is_one_line(
     tmp_path: Path, repeats: str, write: bool
 ) -> None:
-    """Each of its requests was turned away, and the day's verdict was that all held."""
+    """Each of its requests was rejected, and the verdict was that all held."""
     path = tmp_path / "odd.toml"
-    told = '[[classes]]\nname = "c"\nshare = 1\nwork_ms = 9\naim_ms = 500\ndeadline_ms = 900\n'
-    told += f'repeats = "{repeats}"\nwrite = {str(write).lower()}\n'
-    path.write_text(f'about = "a"\nmust = "b"\n{told}')
+    table = '[[classes]]\nname = "c"\nshare = 1\nwork_ms = 9\naim_ms = 500\ndeadline_ms = 900\n'
+    table += f'repeats = "{repeats}"\nwrite = {str(write).lower()}\n'
+    path.write_text(f'about = "a"\nmust = "b"\n{table}')
     with pytest.raises(TableError) as found:
         read_scenario(path)
     assert len(found.value.lines) == 1 and "classes.c.write" in found.value.lines[0]
 
 
-def test_a_day_on_which_nothing_was_served_holds_nothing() -> None:
+def test_every_shipped_scenario_expects_some_service() -> None:
     assert all(read_scenario(path).expect.service > 0 for path in shipped().values())
 
 
 @pytest.mark.parametrize(
-    ("faults", "said"),
+    ("faults", "expected"),
     [
         (
             [{"kind": "router-restart", "router": 0, "at_s": at} for at in (1.0, 3.0)],
@@ -217,9 +223,11 @@
         ),
     ],
 )
-def test_a_day_that_no_fleet_could_live_is_refused(faults: list[dict[str, object]], said: str) -> None:
+def test_faults_that_leave_nothing_to_fail_are_one_line(
+    faults: list[dict[str, object]], expected: str
+) -> None:
     nodes = [{"name": "full-node", "count": 2}]
     source = {"about": "a", "must": "b", "fleet": {"nodes": nodes}, "faults": faults}
     with pytest.raises(TableError) as problem:
         scenario_of(source, "file")
-    assert len(problem.value.lines) == 1 and said in problem.value.lines[0]
+    assert len(problem.value.lines) == 1 and expected in problem.value.lines[0]
