--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -41,7 +41,7 @@
 from rainhitch.rehearsal.checker.evidence import SECOND, Evidence
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import read_scenario, shipped
-from rainhitch.rehearsal.virtual.environment import run_day
+from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 
 SCENARIOS = (
     "grow-third",
@@ -162,7 +162,7 @@
     scenario = read_scenario(shipped()[run.scenario])
     plan = draw_plan(scenario, run.scenario, run.seed)
     operator = AT_ONCE_OPERATOR if run.router == AT_ONCE else ""
-    records = run_day(scenario, plan, operator=operator)
+    records = run_in_virtual_time(scenario, plan, operator=operator)
     return run_row(run, evidence_of(scenario, plan, records))
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -21,7 +21,7 @@
 from rainhitch.policy.balancer import Balancer
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, scenario_of
-from rainhitch.rehearsal.virtual.environment import run_day
+from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.rehearsal.virtual.loop import VirtualLoop
 from rainhitch.rehearsal.virtual.process import CURRENT_PROCESS
 
@@ -143,7 +143,7 @@
     plan = draw_plan(scenario, "scale", 1)
     begun_s = time.monotonic()
     with CpuMeter() as meter:
-        records = run_day(scenario, plan)
+        records = run_in_virtual_time(scenario, plan)
     took_s = time.monotonic() - begun_s
     clients = [part for role, part in records["parts"].items() if role.startswith("clients")]
     sent = [row for part in clients for row in part["sent"]]
--- a/rainhitch/rehearsal/explore/case_runner.py
+++ b/rainhitch/rehearsal/explore/case_runner.py
@@ -16,7 +16,7 @@
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.router_process import RehearsalError
 from rainhitch.rehearsal.scenario import scenario_of
-from rainhitch.rehearsal.virtual.environment import run_day
+from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.rehearsal.virtual.loop import StuckError
 
 Json = dict[str, Any]
@@ -111,7 +111,7 @@
     """The records and the report of a run; the report holds the plan's rows, too."""
     scenario = scenario_of(case.tables, CASE_NAME)
     plan = draw_plan(scenario, CASE_NAME, case.seed)
-    records = run_day(scenario, plan, max_callbacks=MAX_CALLBACKS)
+    records = run_in_virtual_time(scenario, plan, max_callbacks=MAX_CALLBACKS)
     records["plan_digest"] = plan.digest()
     plan_rows = plan.rows()
     made = report.build(CASE_NAME, orjson.loads(orjson.dumps(scenario)), plan_rows, records)
--- a/rainhitch/rehearsal/virtual/costs.py
+++ b/rainhitch/rehearsal/virtual/costs.py
@@ -3,7 +3,7 @@
 The proportions and the spread were measured by `python -m benchmarks callbacks lunch` on asyncio's loop,
 where a router is nearly idle; all are taken times 0.35, so that a served request costs the 266 us that a busy
 router on uvloop takes (`python -m benchmarks refusals`). `scale` makes a slower or quicker core of it. A cost
-is drawn from a lognormal about the median, so that a virtual day has the tail that a real router's loop has.
+is drawn from a lognormal about the median, so that a virtual run has the tail that a real router's loop has.
 """
 
 import asyncio
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -290,7 +290,7 @@
         asyncio_log.disabled = disabled_before
 
 
-def run_day(
+def run_in_virtual_time(
     scenario: Scenario,
     plan: Plan,
     tell: ProgressCallback = lambda at, row: None,
@@ -299,18 +299,18 @@
     max_callbacks: int = 0,
     operator: str = "",
 ) -> Json:
-    """Runs a scenario's day in virtual time; gives its records.
+    """Runs a scenario in virtual time; gives its records.
 
     Args:
         scenario: what is run.
         plan: its requests and faults.
-        tell: called with how far the day is.
+        tell: called with how far the run is.
         observer: called before each callback.
         max_callbacks: bound of the run; 0 for none.
         operator: the text of an operator's file that all routers have.
 
     Raises:
-        StuckError: the day does not end.
+        StuckError: the run does not end.
         RehearsalError: it can't be run.
     """
     loop = VirtualLoop()
--- a/rainhitch/rehearsal/virtual/runner.py
+++ b/rainhitch/rehearsal/virtual/runner.py
@@ -9,7 +9,7 @@
 from rainhitch.rehearsal.environment import ProgressCallback
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario
-from rainhitch.rehearsal.virtual.environment import run_day
+from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.rehearsal.virtual.trace import TraceWriter
 
 Json = dict[str, Any]
@@ -30,14 +30,16 @@
     The report's `problems` are exceptions that callbacks ended with and should not have.
 
     The run's records go to the folder `records`, its trace to the file `trace`, the routers' logs to the
-    folder `logs`. Raises as `run_day` does, and OSError for a file that can't be written.
+    folder `logs`. Raises as `run_in_virtual_time` does, and OSError for a file that can't be written.
     """
     plan = draw_plan(scenario, name, seed)
     if trace is None:
-        run_records = run_day(scenario, plan, tell)
+        run_records = run_in_virtual_time(scenario, plan, tell)
     else:
         with trace.open("w", encoding="utf-8") as file:
-            run_records = run_day(scenario, plan, tell, observer=TraceWriter(file, name, seed, plan.digest()))
+            run_records = run_in_virtual_time(
+                scenario, plan, tell, observer=TraceWriter(file, name, seed, plan.digest())
+            )
     if logs is not None:
         _write_logs(logs, run_records["logs"])
     run_records["plan_digest"] = plan.digest()
--- a/rainhitch/rehearsal/virtual/trace.py
+++ b/rainhitch/rehearsal/virtual/trace.py
@@ -1,10 +1,10 @@
-"""Every callback of a virtual day, a line each, and where two such traces differ first.
+"""Every callback of a run in virtual time, a line each, and where two such traces differ first.
 
     rainhitch-trace 1 lunch 1 <digest of the plan>
     <ns since the start> <process> <what is called> <its arguments>
 
-Bytes are shown by length and CRC-32. Two runs of the same day by the same code give the same file; of two
-that differ, the first line that does is where to look.
+Bytes are shown by length and CRC-32. Two runs of the same scenario by the same code give the same file; of
+two that differ, the first line that does is where to look.
 """
 
 import asyncio
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -11,7 +11,7 @@
 from rainhitch.node.router import write_record
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import scenario_of
-from rainhitch.rehearsal.virtual.environment import run_day
+from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.telemetry import sums
 from rainhitch.telemetry.counts import MAX_BAD_RECORDS, Counts
 from rainhitch.telemetry.records import Bad, Second
@@ -100,7 +100,7 @@
 
 def played(**changes: object) -> tuple[sums.FleetSums, dict[str, Any]]:
     day = scenario_of({**DAY, **changes}, "day")
-    ledgers = run_day(day, draw_plan(day, "day", 1))
+    ledgers = run_in_virtual_time(day, draw_plan(day, "day", 1))
     fleet = sums.FleetSums()
     for name, lines in ledgers["logs"].items():
         fleet.add(name, lines)
--- a/tests/virtual/test_differential.py
+++ b/tests/virtual/test_differential.py
@@ -1,5 +1,7 @@
-"""Differential test of the virtual network against uvloop and asyncio's own loop: the same script of socket
-operations must make the same protocol callbacks. The simulation must not be kinder than real sockets.
+"""Differential test of the virtual network against uvloop and asyncio's own loop.
+
+The same script of socket operations must make the same protocol callbacks. The simulation must not be
+kinder than real sockets.
 
 A script is steps at either end of a connection, c (client) or s (server): `;` between steps, with time for
 all to arrive after each, `,` between what both ends do in one turn, `+` between what one end does in one
--- a/tests/virtual/test_virtual_day.py
+++ b/tests/virtual/test_virtual_day.py
@@ -11,7 +11,7 @@
 from rainhitch.rehearsal import report
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario
-from rainhitch.rehearsal.virtual.environment import run_day
+from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.rehearsal.virtual.loop import StuckError
 from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 
@@ -106,7 +106,7 @@
 def test_a_killed_router_sends_nothing_more_until_it_is_started_again(tmp_path: Path) -> None:
     day = read_text(tmp_path)
     plan = draw_plan(day, "small", 3)
-    records = run_day(day, plan)
+    records = run_in_virtual_time(day, plan)
     zero = records["zero"]
     events = dict(records["routers"][1]["events"][::-1])
     assert [what for what, _ in records["routers"][1]["events"]] == [
