--- a/tests/membership/test_stand_in.py
+++ b/tests/membership/test_stand_in.py
@@ -65,8 +65,9 @@
 async def test_a_watch_from_a_compacted_revision_is_cancelled_with_that_revision(
     cluster: EtcdCluster,
 ) -> None:
-    """A watch asks for a history that was compacted meanwhile: it must fail with the revision, and not begin
-    later as if nothing were missing.
+    """A watch asks for a history that was compacted meanwhile.
+
+    It must fail with the revision, and not begin later as if nothing were missing.
     """
     async with client(cluster) as etcd:
         for n in range(5):
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -24,6 +24,7 @@
     change: float,
     outages: list[tuple[float, float]],
     silent_from: float,
+    *,
     begin: float = 0.0,
     jitter: float = NO_JITTER,
 ) -> float:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -266,6 +266,7 @@
     cache: Script = lambda asked, line: hit(),
     origin: Script = lambda asked, line: FETCHED,
     entries: Callable[[Cache, Web], list[Json]] | None = None,
+    *,
     sockets: int = 64,
     memory: int = 8 << 20,
     versions: tuple[int, int] = (2, 2),
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -51,6 +51,7 @@
         load: float,
         hot: float = 0.0,
         cold: tuple[float, float] = (0.3, 8.7),
+        *,
         restarted: float = 0.0,
         small: bool = False,
     ) -> None:
@@ -138,7 +139,7 @@
     def attempt(self, now: int, router: int, send: api.StartAttempt, number: int, key: str) -> None:
         """Plays an attempt; its outcome is what its server does."""
         if send.server == "origin":
-            self.outcome(now, router, send, number, api.AttemptStatus.OK, now + 20 * MILLI)
+            self.outcome(now, router, send, number, status=api.AttemptStatus.OK, at=now + 20 * MILLI)
             self.servers[self.balancers[router].requests[send.id].missed_at or "c1"].held.add(key)
             return
         if send.server == COLD:
@@ -146,14 +147,21 @@
         server = self.servers[send.server]
         done = server.take(now, self.part(send.server, now) * self.small.get(send.server, 1.0))
         if not done:
-            self.outcome(now, router, send, number, api.AttemptStatus.FULL, now + MILLI)
+            self.outcome(now, router, send, number, status=api.AttemptStatus.FULL, at=now + MILLI)
         elif key not in server.held and server.cold_since:
-            self.outcome(now, router, send, number, api.AttemptStatus.MISS, now + 2 * MILLI)
+            self.outcome(now, router, send, number, status=api.AttemptStatus.MISS, at=now + 2 * MILLI)
         else:
-            self.outcome(now, router, send, number, api.AttemptStatus.OK, done)
+            self.outcome(now, router, send, number, status=api.AttemptStatus.OK, at=done)
 
     def outcome(
-        self, now: int, router: int, send: api.StartAttempt, number: int, status: api.AttemptStatus, at: int
+        self,
+        now: int,
+        router: int,
+        send: api.StartAttempt,
+        number: int,
+        *,
+        status: api.AttemptStatus,
+        at: int,
     ) -> None:
         """Plans the end of an attempt."""
         closed = status is api.AttemptStatus.OK
@@ -188,13 +196,13 @@
 
 @settings(max_examples=25)
 @given(
-    st.integers(0, 1 << 20),
-    st.integers(3, 30),
-    st.sampled_from([0.4, 0.8, 1.6, 2.4]),
-    st.sampled_from([0.0, 0.1, 0.3, 0.6]),
-    st.sampled_from([(0.1, 20.0), (0.3, 8.7), (0.6, 3.6)]),
-    st.sampled_from([0.0, 0.7]),
-    st.booleans(),
+    seed=st.integers(0, 1 << 20),
+    routers=st.integers(3, 30),
+    load=st.sampled_from([0.4, 0.8, 1.6, 2.4]),
+    hot=st.sampled_from([0.0, 0.1, 0.3, 0.6]),
+    cold=st.sampled_from([(0.1, 20.0), (0.3, 8.7), (0.6, 3.6)]),
+    restarted=st.sampled_from([0.0, 0.7]),
+    small=st.booleans(),
 )
 def test_all_routers_together_keep_a_starting_servers_budget(
     seed: int,
@@ -202,10 +210,11 @@
     load: float,
     hot: float,
     cold: tuple[float, float],
+    *,
     restarted: float,
     small: bool,
 ) -> None:
-    fleet = StartingFleet(seed, routers, load, hot, cold, restarted, small)
+    fleet = StartingFleet(seed, routers, load, hot, cold, restarted=restarted, small=small)
     fleet.run(7.0, 3.0)
     assert fleet.over() <= 1
 
@@ -226,7 +235,7 @@
 
     It got 1.09 times what is allowed. Only warm servers of its kind count.
     """
-    fleet = StartingFleet(1, 30, 2.4, 0.6, (0.6, 3.6), 0.7, small=True)
+    fleet = StartingFleet(1, 30, 2.4, 0.6, (0.6, 3.6), restarted=0.7, small=True)
     fleet.run(7.0, 3.0)
     assert fleet.over() <= 1
 
--- a/tests/recorded_run.py
+++ b/tests/recorded_run.py
@@ -56,6 +56,7 @@
         at_ms: float,
         class_index: int = READ,
         wait_ms: int = 1000,
+        *,
         over: bool = False,
         tries: int = 1,
         customer: int = 0,
--- a/tests/rehearsal/test_cache_node_model.py
+++ b/tests/rehearsal/test_cache_node_model.py
@@ -138,8 +138,10 @@
 
 
 def test_the_database_is_overloaded_when_sent_more_than_its_multiple_for_the_whole_window() -> None:
-    """The database is sent more than its multiple of what it can do: it stops where that lasts for the whole
-    window, and neither under a little less nor where it is over sooner.
+    """The database is sent more than its multiple of what it can do.
+
+    It stops where that lasts for the whole window, and neither under a little less nor where it is over
+    sooner.
     """
     assert stops_under(56.0, 6.0) and not stops_under(44.0, 30.0)
     assert not stops_under(60.0, 2.5)  # not for long enough
--- a/tests/rehearsal/test_clients.py
+++ b/tests/rehearsal/test_clients.py
@@ -133,8 +133,9 @@
 
 
 async def test_a_request_is_retried_only_where_a_second_execution_does_no_harm() -> None:
-    """A write fails and leaves open whether it was carried out: its client sends it again only under an
-    idempotency key, since without one it may be carried out twice.
+    """A write fails and leaves open whether it was carried out.
+
+    Its client sends it again only under an idempotency key, since without one it may be carried out twice.
     """
     fails: list[Answer] = [lambda asked, line: b"-ERR failed\r\n"]
     for order, writes in (("keyed", 2), ("unsafe", 1)):
@@ -151,8 +152,9 @@
 
 
 async def test_an_answer_after_the_client_gave_up_is_recorded_with_its_time() -> None:
-    """A router answers after the client gave up: the record has the answer with its time, so that the report
-    can see that the router was late.
+    """A router answers after the client gave up.
+
+    The record has the answer with its time, so that the report can see that the router was late.
     """
     late: list[Any] = []
 
@@ -177,8 +179,10 @@
 
 
 async def test_a_request_that_crosses_a_close_between_requests_is_sent_once_more() -> None:
-    """A router closes an idle connection just as the next request is written to it. Neither is at fault: the
-    client sends the request once more on a new connection, and records both sendings.
+    """A router closes an idle connection just as the next request is written to it.
+
+    Neither is at fault: the client sends the request once more on a new connection, and records both
+    sendings.
     """
 
     def answer(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
@@ -198,8 +202,9 @@
 
 
 async def test_a_first_request_whose_connection_ends_is_not_sent_again_and_recorded_as_ended() -> None:
-    """A router closes a connection under its first request: that is no close between requests, and the record
-    says that the request ended without an answer.
+    """A router closes a connection under its first request.
+
+    That is no close between requests, and the record says that the request ended without an answer.
     """
 
     def cut(asked: Any, line: asyncio.StreamWriter) -> None:
@@ -234,16 +239,18 @@
 
 
 async def test_an_error_that_comes_before_the_request_is_its_answer() -> None:
-    """A router that takes no more connections writes an error and closes before the client has written: that
-    is the answer to its first request.
+    """A router that takes no more connections writes an error and closes before the client has written.
+
+    That is the answer to its first request.
     """
     async with ended_before(b"-ERR max number of clients reached\r\n") as sent:
         assert sent.kind == "failed" and "max number" in sent.detail and sent.sent
 
 
 async def test_a_connection_that_ends_before_the_request_without_an_answer_took_nothing() -> None:
-    """A router closes a connection before the client has written, without an answer: it took nothing, and is
-    recorded as unreachable.
+    """A router closes a connection before the client has written, without an answer.
+
+    It took nothing, and is recorded as unreachable.
     """
     async with ended_before(b"") as sent:
         assert sent.kind == "unreachable" and not sent.sent
--- a/tests/rehearsal/test_fake_cache_node.py
+++ b/tests/rehearsal/test_fake_cache_node.py
@@ -47,8 +47,9 @@
 
 
 async def test_a_command_in_a_form_that_no_client_sends_gets_a_syntax_error_and_is_counted() -> None:
-    """A router writes a command in a form that no client sends: the node answers with a syntax error and
-    counts it for the report. The connection goes on.
+    """A router writes a command in a form that no client sends.
+
+    The node answers with a syntax error and counts it for the report. The connection goes on.
     """
     async with cache_node() as node:
         connection = await connect(node.endpoints[0])
@@ -59,8 +60,9 @@
 
 
 async def test_a_killed_node_resets_what_is_open_and_refuses_what_is_new() -> None:
-    """A node's process dies with requests in work: routers see a reset at once, as from a real process, and
-    the record has the request as reset.
+    """A node's process dies with requests in work.
+
+    Routers see a reset at once, as from a real process, and the record has the request as reset.
     """
     async with cache_node(work_us=10e6) as node:
         node.store("k")
@@ -102,8 +104,9 @@
 
 
 async def test_a_connection_over_the_limit_gets_busy_and_is_closed() -> None:
-    """More connections come than a node takes: the one too many gets BUSY and is closed, and one that comes
-    after another has closed is served.
+    """More connections come than a node takes.
+
+    The one too many gets BUSY and is closed, and one that comes after another has closed is served.
     """
     async with cache_node(connection_limit=2) as node:
         kept = [await connect(node.endpoints[0]) for _ in range(2)]
@@ -135,8 +138,9 @@
 
 
 async def test_corrupt_answers_are_none_that_the_protocol_allows() -> None:
-    """A node's program is broken and writes what is no answer of the protocol, in several forms: none of them
-    may look like a miss.
+    """A node's program is broken and writes what is no answer of the protocol, in several forms.
+
+    None of them may look like a miss.
     """
     async with cache_node() as node:
         node.work.corrupt_fraction = 1.0
@@ -150,8 +154,9 @@
 
 
 async def test_a_cold_node_collapses_under_load_and_a_warm_one_does_not() -> None:
-    """A node that has just started is sent a warm node's share of requests: it goes down and stays down.
-    The same requests do a warm node no harm.
+    """A node that has just started is sent a warm node's share of requests.
+
+    It goes down and stays down. The same requests do a warm node no harm.
     """
     async with cache_node(work_us=400_000.0, cores=1, collapse_factor=2.0) as node:
         collapsed_uids: list[str] = []
--- a/tests/rehearsal/test_fake_database.py
+++ b/tests/rehearsal/test_fake_database.py
@@ -97,8 +97,9 @@
 
 
 async def test_a_database_that_is_overloaded_for_long_enough_stops_and_comes_back() -> None:
-    """Routers send more to the database than it bears, for long enough: it stops by itself, and is back
-    after a time.
+    """Routers send more to the database than it bears, for long enough.
+
+    It stops by itself, and is back after a time.
     """
     async with database(workers=1, time_ms=200.0, stop_after_s=0.5, stop_s=0.3, queue=1000) as store:
         connection = await connect(store.endpoints[0])
--- a/tests/rehearsal/test_fake_discovery.py
+++ b/tests/rehearsal/test_fake_discovery.py
@@ -40,8 +40,10 @@
 
 
 async def test_a_silent_agent_answers_nothing_and_records_nothing() -> None:
-    """Discovery is down while the list changes: requests and held watches get no answer, and nothing is
-    recorded as sent. Once it is up, the change is in the list.
+    """Discovery is down while the list changes.
+
+    Requests and held watches get no answer, and nothing is recorded as sent. Once it is up, the change is
+    in the list.
     """
     agent = DiscoveryAgent(0, [entry("a")])
     connection = await connect(agent.endpoint)
--- a/tests/rehearsal/test_fake_link.py
+++ b/tests/rehearsal/test_fake_link.py
@@ -9,8 +9,10 @@
 
 
 async def test_a_cut_link_answers_nothing_resets_nothing_and_no_connection_comes_up() -> None:
-    """The network between one router and a node is cut. The router sees silence: no answer, no reset, no new
-    connection; another router's requests are served. Once the cut heals, what was on the way arrives.
+    """The network between one router and a node is cut.
+
+    The router sees silence: no answer, no reset, no new connection; another router's requests are served.
+    Once the cut heals, what was on the way arrives.
     """
     async with cache_node() as node:
         node.store("k")
@@ -45,8 +47,10 @@
 
 
 async def test_what_was_given_up_in_a_cut_never_reaches_the_node() -> None:
-    """A router gives up a request behind a cut and closes: the node must not see the request once the cut
-    heals, or the report would blame the router for work that it had withdrawn.
+    """A router gives up a request behind a cut and closes.
+
+    The node must not see the request once the cut heals, or the report would blame the router for work that
+    it had withdrawn.
     """
     async with cache_node() as node:
         connection = await connect(node.endpoints[0])
--- a/tests/support.py
+++ b/tests/support.py
@@ -116,6 +116,7 @@
         status: api.AttemptStatus,
         attempt: int = 0,
         elapsed: int = 10 * MILLI,
+        *,
         load: api.LoadReport | None = None,
         reused: bool | None = None,
     ) -> list[api.Action]:
--- a/tests/virtual/test_differential.py
+++ b/tests/virtual/test_differential.py
@@ -127,12 +127,14 @@
         self.callbacks.append(callback)
 
     def connection_made(self, transport: Any) -> None:
+        """Records the callback."""
         self.transport = transport
         self.record("made")
         if not self.connected.done():
             self.connected.set_result(None)
 
     def data_received(self, data: bytes) -> None:
+        """Counts the bytes, and does what the script asks for on data."""
         self.unrecorded_bytes += len(data)
         if self.on_data == "bye":
             self.transport.close()
@@ -145,16 +147,20 @@
             self.transport.close()
 
     def eof_received(self) -> bool:
+        """Records the callback; returns whether the transport stays open."""
         self.record("eof")
         return self.stays_after_eof
 
     def pause_writing(self) -> None:
+        """Records the callback."""
         self.record("pause")
 
     def resume_writing(self) -> None:
+        """Records the callback."""
         self.record("resume")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Records the callback, and whether the connection ended with an error."""
         self.record("lost" if exc is None else "lost with an error")
 
     def act(self, operations: str) -> None:
