--- a/rainhitch/admin/router_control.py
+++ b/rainhitch/admin/router_control.py
@@ -58,7 +58,9 @@
     def metrics(self) -> list[str]:
         """The router's metrics in statsd's form."""
         listed = {name for name in self.directory.targets if self.directory.is_cache(name)}
-        draining = {name for name in listed if self.directory.targets[name].listed is not EndpointState.READY}
+        draining = {
+            name for name in listed if self.directory.targets[name].listed_state is not EndpointState.READY
+        }
         ejected = self.driver.balancer.servers.ejected_servers() - draining
         avoided = (ejected | self.cordons.servers) & listed
         return self.driver.metrics.lines(self.driver.pools.attempts_written, len(listed), len(avoided))
--- a/rainhitch/cli/members.py
+++ b/rainhitch/cli/members.py
@@ -115,7 +115,8 @@
 
 def _read_options(operator_file: Path) -> "EtcdOptions":
     """Reads how etcd is reached from the operator's file; raises InputError."""
-    from rainhitch.membership.etcd_settings import MembershipError, etcd_options
+    from rainhitch.membership.errors import MembershipError
+    from rainhitch.membership.etcd_settings import etcd_options
     from rainhitch.operator_config import read_operator_config
     from rainhitch.toml_schema import TableError
 
@@ -195,7 +196,7 @@
     snapshot = await client.read_all(client.options.prefix)
     builder = EndpointListBuilder(lambda rows: None, lambda: 0)
     builder.publish({uid: value for uid, (_, value) in snapshot.entries.items()}, True)
-    host, port = client.endpoint
+    host, port = client.address
     age_ms = (time.monotonic() - started_s) * MS_PER_S
     print(
         f"{len(builder.entries)} members of {len(snapshot.entries)} keys under {client.options.prefix}, "
--- a/rainhitch/cli/plan.py
+++ b/rainhitch/cli/plan.py
@@ -224,8 +224,9 @@
 async def _rows_in_etcd(operator_file: Path) -> list[Json]:
     from rainhitch.cli.members import connect_to_any
     from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
+    from rainhitch.membership.errors import MembershipError
     from rainhitch.membership.etcd_client import CALL_ERRORS, describe_error
-    from rainhitch.membership.etcd_settings import MembershipError, etcd_options
+    from rainhitch.membership.etcd_settings import etcd_options
     from rainhitch.operator_config import read_operator_config
 
     try:
--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -217,7 +217,7 @@
         "needs": round(escrow.demand_per_s, 3),
         "lent": round(_leased_per_s(escrow.lent, now_ns), 3),
         "borrowed": round(_leased_per_s(escrow.borrowed, now_ns), 3),
-        "refused": escrow.refused,
+        "refused": escrow.denied,
     }
 
 
--- a/rainhitch/fleet/pause_detector.py
+++ b/rainhitch/fleet/pause_detector.py
@@ -24,7 +24,7 @@
         self.resuming_until_ns = now_ns - 1  # until then what is read may be as old as the pause
         self.pauses = 0
 
-    def heartbeat(self, now_ns: int) -> int:
+    def note_running(self, now_ns: int) -> int:
         """Records that the router runs; called at each heartbeat, and before anything is acted on.
 
         Returns for how long it was paused where that is detected by this call, else 0.
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -104,7 +104,7 @@
         self.borrowed: list[Lease] = []
         self.requests: dict[int, LeaseRequest] = {}  # by nonce
         self.nonce = self.random.getrandbits(32)
-        self.refused = 0  # units that were asked for and not given, since the start
+        self.denied = 0  # units that were asked for and not given, since the start
 
     def available_per_s(self, now_ns: int) -> float:
         """Returns how many units a second may be spent now."""
@@ -144,7 +144,7 @@
         self.demanded += 1
         self._fill(now_ns)
         if self.tokens < 1:
-            self.refused += 1
+            self.denied += 1
             return False
         self.tokens -= 1
         return True
--- a/rainhitch/membership/etcd_client.py
+++ b/rainhitch/membership/etcd_client.py
@@ -64,12 +64,12 @@
     """Calls to one endpoint; where there is a user, a token is fetched once and kept."""
 
     options: EtcdOptions
-    endpoint: Address
+    address: Address
     token: str = ""
     channel: Channel = field(init=False)
 
     def __post_init__(self) -> None:
-        host, port = self.endpoint
+        host, port = self.address
         config = Configuration(_keepalive_time=KEEPALIVE_INTERVAL_S, _keepalive_timeout=KEEPALIVE_TIMEOUT_S)
         self.channel = Channel(host, port, ssl=self.options.tls, config=config)
 
--- a/rainhitch/membership/etcd_settings.py
+++ b/rainhitch/membership/etcd_settings.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from rainhitch.interface import Address
-from rainhitch.membership.errors import MembershipError as MembershipError
+from rainhitch.membership.errors import MembershipError
 from rainhitch.operator_config import Membership, parse_host_port
 
 if TYPE_CHECKING:
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -72,7 +72,7 @@
         self._detect_pause_at(self.clock.now())
 
     def _detect_pause_at(self, now: int) -> None:
-        pause_ns = self.pause_detector.heartbeat(now)
+        pause_ns = self.pause_detector.note_running(now)
         if not pause_ns:
             return
         log.warning("router resumed after a pause pause_ms=%d", pause_ns // NS_PER_MS)
--- a/rainhitch/node/endpoint_directory.py
+++ b/rainhitch/node/endpoint_directory.py
@@ -28,7 +28,7 @@
     endpoint: Endpoint
     address: Address
     started_at_s: float  # its latest start on the loop's clock; 0: long ago
-    listed: EndpointState = EndpointState.READY  # what the list says, whether it is cordoned or not
+    listed_state: EndpointState = EndpointState.READY  # what the list says, whether it is cordoned or not
 
 
 class EndpointDirectory:
@@ -108,7 +108,7 @@
                 # list may not say for seconds. So it counts as started now, and gets the load of a slow
                 # start.
                 started_at_ns = self.pools.system.now()
-            state = self._state(name, known.listed)
+            state = self._state(name, known.listed_state)
             endpoint = replace(known.endpoint, state=state, started_at_ns=started_at_ns)
             self._place(replace(known, endpoint=endpoint))
             changed.append(endpoint)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -42,10 +42,10 @@
 GOSSIP_INTERVAL_NS = 200_000_000
 GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
 SPARE_DESCRIPTORS = 24  # for all that is neither a client's nor a server's
-# The number of a router's life is its start in quarters of a second since 2020, 32 bits of it.
-LIFE_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
-LIFE_UNIT_NS = 250_000_000
-LIFE_MASK = 0xFFFFFFFF
+# A router's generation is its start in quarters of a second since 2020, 32 bits of it.
+GENERATION_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
+GENERATION_UNIT_NS = 250_000_000
+GENERATION_MASK = 0xFFFFFFFF
 RECORD_INTERVAL_S = 1.0
 RECORD_WORDS = {kind: word for word, kind in WORDS.items()}
 log = logging.getLogger("rainhitch")
@@ -328,7 +328,7 @@
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
-    life = max(1, (machine.unix() - LIFE_EPOCH_UNIX_NS) // LIFE_UNIT_NS & LIFE_MASK)
+    life = max(1, (machine.unix() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
     return GossipExchange(
         peering.own_index,
         len(peering.peers),
@@ -345,7 +345,8 @@
 ) -> "EtcdSource":
     """The source of endpoints in place of discovery; imported only here, where it is on."""
     from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
-    from rainhitch.membership.etcd_settings import MembershipError, etcd_options
+    from rainhitch.membership.errors import MembershipError
+    from rainhitch.membership.etcd_settings import etcd_options
 
     try:
         options = etcd_options(membership)
--- a/rainhitch/overload/concurrency_limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -78,8 +78,11 @@
         """Requests in flight, first attempts and retries."""
         return self.first_attempts.in_flight + self.retries.in_flight
 
-    def admits(self, now_ns: int, priority: Priority, is_retry: bool) -> bool:
-        """Returns whether one more request of this priority fits under the limit; counts it if not."""
+    def try_admit(self, now_ns: int, priority: Priority, is_retry: bool) -> bool:
+        """Returns whether one more request of this priority fits under the limit.
+
+        Counts the arrival of its kind, and the rejection where it does not fit.
+        """
         admitted = self._fits(now_ns, priority, is_retry)
         if not admitted:
             self.rejected += 1
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -3,7 +3,7 @@
 The controller sees arrivals, connects, client retries, outcomes, and the delay of the router's timers. It
 decides whether a request is admitted, queued or rejected, when a rejected client should come back, whether
 one more retry of the router's own may be sent, and for how long accepting pauses. The decision module
-(`policy/`) still chooses the server and gives each answer. Times are ns.
+(`policy/`) chooses the server and gives each answer. Times are ns.
 """
 
 from dataclasses import dataclass
@@ -175,7 +175,7 @@
         """Returns why a request is rejected during a storm; None: it is not."""
         if request.deadline_ns - now_ns < self.service.answer_time_ns / 2:
             return RejectionCause.TOO_LATE
-        if not self.concurrency_limit.admits(now_ns, priority, is_retry):
+        if not self.concurrency_limit.try_admit(now_ns, priority, is_retry):
             return RejectionCause.CONCURRENCY_LIMIT
         return None
 
--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -25,7 +25,7 @@
 MAX_KEYS = 4096  # remembered at once
 MAX_QUEUED = 8  # requests that wait for one key
 
-Attempt = tuple[str, int]  # the request's id and the attempt's number
+AttemptId = tuple[str, int]  # the request's id and the attempt's number
 PossibleExecution = tuple[int, api.Endpoint]  # when an attempt started, ns, and at which server
 
 
@@ -50,8 +50,8 @@
 
     holder: str = ""  # id of the request that holds it, or held it last
     holder_unfinished: bool = False  # the holder has no final answer yet
-    in_flight: set[Attempt] = field(default_factory=set)
-    executed: dict[Attempt, PossibleExecution] = field(default_factory=dict)  # what may have been executed
+    in_flight: set[AttemptId] = field(default_factory=set)
+    executed: dict[AttemptId, PossibleExecution] = field(default_factory=dict)  # what may have been executed
     queue: deque[str] = field(default_factory=deque)  # ids of the requests that wait, the first come first
     remembered_until_ns: int = 0  # an idle key is forgotten then
 
--- a/tests/admin/test_compatibility.py
+++ b/tests/admin/test_compatibility.py
@@ -46,7 +46,7 @@
             "s-3": EndpointState.DRAINING,
             "o": EndpointState.READY,
         }
-        targets = {name: SimpleNamespace(listed=state) for name, state in states.items()}
+        targets = {name: SimpleNamespace(listed_state=state) for name, state in states.items()}
         self.directory = SimpleNamespace(
             can_serve=True,
             targets=targets,
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -101,7 +101,7 @@
         meter, network = chaos(seed, 120, routers)
         assert meter.worst <= meter.bound(), f"seed {seed}"
         assert meter.spent > 1000
-        asked += meter.spent + sum(one.refused for one in network.parts)
+        asked += meter.spent + sum(one.denied for one in network.parts)
     assert asked > least
 
 
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -119,7 +119,7 @@
                 part.take(now)
 
     def state(part: QuotaEscrow, now: int) -> Any:
-        return [part.available_per_s(now), part.demand_per_s, part.tokens, part.refused]
+        return [part.available_per_s(now), part.demand_per_s, part.tokens, part.denied]
 
     parts = [QuotaEscrow(me, ROUTERS, 120.0, START, me) for me in range(ROUTERS)]
     return exchanged(parts, 260, before_step, state)
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -60,7 +60,7 @@
     taken = dict.fromkeys(offers, 0)
     for _ in range(rounds):
         for priority, retry in offers:
-            if limit.admits(START, priority, retry):
+            if limit.try_admit(START, priority, retry):
                 limit.attempt_started(retry)
                 taken[priority, retry] += 1
     return taken
@@ -85,7 +85,7 @@
     """Retries that came first, and many, took every place; or the other way round."""
     limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, reserved_fraction)
     limit.limit = float(size)
-    limit.admits(START, Priority.READ, not flood)  # the other kind is wanted
+    limit.try_admit(START, Priority.READ, not flood)  # the other kind is wanted
     filled(limit, [(Priority.WRITE, flood)], 3 * size)
     assert (limit.retries if flood else limit.first_attempts).in_flight <= size * (1 - reserved_fraction)
     taken = filled(limit, [(Priority.READ, not flood)], 3 * size)[Priority.READ, not flood]
