--- a/rainhitch/cli/logs.py
+++ b/rainhitch/cli/logs.py
@@ -9,6 +9,7 @@
 from rainhitch.cli.exit_codes import FAILURE, SUCCESS
 from rainhitch.cli.output import print_error, print_json
 from rainhitch.telemetry import sums
+from rainhitch.telemetry.records import is_loss
 
 US_PER_S = 1e6
 CAUSES_SHOWN = 3
@@ -111,7 +112,7 @@
             print(f"  {name:<24}{attempts:>8} {poor:>8}")
     print("\nworst seconds               lost    taken  most of it")
     for at, second in fleet.worst():
-        losses = [item for item in second.counts["ended"].most_common() if ":" in item[0]]
+        losses = [item for item in second.counts["ended"].most_common() if is_loss(item[0])]
         causes = ", ".join(f"{cause} {count}" for cause, count in losses[:CAUSES_SHOWN])
         print(f"  {at:<22}{second.lost():>8} {second.taken:>8}  {causes}")
 
--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -6,7 +6,7 @@
 from rainhitch.node.in_flight_request import InFlightRequest
 from rainhitch.system import Clock
 from rainhitch.telemetry.counts import Counts
-from rainhitch.telemetry.records import Bad
+from rainhitch.telemetry.records import CLIENT_GAVE_UP, CLIENT_LEFT, CUT_OFF, ROUTER_FULL, SERVED, Bad
 from rainhitch.telemetry.router_metrics import RouterMetrics
 
 NS_PER_MS = 1_000_000
@@ -16,7 +16,7 @@
 
 
 class RequestAccounting:
-    """The counts of one router; outcomes are texts as the records have them."""
+    """The counts of one router; outcomes are texts as `telemetry/records.py` has them."""
 
     def __init__(self, clock: Clock, class_names: list[str], counts: Counts) -> None:
         self.clock = clock
@@ -38,7 +38,7 @@
         """A request was rejected at once, since the router holds as many as it may."""
         self.metrics.rejected[client_request.class_index] += 1
         self.counts.taken += 1
-        self.counts.add("ended", "refused:room")
+        self.counts.add("ended", ROUTER_FULL)
 
     def answered(
         self, request: InFlightRequest, metric: list[int], outcome: str, is_over_quota: bool
@@ -49,7 +49,7 @@
         tenant = self.tenant_names[request.client_request.tenant]
         mark = "+" if is_over_quota else ""
         self.counts.add("customers", f"{tenant}{mark} {outcome.partition(':')[0]}")
-        if request.finished_attempts and outcome != "served":
+        if request.finished_attempts and outcome != SERVED:
             self._note_bad(request, outcome)
 
     def relay_ended(self, request: InFlightRequest, whole: bool) -> None:
@@ -57,12 +57,12 @@
         self.metrics.in_flight -= 1
         metric = self.metrics.served if whole else self.metrics.failed
         metric[request.client_request.class_index] += 1
-        self.counts.add("ended", "served" if whole else "failed:cut off")
+        self.counts.add("ended", SERVED if whole else CUT_OFF)
 
     def client_left(self, request: InFlightRequest) -> None:
         """A client left before its answer."""
         gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
-        outcome = "gone:unanswered" if gave_up else "gone"
+        outcome = CLIENT_GAVE_UP if gave_up else CLIENT_LEFT
         self.counts.add("ended", outcome)
         if gave_up:
             self._note_bad(request, outcome)
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -21,6 +21,7 @@
 from rainhitch.node.request_accounting import RequestAccounting
 from rainhitch.policy.balancer import Balancer
 from rainhitch.protocol import resp
+from rainhitch.telemetry.records import FAILED_PREFIX, OVERDUE, REJECTED_PREFIX, SERVED
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
@@ -155,7 +156,7 @@
         end of a graceful shutdown. The decisions are told as if its client had left: nothing more is owed.
         """
         if request.is_open():
-            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, "failed:overdue")
+            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
             self.decisions.handle(api.ClientGone(request.id))
             self.forget_if_over(request)
 
@@ -205,15 +206,15 @@
         if isinstance(action, api.Reject):
             retry_after_ms = -(-action.retry_after_ns // NS_PER_MS)  # rounded up
             answer = resp.busy_reply(retry_after_ms)
-            self._answer(request, answer, self.metrics.rejected, f"refused:{action.reason}")
+            self._answer(request, answer, self.metrics.rejected, REJECTED_PREFIX + action.reason)
         else:
-            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, f"failed:{action.reason}")
+            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, FAILED_PREFIX + action.reason)
         self.forget_if_over(request)
 
     def served(self, request: InFlightRequest, value: object) -> None:
         """Answers the client with the value of an attempt."""
         answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
-        self._answer(request, answer, self.metrics.served, "served")
+        self._answer(request, answer, self.metrics.served, SERVED)
 
     def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
         """Passes a long value on to the client as it arrives."""
--- a/rainhitch/telemetry/records.py
+++ b/rainhitch/telemetry/records.py
@@ -3,16 +3,46 @@
 A line is a word and one JSON object, behind whatever the logging puts before it:
 
     ... INFO second {"at":1764618445.2,"taken":31,"ended":{"served":24,"refused:placement+":7},...}
-    ... INFO bad {"at":1764618445.4,"id":"4981434d5d3a91c4","how":"failed:late","tries":["s-5be2 timeout"]}
+    ... INFO bad {"at":1764618445.4,"id":"4981","how":"failed:late","tries":["s-5b timeout after 900 ms"],...}
 
 Counts are of what happened since the router's last `second`; times are Unix seconds.
 """
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 Numbers = dict[str, int]
 
 
+class Outcome(StrEnum):
+    """How a request ended, as records tell, where no decision with a `RejectReason` ended it."""
+
+    SERVED = "served"
+    CLIENT_LEFT = "gone"
+    CLIENT_GAVE_UP = "gone:unanswered"  # it left with so little of its wait left that it gave up waiting
+    ROUTER_FULL = "refused:room"  # the router holds as many requests or bytes as it may
+    OVERDUE = "failed:overdue"  # its time was over, and no decision had ended it
+    CUT_OFF = "failed:cut off"  # a long value broke off, or its client left meanwhile
+
+
+# Plain texts for who counts: the JSON writer takes no enum as a key, and reading a member off its class is a
+# Python call in 3.11.
+SERVED = Outcome.SERVED.value
+CLIENT_LEFT = Outcome.CLIENT_LEFT.value
+CLIENT_GAVE_UP = Outcome.CLIENT_GAVE_UP.value
+ROUTER_FULL = Outcome.ROUTER_FULL.value
+OVERDUE = Outcome.OVERDUE.value
+CUT_OFF = Outcome.CUT_OFF.value
+# Before a RejectReason, of the decision that ended the request.
+REJECTED_PREFIX = "refused:"
+FAILED_PREFIX = "failed:"
+
+
+def is_loss(outcome: str) -> bool:
+    """Whether a request was rejected, failed, or left by a client that gave up waiting: it has a reason."""
+    return ":" in outcome
+
+
 @dataclass(slots=True)
 class Second:
     """What one router did in a second; nothing is written for one in which nothing happened."""
@@ -30,7 +60,8 @@
     # that ended it: placement (no server has capacity), throttle, buffer (waited there too long), fetch
     # (waited for a coalesced read), origin, total (of the fleet's reads of the database), storm, order,
     # budget (of retries), attempts (no further one is allowed), full, error, late, room (of the router),
-    # overdue (the decisions lost it); + behind it: beyond the tenant's quota.
+    # overdue (the decisions lost it), cut off (of a long value); + behind
+    # it: beyond the tenant's quota.
     ended: Numbers = field(default_factory=dict)
     # Attempts by their status, "origin" before it for those at the database; and their durations' sums, ms.
     tried: Numbers = field(default_factory=dict)
--- a/rainhitch/telemetry/sums.py
+++ b/rainhitch/telemetry/sums.py
@@ -8,7 +8,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from rainhitch.telemetry.records import WORDS, Bad, Numbers, Second
+from rainhitch.telemetry.records import WORDS, Bad, Numbers, Second, is_loss
 
 Json = dict[str, Any]
 READERS: dict[str, TypeAdapter[Any]] = {word: TypeAdapter(kind) for word, kind in WORDS.items()}
@@ -49,8 +49,8 @@
             self.counts[name].update(getattr(record, name))
 
     def lost(self) -> int:
-        """Requests that were rejected or failed: their outcome has a reason behind a colon."""
-        return sum(count for outcome, count in self.counts["ended"].items() if ":" in outcome)
+        """Requests that were rejected, failed, or left by a client that gave up waiting."""
+        return sum(count for outcome, count in self.counts["ended"].items() if is_loss(outcome))
 
     def as_json(self) -> Json:
         """The sums, each counter with its largest count first."""
