--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -48,12 +48,12 @@
 MUTANTS: dict[str, Mutant] = {
     "leaving cuts off what is on its way": Mutant(
         "node/client_connection.py",
-        "return not self.commands.only_greeted and not self.frames.buffer and not self.has_unread_bytes()",
+        "return not self.commands.only_set_up and not self.reader.buffer and not self.has_unread_bytes()",
         "return True",
     ),
     "a close behind a greeting": Mutant(
         "node/client_connection.py",
-        "return not self.commands.only_greeted and",
+        "return not self.commands.only_set_up and",
         "return",
     ),
     "a given-up attempt counts as unsent": Mutant(
@@ -73,12 +73,12 @@
     ),
     "a time-out leaves its connection": Mutant(
         "node/attempt_runner.py",
-        "may_have_run = attempt.connection.abandon()",
+        "may_have_run = attempt.connection.close_attempt()",
         "may_have_run = True",
     ),
     "a restart keeps old connections' attempts": Mutant(
         "node/connection_pool.py",
-        "for connection in [one for one in self.all if one.opened_at_s < time_s]:",
+        "for connection in [one for one in self.connections if one.opened_at_s < time_s]:",
         "for connection in []:",
     ),
     "an order's window does not end": Mutant(
@@ -108,8 +108,8 @@
     ),
     "a draining pool takes back connections": Mutant(
         "node/connection_pool.py",
-        "if self.draining or connection not in self.all:",
-        "if connection not in self.all:",
+        "if self.draining or connection not in self.connections:",
+        "if connection not in self.connections:",
     ),
     "an id is held for ever": Mutant(
         "node/request_driver.py",
--- a/benchmarks/resp3.py
+++ b/benchmarks/resp3.py
@@ -25,7 +25,7 @@
 
 from benchmarks.rig import parser_for, print_row, print_table_header
 from rainhitch.protocol import resp
-from rainhitch.protocol.resp3_reader import MAX_MESSAGE_BYTES, Resp3Reader
+from rainhitch.protocol.resp3_reader import MAX_RESP3_MESSAGE_BYTES, Resp3Reader
 from rainhitch.protocol.resp3_types import Map, Push
 from rainhitch.protocol.resp3_writer import encode
 
@@ -54,7 +54,7 @@
     b"\0",
     b"*1\r\n" * 3,
 ]
-MAX_BUFFERED_BYTES = MAX_MESSAGE_BYTES + (1 << 17)
+MAX_BUFFERED_BYTES = MAX_RESP3_MESSAGE_BYTES + (1 << 17)
 MAX_PIECE_BYTES = 20
 VALUE = b"v" * 400
 TIMED_CALLS = 30_000
@@ -118,7 +118,7 @@
         at += len(piece)
         reader.feed(piece)
         while reader.next() is not resp.NEED_DATA:
-            reader.read_body()
+            reader.read_long_value()
             steps += 1
             if steps > 4 * len(text) + 16:
                 raise AssertionError(f"no end: {text!r}")
--- a/rainhitch/node/__init__.py
+++ b/rainhitch/node/__init__.py
@@ -1,1 +1,4 @@
-"""The real router: the decisions of rainhitch.policy on real sockets."""
+"""The router on real sockets.
+
+What is called a node in `rehearsal/` is a cache server, and is not here.
+"""
--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -38,7 +38,7 @@
     def withdraw(self, request: InFlightRequest) -> None:
         """The client has left."""
 
-    def overdue(self, request: InFlightRequest) -> None:
+    def deadline_passed(self, request: InFlightRequest) -> None:
         """The request's time is over."""
 
     def forget_if_over(self, request: InFlightRequest) -> None:
@@ -99,7 +99,11 @@
 
     def take_back(self, attempt: Attempt) -> None:
         """Ends an attempt that is not written whole: it begins at its server with its last byte only."""
-        if attempt.is_in_flight() and attempt.connection is not None and attempt.connection.withdraw():
+        if (
+            attempt.is_in_flight()
+            and attempt.connection is not None
+            and attempt.connection.take_back_unwritten()
+        ):
             self.ended(attempt, AttemptResult(api.AttemptStatus.ABANDONED))
 
     def time_out(self, attempt: Attempt) -> None:
@@ -110,7 +114,7 @@
         if not attempt.is_in_flight() or self.give_grace(attempt):
             return
         if attempt.connection is not None:
-            may_have_run = attempt.connection.abandon()
+            may_have_run = attempt.connection.close_attempt()
             status = api.AttemptStatus.TIMEOUT if may_have_run else api.AttemptStatus.ABANDONED
             self.ended(attempt, AttemptResult(status))
 
@@ -128,7 +132,9 @@
             if timer is not None:
                 timer.cancel()
         attempt.timeout_timer = self.loop.call_later(UNREAD_ANSWER_GRACE_S, self.time_out, attempt)
-        request.overdue_timer = self.loop.call_later(2 * UNREAD_ANSWER_GRACE_S, self.owner.overdue, request)
+        request.overdue_timer = self.loop.call_later(
+            2 * UNREAD_ANSWER_GRACE_S, self.owner.deadline_passed, request
+        )
         return True
 
     def ended(self, attempt: Attempt, result: AttemptResult) -> None:
--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -46,7 +46,7 @@
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
-        self.frames: resp.ReplyReader = resp.Resp2Reader(reads_replies=True)
+        self.reader: resp.ReplyReader = resp.Resp2Reader(reads_replies=True)
 
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
         """The command as the client sent it, with another info list."""
@@ -57,7 +57,7 @@
 
     def read(self, data: bytes) -> None:
         """Takes in what came while an attempt is active."""
-        self.frames.feed(data)
+        self.reader.feed(data)
         try:
             answer = self.next_answer()
         except resp.FramingError:
@@ -68,7 +68,7 @@
 
     def next_answer(self) -> object:
         """The active attempt's answer, once it is whole; what there is of a long value goes on."""
-        answer = self.frames.next() if self.relay is None else self._pass_on(self.relay)
+        answer = self.reader.next() if self.relay is None else self._pass_on(self.relay)
         if isinstance(answer, resp.LongValue):
             self.start_relay(answer.size_bytes)
             answer = resp.NEED_DATA if self.relay is None else self._pass_on(self.relay)
@@ -76,11 +76,13 @@
 
     def _pass_on(self, relay: Relay) -> object:
         """Passes on what has come of a long value; gives what stands behind it, once that is here."""
-        piece = self.frames.read_body()
+        piece = self.reader.read_long_value()
         if piece:
             relay.feed(piece)
         # Guards against a client that has left meanwhile: then this connection is closed.
-        return resp.NEED_DATA if self.frames.body_bytes_left or self.relay is None else self.frames.next()
+        return (
+            resp.NEED_DATA if self.reader.long_value_bytes_left or self.relay is None else self.reader.next()
+        )
 
     def _end(self, answer: object) -> None:
         if self.relay is not None and isinstance(answer, list):
@@ -97,4 +99,4 @@
 
     def is_sound(self) -> bool:
         """Whether nothing stands behind the answer that can't."""
-        return not self.frames.buffer
+        return not self.reader.buffer
--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -31,7 +31,7 @@
         is_blocked = responses.write_buffer_full or client.flow.turn_over
         takes_commands = client.state is CONNECTION_OPEN and not is_blocked
         in_work = len(responses.slots)
-        expects_command = bool(client.frames.buffer) or not client.command_count
+        expects_command = bool(client.reader.buffer) or not client.command_count
         if takes_commands and expects_command and in_work < MAX_PIPELINED_COMMANDS:
             self.idle.pop(client, None)
             self.awaited.setdefault(client, self.loop.time())
@@ -50,7 +50,7 @@
         for client, since_s in group.items():
             if since_s > before_s:
                 break
-            if not client.responses.slots and not client.frames.buffer and not client.has_unread_bytes():
+            if not client.responses.slots and not client.reader.buffer and not client.has_unread_bytes():
                 yield client
 
     def incomplete(self, for_s: float) -> list[ClientConnection]:
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -25,24 +25,27 @@
     events: ClientEvents
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command that was rejected unread by the decisions."""
+        """Counts a command that is answered -BUSY and never reaches the decisions.
+
+        Its client had no room, or its connection ends.
+        """
 
 
 class ClientCommands:
     """The commands of one connection; each appends its answer's slot to the queue."""
 
-    __slots__ = ("host", "only_greeted", "responses", "session")
+    __slots__ = ("host", "only_set_up", "responses", "session")
 
     def __init__(self, host: CommandHost, session: Session, responses: ResponseQueue) -> None:
         self.host = host
         self.session = session
         self.responses = responses
-        self.only_greeted = True  # no command but what a connection says of itself
+        self.only_set_up = True  # no command yet but those in GREETINGS
 
     def handle(self, parts: list[bytes], unread_ms: int) -> bool:
         """Handles a command that may have been unread for so long; gives whether it is the client's last."""
         name = parts[0].upper() if parts else b""
-        self.only_greeted = self.only_greeted and name in GREETINGS
+        self.only_set_up = self.only_set_up and name in GREETINGS
         if name in REQUEST_COMMANDS and self.session.authenticated:
             self._request(parts, unread_ms)
             return False
@@ -61,17 +64,17 @@
         """Appends an answer that is ready."""
         self.responses.put(answer, self.session.version)
 
-    def reject_rest(self, frames: resp.Resp2Reader) -> bytes:
+    def reject_rest(self, reader: resp.Resp2Reader) -> bytes:
         """The answers to commands that were read and not handled: they are rejected.
 
         They do not cross the end of the connection, and nothing of them has begun.
         """
         answers = []
         with contextlib.suppress(resp.FramingError):
-            while isinstance(parts := frames.next(), list):
+            while isinstance(parts := reader.next(), list):
                 self.host.count_rejected_command(parts)
                 answers.append(resp.busy_reply(0))
-        frames.buffer.clear()
+        reader.buffer.clear()
         return b"".join(answers)
 
     def _request(self, parts: list[bytes], unread_ms: int) -> None:
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -91,7 +91,7 @@
         self.host = host
         self.activity = host.activity
         self.state = CONNECTION_OPEN
-        self.frames = resp.Resp2Reader()
+        self.reader = resp.Resp2Reader()
         self.session = Session(host.next_connection_id(), host.authenticator, host.can_serve)
         self.responses = ResponseQueue(self, host)
         self.commands = ClientCommands(host, self.session, self.responses)
@@ -99,7 +99,7 @@
         self.unread_age = UnreadAge(self.system, host.driver.loop_lag)
         self.unread_ms = 0  # for which what has come last may have been unread
         self.nothing_received = True
-        self.flow = ReadFlow(host, self.frames, self.responses, self.unread_age)
+        self.flow = ReadFlow(host, self.reader, self.responses, self.unread_age)
         self.is_advancing = False
         self.rejected: RejectedConnection | None = None
 
@@ -120,11 +120,11 @@
         assert self.transport is not None
         lag = self.host.driver.loop_lag
         lag.callback_begins()
-        self.host.driver.decisions.just_resumed()
+        self.host.driver.decisions.detect_pause()  # before the read acts on anything
         self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
         self.nothing_received = False
         if self.state is CONNECTION_OPEN:
-            self.frames.feed(data)
+            self.reader.feed(data)
             self.advance()
         elif self.rejected is not None:
             self.rejected.data_received(data)
@@ -143,7 +143,7 @@
         self.close_timer.connection_lost()
         for slot in self.responses.connection_lost():
             if slot.relay is not None:
-                slot.relay.leave()
+                slot.relay.client_left()
             if slot.request is not None:
                 self.host.driver.withdraw(slot.request)
 
@@ -151,7 +151,7 @@
         """The client reads too slowly: nothing more is written or read for now."""
         self.responses.write_buffer_full = True
         self.close_timer.start_for_unread_answers()
-        self._steer_reading()
+        self._pause_or_resume_reading()
 
     def resume_writing(self) -> None:
         """The client has read what was written."""
@@ -171,7 +171,7 @@
         commands_left = 0 if self.flow.turn_over else MAX_COMMANDS_PER_TURN
         try:
             commands_left -= self._handle_commands(commands_left)
-            while self.responses.write_ready() and commands_left > 0 and self.frames.buffer:
+            while self.responses.write_ready() and commands_left > 0 and self.reader.buffer:
                 commands_left -= self._handle_commands(commands_left)
         finally:
             self.is_advancing = False
@@ -181,11 +181,11 @@
         elif all_answered and self.host.draining and self._may_be_drained():
             self.half_close(CloseReason.SHUTDOWN)
         else:
-            if commands_left == 0 and self.frames.buffer and not self.flow.turn_over:
+            if commands_left == 0 and self.reader.buffer and not self.flow.turn_over:
                 # Guards the others against a client that sends hundreds of commands at once.
                 self.flow.turn_over = True
                 self.host.loop.call_soon(self._next_turn)
-            self._steer_reading()
+            self._pause_or_resume_reading()
 
     def _next_turn(self) -> None:
         self.flow.turn_over = False
@@ -199,7 +199,7 @@
             while handled < max_commands and self.state is CONNECTION_OPEN:
                 if responses.write_buffer_full or len(responses.slots) >= MAX_PIPELINED_COMMANDS:
                     break
-                parts = self.frames.next()
+                parts = self.reader.next()
                 if parts is resp.NEED_DATA:
                     break
                 handled += 1
@@ -225,7 +225,7 @@
         self._read_no_more()
         self.advance()
 
-    def overdue(self) -> None:
+    def end_unfinished(self) -> None:
         """Its command has been incomplete for too long."""
         self.end("no whole command in time", CloseReason.UNFINISHED)
         self.advance()
@@ -236,7 +236,7 @@
         Guards a client's first request, which comes right behind its HELLO: a client that has only greeted is
         not closed behind that answer, but when it has idled.
         """
-        return not self.commands.only_greeted and not self.frames.buffer and not self.has_unread_bytes()
+        return not self.commands.only_set_up and not self.reader.buffer and not self.has_unread_bytes()
 
     def half_close(self, reason: CloseReason) -> None:
         """Ends the sending and reads on for a while, so that the close is no reset.
@@ -248,30 +248,30 @@
             return
         self.note_close_reason(reason)
         self.state = HALF_CLOSED
-        answers = self.commands.reject_rest(self.frames)
+        answers = self.commands.reject_rest(self.reader)
         if answers:
             self.transport.write(answers)
         self.activity.classify(self)
         if self.nothing_received:
             self.transport.close()
             return
-        self._steer_reading()
+        self._pause_or_resume_reading()
         self.start_lingering()
 
-    def _steer_reading(self) -> None:
+    def _pause_or_resume_reading(self) -> None:
         """Pauses or resumes reading; ends the connection where memory is short."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.flow.steer(self.transport, self.state is LAST_COMMAND_READ, self.state is HALF_CLOSED)
+        self.flow.pause_or_resume(self.transport, self.state is LAST_COMMAND_READ, self.state is HALF_CLOSED)
         self.activity.classify(self)
-        self.flow.account(self.transport)
+        self.flow.update_buffered_bytes(self.transport)
         if self.host.buffered_bytes > self.host.max_buffered_bytes:
             self._drop_input()
 
     def _drop_input(self) -> None:
         """Memory is short: ends the connection where what its client has sent is a good part of that."""
-        if len(self.frames.buffer) > SMALL_ANSWER_BYTES and self.state is CONNECTION_OPEN:
-            self.frames.buffer.clear()
+        if len(self.reader.buffer) > SMALL_ANSWER_BYTES and self.state is CONNECTION_OPEN:
+            self.reader.buffer.clear()
             self.end("out of memory", CloseReason.OUT_OF_MEMORY)
             self.advance()
 
@@ -279,6 +279,6 @@
         if self.state is CONNECTION_OPEN:
             self.state = LAST_COMMAND_READ
 
-    def account(self) -> None:
+    def update_buffered_bytes(self) -> None:
         """Counts the bytes that the connection holds anew."""
-        self.flow.account(self.transport)
+        self.flow.update_buffered_bytes(self.transport)
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -18,7 +18,7 @@
 from rainhitch.node.listener import Listener
 from rainhitch.node.rejected_connection import RejectedConnections
 from rainhitch.node.request_driver import RequestDriver
-from rainhitch.node.session import OPEN
+from rainhitch.node.session import NO_PASSWORD_NEEDED
 from rainhitch.node.shutdown import MAX_DEADLINE_WAIT_S, shutdown_schedule
 from rainhitch.settings import Names
 
@@ -58,13 +58,13 @@
         self.overload = overload
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.system = system.of(self.loop)
-        self.open: dict[ClientConnection, None] = {}  # in the order in which they came
+        self.connections: dict[ClientConnection, None] = {}  # in the order in which they came
         self.activity = ClientActivity(self.loop)
-        self.idle_s = IDLE_GRACE_S
-        self.at_need_s = IDLE_GRACE_NEAR_CAP_S
-        self.unfinished_s = UNFINISHED_COMMAND_LIMIT_S
-        self.unread_s = UNREAD_ANSWERS_LIMIT_S
-        self.authenticator = OPEN  # who may come in
+        self.idle_grace_s = IDLE_GRACE_S
+        self.idle_grace_near_cap_s = IDLE_GRACE_NEAR_CAP_S
+        self.unfinished_command_limit_s = UNFINISHED_COMMAND_LIMIT_S
+        self.unread_answers_limit_s = UNREAD_ANSWERS_LIMIT_S
+        self.authenticator = NO_PASSWORD_NEEDED  # who may come in
         self.last_connection_id = 0
         self.buffered_bytes = 0  # that clients have not finished sending or reading
         self.closing = False
@@ -88,19 +88,19 @@
     def admit(self, client: ClientConnection) -> bool:
         """Takes in a new connection; at the cap only where another can be closed."""
         self._pace_accepts()
-        if len(self.open) >= self.descriptors.max_clients(self.max_open):
+        if len(self.connections) >= self.descriptors.max_clients(self.max_open):
             if not self._make_room():
                 return False
-        elif len(self.open) > self.max_open // 2:
+        elif len(self.connections) > self.max_open // 2:
             # Guards clients that keep what they opened against a lack of connections of their own, long
             # before the cap: the protocol lets a router close between requests, and one is closed for each
             # new one.
-            closed = self._close_idle(min(self.idle_s, self.at_need_s))
+            closed = self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
             if closed is not None and closed.command_count == 1:
                 # Guards against clients that ask once and stay: with one for one they would never be fewer.
-                self._close_idle(min(self.idle_s, self.at_need_s))
-        self.open[client] = None
-        self.descriptors.clients_open = len(self.open)
+                self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
+        self.connections[client] = None
+        self.descriptors.clients_open = len(self.connections)
         self.activity.connected(client)
         if not self.sweep_planned:
             self.sweep_planned = True
@@ -111,7 +111,7 @@
         """Pauses accepting for as long as the overload control says."""
         if self.overload is None or self.listener is None:
             return
-        pause_ns = self.overload.connection_accepted(self.system.now(), len(self.open))
+        pause_ns = self.overload.connection_accepted(self.system.now(), len(self.connections))
         if pause_ns:
             self.listener.pause(pause_ns / NS_PER_S)
             self.driver.counts.add("accepts", "pauses")
@@ -127,7 +127,10 @@
         return 0 if self.overload is None else self.overload.connection_rejected(self.system.now())
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts the command of a client that had no room."""
+        """Counts a command that is answered -BUSY and never reaches the decisions.
+
+        Its client had no room, or its connection ends.
+        """
         with contextlib.suppress(ClientRequestError, IndexError):
             class_index = parse_client_request(parts, self.names).class_index
             self.driver.metrics.rejected[class_index] += 1
@@ -147,9 +150,9 @@
             client.abort(CloseReason.LINGERED)
             self.connection_lost(client)
             return True
-        if self._close_unused(self.activity.awaited, self.idle_s) is not None:
+        if self._close_unused(self.activity.awaited, self.idle_grace_s) is not None:
             return True
-        if self._close_idle(min(self.idle_s, self.at_need_s)) is not None:
+        if self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s)) is not None:
             return True
         return self.descriptors.shared is not None and self.driver.pools.close_surplus()
 
@@ -168,26 +171,26 @@
 
     def _sweep(self) -> None:
         """Guards against clients that connect and say nothing, stop half-way or send a byte now and then."""
-        for client in self.activity.incomplete(self.unfinished_s):
-            client.overdue()
-        if len(self.open) > self.max_open // 2:
+        for client in self.activity.incomplete(self.unfinished_command_limit_s):
+            client.end_unfinished()
+        if len(self.connections) > self.max_open // 2:
             # Guards clients against a lack of connections of their own, long before the cap is reached.
-            for client in list(self.activity.unused(self.activity.idle, self.idle_s)):
+            for client in list(self.activity.unused(self.activity.idle, self.idle_grace_s)):
                 self._retire(client)
-        self.sweep_planned = bool(self.open)
+        self.sweep_planned = bool(self.connections)
         if self.sweep_planned:
             self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_lost(self, client: ClientConnection) -> None:
         """A connection is closed, or is being aborted."""
-        if client in self.open and client.close_reason is not None:
+        if client in self.connections and client.close_reason is not None:
             self.driver.counts.add("closed", client.close_reason.value)
-        self.open.pop(client, None)
-        self.descriptors.clients_open = len(self.open)
+        self.connections.pop(client, None)
+        self.descriptors.clients_open = len(self.connections)
         self.activity.forget(client)
         self.buffered_bytes -= client.flow.buffered_bytes
         client.flow.buffered_bytes = 0
-        if self.closing and not self.open:
+        if self.closing and not self.connections:
             self._all_closed.set()
 
     def drain(self) -> None:
@@ -216,7 +219,7 @@
         if elapsed_s >= self.schedule.stop_reading_s:
             # Who has half a command on its way has a little longer to send the rest.
             is_late = elapsed_s >= self.schedule.all_answered_s
-            still_open = [one for one in self.open if one.state is ConnectionState.OPEN]
+            still_open = [one for one in self.connections if one.state is ConnectionState.OPEN]
             for client in [one for one in still_open if one.responses.slots or is_late]:
                 client.finish()
         self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, started_at_s)
@@ -227,7 +230,7 @@
         self.drain()
         if self.listener is not None:
             self.listener.close()
-        if not self.open:
+        if not self.connections:
             self._all_closed.set()
 
     async def emptied(self, max_wait_s: float) -> None:
--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -12,7 +12,7 @@
     """What the timer needs of the router."""
 
     loop: asyncio.AbstractEventLoop
-    unread_s: float  # for which a client may leave answers unread
+    unread_answers_limit_s: float  # for which a client may leave answers unread
 
 
 def _do_nothing(reason: CloseReason) -> None:
@@ -31,8 +31,10 @@
         self.is_lost = False  # the connection is
 
     def start_for_unread_answers(self) -> None:
-        """The client reads too slowly: it has `unread_s` to read what was written."""
-        self.timer = self.host.loop.call_later(self.host.unread_s, self.abort, CloseReason.UNREAD_ANSWERS)
+        """The client reads too slowly: it has `unread_answers_limit_s` to read what was written."""
+        self.timer = self.host.loop.call_later(
+            self.host.unread_answers_limit_s, self.abort, CloseReason.UNREAD_ANSWERS
+        )
 
     def start_for_lingering(self, transport: asyncio.Transport) -> None:
         """The connection is half closed: the client has LINGER_S to close its side."""
@@ -56,7 +58,7 @@
         if self.is_lost:
             return
         loop = self.host.loop
-        left_s = since_s + self.host.unread_s - loop.time()
+        left_s = since_s + self.host.unread_answers_limit_s - loop.time()
         if transport.get_write_buffer_size() and left_s > 0:
             self.timer = loop.call_later(min(LINGER_S, left_s), self._linger_over, transport, since_s)
         else:
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -13,7 +13,7 @@
 from rainhitch.errors import RainhitchError
 from rainhitch.interface import Address, Settings
 from rainhitch.node.endpoint_list import EndpointListError, read_address
-from rainhitch.node.session import OPEN, Authenticator
+from rainhitch.node.session import NO_PASSWORD_NEEDED, Authenticator
 from rainhitch.settings import (
     Ceilings,
     Json,
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Peering:
-    """The addresses for gossip: where this router listens, and where the others do."""
+    """The addresses for gossip: where this router listens, and where all routers do, itself included."""
 
     listen: Address
     peers: list[Address]  # of all routers, in the order of their numbers
@@ -65,7 +65,7 @@
     names: Names
     ceilings: Ceilings
     admin: Address | None = None  # of the operators' endpoint
-    peers: Peering | None = None  # the other routers, where gossip is allowed
+    peers: Peering | None = None  # where there are other routers, and gossip with them is allowed
     inherited_fd: int | None = None  # of the clients' listening socket, where the platform holds it
 
 
@@ -137,7 +137,7 @@
 
 
 def read_peers(document: Json, info: Json) -> Peering | None:
-    """The other routers; None where there are none, or the settings do not allow gossip with them."""
+    """The addresses for gossip; None where there are no others, or the settings allow no gossip."""
     ceilings = info.get("ceilings")
     is_allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
     if not is_allowed or not document.get("peer_listen") or not document.get("peers_all"):
@@ -198,7 +198,7 @@
     Raises ConfigurationError where the file can't be read or is empty.
     """
     if not password_path:
-        return OPEN
+        return NO_PASSWORD_NEEDED
     try:
         with open(password_path, "rb") as file:
             password = file.read().rstrip(b"\r\n")
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -40,7 +40,7 @@
         self.make_connection = make_connection
         self.known_protocol = 0  # RESP version that the server's process was found to speak; 0: not known
         self.idle: list[UpstreamConnection] = []  # the longest idle first
-        self.all: dict[UpstreamConnection, None] = {}  # in the order in which they were opened
+        self.connections: dict[UpstreamConnection, None] = {}  # in the order in which they were opened
         self.draining = False
 
     def start(self, exchange: Exchange) -> UpstreamConnection | None:
@@ -53,7 +53,7 @@
         if not self.host.make_room():
             return None
         connection = self.make_connection(self)
-        self.all[connection] = None
+        self.connections[connection] = None
         self.host.descriptors.upstream_open += 1
         self.host.counts.add("links", "new")
         connection.exchange = exchange
@@ -108,7 +108,7 @@
 
     def release(self, connection: UpstreamConnection) -> None:
         """Takes back a connection that can carry another attempt."""
-        if self.draining or connection not in self.all:
+        if self.draining or connection not in self.connections:
             connection.close()
             return
         connection.idle_since_s = asyncio.get_running_loop().time()
@@ -117,8 +117,8 @@
 
     def drop(self, connection: UpstreamConnection) -> None:
         """Forgets a connection that is closed."""
-        if connection in self.all:
-            del self.all[connection]
+        if connection in self.connections:
+            del self.connections[connection]
             self.host.descriptors.upstream_open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
@@ -132,14 +132,14 @@
         self.draining = True
         for connection in list(self.idle):
             connection.close()
-        for connection in self.all:
+        for connection in self.connections:
             if connection.write_progress is WriteProgress.NOT_WRITTEN:
                 asyncio.get_running_loop().call_soon(connection.drain)
 
-    def forget_before(self, time_s: float) -> None:
+    def close_opened_before(self, time_s: float) -> None:
         """The server has restarted at that loop time: connections opened before it lead nowhere."""
         self.known_protocol = 0
-        for connection in [one for one in self.all if one.opened_at_s < time_s]:
+        for connection in [one for one in self.connections if one.opened_at_s < time_s]:
             exchange = connection.exchange
             was_written = connection.write_progress is WriteProgress.WRITTEN
             connection.exchange = None
@@ -197,20 +197,20 @@
         pool = self.pools.pop(name, None)
         if pool is not None:
             pool.drain()
-            self.draining_pools = [one for one in self.draining_pools if one.all] + [pool]
+            self.draining_pools = [one for one in self.draining_pools if one.connections] + [pool]
 
-    def open(self) -> int:
+    def open_count(self) -> int:
         """The number of connections that are open, or being opened."""
         return self.descriptors.upstream_open
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes room for it."""
-        return self.open() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
+        return self.open_count() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
         """Gives up one idle connection for a client, where more than SURPLUS_FRACTION of the cap are open."""
         numerator, denominator = SURPLUS_FRACTION
-        return self.open() > self.max_open * numerator // denominator and self.close_oldest()
+        return self.open_count() > self.max_open * numerator // denominator and self.close_oldest()
 
     def close_oldest(self) -> bool:
         """Closes the connection that has idled longest; False where none is idle."""
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -51,28 +51,19 @@
 
     def handle(self, event: api.Event) -> None:
         """Handles an event, and then those that its actions bring about, in order."""
-        self._detect_pause_at(self.clock.now())
+        self.detect_pause()
         self._events.append(event)
         if self._handling or self._settling:
             return
         self._handle_all()
 
-    def just_resumed(self) -> bool:
-        """Whether this router has just come back from a pause.
-
-        Called with each read: where the router was stopped as it waited for its sockets, these are read
-        before any timer fires.
-        """
-        now = self.clock.now()
-        self._detect_pause_at(now)
-        return self.pause_detector.just_resumed(now)
-
     def detect_pause(self) -> None:
-        """Looks whether there was a pause until now; called with each heartbeat and each result."""
-        self._detect_pause_at(self.clock.now())
+        """Looks whether there was a pause until now, and holds the events back after one.
 
-    def _detect_pause_at(self, now: int) -> None:
-        pause_ns = self.pause_detector.heartbeat(now)
+        Called with each event, heartbeat, result and read of a client: where the router was stopped as it
+        waited for its sockets, these are read before any timer fires.
+        """
+        pause_ns = self.pause_detector.heartbeat(self.clock.now())
         if not pause_ns:
             return
         log.warning("router resumed after a pause pause_ms=%d", pause_ns // NS_PER_MS)
--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -101,7 +101,7 @@
         self.answer = asyncio.get_running_loop().create_future()
         self.transport.write(self.http.request(b"GET", target.encode()))
         answer = await self.answer
-        if not self.http.next_cycle():
+        if not self.http.reset_for_next_request():
             self.close()
         return answer
 
@@ -133,8 +133,8 @@
     `polled`: after a failure the decisions say when to ask again, by calling `start`.
     """
 
-    def __init__(self, endpoint: Address, directory: EndpointDirectory, seed: int, polled: bool) -> None:
-        self.endpoint = endpoint
+    def __init__(self, address: Address, directory: EndpointDirectory, seed: int, polled: bool) -> None:
+        self.address = address
         self.directory = directory
         self.polled = polled
         self.times = POLLED_TIMES if polled else PUSHED_TIMES
@@ -157,13 +157,13 @@
         if self.state is not WatchState.POLLING:
             self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, endpoint: Address) -> None:
+    def move(self, address: Address) -> None:
         """Continues at another address with a whole list; until that has come, the list in use stays."""
-        if endpoint == self.endpoint or self.stopped:
+        if address == self.address or self.stopped:
             return
         was_polling = self.state is WatchState.POLLING
         self._end()
-        self.endpoint = endpoint
+        self.address = address
         self.connection = None
         self.directory.source_changed = True
         if was_polling or self.polled:
@@ -235,13 +235,13 @@
     async def _connected(self) -> _DiscoveryConnection:
         """The open connection, or a new one; raises OSError where it can't be opened."""
         if self.connection is None or self.connection.transport is None:
-            endpoint = self.endpoint
-            host, port = endpoint
+            address = self.address
+            host, port = address
             loop = asyncio.get_running_loop()
             _, connection = await loop.create_connection(
                 lambda: _DiscoveryConnection(f"{host}:{port}"), host, port
             )
-            if endpoint != self.endpoint or self.stopped:
+            if address != self.address or self.stopped:
                 # Guards the new address against a connection to the old one that came up as the watch moved.
                 connection.close()
                 raise ConnectionResetError("the watch has moved")
--- a/rainhitch/node/endpoint_directory.py
+++ b/rainhitch/node/endpoint_directory.py
@@ -11,7 +11,7 @@
 from rainhitch.interface import Address, Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 from rainhitch.node.cache_connection import CacheConnection
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.endpoint_list import EndpointList, EndpointListError, ListEntry, read_entry, read_list
+from rainhitch.node.endpoint_list import EndpointList, EndpointListError, ParsedEntry, read_entry, read_list
 from rainhitch.node.origin_connection import OriginConnection
 from rainhitch.settings import Names
 
@@ -75,13 +75,13 @@
         `cached`: it is the list that the configuration holds, and whole. Returns whether the list is as new
         as the one in use. Raises EndpointListError where it can't be read.
         """
-        listed = read_list(answer)
-        is_whole = listed.is_whole or cached
-        if not self._is_news(listed.version, is_whole):
-            return listed.version == self.version
-        self.version = listed.version
+        endpoint_list = read_list(answer)
+        is_whole = endpoint_list.is_whole or cached
+        if not self._is_news(endpoint_list.version, is_whole):
+            return endpoint_list.version == self.version
+        self.version = endpoint_list.version
         self.source_changed = False
-        endpoints = self._readable(listed)
+        endpoints = self._readable(endpoint_list)
         if is_whole:
             self._drop_all_but({one.endpoint.server for one in endpoints})
         elif not endpoints:
@@ -127,17 +127,17 @@
             return is_whole
         return version > self.version
 
-    def _readable(self, listed: EndpointList) -> list[ListedEndpoint]:
+    def _readable(self, endpoint_list: EndpointList) -> list[ListedEndpoint]:
         """The entries that can be read; each other one is logged and skipped."""
         endpoints = []
-        for row in listed.rows:
+        for row in endpoint_list.rows:
             try:
                 endpoints.append(self._listed(read_entry(row, self.names)))
             except EndpointListError as problem:
                 log.warning("endpoint list entry skipped reason=%s", problem)
         return endpoints
 
-    def _listed(self, entry: ListEntry) -> ListedEndpoint:
+    def _listed(self, entry: ParsedEntry) -> ListedEndpoint:
         started_at_ns = 0
         if entry.started_at_unix_ms is not None:
             started_at_ns = max(1, entry.started_at_unix_ms * NS_PER_MS - self.unix_offset_ns)
@@ -168,7 +168,7 @@
         pool = self.pools.add(name, one.address, connection_class)
         known = self.targets.get(name)
         if known is not None and known.started_at_s != one.started_at_s:
-            pool.forget_before(one.started_at_s)
+            pool.close_opened_before(one.started_at_s)
         if one.endpoint.state not in STATES_IN_USE:
             pool.drain()
         self.targets[name] = one
--- a/rainhitch/node/endpoint_list.py
+++ b/rainhitch/node/endpoint_list.py
@@ -4,8 +4,9 @@
 
     {"rev": 7, "all": true, "targets": [{"uid": "s-1", "endpoint": "10.0.0.4:6379", "state": "Ready", ...}]}
 
-The platform's words stand in this module only: `rev`, `all`, `targets`; and of an entry `uid`, `boot_ms`,
-`pod_group`, `az`, `model`, `state`, `endpoint` and `capacity_hint`.
+`node/` reads the platform's words in this module only: `rev`, `all`, `targets`; and of an entry `uid`,
+`boot_ms`, `pod_group`, `az`, `model`, `state`, `endpoint` and `capacity_hint`. `membership/` and `cli/` pass
+rows through and know `uid`, `state`, `targets`; `node/configuration.py` reads the settings' words.
 """
 
 from dataclasses import dataclass
@@ -29,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListEntry:
+class ParsedEntry:
     """One entry of the list, in the router's terms; `kind` and `zone` are indexes of the settings' names."""
 
     server: str
@@ -76,7 +77,7 @@
     return EndpointList(version, answer.get("all") is True, answer["targets"])
 
 
-def read_entry(row: Any, names: Names) -> ListEntry:
+def read_entry(row: Any, names: Names) -> ParsedEntry:
     """One entry of the list; raises EndpointListError where a field is missing or makes no sense."""
     try:
         return _entry(row, names)
@@ -86,13 +87,13 @@
         raise EndpointListError(f"{type(problem).__name__}: {problem}") from None
 
 
-def _entry(row: Json, names: Names) -> ListEntry:
+def _entry(row: Json, names: Names) -> ParsedEntry:
     server = row["uid"]
     if not isinstance(server, str) or not server:
         raise EndpointListError(f"expected a text as uid, got {server!r}")
     boot_ms = row.get("boot_ms") or 0
     weight = row.get("capacity_hint", 1.0)
-    return ListEntry(
+    return ParsedEntry(
         server=server,
         started_at_unix_ms=None if boot_ms <= 0 else int(boot_ms),
         state=STATES[row["state"]],
--- a/rainhitch/node/listener.py
+++ b/rainhitch/node/listener.py
@@ -62,7 +62,7 @@
         self.resuming = None
         await self._accept()
 
-    async def drain(self) -> None:
+    async def accept_backlog(self) -> None:
         """Accepts all who wait in the backlog.
 
         Guards newcomers against a late loop, whose timers fire before its sockets are read, and against a
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -53,7 +53,7 @@
             if result is None:
                 self.fail_protocol()
             else:
-                self.finish(result, self.http.next_cycle())
+                self.finish(result, self.http.reset_for_next_request())
 
     def _pass_on(self, size_bytes: int) -> None:
         if self.relay is None:
--- a/rainhitch/node/read_flow.py
+++ b/rainhitch/node/read_flow.py
@@ -12,20 +12,22 @@
 class ReadFlow:
     """Flow control of one connection. Guards memory against clients that send much or read nothing."""
 
-    __slots__ = ("buffered_bytes", "frames", "limits", "paused", "responses", "turn_over", "unread_age")
+    __slots__ = ("buffered_bytes", "limits", "paused", "reader", "responses", "turn_over", "unread_age")
 
     def __init__(
-        self, limits: BufferLimits, frames: resp.Resp2Reader, responses: ResponseQueue, unread_age: UnreadAge
+        self, limits: BufferLimits, reader: resp.Resp2Reader, responses: ResponseQueue, unread_age: UnreadAge
     ) -> None:
         self.limits = limits
-        self.frames = frames
+        self.reader = reader
         self.responses = responses
         self.unread_age = unread_age
         self.paused = False  # reading is
         self.turn_over = False  # others have their turn before more commands are handled
         self.buffered_bytes = 0  # as they are counted in the sum of all connections
 
-    def steer(self, transport: asyncio.Transport, no_more_commands: bool, is_lingering: bool) -> None:
+    def pause_or_resume(
+        self, transport: asyncio.Transport, no_more_commands: bool, is_lingering: bool
+    ) -> None:
         """Pauses or resumes reading.
 
         A lingering client is read on, whatever is in work, so that its close is no reset.
@@ -41,9 +43,9 @@
                 self.unread_age.reading_resumed()
         self.paused = paused
 
-    def account(self, transport: asyncio.Transport | None) -> None:
+    def update_buffered_bytes(self, transport: asyncio.Transport | None) -> None:
         """Counts the bytes that are held for the connection anew."""
         unsent_bytes = 0 if transport is None else transport.get_write_buffer_size()
-        held_bytes = len(self.frames.buffer) + unsent_bytes + self.responses.waiting_bytes
+        held_bytes = len(self.reader.buffer) + unsent_bytes + self.responses.waiting_bytes
         self.limits.buffered_bytes += held_bytes - self.buffered_bytes
         self.buffered_bytes = held_bytes
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -61,7 +61,7 @@
     def __init__(self, owner: RejectedConnections, transport: asyncio.Transport) -> None:
         self.owner = owner
         self.transport = transport
-        self.frames = resp.Resp2Reader()
+        self.reader = resp.Resp2Reader()
         transport.write(owner.answer())
         transport.write_eof()
         self.linger_timer = owner.loop.call_later(LINGER_S, transport.abort)
@@ -69,9 +69,9 @@
 
     def data_received(self, data: bytes) -> None:
         """Once its one command has been read, nothing is left that would make of the close a reset."""
-        self.frames.feed(data)
+        self.reader.feed(data)
         try:
-            parts = self.frames.next()
+            parts = self.reader.next()
         except resp.FramingError:
             parts = None
         if isinstance(parts, list) and not self.transport.is_closing():
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -9,7 +9,7 @@
        |                                            |
        |--the source breaks, or stalls--> BROKEN    |  the client's connection ends in the middle of the value
        |                                            |
-       '--the client leaves-------------------------'--> ABANDONED   the source is closed
+       '--the client leaves-------------------------'--> CLIENT_LEFT   the source is closed
 
 Memory: what a client has not read pauses the reading from the source, so that one piece, as large as the
 system hands over at a time, is held for each.
@@ -30,7 +30,7 @@
     COMPLETE = "complete"
     PASSED = "passed"
     BROKEN = "broken"
-    ABANDONED = "abandoned"
+    CLIENT_LEFT = "client left"
 
 
 UNFINISHED_STATES = (RelayState.RECEIVING, RelayState.COMPLETE)
@@ -126,10 +126,10 @@
         if not self.is_over():
             self._end(RelayState.PASSED)
 
-    def leave(self) -> None:
+    def client_left(self) -> None:
         """The client has gone, or can't be served."""
         if not self.is_over():
-            self._end(RelayState.ABANDONED)
+            self._end(RelayState.CLIENT_LEFT)
             self.source.close()
 
     def _end(self, state: RelayState) -> None:
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -114,7 +114,7 @@
         self.accounting.accepted(client_request)
         self.host.request_taken(client_request.tenant)
         overdue_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
-        request.overdue_timer = self.loop.call_later(overdue_in_ns / NS_PER_S, self.overdue, request)
+        request.overdue_timer = self.loop.call_later(overdue_in_ns / NS_PER_S, self.deadline_passed, request)
         self.decisions.handle(_request_event(request))
         return request
 
@@ -140,9 +140,9 @@
 
     def _end_all(self) -> None:
         for request in list(self.requests.values()):
-            self.overdue(request)
+            self.deadline_passed(request)
 
-    def overdue(self, request: InFlightRequest) -> None:
+    def deadline_passed(self, request: InFlightRequest) -> None:
         """Its time is over, and its attempt's timer has not ended it."""
         if request.is_open() and request.attempt is not None and self.attempts.give_grace(request.attempt):
             return
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -54,13 +54,14 @@
     return text[:1] == b"$" and text[1:2] != b"-"
 
 
-class Resp3Connection(CacheConnection):
+class Resp3CacheConnection(CacheConnection):
     """A connection to a cache server, in whichever protocol it speaks."""
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
         self.version = 2
-        self.reader = Resp3Reader(relays_long_values=True)
+        # Reads the answer to HELLO, in either version; it becomes `reader` where the server speaks RESP3.
+        self.resp3_reader = Resp3Reader(relays_long_values=True)
         self.greeting_timer: asyncio.TimerHandle | None = None  # while HELLO is not answered
 
     def connected(self) -> None:
@@ -90,16 +91,16 @@
         if self.greeting_timer is not None:
             self._greeted(data)
         elif self.version == 3 and self.exchange is None:
-            self.reader.feed(data)
+            self.resp3_reader.feed(data)
             if not self._only_pushes():
                 self.close()
         else:
             super().data_received(data)
 
     def _greeted(self, data: bytes) -> None:
-        self.reader.feed(data)
+        self.resp3_reader.feed(data)
         try:
-            while isinstance(answer := self.reader.next(), Push):
+            while isinstance(answer := self.resp3_reader.next(), Push):
                 pass
         except resp.FramingError:
             self._fail_greeting(AttemptStatus.CONNECT_FAILED)
@@ -109,11 +110,11 @@
         error = result_of_error(answer.text) if isinstance(answer, ErrorReply) else None
         if isinstance(answer, Map) and answer.get(b"proto") == 3:
             self.version = 3
-            self.frames = self.reader
+            self.reader = self.resp3_reader
         elif error is not None and error.status is AttemptStatus.FULL:
             self._fail_greeting(AttemptStatus.FULL)
             return
-        elif isinstance(answer, ErrorReply) and self.reader.idle():
+        elif isinstance(answer, ErrorReply) and self.resp3_reader.idle():
             self.pool.known_protocol = 2
         else:
             self._fail_greeting(AttemptStatus.CONNECT_FAILED)
@@ -165,14 +166,14 @@
 
         Guards against a second copy of an answer, or noise, that would pass for the next answer.
         """
-        if not self.reader.buffer:
-            return self.reader.idle()
+        if not self.resp3_reader.buffer:
+            return self.resp3_reader.idle()
         try:
-            while isinstance(more := self.reader.next(), Push):
+            while isinstance(more := self.resp3_reader.next(), Push):
                 self._pushed(more)
         except resp.FramingError:
             return False
-        return more is resp.NEED_DATA and (self.reader.idle() or self.reader.in_push())
+        return more is resp.NEED_DATA and (self.resp3_reader.idle() or self.resp3_reader.in_push())
 
     def _pushed(self, push: Push) -> None:
         keys = push.items[1] if len(push.items) == 2 else 0
@@ -189,5 +190,5 @@
         if self.transport is None or self.transport.is_closing():
             return False
         # What waits to be read may be a push: the loop reads it soon, and closes on all else.
-        waits = self.host.system.readable(self.transport) or not self.reader.idle()
+        waits = self.host.system.readable(self.transport) or not self.resp3_reader.idle()
         return None if waits else True
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -19,7 +19,7 @@
     def abort(self, reason: CloseReason) -> None:
         """Closes at once."""
 
-    def account(self) -> None:
+    def update_buffered_bytes(self) -> None:
         """Counts the bytes that the connection holds anew."""
 
 
@@ -36,7 +36,7 @@
     def abort(self, reason: CloseReason) -> None:
         """Does nothing."""
 
-    def account(self) -> None:
+    def update_buffered_bytes(self) -> None:
         """Does nothing."""
 
 
@@ -96,7 +96,7 @@
         if self.limits.buffered_bytes + size_bytes > self.limits.max_buffered_bytes:
             return False
         self.waiting_bytes += size_bytes
-        self.owner.account()
+        self.owner.update_buffered_bytes()
         return True
 
     def write_ready(self) -> bool:
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -66,7 +66,7 @@
         """Takes a long value, which is passed on as it arrives once its turn has come."""
         if not self.queue.has_room(self, READ_PIECE_BYTES):
             self.fill(resp.FAILED_REPLY)
-            relay.leave()
+            relay.client_left()
             return
         self.relay = relay
         self.request = None
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -202,7 +202,7 @@
         throttle = self.balancer.origin_admission.monitor.throttle
         record = self.pools.counts.cut(machine.unix() / NS_PER_S, machine.cpu())
         if record is not None:
-            record.open = self.pools.open()
+            record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
             if self.watch.answered_at:
                 record.list_age = round(loop.time() - self.watch.answered_at, 2)
@@ -248,7 +248,7 @@
         if self.configuration.inherited_fd is None:
             await asyncio.sleep(times.stop_accepting_s)
             if self.clients.listener is not None:
-                await self.clients.listener.drain()
+                await self.clients.listener.accept_backlog()
         self.clients.close()
         await self.clients.emptied(begun_at_s + times.exit_s - loop.time())
         if self.admin is not None:
@@ -272,16 +272,16 @@
     driver = clients.driver
     pools = directory.pools
     limits = operator.clients
-    clients.idle_s = limits.idle_s
-    clients.at_need_s = limits.at_need_s
-    clients.unfinished_s = limits.unfinished_s
-    clients.unread_s = limits.unread_s
+    clients.idle_grace_s = limits.idle_s
+    clients.idle_grace_near_cap_s = limits.at_need_s
+    clients.unfinished_command_limit_s = limits.unfinished_s
+    clients.unread_answers_limit_s = limits.unread_s
     pools.set_max_idle(operator.servers.idle_s)
     driver.balancer.settings.migration_fraction = operator.growth.migration_fraction()
     if operator.servers.resp3:
-        from rainhitch.node.resp3_cache_connection import Resp3Connection
+        from rainhitch.node.resp3_cache_connection import Resp3CacheConnection
 
-        directory.cache_connection_class = Resp3Connection
+        directory.cache_connection_class = Resp3CacheConnection
     clients.authenticator = read_authenticator(limits.user, limits.password_file)
 
 
--- a/rainhitch/node/session.py
+++ b/rainhitch/node/session.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from rainhitch import __version__
+from rainhitch.protocol.resp import bulk_string
 
 MAX_NAME_BYTES = 128  # of a client's name, and of what its library says of itself
 NO_AUTH = b"-NOAUTH Authentication required.\r\n"
@@ -34,17 +35,13 @@
         return hmac.compare_digest(password, self.password) and is_user
 
 
-OPEN = Authenticator()
+NO_PASSWORD_NEEDED = Authenticator()
 
 
 def _plain(text: bytes) -> bool:
     return len(text) <= MAX_NAME_BYTES and all(33 <= byte <= 126 for byte in text)
 
 
-def _bulk(text: bytes) -> bytes:
-    return b"$%d\r\n%b\r\n" % (len(text), text)
-
-
 class Session:
     """What one connection has said of itself; `can_serve` says how PING is answered."""
 
@@ -71,10 +68,10 @@
             return _arguments(b"ping")
         if not self.can_serve():
             return b"-LOADING no server list yet\r\n"
-        return _bulk(arguments[0]) if arguments else b"+PONG\r\n"
+        return bulk_string(arguments[0]) if arguments else b"+PONG\r\n"
 
     def _echo(self, arguments: list[bytes]) -> bytes:
-        return _bulk(arguments[0]) if len(arguments) == 1 else _arguments(b"echo")
+        return bulk_string(arguments[0]) if len(arguments) == 1 else _arguments(b"echo")
 
     def _select(self, arguments: list[bytes]) -> bytes:
         return OK if arguments == [b"0"] else b"-ERR DB index is out of range\r\n"
@@ -129,16 +126,16 @@
     def _greeting(self) -> bytes:
         """What libraries read from HELLO: a map, as an array of twice as many items in protocol 2."""
         pairs = (
-            (b"server", _bulk(b"rainhitch")),
-            (b"version", _bulk(__version__.encode())),
+            (b"server", bulk_string(b"rainhitch")),
+            (b"version", bulk_string(__version__.encode())),
             (b"proto", b":%d\r\n" % self.version),
             (b"id", b":%d\r\n" % self.id),
-            (b"mode", _bulk(b"standalone")),
-            (b"role", _bulk(b"master")),
+            (b"mode", bulk_string(b"standalone")),
+            (b"role", bulk_string(b"master")),
             (b"modules", b"*0\r\n"),
         )
         head = b"%%%d\r\n" % len(pairs) if self.version == 3 else b"*%d\r\n" % (2 * len(pairs))
-        return head + b"".join(_bulk(key) + value for key, value in pairs)
+        return head + b"".join(bulk_string(key) + value for key, value in pairs)
 
     def _reset(self, arguments: list[bytes]) -> bytes:
         if arguments:
@@ -155,7 +152,7 @@
             return b":%d\r\n" % self.id
         if word == b"GETNAME" and not rest:
             if self.name:
-                return _bulk(self.name)
+                return bulk_string(self.name)
             return b"_\r\n" if self.version == 3 else b"$-1\r\n"
         if word == b"SETNAME" and len(rest) == 1:
             if not _plain(rest[0]):
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -141,8 +141,8 @@
         if self.write_progress is WRITTEN:
             self.host.attempts_written += 1
 
-    def abandon(self) -> bool:
-        """Ends the attempt and closes the connection; gives whether the attempt may have run.
+    def close_attempt(self) -> bool:
+        """Ends the attempt and closes the connection; returns whether the attempt may have run.
 
         Guards against second copies: the system has closed the connection before this returns, and so before
         anybody may start another attempt.
@@ -156,7 +156,7 @@
         """Whether something has come for the active attempt that was not read yet."""
         return self.exchange is not None and self.has_unread_bytes()
 
-    def withdraw(self) -> bool:
+    def take_back_unwritten(self) -> bool:
         """Takes the attempt back if it is not written whole, so that it never began at the server.
 
         Where nothing of it was written, the connection is kept for the next attempt.
@@ -171,7 +171,7 @@
     def drain(self) -> None:
         """The server drains: an attempt that waits for the connection ends, to be sent elsewhere."""
         exchange = self.exchange
-        if self.withdraw() and exchange is not None:
+        if self.take_back_unwritten() and exchange is not None:
             self.close()
             exchange.on_finished(AttemptResult(AttemptStatus.ABANDONED))
 
--- a/rainhitch/protocol/errors.py
+++ b/rainhitch/protocol/errors.py
@@ -8,7 +8,10 @@
 
 
 class FramingError(ProtocolError):
-    """What came is no RESP, or not what may come here; the text goes to a client as it stands."""
+    """What came is no RESP, or not what may come here.
+
+    Where it came from a client, the text goes to that client: the texts of `resp.py` must not change.
+    """
 
 
 class HttpError(ProtocolError):
--- a/rainhitch/protocol/http1.py
+++ b/rainhitch/protocol/http1.py
@@ -32,7 +32,7 @@
 
     __slots__ = (
         "_complete",
-        "_has_noise",
+        "_has_extra_bytes",
         "_host",
         "_keep_alive",
         "_max_body_bytes",
@@ -50,7 +50,7 @@
         self._host = host.encode()
         self._max_body_bytes = max_body_bytes
         self._max_long_body_bytes = max_long_body_bytes
-        self._has_noise = False  # more came than belongs to an answer
+        self._has_extra_bytes = False  # more came than belongs to an answer
         self._begin()
 
     def _begin(self) -> None:
@@ -89,11 +89,11 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as problem:
             if not self._complete:
                 raise HttpError(f"{type(problem).__name__}: {problem.__context__ or problem}") from None
-            self._has_noise = True  # the answer stands; what follows it is noise
+            self._has_extra_bytes = True  # the answer stands; what follows it is noise
         max_bytes = max(self._max_body_bytes, self.response.long_body_bytes) + 2 * MAX_HEAD_BYTES
         is_oversized = self._received_bytes > max_bytes
         if self._complete:
-            self._has_noise = self._has_noise or is_oversized
+            self._has_extra_bytes = self._has_extra_bytes or is_oversized
             return self.response
         if is_oversized:
             raise HttpError("answer too large")
@@ -105,15 +105,15 @@
         self.response.body = bytearray()
         return piece
 
-    def next_cycle(self) -> bool:
+    def reset_for_next_request(self) -> bool:
         """Makes ready for another request; returns whether the connection can carry one."""
-        is_reusable = self._complete and self._keep_alive and not self._has_noise
+        is_reusable = self._complete and self._keep_alive and not self._has_extra_bytes
         self._begin()
         return is_reusable
 
     def on_message_begin(self) -> None:
         """An answer begins; one behind the whole answer is noise."""
-        self._has_noise = self._has_noise or self._complete
+        self._has_extra_bytes = self._has_extra_bytes or self._complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header line has come."""
--- a/rainhitch/protocol/resp.py
+++ b/rainhitch/protocol/resp.py
@@ -17,7 +17,7 @@
 MAX_RELAYED_VALUE_BYTES = 4 << 20
 """Longest value that is passed on piece by piece, as it comes."""
 
-MAX_MESSAGE_BYTES = 5 * MAX_VALUE_BYTES
+MAX_RESP2_MESSAGE_BYTES = 5 * MAX_VALUE_BYTES
 """Longest command or reply that is read whole: a write has four large parts at most."""
 
 MAX_ERROR_LINE_BYTES = 1024
@@ -54,7 +54,7 @@
     """What cuts a server's stream into replies, in either version of the protocol."""
 
     buffer: bytearray
-    body_bytes_left: int
+    long_value_bytes_left: int
 
     def feed(self, data: bytes) -> None:
         """Takes in what came."""
@@ -66,7 +66,7 @@
             FramingError: What came is no reply; the stream is of no further use.
         """
 
-    def read_body(self) -> bytes:
+    def read_long_value(self) -> bytes:
         """Returns what has come of a long value and was not returned yet."""
 
 
@@ -114,8 +114,8 @@
         "_measured_bytes",
         "_missing_values",
         "_parser",
-        "body_bytes_left",
         "buffer",
+        "long_value_bytes_left",
         "reads_replies",
     )
 
@@ -124,7 +124,7 @@
         self.reads_replies = reads_replies
         self._measured_bytes = 0  # of the message at the buffer's start, how much was found well formed
         self._missing_values = 1  # how many values are to be measured behind that
-        self.body_bytes_left = 0  # of a long value, still to come
+        self.long_value_bytes_left = 0  # of a long value, still to come
         self._parser = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
@@ -134,8 +134,8 @@
     def next(self) -> object:
         """Returns the next message: a command or reply as a list, an error line as bytes.
 
-        NEED_DATA if none is whole. LongValue if the value of a reply is long: then read_body() gives its
-        pieces and, once it has given all, this gives the rest: a list with None for the value.
+        NEED_DATA if none is whole. LongValue if the value of a reply is long: then read_long_value() gives
+        its pieces and, once it has given all, this gives the rest: a list with None for the value.
 
         Raises:
             FramingError: What came is no such message; the stream is of no further use.
@@ -146,8 +146,8 @@
                 return parts
         while self._missing_values:
             if not self._measure_value():
-                return LongValue(self.body_bytes_left) if self.body_bytes_left else NEED_DATA
-            if self._measured_bytes > MAX_MESSAGE_BYTES:
+                return LongValue(self.long_value_bytes_left) if self.long_value_bytes_left else NEED_DATA
+            if self._measured_bytes > MAX_RESP2_MESSAGE_BYTES:
                 raise FramingError("too large")
         message = bytes(self.buffer[: self._measured_bytes])
         del self.buffer[: self._measured_bytes]
@@ -158,12 +158,12 @@
         self._parser.feed(message)
         return self._parser.gets()
 
-    def read_body(self) -> bytes:
+    def read_long_value(self) -> bytes:
         """Returns what has come of a long value and was not returned yet."""
-        piece = bytes(self.buffer[: self.body_bytes_left])
+        piece = bytes(self.buffer[: self.long_value_bytes_left])
         del self.buffer[: len(piece)]
-        self.body_bytes_left -= len(piece)
-        if piece and not self.body_bytes_left:
+        self.long_value_bytes_left -= len(piece)
+        if piece and not self.long_value_bytes_left:
             # What stands behind the value is read as a reply without one; its line end is the value's.
             self.buffer[:0] = b"*%d\r\n$-1" % REPLY_ITEMS
         return piece
@@ -232,8 +232,8 @@
         return True
 
     def _begin_long_value(self, head_bytes: int, size_bytes: int) -> None:
-        """Drops what stands before a long value; read_body() gives the value next."""
+        """Drops what stands before a long value; read_long_value() gives the value next."""
         del self.buffer[:head_bytes]
         self._measured_bytes = 0
         self._missing_values = 1
-        self.body_bytes_left = size_bytes
+        self.long_value_bytes_left = size_bytes
--- a/rainhitch/protocol/resp3_aggregates.py
+++ b/rainhitch/protocol/resp3_aggregates.py
@@ -48,19 +48,19 @@
 
 
 class AggregateStack:
-    """Puts the values of one message together; the innermost aggregate is the last of `open_ones`."""
+    """Puts the values of one message together; the innermost aggregate is the last of `unfinished`."""
 
-    __slots__ = ("element_count", "open_ones")
+    __slots__ = ("element_count", "unfinished")
 
     def __init__(self) -> None:
-        self.open_ones: list[_Aggregate] = []
+        self.unfinished: list[_Aggregate] = []
         self.element_count = 0  # of this message; the reader sets it back with each message
 
     def is_at_first_item(self) -> bool:
         """Returns whether the first item of an outermost array of several comes next."""
-        if len(self.open_ones) != 1:
+        if len(self.unfinished) != 1:
             return False
-        array = self.open_ones[0]
+        array = self.unfinished[0]
         return array.kind == b"*" and not array.items and array.missing > 1
 
     def count_element(self) -> None:
@@ -79,7 +79,7 @@
         Raises:
             FramingError: It may not stand here, or is over a bound.
         """
-        if kind == b">" and self.open_ones:
+        if kind == b">" and self.unfinished:
             raise FramingError("a push within a value")
         missing = UNTIL_END_MARKER
         if announced != b"?":
@@ -89,9 +89,9 @@
         elif kind in b">|":
             raise FramingError("no streamed push or attribute")
         self.count_element()
-        if len(self.open_ones) >= MAX_DEPTH:
+        if len(self.unfinished) >= MAX_DEPTH:
             raise FramingError("too deep")
-        self.open_ones.append(_Aggregate(kind, missing))
+        self.unfinished.append(_Aggregate(kind, missing))
         return CONTINUE if missing else self._close()
 
     def end_streamed(self) -> Resp3Value | Step:
@@ -100,15 +100,15 @@
         Raises:
             FramingError: None is open, or it is a map whose last key has no value.
         """
-        if not self.open_ones or self.open_ones[-1].missing >= 0:
+        if not self.unfinished or self.unfinished[-1].missing >= 0:
             raise FramingError("an end of nothing")
-        if self.open_ones[-1].kind == b"%" and len(self.open_ones[-1].items) % 2:
+        if self.unfinished[-1].kind == b"%" and len(self.unfinished[-1].items) % 2:
             raise FramingError("a map with an odd count")
         return self._close()
 
     def _close(self) -> Resp3Value | Step:
         """The innermost aggregate is full."""
-        aggregate = self.open_ones.pop()
+        aggregate = self.unfinished.pop()
         if aggregate.kind == b"|":
             return CONTINUE  # an attribute: what it belongs to comes behind it
         return self.place(aggregate.value())
@@ -118,9 +118,9 @@
 
         Returns the message if it is whole with this, else CONTINUE.
         """
-        if not self.open_ones:
+        if not self.unfinished:
             return value
-        aggregate = self.open_ones[-1]
+        aggregate = self.unfinished[-1]
         aggregate.items.append(value)
         if aggregate.missing > 0:
             aggregate.missing -= 1
--- a/rainhitch/protocol/resp3_reader.py
+++ b/rainhitch/protocol/resp3_reader.py
@@ -35,7 +35,7 @@
     VerbatimString,
 )
 
-MAX_MESSAGE_BYTES = 8 * MAX_VALUE_BYTES
+MAX_RESP3_MESSAGE_BYTES = 8 * MAX_VALUE_BYTES
 MAX_LINE_BYTES = 4096
 
 FAST_PATH_MAX_BYTES = 4096
@@ -49,14 +49,16 @@
     """Cuts a stream into values.
 
     With `relays_long_values`, an array whose first item is a string of more than MAX_VALUE_BYTES gives
-    LongValue, then read_body() its pieces, then the rest of the array with None in place of the string.
+    LongValue, then read_long_value() its pieces, then the rest of the array with None in place of the string.
     """
 
-    def __init__(self, relays_long_values: bool = False, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
+    def __init__(
+        self, relays_long_values: bool = False, max_message_bytes: int = MAX_RESP3_MESSAGE_BYTES
+    ) -> None:
         self.buffer = bytearray()
         self.relays_long_values = relays_long_values
         self.max_message_bytes = max_message_bytes
-        self.body_bytes_left = 0  # of a long value, still to come
+        self.long_value_bytes_left = 0  # of a long value, still to come
         self._line_start = 0  # where in the buffer the next line begins
         self._searched_to = 0  # up to where no line end was found
         self._aggregates = AggregateStack()
@@ -71,17 +73,17 @@
     def idle(self) -> bool:
         """Returns whether nothing has come that was not returned."""
         has_begun = (
-            self._aggregates.open_ones
+            self._aggregates.unfinished
             or self._string_chunks is not None
-            or self.body_bytes_left
+            or self.long_value_bytes_left
             or self._body_end_missing
         )
         return not self.buffer and not has_begun
 
     def in_push(self) -> bool:
         """Returns whether what has come and was not returned may begin a push, or an attribute to one."""
-        if self._aggregates.open_ones:
-            return self._aggregates.open_ones[0].kind in b">|"
+        if self._aggregates.unfinished:
+            return self._aggregates.unfinished[0].kind in b">|"
         if self._string_chunks is not None or self._body_end_missing:
             return False
         return bytes(self.buffer[:1]) in (b">", b"|")  # a message begins where the buffer does
@@ -99,7 +101,7 @@
                 raise FramingError("string longer than announced")
             del self.buffer[:2]
             self._body_end_missing = False
-        is_at_start = not self._line_start and not self._aggregates.open_ones and self._string_chunks is None
+        is_at_start = not self._line_start and not self._aggregates.unfinished and self._string_chunks is None
         if is_at_start and 0 < len(self.buffer) < FAST_PATH_MAX_BYTES:
             items = _read_simple_array(self.buffer)
             if items is not None:
@@ -118,12 +120,12 @@
             self._dropped_bytes = 0
             return value
 
-    def read_body(self) -> bytes:
+    def read_long_value(self) -> bytes:
         """Returns what has come of a long value and was not returned yet."""
-        piece = bytes(self.buffer[: self.body_bytes_left])
+        piece = bytes(self.buffer[: self.long_value_bytes_left])
         del self.buffer[: len(piece)]
-        self.body_bytes_left -= len(piece)
-        if piece and not self.body_bytes_left:
+        self.long_value_bytes_left -= len(piece)
+        if piece and not self.long_value_bytes_left:
             self._body_end_missing = True
         return piece
 
@@ -191,7 +193,7 @@
             self._aggregates.count_element()
             self._aggregates.place(None)
             self._drop_read_bytes()
-            self.body_bytes_left = size_bytes
+            self.long_value_bytes_left = size_bytes
             return LongValue(size_bytes)
         end = after + size_bytes
         if len(self.buffer) < end + 2:
--- a/rainhitch/protocol/resp3_scalars.py
+++ b/rainhitch/protocol/resp3_scalars.py
@@ -17,7 +17,7 @@
 def read_length(digits: bytes, max_value: int) -> int:
     """Reads an announced length or count.
 
-    Apart from RESP2's, whose errors go to clients: there both faults have one text.
+    RESP2 has its own `_length`: clients see its error text, which is one for both faults.
 
     Raises:
         FramingError: It is no plain decimal number, or over `max_value`.
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -128,10 +128,10 @@
         assert await served(bench, late, b"late") == b"v"  # a newcomer is served all the same
         assert await late.answer() is None
         assert await idle.answer() is None  # closed, though it asked nothing
-        assert bench.clients.open and not busy.reader.at_eof()
+        assert bench.clients.connections and not busy.reader.at_eof()
         waiting[0].write(hit(b"at last"))
         assert await busy.answer() == b"at last" and await busy.answer() is None
-        await soon(lambda: not bench.clients.open)
+        await soon(lambda: not bench.clients.connections)
         assert await call(address, b"resume") == ["OK clients are taken"]
         back = await bench.caller()
         await back.answer_to_ping()
@@ -154,8 +154,8 @@
                     await asyncio.sleep(0)
 
         flooding = asyncio.create_task(flood())
-        await soon(lambda: bench.clients.open)
-        await soon(lambda: not bench.clients.open)
+        await soon(lambda: bench.clients.connections)
+        await soon(lambda: not bench.clients.connections)
         flooding.cancel()
 
 
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -15,10 +15,10 @@
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$5\r\nc=put\r\n$62914560\r\n")
-        (client,) = await soon(lambda: list(bench.clients.open))
+        (client,) = await soon(lambda: list(bench.clients.connections))
         caller.writer.write(bytes(16 << 20))
         assert str(await caller.answer()) == "ERR Protocol error: invalid or oversized length"
-        await soon(lambda: client not in bench.clients.open)
+        await soon(lambda: client not in bench.clients.connections)
         assert client.lingered_bytes <= (1 << 16) + (256 << 10)
         assert not bench.clients.activity.lingering and bench.clients.buffered_bytes == 0
 
--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -100,7 +100,9 @@
     Clients may use what the servers' side leaves, and both sides together no more than there are.
     """
     async with router(sockets=2) as bench:
-        bench.clients.idle_s = bench.clients.at_need_s = 3600  # who is idle makes room for nobody
+        bench.clients.idle_grace_s = bench.clients.idle_grace_near_cap_s = (
+            3600  # who is idle makes room for nobody
+        )
         bench.pools.descriptors.shared = 4
         bench.pools.descriptors.reserved_upstream = 0
         many = [await bench.caller() for _ in range(4)]
@@ -111,7 +113,7 @@
         many[0].get(info=ONCE)  # nothing is left for a connection to a server
         assert str(await many[0].answer()).startswith("BUSY") and not bench.cache.lines
         many[1].writer.close()
-        await soon(lambda: len(bench.clients.open) == 3)
+        await soon(lambda: len(bench.clients.connections) == 3)
         many[0].get(name=b"i2")
         assert await many[0].answer() == b"v"
         assert str(await (await bench.caller()).answer()) == "BUSY"
@@ -131,9 +133,9 @@
             caller = await bench.caller()
             caller.get(name=b"i%d" % n)
             assert await caller.answer() == b"v"
-        assert bench.pools.open() == 3
+        assert bench.pools.open_count() == 3
         await (await bench.caller()).answer_to_ping()
-        assert bench.pools.open() == 2  # and no more than two thirds are given up
+        assert bench.pools.open_count() == 2  # and no more than two thirds are given up
         assert str(await (await bench.caller()).answer()) == "BUSY"
 
 
@@ -146,7 +148,7 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
-        (one,) = bench.clients.open
+        (one,) = bench.clients.connections
         taken = bench.clients.activity.idle.copy()
         assert list(taken) == [one] and not one.has_unread_bytes()
         caller.get(name=b"i2")
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -62,7 +62,7 @@
         caller.get(info=ONCE)
         assert str(await caller.answer()).startswith("BUSY")
         assert bench.driver.balancer.servers.servers["c0"].connection.consecutive_failures == 0
-        assert not bench.pools.pools["c0"].all
+        assert not bench.pools.pools["c0"].connections
 
 
 async def test_a_new_server_at_an_old_address_inherits_no_failures(
@@ -84,7 +84,7 @@
         await soon(lambda: not bench.driver.requests)
         assert set(servers) == {"c9", "o"} and set(pools.pools) == {"c9", "o"}
         assert servers["c9"].connection.consecutive_failures == 0 and servers["c9"].in_flight == 0
-        assert not any(one.all for one in pools.draining_pools)
+        assert not any(one.connections for one in pools.draining_pools)
 
 
 async def test_nothing_is_in_flight_once_all_is_answered() -> None:
@@ -109,7 +109,7 @@
             and not balancer.coalesced_reads
             and not balancer.origin_admission.reads_in_flight
         )
-        await soon(lambda: all(len(one.all) == len(one.idle) for one in bench.pools.pools.values()))
+        await soon(lambda: all(len(one.connections) == len(one.idle) for one in bench.pools.pools.values()))
         assert not any(one.in_flight for one in balancer.servers.servers.values())
         assert bench.driver.request_bytes == 0
 
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -115,10 +115,10 @@
 
 async def newcomer(bench: Bench) -> tuple[socket.socket, ClientConnection]:
     """A client, and its connection at the router."""
-    before = set(bench.clients.open)
+    before = set(bench.clients.connections)
     raw = socket.create_connection(("127.0.0.1", bench.port))
-    await soon(lambda: len(bench.clients.open) > len(before))
-    [client] = set(bench.clients.open) - before
+    await soon(lambda: len(bench.clients.connections) > len(before))
+    [client] = set(bench.clients.connections) - before
     return raw, client
 
 
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -68,7 +68,7 @@
         assert str(await other.answer()).startswith("ERR ")
         other.writer.close()
         bench.callers.remove(other)
-        await soon(lambda: not bench.clients.open and not bench.driver.requests)
+        await soon(lambda: not bench.clients.connections and not bench.driver.requests)
 
 
 async def test_long_churn_leaves_no_objects_behind(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -85,7 +85,7 @@
         await churn(bench, range(10))
         before = alive()
         await churn(bench, range(10, 70))
-        await soon(lambda: all(not one.all for one in bench.pools.draining_pools))
+        await soon(lambda: all(not one.connections for one in bench.pools.draining_pools))
         balancer, clients = bench.driver.balancer, bench.clients
         assert len(balancer.servers.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
         assert (
@@ -128,7 +128,8 @@
                 assert str(await caller.answer()).startswith("BUSY")
             await soon(lambda: len(os.listdir("/proc/self/fd")) == before)
             assert (
-                not bench.pools.pools["c0"].all and bench.driver.balancer.servers.servers["c0"].in_flight == 0
+                not bench.pools.pools["c0"].connections
+                and bench.driver.balancer.servers.servers["c0"].in_flight == 0
             )
         for one in queued:
             one.close()
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -187,7 +187,9 @@
         assert str(await caller.answer()) == "BUSY"  # never up in time, and nowhere else to go
         await connects.let_through()
         await soon(lambda: bench.cache.lines and bench.cache.ended == len(bench.cache.lines))
-        assert not bench.cache.got and not bench.pools.open() and not bench.pools.pools["c0"].all
+        assert (
+            not bench.cache.got and not bench.pools.open_count() and not bench.pools.pools["c0"].connections
+        )
 
 
 async def test_a_connect_that_comes_up_as_its_timeout_fires_carries_its_attempt(
@@ -240,7 +242,7 @@
         bench.cache.answer = lambda asked, line: hit()
         bench.cache.lines[0].write(hit())  # makes room for the next of its commands
         bench.cache.lines[1].transport.abort()  # asks for a further attempt
-        await soon(lambda: not bench.clients.open and not bench.driver.requests)
+        await soon(lambda: not bench.clients.connections and not bench.driver.requests)
         assert len(bench.cache.got) == MAX_PIPELINED_COMMANDS
 
 
@@ -251,10 +253,10 @@
     async with router() as bench:
         send_all(bench, monkeypatch)
         raw = socket.create_connection(("127.0.0.1", bench.port))
-        await soon(lambda: bench.clients.open)
+        await soon(lambda: bench.clients.connections)
         raw.sendall(b"".join(get(b"n%d" % n) for n in range(64)))
         raw.close()  # before the router has read any of it
-        await soon(lambda: not bench.clients.open)
+        await soon(lambda: not bench.clients.connections)
         assert not bench.driver.requests and not bench.cache.got
 
 
@@ -287,7 +289,7 @@
         """The connections on which a request is written in part."""
         return [
             one
-            for one in self.bench.pools.pools["c0"].all
+            for one in self.bench.pools.pools["c0"].connections
             if one.write_progress is WriteProgress.PARTLY_WRITTEN
         ]
 
@@ -315,8 +317,8 @@
         server = NotReading(bench, monkeypatch)
         caller = await server.half_written()
         caller.writer.transport.abort()
-        await soon(lambda: not bench.clients.open)
-        assert not bench.driver.requests and not bench.pools.open()  # at once
+        await soon(lambda: not bench.clients.connections)
+        assert not bench.driver.requests and not bench.pools.open_count()  # at once
         assert await asyncio.to_thread(server.got) < len(LARGE)
         server.listener.close()
 
@@ -357,7 +359,7 @@
         line, _ = server.listener.accept()
         line.sendall(hit())
         assert await caller.answer() == b"v"
-        assert not bench.pools.open()
+        assert not bench.pools.open_count()
         line.close()
         server.listener.close()
 
@@ -372,13 +374,13 @@
         raw.sendall(get(b"first"))
         assert (await asyncio.to_thread(raw.recv, 64)).startswith(b"$1")
         await soon(lambda: bench.clients.activity.idle)
-        [client] = bench.clients.open
+        [client] = bench.clients.connections
         raw.sendall(get(b"crosses"))  # lies unread as the close comes, in one turn
         bench.clients._retire(client)
         assert await asyncio.to_thread(raw.recv, 64) == b""  # so that it is sent again elsewhere
         raw.sendall(get(b"later"))  # who goes on sending is read, and not answered
         raw.close()
-        await soon(lambda: not bench.clients.open)
+        await soon(lambda: not bench.clients.connections)
         assert [asked[2] for asked in bench.cache.got] == [b"first"]
 
 
@@ -401,7 +403,7 @@
     """They lay behind those in work: to the client they did not cross the end, so each has to be answered."""
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
-        [client] = bench.clients.open
+        [client] = bench.clients.connections
         client.finish()
         for line in list(bench.cache.lines):
             line.write(hit())
@@ -423,8 +425,8 @@
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         raw.connect(("127.0.0.1", bench.port))
         raw.settimeout(PATIENCE)
-        await soon(lambda: bench.clients.open)
-        [client] = bench.clients.open
+        await soon(lambda: bench.clients.connections)
+        [client] = bench.clients.connections
         assert client.transport is not None
         client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         raw.sendall(get(b"one"))
@@ -462,7 +464,7 @@
         caller = await bench.caller()
         caller.get()
         await soon(lambda: bench.cache.got)
-        [connection] = bench.pools.pools["c0"].all
+        [connection] = bench.pools.pools["c0"].connections
         now[0] += 4_000_000_000
         connection.data_received(hit())
         await soon(lambda: finished)
@@ -478,7 +480,7 @@
         caller = await bench.caller()
         caller.get(name=b"early")
         await soon(lambda: bench.cache.got)
-        [client] = bench.clients.open
+        [client] = bench.clients.connections
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 3500)
         now[0] += 4_000_000_000
         client.data_received(get(b"late"))
@@ -617,7 +619,7 @@
 
     monkeypatch.setattr(client_module.ClientConnection, "data_received", late)
     first = socket.create_connection(address)
-    await soon(lambda: service.clients.open)
+    await soon(lambda: service.clients.connections)
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
     first.sendall(command(b"PING"))
--- a/tests/node/test_rejected_connection.py
+++ b/tests/node/test_rejected_connection.py
@@ -12,7 +12,9 @@
     The client then has none, though its command was read.
     """
     async with router(sockets=1) as bench:
-        bench.clients.idle_s = bench.clients.at_need_s = 3600.0  # a slow machine makes no room for the late
+        bench.clients.idle_grace_s = bench.clients.idle_grace_near_cap_s = (
+            3600.0  # a slow machine makes no room for the late
+        )
         await (await bench.caller()).answer_to_ping()
         for n in range(20):
             late = await bench.caller()
@@ -24,12 +26,14 @@
         await soon(
             lambda: len(bench.clients.rejected.connections) <= rejected_connection.MAX_REJECTED_CONNECTIONS
         )
-        assert len(bench.clients.open) == 1 and not bench.cache.got
+        assert len(bench.clients.connections) == 1 and not bench.cache.got
 
 
 async def test_the_number_of_rejected_connections_kept_open_is_bounded() -> None:
     async with router(sockets=1) as bench:
-        bench.clients.idle_s = bench.clients.at_need_s = 3600  # the first one makes room for nobody
+        bench.clients.idle_grace_s = bench.clients.idle_grace_near_cap_s = (
+            3600  # the first one makes room for nobody
+        )
         await (await bench.caller()).answer_to_ping()
         many = [await bench.caller() for _ in range(3 * rejected_connection.MAX_REJECTED_CONNECTIONS)]
         await soon(lambda: bench.clients.events.counts[ClientEvent.REJECTED] == len(many))
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -96,7 +96,7 @@
         caller = await bench.caller()
         caller.get()
         assert len(await rest(caller)) < len(b"$%d\r\n" % SIZE) + SIZE  # not even its last byte
-        await soon(lambda: not bench.driver.requests and not bench.pools.open())
+        await soon(lambda: not bench.driver.requests and not bench.pools.open_count())
         assert bench.driver.metrics.failed[0] == 1 and not bench.driver.metrics.served[0]
 
 
@@ -110,7 +110,7 @@
         await raw(caller, 500)
         line.transport.abort()
         assert len(await rest(caller)) < SIZE
-        await soon(lambda: not bench.driver.requests and not bench.clients.open)
+        await soon(lambda: not bench.driver.requests and not bench.clients.connections)
 
 
 async def test_a_server_that_stalls_in_the_middle_of_a_value_is_waited_for_a_limited_time(
@@ -124,7 +124,7 @@
         (line,) = await soon(lambda: asked)
         line.write(HEAD + VALUE[:1000])
         assert len(await rest(caller)) < SIZE
-        await soon(lambda: not bench.pools.open() and not bench.driver.requests)
+        await soon(lambda: not bench.pools.open_count() and not bench.driver.requests)
 
 
 async def test_a_client_that_leaves_in_the_middle_of_a_value_frees_the_servers_connection() -> None:
@@ -136,7 +136,7 @@
         line.write(HEAD + VALUE[:1000])
         await raw(caller, 500)
         caller.writer.transport.abort()
-        await soon(lambda: not bench.driver.requests and not bench.pools.open())
+        await soon(lambda: not bench.driver.requests and not bench.pools.open_count())
         assert bench.driver.metrics.failed[0] == 1 and bench.driver.metrics.in_flight == 0
 
 
@@ -147,9 +147,9 @@
         caller.get()
         (line,) = await soon(lambda: asked)
         caller.writer.transport.abort()
-        await soon(lambda: not bench.clients.open)
+        await soon(lambda: not bench.clients.connections)
         line.write(HEAD + VALUE + TAIL)
-        await soon(lambda: not bench.driver.requests and not bench.pools.open())
+        await soon(lambda: not bench.driver.requests and not bench.pools.open_count())
 
 
 async def slow_caller(bench: Bench) -> tuple[Caller, socket.socket]:
@@ -170,7 +170,7 @@
         callers = [(await slow_caller(bench))[0] for _ in range(4)]
         for n, caller in enumerate(callers):
             caller.get(name=b"i%d" % n)
-        await soon(lambda: sum(one.responses.write_buffer_full for one in bench.clients.open) == 4)
+        await soon(lambda: sum(one.responses.write_buffer_full for one in bench.clients.connections) == 4)
         await asyncio.sleep(0.2)  # so that all would come that is going to come
         relays = [held.relay for held in bench.driver.requests.values() if held.relay is not None]
         assert len(relays) == 4 and all(one.source_paused for one in relays)
@@ -238,7 +238,7 @@
         if not begun:
             begun = isinstance(frames.next(), resp.LongValue)
         if begun:
-            got += frames.read_body()
-            if not frames.body_bytes_left:
+            got += frames.read_long_value()
+            if not frames.long_value_bytes_left:
                 told = frames.next()
     assert got == value and told == [None, note, None] and not frames.buffer
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -293,8 +293,8 @@
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400):
             caller.get(name=b"i%d" % n)
-        await soon(lambda: bench.clients.open)
-        await soon(lambda: not bench.clients.open)
+        await soon(lambda: bench.clients.connections)
+        await soon(lambda: not bench.clients.connections)
         await soon(lambda: not bench.driver.requests)
         assert bench.clients.buffered_bytes == 0
 
@@ -328,7 +328,7 @@
         # The timer comes after the decisions' deadline and before the client's.
         assert held.overdue_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
-        bench.driver.overdue(held)
+        bench.driver.deadline_passed(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
         assert not bench.driver.requests
 
@@ -339,7 +339,7 @@
         caller.get(name=b"i1")
         assert await caller.answer() == b"v"
         bench.cache.lines[0].close()
-        await soon(lambda: not bench.pools.pools["c0"].all)
+        await soon(lambda: not bench.pools.pools["c0"].connections)
         caller.get(name=b"i2", info=once())
         assert await caller.answer() == b"v"
 
@@ -364,7 +364,7 @@
         caller.get()
         assert await caller.answer() == b"from origin"
         await soon(lambda: bench.cache.ended == 1)
-        assert sum(len(pool.all) for pool in bench.pools.pools.values()) == 1
+        assert sum(len(pool.connections) for pool in bench.pools.pools.values()) == 1
 
 
 async def test_two_attempts_of_a_request_are_never_in_flight_at_once() -> None:
@@ -488,7 +488,7 @@
         assert str(await third.answer()) == "BUSY"
         assert await third.answer() is None
         caller.writer.close()
-        await soon(lambda: len(bench.clients.open) == 1)
+        await soon(lambda: len(bench.clients.connections) == 1)
         fourth = await bench.caller()
         fourth.send(b"PING")
         assert await fourth.answer() == b"PONG"
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -16,7 +16,7 @@
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.endpoint_directory import EndpointDirectory
 from rainhitch.node.request_driver import RequestDriver
-from rainhitch.node.resp3_cache_connection import Resp3Connection
+from rainhitch.node.resp3_cache_connection import Resp3CacheConnection
 from rainhitch.overload.controller import OverloadController
 from rainhitch.protocol.resp import FramingError, command
 from rainhitch.protocol.resp3_reader import Resp3Reader
@@ -297,7 +297,7 @@
 
     clients = ClientConnections(driver, names, sockets, memory, can_serve=can_serve, overload=overload)
     if versions[1] == 3:
-        directory.cache_connection_class = Resp3Connection
+        directory.cache_connection_class = Resp3CacheConnection
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
     if entries is not None:
         listed = entries(*peers)
--- a/tests/protocol/test_resp3.py
+++ b/tests/protocol/test_resp3.py
@@ -273,8 +273,8 @@
             if not begun:
                 begun = isinstance(reader.next(), LongValue)
             if begun:
-                got += reader.read_body()
-                if not reader.body_bytes_left:
+                got += reader.read_long_value()
+                if not reader.long_value_bytes_left:
                     rest = reader.next()
         assert got == b"v" * size and rest == [None, SimpleString(b"hit"), None] and reader.idle()
     with pytest.raises(FramingError):
--- a/tests/resp3/test_cache_servers.py
+++ b/tests/resp3/test_cache_servers.py
@@ -74,7 +74,7 @@
         caller.get(info=ONCE)  # it may be refused only if it never ran
         assert str(await caller.answer()) == answer
         assert not bench.cache.got
-        await soon(lambda: not bench.pools.open())
+        await soon(lambda: not bench.pools.open_count())
 
 
 @pytest.mark.parametrize("push", [INVALIDATE, UNKNOWN, INVALIDATE * 300, b"|1\r\n+a\r\n:1\r\n" + INVALIDATE])
@@ -233,7 +233,7 @@
         caller = await bench.caller()
         caller.get(info=b"c=once,t=acme,d=500")
         assert str(await caller.answer()) == "ERR failed"
-        await soon(lambda: not bench.pools.open())
+        await soon(lambda: not bench.pools.open_count())
 
 
 async def test_an_answer_has_the_version_that_held_when_its_command_was_read() -> None:
--- a/tests/resp3/test_client_libraries.py
+++ b/tests/resp3/test_client_libraries.py
@@ -41,7 +41,7 @@
             assert await pipeline.execute() == [b"of k%d" % n for n in range(3)]
         with pytest.raises(redis.ResponseError, match="unknown class"):
             await client.execute_command("C.GET", "k", "r4", "c=none,t=acme,d=9")
-        for one in list(bench.clients.open):
+        for one in list(bench.clients.connections):
             one.abort()
         assert await client.execute_command("C.GET", "k", "r5", INFO) == b"of k"
         await client.aclose()
--- a/tests/resp3/test_version_pairings.py
+++ b/tests/resp3/test_version_pairings.py
@@ -79,7 +79,7 @@
     caller.get()
     await soon(lambda: bench.cache.got)
     caller.writer.transport.abort()
-    await soon(lambda: not bench.clients.open)
+    await soon(lambda: not bench.clients.connections)
     return []
 
 
