--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -13,9 +13,9 @@
 from typing import Protocol
 
 from rainhitch import interface as api
-from rainhitch.node.client_request import AttemptResult, Exchange
 from rainhitch.node.connection_pool import ConnectionPools
 from rainhitch.node.decision_loop import DecisionLoop
+from rainhitch.node.exchange import AttemptResult, Exchange
 from rainhitch.node.in_flight_request import REQUEST_OPEN, Attempt, FinishedAttempt, InFlightRequest
 from rainhitch.node.relay import Relay, Source
 from rainhitch.telemetry.counts import Counts
--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -3,7 +3,8 @@
 import re
 
 from rainhitch.interface import NOTE_HIT, NOTE_MISS, NOTE_MISS_PENDING, NOTE_NONE, AttemptStatus
-from rainhitch.node.client_request import AttemptResult, ClientRequest
+from rainhitch.node.client_request import ClientRequest
+from rainhitch.node.exchange import AttemptResult
 from rainhitch.node.relay import Relay
 from rainhitch.node.upstream_connection import OwningPool, UpstreamConnection
 from rainhitch.protocol import resp
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -1,17 +1,12 @@
-"""A client's command as it arrived, one attempt at it as a connection sees it, and that attempt's result."""
+"""A client's command: how it is read and checked."""
 
 import re
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
-from rainhitch.interface import NOTE_NONE, AttemptStatus, Idempotency
+from rainhitch.interface import Idempotency
 from rainhitch.node.errors import NodeError
 from rainhitch.settings import Names
 
-if TYPE_CHECKING:
-    from rainhitch.node.relay import Relay, Source
-
 PRINTABLE = re.compile(rb"[!-~]+")  # safe in a list of names and values, and in an HTTP header
 MAX_NAME_BYTES = 256  # of a key, which the decisions remember, or of an id
 MAX_INFO_BYTES = 1024
@@ -53,27 +48,6 @@
         return b",".join(wait_field if one.startswith(b"d=") else one for one in fields)
 
 
-@dataclass(slots=True)
-class AttemptResult:
-    """How an attempt ended; it has a value only where it was served."""
-
-    status: AttemptStatus
-    value: object = b""  # bytes, or a value of RESP3
-    answer_note: int = NOTE_NONE  # how the server came by its answer: one of interface.NOTE_...
-
-
-@dataclass(slots=True, eq=False)
-class Exchange:
-    """One attempt as a connection sees it."""
-
-    client_request: ClientRequest
-    deadline_ns: int  # monotonic, until when the router waits
-    on_finished: Callable[[AttemptResult], None]
-    # Called with the size in bytes of a long value: where to pass it on, or None where nobody wants it.
-    on_long_value: "Callable[[Source, int], Relay | None]"
-    may_write: Callable[[], bool] = lambda: True  # called right before the first byte is written
-
-
 def parse_client_request(parts: list[bytes], names: Names) -> ClientRequest:
     """Reads C.GET key id info, or C.SET key id info value; raises ClientRequestError.
 
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -6,12 +6,13 @@
 
 from rainhitch import system
 from rainhitch.interface import Address, AttemptStatus
-from rainhitch.node.client_request import AttemptResult, Exchange
 from rainhitch.node.deadlines import HOST_DELAY_NS
 from rainhitch.node.descriptors import DescriptorBudget
+from rainhitch.node.exchange import AttemptResult, Exchange
 from rainhitch.node.key_invalidations import KeyInvalidations
 from rainhitch.node.loop_lag import LoopLag
 from rainhitch.node.upstream_connection import UpstreamConnection, WriteProgress
+from rainhitch.node.upstream_socket import REUSABLE, UNUSABLE
 from rainhitch.telemetry.counts import Counts
 
 NS_PER_S = 1_000_000_000
@@ -19,7 +20,9 @@
 MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive: closed well before the server does
 REUSE_DELAY_S = 0.005  # after an answer, in which what comes behind it shows
 SWEEP_INTERVAL_S = 1.0
-SURPLUS_FRACTION = (2, 3)  # of the cap, above which a client may take a connection's place
+# The fraction of the cap above which a client may take a connection's place: two integers, since it is exact.
+SURPLUS_NUMERATOR = 2
+SURPLUS_DENOMINATOR = 3
 # A connect that fails with one of these says nothing of the server: the router itself can open no more.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
@@ -72,11 +75,11 @@
         now_s = asyncio.get_running_loop().time()
         for connection in [one for one in reversed(self.idle) if one.idle_since_s <= now_s - REUSE_DELAY_S]:
             is_young = connection.idle_since_s > now_s - self.host.max_idle_s
-            is_reusable = is_young and connection.is_reusable()
-            if is_reusable:
+            idle_state = connection.idle_state() if is_young else UNUSABLE
+            if idle_state is REUSABLE:
                 self.idle.remove(connection)
                 return connection
-            if is_reusable is not None:
+            if idle_state is UNUSABLE:
                 connection.close()
         return None
 
@@ -208,9 +211,9 @@
         return self.open_count() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
-        """Gives up one idle connection for a client, where more than SURPLUS_FRACTION of the cap are open."""
-        numerator, denominator = SURPLUS_FRACTION
-        return self.open_count() > self.max_open * numerator // denominator and self.close_oldest()
+        """Gives up one idle connection for a client, where more than that fraction of the cap are open."""
+        surplus_above = self.max_open * SURPLUS_NUMERATOR // SURPLUS_DENOMINATOR
+        return self.open_count() > surplus_above and self.close_oldest()
 
     def close_oldest(self) -> bool:
         """Closes the connection that has idled longest; False where none is idle."""
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -45,7 +45,7 @@
     def fill(self, answer: bytes) -> None:
         """Takes the answer as it goes to the client."""
 
-    def stream(self, relay: Relay) -> None:
+    def start_relay(self, relay: Relay) -> None:
         """Takes a long value, which is passed on piece by piece as it arrives."""
 
     def form(self, value: object) -> bytes:
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -3,7 +3,8 @@
 from urllib.parse import quote_from_bytes
 
 from rainhitch.interface import AttemptStatus
-from rainhitch.node.client_request import AttemptResult, ClientRequest
+from rainhitch.node.client_request import ClientRequest
+from rainhitch.node.exchange import AttemptResult
 from rainhitch.node.upstream_connection import OwningPool, UpstreamConnection
 from rainhitch.protocol.http1 import HttpClientCodec, HttpError, HttpResponse
 from rainhitch.protocol.resp import MAX_RELAYED_VALUE_BYTES, MAX_VALUE_BYTES
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -220,7 +220,7 @@
         request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
         request.relay = relay
-        request.sink.stream(relay)
+        request.sink.start_relay(relay)
         return relay
 
     def _relay_ended(self, request: InFlightRequest, whole: bool) -> None:
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -11,8 +11,9 @@
 
 from rainhitch.interface import NOTE_HIT, NOTE_NONE, AttemptStatus
 from rainhitch.node.cache_connection import NOTES, CacheConnection, result_of_error
-from rainhitch.node.client_request import AttemptResult
+from rainhitch.node.exchange import AttemptResult
 from rainhitch.node.upstream_connection import OwningPool
+from rainhitch.node.upstream_socket import BUSY, REUSABLE, UNUSABLE, IdleState
 from rainhitch.protocol import resp
 from rainhitch.protocol.resp3_reader import Resp3Reader
 from rainhitch.protocol.resp3_types import ErrorReply, Map, Push, text_of
@@ -183,12 +184,12 @@
         names = None if keys is None else [text for one in keys if (text := text_of(one)) is not None]
         self.host.key_invalidations.add(self.pool.name, names)
 
-    def is_reusable(self) -> bool | None:
-        """Whether an idle connection can carry an attempt; None: not now, and it is to stay."""
+    def idle_state(self) -> IdleState:
+        """Whether this connection, which is idle, can carry an attempt."""
         if self.version == 2:
-            return super().is_reusable()
+            return super().idle_state()
         if self.transport is None or self.transport.is_closing():
-            return False
+            return UNUSABLE
         # What waits to be read may be a push: the loop reads it soon, and closes on all else.
         waits = self.host.system.readable(self.transport) or not self.resp3_reader.idle()
-        return None if waits else True
+        return BUSY if waits else REUSABLE
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -62,7 +62,7 @@
 
         return encode(value, self.version)
 
-    def stream(self, relay: Relay) -> None:
+    def start_relay(self, relay: Relay) -> None:
         """Takes a long value, which is passed on as it arrives once its turn has come."""
         if not self.queue.has_room(self, READ_PIECE_BYTES):
             self.fill(resp.FAILED_REPLY)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -198,9 +198,9 @@
     def _record(self) -> None:
         """Writes down what the last second brought."""
         loop = asyncio.get_running_loop()
-        machine = self.pools.system
+        system = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
-        record = self.pools.counts.cut(machine.unix() / NS_PER_S, machine.cpu())
+        record = self.pools.counts.cut(system.unix() / NS_PER_S, system.cpu())
         if record is not None:
             record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
@@ -322,19 +322,19 @@
 
 
 def make_gossip_exchange(
-    configuration: Configuration, peering: Peering, machine: System, options: "FleetOptions | None"
+    configuration: Configuration, peering: Peering, system: System, options: "FleetOptions | None"
 ) -> "GossipExchange":
     """What decides what this router publishes to the others; imported only here, where there are some."""
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
-    life = max(1, (machine.unix() - LIFE_EPOCH_UNIX_NS) // LIFE_UNIT_NS & LIFE_MASK)
+    life = max(1, (system.unix() - LIFE_EPOCH_UNIX_NS) // LIFE_UNIT_NS & LIFE_MASK)
     return GossipExchange(
         peering.own_index,
         len(peering.peers),
         max(1, len(configuration.settings.tenants)),
         life,
-        machine.now(),
+        system.now(),
         seed=configuration.seed,
         options=options or FleetOptions(),
     )
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -21,7 +21,8 @@
 from typing import Protocol, cast
 
 from rainhitch.interface import Address, AttemptStatus
-from rainhitch.node.client_request import AttemptResult, ClientRequest, Exchange
+from rainhitch.node.client_request import ClientRequest
+from rainhitch.node.exchange import AttemptResult, Exchange
 from rainhitch.node.key_invalidations import KeyInvalidations
 from rainhitch.node.loop_lag import LoopLag
 from rainhitch.node.relay import Relay
--- a/rainhitch/node/upstream_socket.py
+++ b/rainhitch/node/upstream_socket.py
@@ -1,10 +1,25 @@
 """The socket of a connection to a server: whether it is up, what the system says of it, and its close."""
 
 import asyncio
+from enum import Enum
 
 from rainhitch.system import System
 
 
+class IdleState(Enum):
+    """Whether an idle connection can carry an attempt."""
+
+    REUSABLE = "reusable"
+    BUSY = "busy"  # not now, and it is to stay: what waits to be read may be a push
+    UNUSABLE = "unusable"  # it is to be closed
+
+
+# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+REUSABLE = IdleState.REUSABLE
+BUSY = IdleState.BUSY
+UNUSABLE = IdleState.UNUSABLE
+
+
 class UpstreamSocket(asyncio.Protocol):
     """A connection's socket; what it carries is the subclass's."""
 
@@ -31,12 +46,12 @@
             return False
         return self.system.readable(transport)
 
-    def is_reusable(self) -> bool | None:
-        """Whether an idle connection can carry an attempt; None: not now, and it is to stay."""
+    def idle_state(self) -> IdleState:
+        """Whether this connection, which is idle, can carry an attempt."""
         transport = self.transport
         if transport is None or transport.is_closing():
-            return False
-        return not self.system.readable(transport)
+            return UNUSABLE
+        return UNUSABLE if self.system.readable(transport) else REUSABLE
 
     def shut(self) -> None:
         """Closes at once, in both directions, or gives up the connect."""
--- a/rainhitch/system.py
+++ b/rainhitch/system.py
@@ -120,7 +120,7 @@
         self.socket.close()
 
 
-class Machine:
+class RealSystem:
     """The machine that this runs on."""
 
     now = staticmethod(time.monotonic_ns)
@@ -170,19 +170,19 @@
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size_bytes)
 
 
-REAL: System = Machine()
+REAL_SYSTEM: System = RealSystem()
 
 
 def of(loop: asyncio.AbstractEventLoop) -> System:
     """The machine that a loop runs on."""
-    machine: Any = getattr(loop, "system", REAL)
-    return machine  # type: ignore[no-any-return]
+    found: Any = getattr(loop, "system", REAL_SYSTEM)
+    return found  # type: ignore[no-any-return]
 
 
 def clock_of(loop: asyncio.AbstractEventLoop) -> Clock:
     """The clocks of the machine that a loop runs on."""
-    machine = of(loop)
-    return Clock(machine.now, machine.unix)
+    system = of(loop)
+    return Clock(system.now, system.unix)
 
 
 def running() -> System:
@@ -190,7 +190,7 @@
     try:
         return of(asyncio.get_running_loop())
     except RuntimeError:
-        return REAL
+        return REAL_SYSTEM
 
 
 def now() -> int:
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -10,7 +10,7 @@
 
 from rainhitch.__main__ import main
 from rainhitch.node.client_connection import ClientConnection
-from rainhitch.system import Machine
+from rainhitch.system import RealSystem
 
 LATE = b"late-read"
 LATE_S = 0.4
@@ -18,7 +18,7 @@
 
 def blind() -> None:
     """The system does not report the age of unread bytes."""
-    Machine.unread_ms = lambda self, transport: 0  # type: ignore[method-assign]
+    RealSystem.unread_ms = lambda self, transport: 0  # type: ignore[method-assign]
 
 
 def late() -> None:
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -8,7 +8,7 @@
 from peers import MISS, Bench, Cache, Web, entry, hit, router, soon
 
 from rainhitch.node import connection_pool
-from rainhitch.system import REAL
+from rainhitch.system import REAL_SYSTEM
 
 ONCE = b"c=once,t=acme,d=9000"
 
@@ -22,7 +22,7 @@
     assert idle.transport is not None
     idle.transport.pause_reading()  # as when it comes between two looks at the sockets
     bench.cache.lines[0].write(behind)
-    await soon(lambda: REAL.readable(idle.transport))  # type: ignore[arg-type]
+    await soon(lambda: REAL_SYSTEM.readable(idle.transport))  # type: ignore[arg-type]
     caller.get(name=b"i2")
     return await caller.answer()
 
@@ -124,9 +124,9 @@
 
     one, other = socket.socketpair()
     with one, other:
-        assert not REAL.readable(Bare(one))  # type: ignore[arg-type]
+        assert not REAL_SYSTEM.readable(Bare(one))  # type: ignore[arg-type]
         other.shutdown(socket.SHUT_RDWR)
-        assert REAL.readable(Bare(one))  # type: ignore[arg-type]
+        assert REAL_SYSTEM.readable(Bare(one))  # type: ignore[arg-type]
 
 
 async def test_a_silent_connection_costs_one_attempt_and_not_the_request() -> None:
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -17,8 +17,9 @@
 
 from rainhitch.node import connection_pool
 from rainhitch.node.client_connection import ClientConnection
-from rainhitch.node.client_request import ClientRequest, Exchange
+from rainhitch.node.client_request import ClientRequest
 from rainhitch.node.connection_pool import ConnectionPool
+from rainhitch.node.exchange import Exchange
 from rainhitch.node.in_flight_request import Attempt, InFlightRequest
 from rainhitch.node.response_slot import ResponseSlot
 from rainhitch.node.upstream_connection import UpstreamConnection
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -11,8 +11,9 @@
 
 from rainhitch import interface as api
 from rainhitch.node import connection_pool
-from rainhitch.node.client_request import ClientRequest, Exchange
+from rainhitch.node.client_request import ClientRequest
 from rainhitch.node.deadlines import ANSWER_DELIVERY_NS
+from rainhitch.node.exchange import Exchange
 from rainhitch.node.in_flight_request import InFlightRequest
 from rainhitch.protocol import resp
 
--- a/tests/resp3/test_cache_servers.py
+++ b/tests/resp3/test_cache_servers.py
@@ -7,6 +7,7 @@
 from peers import PATIENCE, Cache, Cache3, entry, hit, router, soon
 
 from rainhitch.node import connection_pool
+from rainhitch.node.upstream_socket import IdleState
 from rainhitch.protocol.resp3_types import BigNumber, ErrorReply, Map, Push, SimpleString, VerbatimString
 from rainhitch.protocol.resp3_writer import encode
 
@@ -156,7 +157,7 @@
         assert await caller.answer() == b"v" and len(bench.cache.lines) == 2
         bench.cache.lines[0].write(INVALIDATE[9:])
         await soon(lambda: not first.reader.buffer)  # type: ignore[attr-defined]
-        assert first.is_reusable() and bench.cache.ended == 0
+        assert first.idle_state() is IdleState.REUSABLE and bench.cache.ended == 0
 
 
 async def test_a_flood_of_pushes_does_not_starve_replies() -> None:
