--- a/rainhitch/cli/members.py
+++ b/rainhitch/cli/members.py
@@ -2,7 +2,6 @@
 
 import argparse
 import asyncio
-import os
 import time
 from dataclasses import dataclass
 from enum import Enum
@@ -16,7 +15,6 @@
 if TYPE_CHECKING:
     from rainhitch.membership.etcd_client import EtcdClient, EtcdOptions
 
-DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")
 UNBOUNDED_WATCH_S = 1e9
 MS_PER_S = 1000
 
@@ -79,7 +77,9 @@
     """Reads the arguments."""
     operator_file = namespace.operator
     if operator_file is None:
-        operator_file = Path(os.environ.get("RAINHITCH_OPERATOR") or DEFAULT_OPERATOR_FILE)
+        from rainhitch.operator_config import operator_file_path
+
+        operator_file = operator_file_path()
     action = Action(namespace.action)
     match action:
         case Action.LIST:
--- a/rainhitch/cli/plan.py
+++ b/rainhitch/cli/plan.py
@@ -17,7 +17,6 @@
 Json = dict[str, Any]
 
 TABLE_ROWS_SHOWN = 12
-DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")
 FROM_ETCD = "etcd"
 MAX_NUMBER = 1e9
 MAX_MIGRATION_FRACTION = 100
@@ -173,15 +172,19 @@
     from rainhitch.interface import DEFAULT_MIGRATION_FRACTION
 
     migration_fraction = DEFAULT_MIGRATION_FRACTION
-    if arguments.before == FROM_ETCD or arguments.operator_file is not None:
-        from rainhitch.operator_config import read_operator_config
+    operator_file = arguments.operator_file
+    if arguments.before == FROM_ETCD or operator_file is not None:
+        from rainhitch.operator_config import DEFAULT_OPERATOR_FILE, read_operator_config
 
-        operator = read_operator_config(arguments.operator_file or DEFAULT_OPERATOR_FILE)
+        # Unlike the router and `rainhitch members`, this does not look at RAINHITCH_OPERATOR.
+        operator_file = operator_file or DEFAULT_OPERATOR_FILE
+        operator = read_operator_config(operator_file)
         migration_fraction = operator.growth.share
     if arguments.migration_fraction is not None:
         migration_fraction = arguments.migration_fraction
     if arguments.before == FROM_ETCD:
-        rows = asyncio.run(_rows_in_etcd(arguments.operator_file or DEFAULT_OPERATOR_FILE))
+        assert operator_file is not None
+        rows = asyncio.run(_rows_in_etcd(operator_file))
     else:
         rows = _rows_in_file(Path(arguments.before))
     before = _cache_servers(rows, arguments.origin_kinds)
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -27,7 +27,8 @@
 if TYPE_CHECKING:
     from rainhitch.operator_config import OperatorConfig
 
-OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
+# As in operator_config.py, which is imported only where there is a file: that import costs memory.
+DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 192
@@ -174,9 +175,9 @@
 def find_operator_config() -> "OperatorConfig | None":
     """What the operator's file says; None where there is no file, and then nothing is imported for it."""
     named = os.environ.get("RAINHITCH_OPERATOR")
-    if not named and not os.path.exists(OPERATOR_FILE):
+    if not named and not os.path.exists(DEFAULT_OPERATOR_FILE):
         return None
-    return load_operator_config(named or OPERATOR_FILE)
+    return load_operator_config(named or DEFAULT_OPERATOR_FILE)
 
 
 def load_operator_config(path: str) -> "OperatorConfig":
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -6,6 +6,7 @@
 """
 
 import dataclasses
+import os
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -14,6 +15,7 @@
 from rainhitch.interface import DEFAULT_MIGRATION_FRACTION, Address
 from rainhitch.overload.controller import OverloadOptions
 
+DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")  # in the current folder
 PORT_LIMIT = 65_536
 
 
@@ -141,6 +143,11 @@
     membership: Membership = toml_schema.table(Membership, "where the list of servers comes from")
 
 
+def operator_file_path() -> Path:
+    """The file that `RAINHITCH_OPERATOR` names, or the default; whether it exists is not asked."""
+    return Path(os.environ.get("RAINHITCH_OPERATOR") or DEFAULT_OPERATOR_FILE)
+
+
 def parse_host_port(text: str) -> Address | None:
     """The address that `HOST:PORT` or `[HOST]:PORT` names; None where it names none."""
     host, colon, port = text.rpartition(":")
