--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -46,7 +46,7 @@
         """Counts one request for each server, and makes the record of them."""
         for _ in self.servers:
             self.request()
-        orjson.dumps(self.counts.cut(0.0, 0.0))
+        orjson.dumps(self.counts.take_record(0.0, 0.0))
 
 
 def main(arguments: list[str]) -> int:
--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -116,7 +116,7 @@
     dedup_window_ns: int = 0  # for how long after the first attempt
     priority_weight: float = 1.0  # the worth of an answer within the objective; no decision reads it
     late_weight: float = 0.0  # the fraction of that worth that a later answer has
-    is_streamed: bool = False  # its answer is relayed as it comes
+    is_relayed: bool = False  # its answer is relayed as it comes
 
 
 @dataclass(slots=True)
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -95,8 +95,8 @@
 def _configuration(document: Json, path: str) -> Configuration:
     if not isinstance(document, dict):
         raise ConfigurationError(f"{path}: not an object")
-    info = document.get("settings")
-    if not isinstance(info, dict):
+    settings_document = document.get("settings")
+    if not isinstance(settings_document, dict):
         raise ConfigurationError(f"{path}: settings is missing or not an object")
     limits = document.get("limits")
     if not isinstance(limits, dict):
@@ -108,11 +108,11 @@
         discovery=read_address(document.get("discovery")),
         seed=int(str(document.get("seed") or "0"), 16),
         known_list=document.get("known") or {"rev": 0, "targets": []},
-        settings=read_settings(info),
-        names=read_names(info),
-        ceilings=read_ceilings(info),
+        settings=read_settings(settings_document),
+        names=read_names(settings_document),
+        ceilings=read_ceilings(settings_document),
         admin=read_admin_address(document),
-        peers=read_peers(document, info),
+        peers=read_peers(document, settings_document),
         inherited_fd=read_inherited_fd(),
     )
 
@@ -137,9 +137,9 @@
     return None if named is None else read_address(named)
 
 
-def read_peers(document: Json, info: Json) -> Peering | None:
+def read_peers(document: Json, settings_document: Json) -> Peering | None:
     """The addresses for gossip; None where there are no others, or the settings allow no gossip."""
-    ceilings = info.get("ceilings")
+    ceilings = settings_document.get("ceilings")
     is_allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
     if not is_allowed or not document.get("peer_listen") or not document.get("peers_all"):
         return None
@@ -149,7 +149,7 @@
     peers = [read_address(one) for one in listed]
     if len(peers) < 2:
         return None
-    own_index = info.get("me")
+    own_index = settings_document.get("me")
     if type(own_index) is not int or not 0 <= own_index < len(peers):
         own_index = UNKNOWN_ROUTER
     return Peering(
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -200,14 +200,14 @@
         loop = asyncio.get_running_loop()
         system = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
-        record = self.pools.counts.cut(system.unix() / NS_PER_S, system.cpu())
+        record = self.pools.counts.take_record(system.unix() / NS_PER_S, system.cpu())
         if record is not None:
             record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
             if self.watch.answered_at:
                 record.list_age = round(loop.time() - self.watch.answered_at, 2)
             write_record(record)
-        for bad in self.pools.counts.cut_bad():
+        for bad in self.pools.counts.take_bad_requests():
             write_record(bad)
         loop.call_later(RECORD_INTERVAL_S, self._record)
 
--- a/rainhitch/policy/attempt_timeout.py
+++ b/rainhitch/policy/attempt_timeout.py
@@ -14,7 +14,7 @@
     A request that must not be repeated, or whose answer is a stream, is left to its client.
     """
     spec = pending.request_class
-    if spec.idempotency is api.Idempotency.NOT_IDEMPOTENT or spec.is_streamed:
+    if spec.idempotency is api.Idempotency.NOT_IDEMPOTENT or spec.is_relayed:
         return 0
     is_origin_read = pending.at_origin and not pending.request.is_write
     timeout_ns = pending.request.deadline_ns - now_ns
--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -83,7 +83,7 @@
 def may_cancel(pending: PendingRequest) -> bool:
     """Whether an attempt in flight may be cancelled, to be sent elsewhere without harm."""
     spec = pending.request_class
-    return spec.idempotency is api.Idempotency.IDEMPOTENT and not spec.is_streamed
+    return spec.idempotency is api.Idempotency.IDEMPOTENT and not spec.is_relayed
 
 
 def write_within_ns(pending: PendingRequest, now_ns: int) -> int:
--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -106,7 +106,7 @@
         dedup_window_ns=_read_int(source, f"{path}.repeatWindow", 0, 0),
         priority_weight=_read_number(source, f"{path}.gain", 0, 1),
         late_weight=_read_number(source, f"{path}.lateWorth", 0, 0),
-        is_streamed=_read(source, f"{path}.stream", bool, False),
+        is_relayed=_read(source, f"{path}.stream", bool, False),
     )
 
 
@@ -114,24 +114,24 @@
     return api.Tenant(quota_per_s=_read_number(source, f"tenants[{number}].quotaRps", 0, 0))
 
 
-def read_settings(info: Json) -> api.Settings:
+def read_settings(document: Json) -> api.Settings:
     """Reads what the decisions are given; raises SettingError."""
-    if not isinstance(info, dict):
+    if not isinstance(document, dict):
         raise SettingError("setting info makes no sense: not an object")
-    classes = _read_objects(info, "classes")
-    tenants = _read_objects(info, "tenants", [])
+    classes = _read_objects(document, "classes")
+    tenants = _read_objects(document, "tenants", [])
     if not classes:
         raise SettingError("setting classes makes no sense: it is empty")
-    ceilings = _read(info, "ceilings", dict)
-    safety = _read(info, "safety", dict)
-    cache = _read(info, "specifics", dict, {})
+    ceilings = _read(document, "ceilings", dict)
+    safety = _read(document, "safety", dict)
+    cache = _read(document, "specifics", dict, {})
     return api.Settings(
         classes=[_read_class(one, number) for number, one in enumerate(classes)],
-        router_count=_read_int(info, "balancers", 1, 1),
+        router_count=_read_int(document, "balancers", 1, 1),
         tenants=[_read_tenant(one, number) for number, one in enumerate(tenants)],
         cache_aside=_read_word(cache, "specifics.mode", CACHE_MODE_WORDS, "through") == "aside",
         origin_kind=_read_int(cache, "specifics.originKind", -1, -1),
-        endpoints_polled=_read_word(info, "registryMode", ENDPOINT_LIST_WORDS, "pushed") == "on_request",
+        endpoints_polled=_read_word(document, "registryMode", ENDPOINT_LIST_WORDS, "pushed") == "on_request",
         retry_after_allowed=_read(ceilings, "ceilings.retryAfter", bool, False),
         max_retry_after_ns=_read_int(ceilings, "ceilings.maxRetryAfter", 0, 0),
         max_attempts=_read_int(ceilings, "ceilings.attemptsCap", 1, 1),
@@ -167,22 +167,22 @@
     keepalive_ns: int  # an upstream connection idle for this long is closed by its server
 
 
-def read_names(info: Json) -> Names:
+def read_names(document: Json) -> Names:
     """Reads the names of classes, tenants, zones and kinds; raises SettingError."""
-    classes = _read_objects(info, "classes")
-    tenants = _read_objects(info, "tenants", [])
+    classes = _read_objects(document, "classes")
+    tenants = _read_objects(document, "tenants", [])
     return Names(
         classes=_read_indexes([one.get("name") for one in classes], "classes[].name"),
         idempotency=[_read_class(one, number).idempotency for number, one in enumerate(classes)],
         tenants=_read_indexes([one.get("name") for one in tenants], "tenants[].name"),
-        zones=_read_indexes(_read(info, "azs", list, []), "azs"),
-        kinds=_read_indexes(_read(info, "hostTypes", list, []), "hostTypes"),
+        zones=_read_indexes(_read(document, "azs", list, []), "azs"),
+        kinds=_read_indexes(_read(document, "hostTypes", list, []), "hostTypes"),
     )
 
 
-def read_ceilings(info: Json) -> Ceilings:
+def read_ceilings(document: Json) -> Ceilings:
     """Reads the limits of the router's sockets; raises SettingError."""
-    ceilings = _read(info, "ceilings", dict)
+    ceilings = _read(document, "ceilings", dict)
     return Ceilings(
         max_requests=_read_int(ceilings, "ceilings.mostHeld", 1, DEFAULT_MAX_REQUESTS),
         connect_timeout_ns=_read_int(ceilings, "ceilings.dialTimeout", 1, DEFAULT_CONNECT_TIMEOUT_NS),
--- a/rainhitch/telemetry/counts.py
+++ b/rainhitch/telemetry/counts.py
@@ -42,7 +42,7 @@
             bound_ms = next((bound_ms for bound_ms in UNREAD_BOUNDS_MS if age_ms < bound_ms), None)
             self.add("unread", "more" if bound_ms is None else f"under {bound_ms} ms")
 
-    def cut(self, at_unix_s: float, cpu_s: float) -> Second | None:
+    def take_record(self, at_unix_s: float, cpu_s: float) -> Second | None:
         """The record of what was counted since the last one; None where nothing was.
 
         `cpu_s` is what the process has used of its CPU in all.
@@ -57,7 +57,7 @@
         self.last_cpu_s = cpu_s
         return record
 
-    def cut_bad(self) -> list[Bad]:
+    def take_bad_requests(self) -> list[Bad]:
         """The requests noted since the last time."""
         records = self.bad
         self.bad = []
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -586,7 +586,7 @@
 
 
 def test_a_streamed_request_that_has_begun_is_not_timed_out() -> None:
-    spec = api.RequestClass(SECOND, 2 * SECOND, is_streamed=True)
+    spec = api.RequestClass(SECOND, 2 * SECOND, is_relayed=True)
     router = Router(settings(classes=[spec]))
     name, (first,) = router.request("k")
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -32,19 +32,19 @@
 
 def test_what_is_counted_is_cut_once_a_second_and_an_idle_second_leaves_no_line() -> None:
     counts = Counts()
-    assert counts.cut(1.0, 0.5) is None
+    assert counts.take_record(1.0, 0.5) is None
     counts.taken += 2
     counts.add("ended", "served")
     counts.add("words", "bytes", 40)
-    assert counts.cut(2.0, 0.75) == Second(2.0, 2, ended={"served": 1}, words={"bytes": 40}, cpu=0.75)
-    assert counts.cut(3.0, 0.75) is None
+    assert counts.take_record(2.0, 0.75) == Second(2.0, 2, ended={"served": 1}, words={"bytes": 40}, cpu=0.75)
+    assert counts.take_record(3.0, 0.75) is None
 
 
 def test_a_flood_of_failed_requests_is_recorded_by_a_few_ids() -> None:
     counts = Counts()
     for number in range(1000):
         counts.add_bad(Bad(1.0, str(number), "failed:late", ["s timeout"]))
-    assert len(counts.cut_bad()) == MAX_BAD_RECORDS and not counts.cut_bad()
+    assert len(counts.take_bad_requests()) == MAX_BAD_RECORDS and not counts.take_bad_requests()
 
 
 @pytest.mark.parametrize(
@@ -131,6 +131,6 @@
     for age in (0, 4, 5, 19, 20, 120, 150, 2000):
         counts.add_unread(age)
     counts.add_lag(120_400_000)
-    made = counts.cut(1.0, 0.0)
+    made = counts.take_record(1.0, 0.0)
     assert made is not None and made.lag == {"times": 1, "ms": 120}
     assert made.unread == {"under 20 ms": 2, "under 50 ms": 1, "under 150 ms": 1, "more": 2}
