--- a/rainhitch/cli/rehearse_arguments.py
+++ b/rainhitch/cli/rehearse_arguments.py
@@ -8,6 +8,9 @@
 
 from rainhitch.cli.errors import InputError
 
+MAX_CORE_SLOWDOWN_FACTOR = 1000.0
+MAX_SPLIT_WRITE_FRACTION = 1.0
+
 
 class RehearseMode(Enum):
     """What `rainhitch rehearse` is to do."""
@@ -97,7 +100,11 @@
 
 
 def parse_arguments(namespace: argparse.Namespace) -> RehearseArguments:
-    """Reads the arguments; raises InputError where they do not name one thing to do."""
+    """Reads the arguments.
+
+    Raises:
+        InputError: They do not name one thing to do, do not go together, or have values that are not allowed.
+    """
     virtual = VirtualOptions(namespace.trace, namespace.logs, namespace.core, namespace.chop)
     is_virtual_run = namespace.virtual or virtual.any_given()
     mode, targets = _mode_and_targets(namespace, is_virtual_run)
@@ -108,7 +115,7 @@
             )
         if namespace.repeat < 1:
             raise InputError(f"--repeat {namespace.repeat}: allowed is 1 or more")
-    return RehearseArguments(
+    arguments = RehearseArguments(
         mode=mode,
         targets=tuple(targets),
         is_virtual=namespace.virtual,
@@ -120,6 +127,28 @@
         repeat_count=namespace.repeat,
         virtual=virtual,
     )
+    if mode is RehearseMode.RUN_VIRTUAL:
+        _check_virtual_run(arguments)
+    return arguments
+
+
+def _check_virtual_run(arguments: RehearseArguments) -> None:
+    """Raises InputError for options that do not go together, or values that are not allowed."""
+    if not arguments.is_virtual:
+        raise InputError("--trace, --logs, --core and --chop go with --virtual")
+    if arguments.router_command is not None:
+        raise InputError("--router: a virtual day plays this installation's router only")
+    virtual = arguments.virtual
+    bounds = (
+        ("--core", virtual.core_slowdown_factor, MAX_CORE_SLOWDOWN_FACTOR),
+        ("--chop", virtual.split_write_fraction, MAX_SPLIT_WRITE_FRACTION),
+    )
+    for option, value, max_value in bounds:
+        if value is not None and not 0.0 <= value <= max_value:
+            raise InputError(f"{option} {value:g}: allowed is a number from 0 to {max_value:g}")
+    for path in (arguments.report_file, arguments.records_folder, virtual.trace_file, virtual.logs_folder):
+        if path is not None and not path.absolute().parent.is_dir():
+            raise InputError(f"{path}: its folder does not exist")
 
 
 def _mode_and_targets(
--- a/rainhitch/cli/rehearse_virtual.py
+++ b/rainhitch/cli/rehearse_virtual.py
@@ -14,9 +14,6 @@
 
 Json = dict[str, Any]
 
-MAX_CORE_SLOWDOWN_FACTOR = 1000.0
-MAX_SPLIT_WRITE_FRACTION = 1.0
-
 
 def compare_traces(first: Path, second: Path) -> int:
     """Prints the first line at which two traces differ; returns FAILURE where they do."""
@@ -34,25 +31,6 @@
     return FAILURE
 
 
-def _check(arguments: RehearseArguments) -> None:
-    """Raises InputError for options that do not go together, or values that are not allowed."""
-    if not arguments.is_virtual:
-        raise InputError("--trace, --logs, --core and --chop go with --virtual")
-    if arguments.router_command is not None:
-        raise InputError("--router: a virtual day plays this installation's router only")
-    virtual = arguments.virtual
-    bounds = (
-        ("--core", virtual.core_slowdown_factor, MAX_CORE_SLOWDOWN_FACTOR),
-        ("--chop", virtual.split_write_fraction, MAX_SPLIT_WRITE_FRACTION),
-    )
-    for option, value, max_value in bounds:
-        if value is not None and not 0.0 <= value <= max_value:
-            raise InputError(f"{option} {value:g}: allowed is a number from 0 to {max_value:g}")
-    for path in (arguments.report_file, arguments.records_folder, virtual.trace_file, virtual.logs_folder):
-        if path is not None and not path.absolute().parent.is_dir():
-            raise InputError(f"{path}: its folder does not exist")
-
-
 def run_scenario_in_virtual_time(arguments: RehearseArguments) -> int:
     """Runs the scenario as often as wanted, and shows its report; returns the report's exit code.
 
@@ -63,7 +41,6 @@
     from rainhitch.rehearsal.virtual.loop import StuckError
     from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 
-    _check(arguments)
     name, day = _read_scenario(arguments)
     show_progress = progress_callback(day)
     reports: list[Json] = []
