--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -13,7 +13,7 @@
 from rainhitch.errors import RainhitchError
 from rainhitch.interface import Address, Settings
 from rainhitch.node.endpoint_list import EndpointListError, read_address
-from rainhitch.node.session import OPEN, Authenticator
+from rainhitch.node.session import NO_PASSWORD_NEEDED, Authenticator
 from rainhitch.settings import (
     Ceilings,
     Json,
@@ -27,7 +27,8 @@
 if TYPE_CHECKING:
     from rainhitch.operator_config import OperatorConfig
 
-OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
+# As in operator_config.py, which is imported only where there is a file: that import costs memory.
+DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 192
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class Peering:
-    """The addresses for gossip: where this router listens, and where the others do."""
+    """The addresses for gossip: where this router listens, and where all routers do, itself included."""
 
     listen: Address
     peers: list[Address]  # of all routers, in the order of their numbers
@@ -65,7 +66,7 @@
     names: Names
     ceilings: Ceilings
     admin: Address | None = None  # of the operators' endpoint
-    peers: Peering | None = None  # the other routers, where gossip is allowed
+    peers: Peering | None = None  # where there are other routers, and gossip with them is allowed
     inherited_fd: int | None = None  # of the clients' listening socket, where the platform holds it
 
 
@@ -94,8 +95,8 @@
 def _configuration(document: Json, path: str) -> Configuration:
     if not isinstance(document, dict):
         raise ConfigurationError(f"{path}: not an object")
-    info = document.get("settings")
-    if not isinstance(info, dict):
+    settings_document = document.get("settings")
+    if not isinstance(settings_document, dict):
         raise ConfigurationError(f"{path}: settings is missing or not an object")
     limits = document.get("limits")
     if not isinstance(limits, dict):
@@ -107,11 +108,11 @@
         discovery=read_address(document.get("discovery")),
         seed=int(str(document.get("seed") or "0"), 16),
         known_list=document.get("known") or {"rev": 0, "targets": []},
-        settings=read_settings(info),
-        names=read_names(info),
-        ceilings=read_ceilings(info),
+        settings=read_settings(settings_document),
+        names=read_names(settings_document),
+        ceilings=read_ceilings(settings_document),
         admin=read_admin_address(document),
-        peers=read_peers(document, info),
+        peers=read_peers(document, settings_document),
         inherited_fd=read_inherited_fd(),
     )
 
@@ -136,9 +137,9 @@
     return None if named is None else read_address(named)
 
 
-def read_peers(document: Json, info: Json) -> Peering | None:
-    """The other routers; None where there are none, or the settings do not allow gossip with them."""
-    ceilings = info.get("ceilings")
+def read_peers(document: Json, settings_document: Json) -> Peering | None:
+    """The addresses for gossip; None where there are no others, or the settings allow no gossip."""
+    ceilings = settings_document.get("ceilings")
     is_allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
     if not is_allowed or not document.get("peer_listen") or not document.get("peers_all"):
         return None
@@ -148,7 +149,7 @@
     peers = [read_address(one) for one in listed]
     if len(peers) < 2:
         return None
-    own_index = info.get("me")
+    own_index = settings_document.get("me")
     if type(own_index) is not int or not 0 <= own_index < len(peers):
         own_index = UNKNOWN_ROUTER
     return Peering(
@@ -174,9 +175,9 @@
 def find_operator_config() -> "OperatorConfig | None":
     """What the operator's file says; None where there is no file, and then nothing is imported for it."""
     named = os.environ.get("RAINHITCH_OPERATOR")
-    if not named and not os.path.exists(OPERATOR_FILE):
+    if not named and not os.path.exists(DEFAULT_OPERATOR_FILE):
         return None
-    return load_operator_config(named or OPERATOR_FILE)
+    return load_operator_config(named or DEFAULT_OPERATOR_FILE)
 
 
 def load_operator_config(path: str) -> "OperatorConfig":
@@ -198,7 +199,7 @@
     Raises ConfigurationError where the file can't be read or is empty.
     """
     if not password_path:
-        return OPEN
+        return NO_PASSWORD_NEEDED
     try:
         with open(password_path, "rb") as file:
             password = file.read().rstrip(b"\r\n")
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -6,12 +6,13 @@
 
 from rainhitch import system
 from rainhitch.interface import Address, AttemptStatus
-from rainhitch.node.client_request import AttemptResult, Exchange
 from rainhitch.node.deadlines import HOST_DELAY_NS
 from rainhitch.node.descriptors import DescriptorBudget
+from rainhitch.node.exchange import AttemptResult, Exchange
 from rainhitch.node.key_invalidations import KeyInvalidations
 from rainhitch.node.loop_lag import LoopLag
 from rainhitch.node.upstream_connection import UpstreamConnection, WriteProgress
+from rainhitch.node.upstream_socket import REUSABLE, UNUSABLE
 from rainhitch.telemetry.counts import Counts
 
 NS_PER_S = 1_000_000_000
@@ -19,7 +20,9 @@
 MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive: closed well before the server does
 REUSE_DELAY_S = 0.005  # after an answer, in which what comes behind it shows
 SWEEP_INTERVAL_S = 1.0
-SURPLUS_FRACTION = (2, 3)  # of the cap, above which a client may take a connection's place
+# The fraction of the cap above which a client may take a connection's place: two integers, since it is exact.
+SURPLUS_NUMERATOR = 2
+SURPLUS_DENOMINATOR = 3
 # A connect that fails with one of these says nothing of the server: the router itself can open no more.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
@@ -40,7 +43,7 @@
         self.make_connection = make_connection
         self.known_protocol = 0  # RESP version that the server's process was found to speak; 0: not known
         self.idle: list[UpstreamConnection] = []  # the longest idle first
-        self.all: dict[UpstreamConnection, None] = {}  # in the order in which they were opened
+        self.connections: dict[UpstreamConnection, None] = {}  # in the order in which they were opened
         self.draining = False
 
     def start(self, exchange: Exchange) -> UpstreamConnection | None:
@@ -53,7 +56,7 @@
         if not self.host.make_room():
             return None
         connection = self.make_connection(self)
-        self.all[connection] = None
+        self.connections[connection] = None
         self.host.descriptors.upstream_open += 1
         self.host.counts.add("links", "new")
         connection.exchange = exchange
@@ -72,11 +75,11 @@
         now_s = asyncio.get_running_loop().time()
         for connection in [one for one in reversed(self.idle) if one.idle_since_s <= now_s - REUSE_DELAY_S]:
             is_young = connection.idle_since_s > now_s - self.host.max_idle_s
-            is_reusable = is_young and connection.is_reusable()
-            if is_reusable:
+            idle_state = connection.idle_state() if is_young else UNUSABLE
+            if idle_state is REUSABLE:
                 self.idle.remove(connection)
                 return connection
-            if is_reusable is not None:
+            if idle_state is UNUSABLE:
                 connection.close()
         return None
 
@@ -108,7 +111,7 @@
 
     def release(self, connection: UpstreamConnection) -> None:
         """Takes back a connection that can carry another attempt."""
-        if self.draining or connection not in self.all:
+        if self.draining or connection not in self.connections:
             connection.close()
             return
         connection.idle_since_s = asyncio.get_running_loop().time()
@@ -117,8 +120,8 @@
 
     def drop(self, connection: UpstreamConnection) -> None:
         """Forgets a connection that is closed."""
-        if connection in self.all:
-            del self.all[connection]
+        if connection in self.connections:
+            del self.connections[connection]
             self.host.descriptors.upstream_open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
@@ -132,14 +135,14 @@
         self.draining = True
         for connection in list(self.idle):
             connection.close()
-        for connection in self.all:
+        for connection in self.connections:
             if connection.write_progress is WriteProgress.NOT_WRITTEN:
                 asyncio.get_running_loop().call_soon(connection.drain)
 
-    def forget_before(self, time_s: float) -> None:
+    def close_opened_before(self, time_s: float) -> None:
         """The server has restarted at that loop time: connections opened before it lead nowhere."""
         self.known_protocol = 0
-        for connection in [one for one in self.all if one.opened_at_s < time_s]:
+        for connection in [one for one in self.connections if one.opened_at_s < time_s]:
             exchange = connection.exchange
             was_written = connection.write_progress is WriteProgress.WRITTEN
             connection.exchange = None
@@ -197,20 +200,20 @@
         pool = self.pools.pop(name, None)
         if pool is not None:
             pool.drain()
-            self.draining_pools = [one for one in self.draining_pools if one.all] + [pool]
+            self.draining_pools = [one for one in self.draining_pools if one.connections] + [pool]
 
-    def open(self) -> int:
+    def open_count(self) -> int:
         """The number of connections that are open, or being opened."""
         return self.descriptors.upstream_open
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes room for it."""
-        return self.open() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
+        return self.open_count() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
-        """Gives up one idle connection for a client, where more than SURPLUS_FRACTION of the cap are open."""
-        numerator, denominator = SURPLUS_FRACTION
-        return self.open() > self.max_open * numerator // denominator and self.close_oldest()
+        """Gives up one idle connection for a client, where more than that fraction of the cap are open."""
+        surplus_above = self.max_open * SURPLUS_NUMERATOR // SURPLUS_DENOMINATOR
+        return self.open_count() > surplus_above and self.close_oldest()
 
     def close_oldest(self) -> bool:
         """Closes the connection that has idled longest; False where none is idle."""
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -3,7 +3,8 @@
 from urllib.parse import quote_from_bytes
 
 from rainhitch.interface import AttemptStatus
-from rainhitch.node.client_request import AttemptResult, ClientRequest
+from rainhitch.node.client_request import ClientRequest
+from rainhitch.node.exchange import AttemptResult
 from rainhitch.node.upstream_connection import OwningPool, UpstreamConnection
 from rainhitch.protocol.http1 import HttpClientCodec, HttpError, HttpResponse
 from rainhitch.protocol.resp import MAX_RELAYED_VALUE_BYTES, MAX_VALUE_BYTES
@@ -53,7 +54,7 @@
             if result is None:
                 self.fail_protocol()
             else:
-                self.finish(result, self.http.next_cycle())
+                self.finish(result, self.http.reset_for_next_request())
 
     def _pass_on(self, size_bytes: int) -> None:
         if self.relay is None:
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -198,16 +198,16 @@
     def _record(self) -> None:
         """Writes down what the last second brought."""
         loop = asyncio.get_running_loop()
-        machine = self.pools.system
+        system = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
-        record = self.pools.counts.cut(machine.unix() / NS_PER_S, machine.cpu())
+        record = self.pools.counts.take_record(system.unix() / NS_PER_S, system.cpu())
         if record is not None:
-            record.open = self.pools.open()
+            record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
             if self.watch.answered_at:
                 record.list_age = round(loop.time() - self.watch.answered_at, 2)
             write_record(record)
-        for bad in self.pools.counts.cut_bad():
+        for bad in self.pools.counts.take_bad_requests():
             write_record(bad)
         loop.call_later(RECORD_INTERVAL_S, self._record)
 
@@ -248,7 +248,7 @@
         if self.configuration.inherited_fd is None:
             await asyncio.sleep(times.stop_accepting_s)
             if self.clients.listener is not None:
-                await self.clients.listener.drain()
+                await self.clients.listener.accept_backlog()
         self.clients.close()
         await self.clients.emptied(begun_at_s + times.exit_s - loop.time())
         if self.admin is not None:
@@ -272,16 +272,16 @@
     driver = clients.driver
     pools = directory.pools
     limits = operator.clients
-    clients.idle_s = limits.idle_s
-    clients.at_need_s = limits.at_need_s
-    clients.unfinished_s = limits.unfinished_s
-    clients.unread_s = limits.unread_s
+    clients.idle_grace_s = limits.idle_s
+    clients.idle_grace_near_cap_s = limits.at_need_s
+    clients.unfinished_command_limit_s = limits.unfinished_s
+    clients.unread_answers_limit_s = limits.unread_s
     pools.set_max_idle(operator.servers.idle_s)
     driver.balancer.settings.migration_fraction = operator.growth.migration_fraction()
     if operator.servers.resp3:
-        from rainhitch.node.resp3_cache_connection import Resp3Connection
+        from rainhitch.node.resp3_cache_connection import Resp3CacheConnection
 
-        directory.cache_connection_class = Resp3Connection
+        directory.cache_connection_class = Resp3CacheConnection
     clients.authenticator = read_authenticator(limits.user, limits.password_file)
 
 
@@ -322,19 +322,19 @@
 
 
 def make_gossip_exchange(
-    configuration: Configuration, peering: Peering, machine: System, options: "FleetOptions | None"
+    configuration: Configuration, peering: Peering, system: System, options: "FleetOptions | None"
 ) -> "GossipExchange":
     """What decides what this router publishes to the others; imported only here, where there are some."""
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
-    life = max(1, (machine.unix() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
+    generation = max(1, (system.unix() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
     return GossipExchange(
         peering.own_index,
         len(peering.peers),
         max(1, len(configuration.settings.tenants)),
-        life,
-        machine.now(),
+        generation,
+        system.now(),
         seed=configuration.seed,
         options=options or FleetOptions(),
     )
