--- a/rainhitch/rehearsal/explore/case_runner.py
+++ b/rainhitch/rehearsal/explore/case_runner.py
@@ -154,11 +154,12 @@
     without_faults = copy.deepcopy(tables)
     without_faults["faults"] = []
     _, reference = _run(fuzz_case(without_faults, case.seed))
-    for step in steps[-1:]:
-        usual = next(row["service"] for row in reference["steps"] if row["from_s"] == step["from_s"])
-        if step["service"] < MIN_RECOVERED_FRACTION * usual:
-            begin = f"service {step['service']:.3f} from {step['from_s']} s on"
-            result.add_failure("not back", f"{begin}, {usual:.3f} without any fault")
+    last_step = steps[-1]  # there is one: it has the requests that were counted above
+    from_s = last_step["from_s"]
+    usual = next(row["service"] for row in reference["steps"] if row["from_s"] == from_s)
+    if last_step["service"] < MIN_RECOVERED_FRACTION * usual:
+        begin = f"service {last_step['service']:.3f} from {from_s} s on"
+        result.add_failure("not back", f"{begin}, {usual:.3f} without any fault")
 
 
 def _recovered_s(tables: Json) -> float | None:
--- a/rainhitch/rehearsal/explore/coverage.py
+++ b/rainhitch/rehearsal/explore/coverage.py
@@ -10,6 +10,8 @@
 from collections import defaultdict
 from typing import Any, NamedTuple
 
+from rainhitch.rehearsal.explore.grammar import ZONES
+
 Json = dict[str, Any]
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
@@ -21,7 +23,7 @@
 NEARLY_LATE_STEP_MS = 5
 MAX_SYNTAX_ERRORS = 3  # beyond which a count of syntax errors is no new feature
 NUMBERS = re.compile(r"[0-9][0-9.,:]*")
-NAMES = re.compile(r"\b(neihu|banqiao|taoyuan|xindian)-#|'[^']*'")
+NAMES = re.compile(rf"\b({'|'.join(ZONES)})-#|'[^']*'")
 
 
 class Attempt(NamedTuple):
--- a/rainhitch/rehearsal/explore/explorer.py
+++ b/rainhitch/rehearsal/explore/explorer.py
@@ -33,7 +33,7 @@
 MAX_WORKER_BYTES = 3 << 30  # of address space
 MAX_WORKER_RUNS = 100  # until a worker process is replaced
 MUTATION_FRACTION = 0.7  # of the cases, made from one with new coverage
-MAX_CORPUS = 400  # cases with new coverage that are remembered, the newest
+MAX_CASES_TO_MUTATE = 400  # cases with new coverage that are remembered, the newest
 MAX_SHRINK_RUNS = 120
 MAX_SHRUNK_PER_KIND = 3  # failures of a kind that are shrunk; more tell nothing new
 QUEUED_CASES_PER_JOB = 2
@@ -118,9 +118,11 @@
         seed: that cases are generated and mutated with.
         jobs: worker processes at once.
         initial_cases: run first, as they are, and then mutated.
-        on_failure: called with each failure, shrunk.
+        on_failure: called with each failure that was shrunk, or is given as it is: where nothing is to be
+            shrunk, and for a case that ran alone after a process had died.
         on_progress: called again and again while it lasts.
-        shrinks: whether failures are shrunk; else all of them are given as they are.
+        shrinks: whether failures are shrunk, `MAX_SHRUNK_PER_KIND` of a kind; further ones are counted only.
+            Else all of them are given as they are.
     """
 
     def __init__(
@@ -139,7 +141,7 @@
         self.on_progress = on_progress
         self.shrinks = shrinks
         self.progress = Progress()
-        self.corpus = list(initial_cases)  # cases with new coverage, to be mutated
+        self.cases_to_mutate = list(initial_cases)  # the initial ones, and those with new coverage
         self.not_yet_run = list(initial_cases)
         self.stopped = False
         self.running: dict[Future[CaseResult], FuzzCase] = {}
@@ -149,10 +151,10 @@
         if self.not_yet_run:
             return self.not_yet_run.pop()
         seed = self.random.randrange(MAX_SEED)
-        if self.corpus and self.random.random() < MUTATION_FRACTION:
+        if self.cases_to_mutate and self.random.random() < MUTATION_FRACTION:
             # The square root prefers the newest: they have been mutated least often.
-            index = int(len(self.corpus) * self.random.random() ** 0.5)
-            return fuzz_case(mutate_scenario(self.random, self.corpus[index].tables), seed)
+            index = int(len(self.cases_to_mutate) * self.random.random() ** 0.5)
+            return fuzz_case(mutate_scenario(self.random, self.cases_to_mutate[index].tables), seed)
         return fuzz_case(generate_scenario(self.random), seed)
 
     def record(self, result: CaseResult) -> bool:
@@ -165,7 +167,7 @@
         progress.virtual_s += result.virtual_s
         if result.coverage - progress.coverage:
             progress.coverage |= result.coverage
-            self.corpus = [*self.corpus, result.case][-MAX_CORPUS:]
+            self.cases_to_mutate = [*self.cases_to_mutate, result.case][-MAX_CASES_TO_MUTATE:]
         worth_shrinking = False
         for kind in result.failure_kinds:
             progress.failure_counts[kind] = progress.failure_counts.get(kind, 0) + 1
@@ -193,7 +195,10 @@
         return self.progress
 
     def _run_alone(self, context: Any, case: FuzzCase) -> None:
-        """Runs a case that was running when a process died, to see whether it was the cause."""
+        """Runs a case that was running when a process died, to see whether it was the cause.
+
+        A failure of it is given unshrunk: each run of a shrinking could kill a process again.
+        """
         pool = ProcessPoolExecutor(1, context, prepare_worker)
         try:
             result = pool.submit(run_case_in_time, case).result()
--- a/rainhitch/rehearsal/explore/grammar.py
+++ b/rainhitch/rehearsal/explore/grammar.py
@@ -1,7 +1,7 @@
 """The grammar of scenarios: generates whole ones, and mutates them.
 
 A scenario has a fleet, load, clients, a network, and faults that overlap. Each is one that `rehearse` would
-take: it is read as strictly as a file. The random numbers that are drawn, and their order, are part of what
+take: it is read as strictly as a file. The random numbers that it takes, and their order, are part of what
 a seed of `explore` means.
 """
 
@@ -29,8 +29,8 @@
 MOVED_FAULT_SIGMA_S = 0.3  # by which a moved fault misses the edge of another
 MIN_FAULT_S = 0.001
 ETCD_FAULTS = tuple(kind for kind in KINDS if kind.startswith("etcd-"))
-# Faults between routers, which the search does not generate yet.
-ROUTER_LINK_FAULTS = ("routers-apart", "router-pause", "messages-doubled", "messages-shuffled")
+# Faults between routers, and the pause of one, which the search does not generate yet.
+NOT_GENERATED_FAULTS = ("routers-apart", "router-pause", "messages-doubled", "messages-shuffled")
 ZONES = ["neihu", "banqiao", "taoyuan", "xindian"]
 
 Generator = Callable[[Random], Any]
@@ -201,7 +201,7 @@
 
 def _generate_fault(random: Random, tables: Json, fleet: Fleet, length_s: float) -> Json:
     """A fault of any kind that the scenario's endpoint source has."""
-    excluded = set(ROUTER_LINK_FAULTS)
+    excluded = set(NOT_GENERATED_FAULTS)
     if tables.get("discovery", {}).get("source") != "etcd":
         excluded.update(ETCD_FAULTS)
     kind = random.choice([kind for kind in KINDS if kind not in excluded])
--- a/rainhitch/rehearsal/explore/shrink.py
+++ b/rainhitch/rehearsal/explore/shrink.py
@@ -11,9 +11,9 @@
 Json = dict[str, Any]
 REQUIRED_KEYS = ("about", "must")
 REQUIRED_TABLES = ("day", "traffic")
-# Whose usual value is larger than those that are generated: without it a run only takes longer.
+# Whose usual value is larger than those that are generated: without it a run only takes longer. Neither they
+# nor the tables that have them are left out.
 KEPT_SETTINGS = (("day", "length_s"), ("fleet", "memory_keys"))
-MAX_RUNS = 200
 MIN_LENGTH_S = 1
 SHORTER_FRACTION = 0.9  # of the length; a run is shortened only to less than that
 AFTER_LAST_FAULT_S = 1
@@ -21,7 +21,7 @@
 MIN_FAULT_AT_S = 0.1
 
 
-def shrink(tables: Json, still_fails: Callable[[Json], bool], max_runs: int = MAX_RUNS) -> tuple[Json, int]:
+def shrink(tables: Json, still_fails: Callable[[Json], bool], max_runs: int) -> tuple[Json, int]:
     """The smallest scenario that was found for which `still_fails`, and how many runs that took."""
     runs = 0
     progressed = True
@@ -75,7 +75,8 @@
     for name, table in tables.items():
         if name in ("classes", "faults", *REQUIRED_KEYS):
             continue
-        if name not in REQUIRED_TABLES and "memory_keys" not in table:
+        has_kept_setting = any(name == kept and key in table for kept, key in KEPT_SETTINGS)
+        if name not in REQUIRED_TABLES and not has_kept_setting:
             yield _without_key(tables, name)
         for key in table:
             if (name, key) not in KEPT_SETTINGS:
--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -125,7 +125,7 @@
     found: list[CaseResult] = []
     cases = [fuzz_case(SMALL_TABLES, seed) for seed in (3, 2, 1)]
     explorer = Explorer(1, 2, cases, found.append)
-    explorer.corpus = []
+    explorer.cases_to_mutate = []
     tally = explorer.run(6, 60)
     assert tally.died == 1 and tally.runs >= 6
     assert {"memory", "endless", "died"} == {result.failure_kinds[0] for result in found}
