--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -236,6 +236,7 @@
     return [statistics.median(column) for column in zip(*rounds, strict=True)]
 
 
+# Pages and earlier records name the measurement of the kit's lateness by this module: the command stays.
 if __name__ == "__main__":
     from benchmarks import kit_lateness
 
--- a/rainhitch/protocol/etcd.py
+++ b/rainhitch/protocol/etcd.py
@@ -6,7 +6,7 @@
 
 The rehearsal kit's fake of etcd shares this module with the router, as both would share the published .proto
 files: it holds names and numbers, no behaviour. A wrong number would not be noticed between the two;
-`tests/membership/test_stand_in.py` therefore reads the fake with an independent client.
+`tests/membership/test_fake_etcd.py` therefore reads the fake with an independent client.
 """
 
 from typing import Any, NamedTuple
--- a/rainhitch/rehearsal/fakes/cache_node.py
+++ b/rainhitch/rehearsal/fakes/cache_node.py
@@ -14,12 +14,13 @@
 from rainhitch import system
 from rainhitch.rehearsal.fakes import cache_node_protocol as protocol
 from rainhitch.rehearsal.fakes.cache_node_connection import (
+    Admission,
     CacheNodeConnection,
     PendingAnswer,
     ReceivedAttempt,
     ReceivedCommand,
 )
-from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec, CacheNodeWork
+from rainhitch.rehearsal.fakes.cache_node_work import BeginResult, CacheNodeSpec, CacheNodeWork
 from rainhitch.rehearsal.fakes.link import Link
 
 
@@ -123,15 +124,15 @@
         self.statistics.connections += 1
         return self.statistics.connections
 
-    def connected(self, connection: CacheNodeConnection) -> bool:
-        """Takes a connection; whether it is over the node's limit."""
+    def admit(self, connection: CacheNodeConnection) -> Admission:
+        """Takes a new connection, or says that it is over the node's limit."""
         if len(self.connections) >= self.spec.connection_limit:
             self.statistics.rejected_connections += 1
-            return True
+            return Admission.OVER_LIMIT
         self.connections[connection] = None
         self._note_connections()
         self.work.add_overhead(self.spec.connection_work_us)
-        return False
+        return Admission.ADMITTED
 
     def disconnected(self, connection: CacheNodeConnection) -> None:
         """A connection is gone: its requests in the queue are withdrawn, those in work go on."""
@@ -181,7 +182,7 @@
         pending.attempt = attempt
         self.attempts.append(attempt)
         accepts = not connection.over_limit and self.state is not CacheNodeState.DRAINING
-        if not self.work.begin(connection, pending, attempt, accepts):
+        if self.work.begin(connection, pending, attempt, accepts) is BeginResult.COLLAPSE:
             self._collapse()
 
     def _greet(self, connection: CacheNodeConnection, arguments: list[bytes]) -> bytes:
--- a/rainhitch/rehearsal/fakes/cache_node_connection.py
+++ b/rainhitch/rehearsal/fakes/cache_node_connection.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 from dataclasses import dataclass
-from enum import StrEnum
+from enum import Enum, StrEnum
 from typing import Protocol
 
 import hiredis
@@ -78,6 +78,13 @@
     last_byte_ns: int
 
 
+class Admission(Enum):
+    """Whether a node has room for a connection."""
+
+    ADMITTED = "admitted"
+    OVER_LIMIT = "over limit"  # each request on it is rejected, then it is closed
+
+
 class CommandHandler(Protocol):
     """What a connection needs of its node."""
 
@@ -92,8 +99,8 @@
     def next_connection_number(self) -> int:
         """A number for a new connection."""
 
-    def connected(self, connection: "CacheNodeConnection") -> bool:
-        """Takes a connection; whether it is over the node's limit."""
+    def admit(self, connection: "CacheNodeConnection") -> Admission:
+        """Takes a new connection, or says that it is over the node's limit."""
 
     def disconnected(self, connection: "CacheNodeConnection") -> None:
         """The router has closed a connection, or it was reset."""
@@ -131,7 +138,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is up."""
         super().connection_made(transport)
-        self.over_limit = self._node.connected(self)
+        self.over_limit = self._node.admit(self) is Admission.OVER_LIMIT
         self._restart_idle_timer()
 
     def _restart_idle_timer(self) -> None:
--- a/rainhitch/rehearsal/fakes/cache_node_work.py
+++ b/rainhitch/rehearsal/fakes/cache_node_work.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 from zlib import crc32
 
 from rainhitch import system
@@ -42,6 +43,14 @@
     value_bytes: int = 64
 
 
+class BeginResult(Enum):
+    """What became of a request that a node was sent."""
+
+    TAKEN = "taken"  # it is in work or queued
+    BUSY = "busy"
+    COLLAPSE = "collapse"  # the node is cold, and was sent more than it bears
+
+
 def checksum_fraction(text: str) -> float:
     """A number in [0, 1) that the text decides: chance that is the same in each run of a plan."""
     return crc32(text.encode()) / CHECKSUM_VALUES
@@ -79,8 +88,10 @@
 
     def begin(
         self, connection: CacheNodeConnection, pending: PendingAnswer, attempt: ReceivedAttempt, accepts: bool
-    ) -> bool:
-        """Takes a request into work or the queue, or answers BUSY; False where a cold node collapses.
+    ) -> BeginResult:
+        """Takes a request into work or the queue, or answers BUSY, or finds that a cold node collapses.
+
+        A request that is answered BUSY counts towards the collapse as well.
 
         Args:
             connection: where the answer goes.
@@ -96,15 +107,15 @@
         attempt.work = work_us if hit else work_us * MISS_WORK_FRACTION
         over_limit = self._load_limit.count_and_check(now_ns, attempt.work, self.model.capacity_cores(now_ns))
         if over_limit and attempt.cold:
-            return False
+            return BeginResult.COLLAPSE
         if not accepts or not self.model.offer(now_ns, attempt.work_id, attempt.work):
             attempt.outcome = AttemptOutcome.BUSY
             pending.answer = protocol.BUSY
-            return True
+            return BeginResult.BUSY
         attempt.outcome = AttemptOutcome.HIT if hit else AttemptOutcome.MISS
         self._in_work[attempt.work_id] = (connection, pending)
         self._set_timer()
-        return True
+        return BeginResult.TAKEN
 
     def withdraw(self, attempt: ReceivedAttempt) -> None:
         """Takes a request that nobody waits for out of the queue; one in work goes on."""
@@ -126,6 +137,7 @@
                 pending.attempt.ended = now_ns
         self._running = False
         self._in_work = {}
+        # This empties the model; the node is cold from its next start, which does the same again.
         self._start_cold(now_ns)
 
     def start(self) -> None:
--- a/rainhitch/rehearsal/fakes/client_connection.py
+++ b/rainhitch/rehearsal/fakes/client_connection.py
@@ -18,8 +18,8 @@
 RETRY_COLUMNS = ("router", "connection", "sent", "ended")  # of a sending that was repeated
 
 
-class AttemptKind(StrEnum):
-    """How an attempt ended; the values are the record's."""
+class TryKind(StrEnum):
+    """How a try ended; the values are the record's."""
 
     PENDING = ""
     SERVED = "served"
@@ -30,14 +30,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class SentAttempt:
-    """One attempt as its client saw it; the fields are the record's columns.
+class SentTry:
+    """One try as its client saw it; the fields are the record's columns.
 
     Times are monotonic ns, 0 for never: `due`, when it was to be sent; `sent`, when its last byte was
     written; `answered`; `left`, when the client went away before its patience was over; `ended`, when the
     router closed the connection without an answer. `wait` is the client's patience in ns. `ask` is the
-    request's number in the plan and `number` the attempt's in the request. `earlier` has sendings of this
-    attempt that ended without an answer on a connection that was closed between requests. `own`: the value
+    request's number in the plan and `number` the try's in the request. `earlier` has sendings of this
+    try that ended without an answer on a connection that was closed between requests. `own`: the value
     was made for this request.
     """
 
@@ -52,7 +52,7 @@
     sent: int = 0
     wait: int = 0
     answered: int = 0
-    kind: AttemptKind = AttemptKind.PENDING
+    kind: TryKind = TryKind.PENDING
     detail: str = ""
     own: bool = False
     left: int = 0
@@ -65,18 +65,18 @@
     @property
     def crossed_a_close(self) -> bool:
         """Whether it met a connection that its router had closed between requests: no fault of either."""
-        return self.kind is AttemptKind.ENDED and self.reused and not self.detail
+        return self.kind is TryKind.ENDED and self.reused and not self.detail
 
     def repeat_sending(self) -> None:
-        """Notes that the sending until now came to nothing; the same attempt is sent once more."""
+        """Notes that the sending until now came to nothing; the same try is sent once more."""
         self.earlier.append({name: getattr(self, name) for name in RETRY_COLUMNS})
-        self.kind = AttemptKind.PENDING
+        self.kind = TryKind.PENDING
         self.ended = 0
         self.sent = 0
 
     def note_unreachable(self) -> None:
         """No router took it."""
-        self.kind = AttemptKind.UNREACHABLE
+        self.kind = TryKind.UNREACHABLE
         self.ended = system.now()
 
 
@@ -101,7 +101,7 @@
     """A client's connection: one command at a time.
 
     Attributes:
-        attempt: the one that waits for its answer.
+        sent_try: the one that waits for its answer.
         idle_since_s: since when none does, on the loop's clock.
     """
 
@@ -109,7 +109,7 @@
         self.router = router
         self.number = owner.next_connection_number()
         self.transport: asyncio.Transport | None = None
-        self.attempt: SentAttempt | None = None
+        self.sent_try: SentTry | None = None
         self.idle_since_s = 0.0
         self._owner = owner
         self._reader = hiredis.Reader()
@@ -133,34 +133,34 @@
         """Whether a request can be written."""
         return self.transport is not None and not self.transport.is_closing()
 
-    def send(self, attempt: SentAttempt, data: bytes, done: Callable[[], None]) -> None:
-        """Sends an attempt; `done` is called once it has an answer, or can have none."""
-        self.attempt = attempt
+    def send(self, sent_try: SentTry, data: bytes, done: Callable[[], None]) -> None:
+        """Sends a try; `done` is called once it has an answer, or can have none."""
+        self.sent_try = sent_try
         self._done = done
-        attempt.router = self.router
-        attempt.connection = self.number
+        sent_try.router = self.router
+        sent_try.connection = self.number
         # One that was greeted is between requests too: its router may close it as our request crosses.
-        attempt.reused = self._request_count > 0 or (self._speaks_resp3 and not self._awaits_greeting)
+        sent_try.reused = self._request_count > 0 or (self._speaks_resp3 and not self._awaits_greeting)
         self._request_count += 1
         self._received_bytes = 0
         if self.transport is None and not self._early_answers:
             self.forget()
-            attempt.note_unreachable()  # closed before anything was written
+            sent_try.note_unreachable()  # closed before anything was written
             done()
             return
         if self.usable and self.transport is not None:
             self.transport.write(data)
-        attempt.sent = system.now()
+        sent_try.sent = system.now()
         if self._early_answers:
-            self._take_answer(self._early_answers.pop(0), attempt.sent)
+            self._take_answer(self._early_answers.pop(0), sent_try.sent)
 
     def forget(self) -> None:
         """No longer waits for an answer."""
-        self.attempt = None
+        self.sent_try = None
         self._done = None
 
     def data_received(self, data: bytes) -> None:
-        """Reads answers; what is no RESP fails the attempt and ends the connection."""
+        """Reads answers; what is no RESP fails the try and ends the connection."""
         now_ns = system.now()
         self._received_bytes += len(data)
         self._reader.feed(data)
@@ -168,7 +168,7 @@
             while (answer := self._reader.gets()) is not False:
                 self._take_answer(answer, now_ns)
         except hiredis.ProtocolError:
-            self._finish(now_ns, AttemptKind.FAILED, "no RESP", own=False)
+            self._finish(now_ns, TryKind.FAILED, "no RESP", own=False)
             self.close()
 
     def _take_answer(self, answer: object, now_ns: int) -> None:
@@ -180,52 +180,52 @@
             answer = answer[0]
         value = answer.decode("latin-1") if isinstance(answer, bytes) else ""
         made_for_id = value.partition(":")[0]
-        attempt = self.attempt
-        if attempt is None and not self._request_count:
+        sent_try = self.sent_try
+        if sent_try is None and not self._request_count:
             self._early_answers.append(answer)
             return
-        if attempt is None or self._answers_last_request_again(made_for_id, attempt):
-            kind = AttemptKind.SERVED if value else str(answer)[:EXTRA_DETAIL_LENGTH]
+        if sent_try is None or self._answers_last_request_again(made_for_id, sent_try):
+            kind = TryKind.SERVED if value else str(answer)[:EXTRA_DETAIL_LENGTH]
             self._owner.note_extra_answer(self, self._last_answered_id, kind, now_ns)
             return
         if isinstance(answer, bytes):
-            own = made_for_id == attempt.id
-            self._finish(now_ns, AttemptKind.SERVED, value[:DETAIL_LENGTH], own)
+            own = made_for_id == sent_try.id
+            self._finish(now_ns, TryKind.SERVED, value[:DETAIL_LENGTH], own)
         elif isinstance(answer, hiredis.ReplyError):
             text = str(answer)
-            kind = AttemptKind.REFUSED if text.split(" ")[0] == BUSY else AttemptKind.FAILED
+            kind = TryKind.REFUSED if text.split(" ")[0] == BUSY else TryKind.FAILED
             self._finish(now_ns, kind, text[:DETAIL_LENGTH], own=False)
         else:
-            self._finish(now_ns, AttemptKind.FAILED, repr(answer)[:DETAIL_LENGTH], own=False)
+            self._finish(now_ns, TryKind.FAILED, repr(answer)[:DETAIL_LENGTH], own=False)
 
-    def _answers_last_request_again(self, made_for_id: str, attempt: SentAttempt) -> bool:
+    def _answers_last_request_again(self, made_for_id: str, sent_try: SentTry) -> bool:
         """Whether a value was made for the request before the one that waits: a second answer to it."""
-        return bool(made_for_id) and made_for_id == self._last_answered_id and made_for_id != attempt.id
+        return bool(made_for_id) and made_for_id == self._last_answered_id and made_for_id != sent_try.id
 
-    def _finish(self, now_ns: int, kind: AttemptKind, detail: str, own: bool) -> None:
-        attempt = self.attempt
+    def _finish(self, now_ns: int, kind: TryKind, detail: str, own: bool) -> None:
+        sent_try = self.sent_try
         done = self._done
         self.forget()
-        if attempt is None or done is None:
+        if sent_try is None or done is None:
             return
-        attempt.answered = now_ns
-        attempt.kind = kind
-        attempt.detail = detail
-        attempt.own = own
-        self._last_answered_id = attempt.id
+        sent_try.answered = now_ns
+        sent_try.kind = kind
+        sent_try.detail = detail
+        sent_try.own = own
+        self._last_answered_id = sent_try.id
         done()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone; an attempt that waits has come to an end without an answer."""
+        """The connection is gone; a try that waits has come to an end without an answer."""
         self.transport = None
         self._owner.connections.pop(self, None)
-        attempt = self.attempt
+        sent_try = self.sent_try
         done = self._done
         self.forget()
-        if attempt is not None and done is not None:
-            attempt.kind = AttemptKind.ENDED
-            attempt.ended = system.now()
-            attempt.detail = "partly answered" if self._received_bytes else ""
+        if sent_try is not None and done is not None:
+            sent_try.kind = TryKind.ENDED
+            sent_try.ended = system.now()
+            sent_try.detail = "partly answered" if self._received_bytes else ""
             done()
 
     def close(self) -> None:
--- a/rainhitch/rehearsal/fakes/client_script.py
+++ b/rainhitch/rehearsal/fakes/client_script.py
@@ -1,4 +1,4 @@
-"""What the clients are to do: requests and their attempts as the plan has them, and the bytes of a command.
+"""What the clients are to do: requests and their tries as the plan has them, and the bytes of a command.
 
 The command is written out here, and answers are read with hiredis alone: nothing of `rainhitch.protocol`, so
 that the router's codec is tried against another one and not against itself.
@@ -16,7 +16,10 @@
 
 
 class Repeats(StrEnum):
-    """Whether a request may be sent again after an end that leaves open whether it was carried out."""
+    """Whether a request may be sent again after an end that leaves open whether it was carried out.
+
+    The fakes' own, on purpose: see `ScriptedClass`.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"  # within the window of its idempotency key
@@ -24,8 +27,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestClass:
-    """A class of requests as the scenario has it."""
+class ScriptedClass:
+    """A class of requests as the scenario has it.
+
+    The fakes' own, on purpose: `rainhitch.interface` and the checker have a `RequestClass` each, and a
+    mistake that all share would be seen by none.
+    """
 
     name: str
     is_write: bool
@@ -34,7 +41,7 @@
     window_ns: float  # of idempotency keys
 
     @classmethod
-    def from_row(cls, row: Json) -> "RequestClass":
+    def from_row(cls, row: Json) -> "ScriptedClass":
         """A class as the scenario's JSON has it."""
         return cls(
             name=row["name"],
@@ -46,17 +53,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ScriptedAttempt:
-    """One attempt of a request: when its client sends it, and how long it waits."""
+class ScriptedTry:
+    """One try of a request: when its client sends it, and how long it waits."""
 
     id: str
     patience_ms: int
-    backoff_s: float  # after the attempt before it
+    backoff_s: float  # after the try before it
     leaves_after_s: float | None  # the client closes the connection then; None: it waits out its patience
 
     @classmethod
-    def from_row(cls, row: Json) -> "ScriptedAttempt":
-        """An attempt as the plan has it."""
+    def from_row(cls, row: Json) -> "ScriptedTry":
+        """A try as the plan has it."""
         return cls(
             id=row["id"],
             patience_ms=row["wait_ms"],
@@ -67,22 +74,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptedRequest:
-    """One request with the attempts that its client makes until one is served."""
+    """One request with the tries that its client makes until one is served."""
 
     number: int  # in the plan
     at_us: int  # of the plan's time
-    request_class: RequestClass
+    request_class: ScriptedClass
     customer: str
     key: str
     idempotency_key: str  # "" for none
     router: int  # or ANY_ROUTER
     honours_retry_after: bool
     on_new_connection: bool
-    attempts: list[ScriptedAttempt]
+    tries: list[ScriptedTry]
 
     @classmethod
     def from_row(
-        cls, number: int, row: Json, request_class: RequestClass, customer: str
+        cls, number: int, row: Json, request_class: ScriptedClass, customer: str
     ) -> "ScriptedRequest":
         """A request as the plan has it, under its number there; class and customer are numbers in the row."""
         return cls(
@@ -95,13 +102,13 @@
             router=row["router"],
             honours_retry_after=row["honours"],
             on_new_connection=row["fresh"],
-            attempts=[ScriptedAttempt.from_row(attempt) for attempt in row["tries"]],
+            tries=[ScriptedTry.from_row(scripted_try) for scripted_try in row["tries"]],
         )
 
 
 def scripted_requests(plan: Json, scenario: Json, zone: int) -> list[ScriptedRequest]:
     """The requests of one zone's clients, in the plan's order."""
-    classes = [RequestClass.from_row(row) for row in scenario["classes"]]
+    classes = [ScriptedClass.from_row(row) for row in scenario["classes"]]
     customers = [row["name"] for row in scenario["customers"]]
     return [
         ScriptedRequest.from_row(number, row, classes[row["cls"]], customers[row["customer"]])
@@ -111,9 +118,9 @@
 
 
 def encode_command(
-    request: ScriptedRequest, attempt: ScriptedAttempt, is_retry: bool, patience_ms: int, value: bytes
+    request: ScriptedRequest, scripted_try: ScriptedTry, is_retry: bool, patience_ms: int, value: bytes
 ) -> bytes:
-    """The bytes of an attempt; `patience_ms` is how long the client waits, `value` what a write carries."""
+    """The bytes of a try; `patience_ms` is how long the client waits, `value` what a write carries."""
     request_class = request.request_class
     info = f"c={request_class.name},t={request.customer},d={patience_ms}"
     if request.idempotency_key:
@@ -123,7 +130,7 @@
     words = [
         b"C.SET" if request_class.is_write else b"C.GET",
         request.key.encode(),
-        attempt.id.encode(),
+        scripted_try.id.encode(),
         info.encode(),
     ]
     if request_class.is_write:
--- a/rainhitch/rehearsal/fakes/clients.py
+++ b/rainhitch/rehearsal/fakes/clients.py
@@ -1,6 +1,6 @@
 """Scripted clients of one zone: an open loop over real connections, and a record of every answer.
 
-Arrivals are drawn ahead and wait for no answer. An attempt that has no answer when its client gives up is
+Arrivals are drawn ahead and wait for no answer. A try that has no answer when its client gives up is
 over; its connection is read from for a moment more, so that an answer after the end is seen.
 """
 
@@ -8,45 +8,40 @@
 from typing import Any
 
 from rainhitch import system
-from rainhitch.rehearsal.fakes.client_connection import AttemptKind, ClientConnection, SentAttempt
+from rainhitch.rehearsal.fakes.client_connection import ClientConnection, SentTry, TryKind
 from rainhitch.rehearsal.fakes.client_pool import ClientConnectionPool
 from rainhitch.rehearsal.fakes.client_script import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
     Repeats,
-    RequestClass,
-    ScriptedAttempt,
+    ScriptedClass,
     ScriptedRequest,
+    ScriptedTry,
     encode_command,
     scripted_requests,
 )
 
 Json = dict[str, Any]
 LATE_ANSWER_S = 0.25  # for which a connection is read from after its client gave up
-SENDINGS = 2  # of an attempt: once more where its connection was closed between requests
+SENDINGS = 2  # of a try: once more where its connection was closed between requests
 NANOSECONDS_PER_MICROSECOND = 1000
 MILLISECONDS_PER_SECOND = 1000
 
 
-def retry_delay_s(request: ScriptedRequest, sent: SentAttempt, following: ScriptedAttempt) -> float:
-    """How long the client waits before the attempt that follows: its backoff, or the router's if longer."""
+def retry_delay_s(request: ScriptedRequest, sent: SentTry, following: ScriptedTry) -> float:
+    """How long the client waits before the try that follows: its backoff, or the router's if longer."""
     words = sent.detail.split(" ")
-    if (
-        sent.kind is AttemptKind.REFUSED
-        and request.honours_retry_after
-        and len(words) > 1
-        and words[1].isdigit()
-    ):
+    if sent.kind is TryKind.REFUSED and request.honours_retry_after and len(words) > 1 and words[1].isdigit():
         return max(following.backoff_s, int(words[1]) / MILLISECONDS_PER_SECOND)
     return following.backoff_s
 
 
-def may_retry(request_class: RequestClass, sent: SentAttempt, since_first_ns: int) -> bool:
-    """Whether an attempt that was not served may be followed by another one, which must do no harm.
+def may_retry(request_class: ScriptedClass, sent: SentTry, since_first_ns: int) -> bool:
+    """Whether a try that was not served may be followed by another one, which must do no harm.
 
-    `since_first_ns` is how long ago the first attempt was sent.
+    `since_first_ns` is how long ago the first try was sent.
     """
-    if sent.kind in (AttemptKind.REFUSED, AttemptKind.UNREACHABLE):
+    if sent.kind in (TryKind.REFUSED, TryKind.UNREACHABLE):
         return True
     if request_class.repeats is Repeats.KEYED:
         return since_first_ns < request_class.window_ns
@@ -58,7 +53,7 @@
 
     Attributes:
         pool: their connections.
-        attempts: the record of the attempts.
+        tries: the record of the tries.
         lateness_ns: for each request, how late the clients were in sending it.
         tasks: one for each request that has not come to its end.
     """
@@ -73,7 +68,7 @@
             addresses: of the routers, in their order.
         """
         self.pool = ClientConnectionPool(zone, plan, scenario, addresses)
-        self.attempts: list[SentAttempt] = []
+        self.tries: list[SentTry] = []
         self.lateness_ns: list[int] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
@@ -101,41 +96,39 @@
         idle_check.cancel()
 
     async def _run_request(self, request: ScriptedRequest, due_ns: int) -> None:
-        """One request through its attempts, as its client makes them."""
+        """One request through its tries, as its client makes them."""
         request_class = request.request_class
         first_sent_ns = 0  # 0: none has been
         left_ns = request_class.deadline_ns
-        for number, attempt in enumerate(request.attempts):
+        for number, scripted_try in enumerate(request.tries):
             if first_sent_ns:
                 left_ns = request_class.deadline_ns - (system.now() - first_sent_ns)
-            patience_ms = min(attempt.patience_ms, left_ns // NANOSECONDS_PER_MILLISECOND)
+            patience_ms = min(scripted_try.patience_ms, left_ns // NANOSECONDS_PER_MILLISECOND)
             if patience_ms < 1:
                 return
             patience_ns = patience_ms * NANOSECONDS_PER_MILLISECOND
-            sent = SentAttempt(request.number, number, attempt.id, due=due_ns, wait=patience_ns)
-            self.attempts.append(sent)
-            await self.run_attempt(request, attempt, sent)
+            sent = SentTry(request.number, number, scripted_try.id, due=due_ns, wait=patience_ns)
+            self.tries.append(sent)
+            await self.run_try(request, scripted_try, sent)
             if not first_sent_ns:
                 first_sent_ns = sent.sent if sent.sent else system.now()
-            is_last = number + 1 == len(request.attempts)
-            if is_last or sent.left or sent.kind is AttemptKind.SERVED:
+            is_last = number + 1 == len(request.tries)
+            if is_last or sent.left or sent.kind is TryKind.SERVED:
                 return
             if not may_retry(request_class, sent, system.now() - first_sent_ns):
                 return
-            await asyncio.sleep(retry_delay_s(request, sent, request.attempts[number + 1]))
+            await asyncio.sleep(retry_delay_s(request, sent, request.tries[number + 1]))
             due_ns = system.now()
 
-    async def run_attempt(
-        self, request: ScriptedRequest, attempt: ScriptedAttempt, sent: SentAttempt
-    ) -> None:
-        """Sends an attempt, again where its connection was closed between requests, and waits for its end."""
+    async def run_try(self, request: ScriptedRequest, scripted_try: ScriptedTry, sent: SentTry) -> None:
+        """Sends a try, again where its connection was closed between requests, and waits for its end."""
         patience_ms = sent.wait // NANOSECONDS_PER_MILLISECOND
-        data = encode_command(request, attempt, sent.number > 0, patience_ms, self._value)
+        data = encode_command(request, scripted_try, sent.number > 0, patience_ms, self._value)
         patience_s = sent.wait / NANOSECONDS_PER_SECOND
-        leaves_early = attempt.leaves_after_s is not None and attempt.leaves_after_s < patience_s
+        leaves_early = scripted_try.leaves_after_s is not None and scripted_try.leaves_after_s < patience_s
         waits_s = patience_s
-        if attempt.leaves_after_s is not None:
-            waits_s = min(patience_s, attempt.leaves_after_s)
+        if scripted_try.leaves_after_s is not None:
+            waits_s = min(patience_s, scripted_try.leaves_after_s)
         for sending in range(SENDINGS):
             is_again = sending > 0
             connection = await self.pool.connect(request.router, is_again or request.on_new_connection)
@@ -156,7 +149,7 @@
             self.pool.release(request.router, connection)
             return
 
-    def _leave(self, connection: ClientConnection, sent: SentAttempt, is_early: bool) -> None:
+    def _leave(self, connection: ClientConnection, sent: SentTry, is_early: bool) -> None:
         """The client has gone. Unless it left early, what comes in the next moment is still noted."""
         if is_early:
             sent.left = system.now()
@@ -173,5 +166,5 @@
         self.pool.close()
 
     def rows(self) -> list[Json]:
-        """The record of the attempts."""
-        return [attempt.to_row() for attempt in self.attempts]
+        """The record of the tries."""
+        return [sent.to_row() for sent in self.tries]
--- a/rainhitch/rehearsal/fakes/etcd_service.py
+++ b/rainhitch/rehearsal/fakes/etcd_service.py
@@ -1,7 +1,7 @@
 """One member of the fake etcd: the methods of the published v3 gRPC API over the cluster's store.
 
 The field numbers are those of `rainhitch.protocol.etcd`, which the router's client uses too. A wrong
-number there is not hidden by that: tests/membership/test_stand_in.py drives this fake with a client library
+number there is not hidden by that: tests/membership/test_fake_etcd.py drives this fake with a client library
 that has its own copy of the published numbers. Nothing else is shared with the router.
 """
 
--- a/tests/rehearsal/test_clients.py
+++ b/tests/rehearsal/test_clients.py
@@ -9,7 +9,7 @@
 import orjson
 from peers import PATIENCE, Cache, soon
 
-from rainhitch.rehearsal.fakes.client_connection import SentAttempt
+from rainhitch.rehearsal.fakes.client_connection import SentTry
 from rainhitch.rehearsal.fakes.client_script import ANY_ROUTER, scripted_requests
 from rainhitch.rehearsal.fakes.clients import ClientPopulation
 from rainhitch.rehearsal.scenario import Scenario
@@ -25,7 +25,7 @@
 
 
 def ask(at_ms: float, tries: int = 1, wait: int = 400, cls: int = 0, router: int = -1, **more: Any) -> Json:
-    """A request of the plan, with so many attempts; `more` are columns of each attempt."""
+    """A request of the plan, with so many tries; `more` are columns of each try."""
     ids = [f"{at_ms:g}.{cls}.{n}" for n in range(tries)]
     rows = [{"id": id, "wait_ms": wait, "backoff_us": 20_000, "leaves_us": 0, **more} for id in ids]
     order = "order" if cls == 3 else ""
@@ -68,15 +68,15 @@
 
 
 def kinds(population: ClientPopulation) -> list[str]:
-    """How the attempts ended, in the order of their beginning."""
-    return [one.kind for one in population.attempts]
+    """How the tries ended, in the order of their beginning."""
+    return [one.kind for one in population.tries]
 
 
 async def test_a_request_is_sent_when_it_is_due_and_reuses_the_connection_that_is_idle() -> None:
     async with played([lambda asked, line: served(asked)], [ask(0), ask(100)]) as (population, (router,)):
-        assert kinds(population) == ["served", "served"] and all(one.own for one in population.attempts)
-        assert len(router.lines) == 1 and [one.reused for one in population.attempts] == [False, True]
-        assert all(0 <= one.sent - one.due < 10**9 for one in population.attempts)
+        assert kinds(population) == ["served", "served"] and all(one.own for one in population.tries)
+        assert len(router.lines) == 1 and [one.reused for one in population.tries] == [False, True]
+        assert all(0 <= one.sent - one.due < 10**9 for one in population.tries)
         name, key, id, info = router.got[0]
         assert (name, key, id) == (b"C.GET", b"k", b"0.0.0")
         assert dict(one.split(b"=") for one in info.split(b","))[b"d"] == b"400"
@@ -107,12 +107,12 @@
 async def test_a_client_that_reconnects_opens_a_new_connection_though_one_is_idle() -> None:
     asks = [ask(0), {**ask(100), "fresh": True}]
     async with played([lambda asked, line: served(asked)], asks) as (population, (router,)):
-        assert len(router.lines) == 2 and not population.attempts[1].reused
+        assert len(router.lines) == 2 and not population.tries[1].reused
 
 
 async def test_a_write_carries_its_value_and_key_and_a_retry_the_same_key_under_a_new_id() -> None:
     def answer(asked: Any, line: asyncio.StreamWriter) -> bytes:
-        """Rejects the first attempt and serves the second."""
+        """Rejects the first try and serves the second."""
         return served(asked) if asked[2].endswith(b".1") else b"-BUSY\r\n"
 
     async with played([answer], [ask(0, tries=2, cls=3)]) as (population, (router,)):
@@ -127,7 +127,7 @@
     for honours in (True, False):
         one = {**ask(0, tries=2, wait=2000), "honours": honours}
         async with played([lambda asked, line: b"-BUSY 300\r\n"], [one]) as (population, _):
-            first, second = population.attempts
+            first, second = population.tries
             assert first.detail == "BUSY 300" and kinds(population) == ["refused", "refused"]
             assert (second.due - first.answered >= 290_000_000) == honours
 
@@ -140,8 +140,8 @@
     fails: list[Answer] = [lambda asked, line: b"-ERR failed\r\n"]
     for order, writes in (("keyed", 2), ("unsafe", 1)):
         async with played(fails, [ask(0, tries=2), ask(50, tries=2, cls=3)], order) as (population, _):
-            assert [one.ask for one in population.attempts].count(0) == 2
-            assert [one.ask for one in population.attempts].count(1) == writes
+            assert [one.ask for one in population.tries].count(0) == 2
+            assert [one.ask for one in population.tries].count(1) == writes
 
 
 async def test_a_second_answer_is_recorded_as_an_extra_one() -> None:
@@ -164,10 +164,10 @@
         late.append(asked)
 
     async with played([answer], [ask(0, wait=200)]) as (population, _):
-        await soon(lambda: population.attempts[0].answered)
+        await soon(lambda: population.tries[0].answered)
         assert (
-            population.attempts[0].answered - population.attempts[0].sent > 300_000_000
-            and population.attempts[0].wait == 200_000_000
+            population.tries[0].answered - population.tries[0].sent > 300_000_000
+            and population.tries[0].wait == 200_000_000
         )
 
 
@@ -175,7 +175,7 @@
     """A client leaves before its patience is over: it closes its connection, and is recorded as gone."""
     async with played([lambda asked, line: None], [ask(0, leaves_us=50_000)]) as (population, (router,)):
         await soon(lambda: router.ended == 1)
-        assert population.attempts[0].left and not population.attempts[0].answered
+        assert population.tries[0].left and not population.tries[0].answered
 
 
 async def test_a_request_that_crosses_a_close_between_requests_is_sent_once_more() -> None:
@@ -197,8 +197,8 @@
     met: list[bytes] = []
     async with played([answer], [ask(0), ask(100)]) as (population, _):
         assert met == [b"0.0.0", b"100.0.0", b"100.0.0"]
-        assert kinds(population) == ["served", "served"] and len(population.attempts[1].earlier) == 1
-        assert population.attempts[1].earlier[0]["connection"] != population.attempts[1].connection
+        assert kinds(population) == ["served", "served"] and len(population.tries[1].earlier) == 1
+        assert population.tries[1].earlier[0]["connection"] != population.tries[1].connection
 
 
 async def test_a_first_request_whose_connection_ends_is_not_sent_again_and_recorded_as_ended() -> None:
@@ -212,12 +212,12 @@
         line.transport.abort()
 
     async with played([cut], [ask(0)]) as (population, (router,)):
-        assert kinds(population) == ["ended"] and len(router.got) == 1 and population.attempts[0].ended
+        assert kinds(population) == ["ended"] and len(router.got) == 1 and population.tries[0].ended
 
 
 @contextlib.asynccontextmanager
-async def ended_before(last_bytes: bytes) -> AsyncIterator[SentAttempt]:
-    """An attempt on a connection that the router ended, with these last bytes, before the client wrote."""
+async def ended_before(last_bytes: bytes) -> AsyncIterator[SentTry]:
+    """A try on a connection that the router ended, with these last bytes, before the client wrote."""
 
     async def end(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Writes the last bytes and closes."""
@@ -230,7 +230,7 @@
         line = await population.pool.connect(ANY_ROUTER, is_new=True)
         assert line is not None
         await soon(lambda: line.transport is None)
-        sent = SentAttempt(0, 0, "x", wait=10**9)
+        sent = SentTry(0, 0, "x", wait=10**9)
         over = asyncio.Event()
         line.send(sent, b"...", over.set)
         assert over.is_set()
@@ -258,7 +258,7 @@
 
 async def test_a_value_of_another_request_is_not_recorded_as_the_clients_own() -> None:
     async with played([lambda asked, line: b"$7\r\nother:k\r\n"], [ask(0)]) as (population, _):
-        assert kinds(population) == ["served"] and not population.attempts[0].own
+        assert kinds(population) == ["served"] and not population.tries[0].own
 
 
 async def test_the_load_balancer_keeps_to_the_zone_and_leaves_a_router_that_is_down() -> None:
@@ -276,10 +276,10 @@
 async def test_a_request_for_one_router_goes_there_and_where_none_is_up_it_is_unreachable() -> None:
     routers: list[Answer] = [lambda asked, line: served(asked)] * 2
     async with played(routers, [ask(0, router=1)]) as (population, both):
-        assert [len(one.got) for one in both] == [0, 1] and population.attempts[0].router == 1
+        assert [len(one.got) for one in both] == [0, 1] and population.tries[0].router == 1
         population.pool.load_balancer.up = [False, False]
-        sent = SentAttempt(0, 0, "x", wait=10**9)
+        sent = SentTry(0, 0, "x", wait=10**9)
         scenario: Json = orjson.loads(orjson.dumps(Scenario("a", "b")))
         request = scripted_requests({"asks": [ask(0)]}, scenario, zone=0)[0]
-        await population.run_attempt(request, request.attempts[0], sent)
+        await population.run_try(request, request.tries[0], sent)
         assert sent.kind == "unreachable" and not sent.sent
