--- a/rainhitch/rehearsal/fakes/cache_node_connection.py
+++ b/rainhitch/rehearsal/fakes/cache_node_connection.py
@@ -3,14 +3,15 @@
 import asyncio
 from collections import deque
 from dataclasses import dataclass
-from enum import StrEnum
+from enum import Enum, StrEnum
 from typing import Protocol
 
 import hiredis
 
 from rainhitch import system
 from rainhitch.rehearsal.fakes.cache_node_protocol import SYNTAX_ERROR, command_words, wire_length
-from rainhitch.rehearsal.fakes.link import Link, LinkConnection, ReceivedRequest
+from rainhitch.rehearsal.fakes.link import Link, LinkConnection
+from rainhitch.rehearsal.fakes.received_request import ReceivedRequest
 
 
 class AttemptOutcome(StrEnum):
@@ -77,6 +78,13 @@
     last_byte_ns: int
 
 
+class Admission(Enum):
+    """Whether a node has room for a connection."""
+
+    ADMITTED = "admitted"
+    OVER_LIMIT = "over limit"  # each request on it is rejected, then it is closed
+
+
 class CommandHandler(Protocol):
     """What a connection needs of its node."""
 
@@ -91,8 +99,8 @@
     def next_connection_number(self) -> int:
         """A number for a new connection."""
 
-    def connected(self, connection: "CacheNodeConnection") -> bool:
-        """Takes a connection; whether it is over the node's limit."""
+    def admit(self, connection: "CacheNodeConnection") -> Admission:
+        """Takes a new connection, or says that it is over the node's limit."""
 
     def disconnected(self, connection: "CacheNodeConnection") -> None:
         """The router has closed a connection, or it was reset."""
@@ -122,16 +130,15 @@
         self.over_limit = False
         self.pending: deque[PendingAnswer] = deque()
         self._reader = hiredis.Reader()
-        self._first_byte_ns = (
-            0  # when the first byte of a command that is not whole yet was sent; 0: there is none
-        )
+        # When the first byte of a command that is not whole yet was sent; 0: there is none.
+        self._first_byte_ns = 0
         self._partial_bytes = 0  # of such a command
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is up."""
         super().connection_made(transport)
-        self.over_limit = self._node.connected(self)
+        self.over_limit = self._node.admit(self) is Admission.OVER_LIMIT
         self._restart_idle_timer()
 
     def _restart_idle_timer(self) -> None:
