--- a/rainhitch/rehearsal/fault_actions.py
+++ b/rainhitch/rehearsal/fault_actions.py
@@ -2,6 +2,9 @@
 
 One function a kind, found in `ACTIONS_BY_KIND`. Faults that only change what clients send (`hot-keys`,
 `key-flood`, `surge`, `reconnect-storm`) have no actions: they stand in `planned_requests`.
+
+Actions on routers are carried out by `router_faults.RouterFaults`, in the environment; all others by the
+fakes, each of which acts on those of its own components.
 """
 
 from collections.abc import Callable
@@ -12,11 +15,14 @@
 from rainhitch.rehearsal.plan_model import Command, Component, FaultAction, random_stream, to_microseconds
 from rainhitch.rehearsal.scenario import Scenario
 
-RETIRED_US = 2_000_000  # from the drain of a node that was retired to its end
-NO_ACCEPT_S = (0.2, 0.4)  # from the start of a restart until the front end gives no more connections, drawn
+RETIRED_DRAIN_US = 2_000_000  # from the drain of a node that was retired to its end
+RESTART_NOTICE_S = (
+    0.2,
+    0.4,
+)  # from the start of a restart until the front end gives it no connections, drawn
 
 
-class FaultSchedule:
+class ActionMaker:
     """Makes the actions of one fault: it knows the fault's times, and what it acts on."""
 
     def __init__(self, scenario: Scenario, fault: Fault, number: int, random: Random) -> None:
@@ -65,7 +71,7 @@
         return [self.fault.router, self.fault.node]
 
 
-ActionsOfFault = Callable[[FaultSchedule], list[FaultAction]]
+ActionsOfFault = Callable[[ActionMaker], list[FaultAction]]
 
 
 def draw_fault_actions(scenario: Scenario, seed: int) -> list[FaultAction]:
@@ -73,261 +79,251 @@
     actions = []
     for number, fault in enumerate(scenario.faults):
         random = random_stream(seed, "fault", fault.kind, fault.place, fault.at_s)
-        actions += ACTIONS_BY_KIND[fault.kind](FaultSchedule(scenario, fault, number, random))
+        actions += ACTIONS_BY_KIND[fault.kind](ActionMaker(scenario, fault, number, random))
     return sorted(actions, key=lambda action: (action.at_us, action.fault_number))
 
 
-# Whole zones
+# Whole rooms
 
 
-def _room_loss(schedule: FaultSchedule) -> list[FaultAction]:
+def _room_loss(make: ActionMaker) -> list[FaultAction]:
     """All nodes of a room are killed and started again, and, where the fault says so, its routers."""
     actions = []
-    for uid, room in schedule.room_of_node.items():
-        if room == schedule.fault.room:
-            actions += schedule.during(Component.NODE, uid, Command.KILL, Command.START)
-    if schedule.fault.routers:
-        for router in schedule.routers_of_room:
-            actions += _killed_router(schedule, router)
+    for uid, room in make.room_of_node.items():
+        if room == make.fault.room:
+            actions += make.during(Component.NODE, uid, Command.KILL, Command.START)
+    if make.fault.routers:
+        for router in make.routers_of_room:
+            actions += _killed_router(make, router)
     return actions
 
 
-def _partition(schedule: FaultSchedule) -> list[FaultAction]:
+def _partition(make: ActionMaker) -> list[FaultAction]:
     """A room is cut off: no link, gossip or endpoint list crosses its border."""
     actions = []
-    for router in range(schedule.router_count):
-        for uid, room in schedule.room_of_node.items():
-            router_inside = router in schedule.routers_of_room
-            node_inside = room == schedule.fault.room
+    for router in range(make.router_count):
+        for uid, room in make.room_of_node.items():
+            router_inside = router in make.routers_of_room
+            node_inside = room == make.fault.room
             if router_inside != node_inside:
-                actions += schedule.during(Component.LINK, [router, uid], Command.SILENCE, Command.HEAL)
-    inside = schedule.routers_of_room
-    actions += schedule.during(Component.GOSSIP, inside, Command.PARTITION, Command.HEAL)
-    actions += schedule.during(Component.ENDPOINT_LIST, inside, Command.HOLD, Command.RELEASE)
+                actions += make.during(Component.LINK, [router, uid], Command.SILENCE, Command.HEAL)
+    inside = make.routers_of_room
+    actions += make.during(Component.GOSSIP, inside, Command.PARTITION, Command.HEAL)
+    # Carried out by nobody: `endpoint_changes` has the effect in its times; it is in the plan for the record.
+    actions += make.during(Component.ENDPOINT_LIST, inside, Command.HOLD, Command.RELEASE)
     return actions
 
 
 # Nodes
 
 
-def _node_kill(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_kill(make: ActionMaker) -> list[FaultAction]:
     """A node is killed, and started again."""
-    return schedule.during(Component.NODE, schedule.fault.node, Command.KILL, Command.START)
+    return make.during(Component.NODE, make.fault.node, Command.KILL, Command.START)
 
 
-def _node_drain(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_drain(make: ActionMaker) -> list[FaultAction]:
     """A node drains, ends, and starts again where the fault says after how long."""
     return [
-        *schedule.once(Component.NODE, schedule.fault.node, Command.DRAIN),
-        schedule.at(schedule.end_us, Component.NODE, schedule.fault.node, Command.KILL),
-        *_node_start_after_absence(schedule),
+        *make.once(Component.NODE, make.fault.node, Command.DRAIN),
+        make.at(make.end_us, Component.NODE, make.fault.node, Command.KILL),
+        *_node_start_after_absence(make),
     ]
 
 
-def _node_upgrade(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_upgrade(make: ActionMaker) -> list[FaultAction]:
     """As `_node_drain`; from its next start on the node speaks RESP3."""
     return [
-        *schedule.once(Component.NODE, schedule.fault.node, Command.DRAIN),
-        schedule.at(schedule.end_us, Component.NODE, schedule.fault.node, Command.KILL),
-        schedule.at(schedule.end_us, Component.NODE, schedule.fault.node, Command.UPGRADE),
-        *_node_start_after_absence(schedule),
+        *make.once(Component.NODE, make.fault.node, Command.DRAIN),
+        make.at(make.end_us, Component.NODE, make.fault.node, Command.KILL),
+        make.at(make.end_us, Component.NODE, make.fault.node, Command.UPGRADE),
+        *_node_start_after_absence(make),
     ]
 
 
-def _node_start_after_absence(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_start_after_absence(make: ActionMaker) -> list[FaultAction]:
     """The start of a node that was drained; none where it is gone for good."""
-    if schedule.fault.away_s == 0:
+    if make.fault.away_s == 0:
         return []
-    back_us = schedule.end_us + to_microseconds(schedule.fault.away_s)
-    return [schedule.at(back_us, Component.NODE, schedule.fault.node, Command.START)]
+    back_us = make.end_us + to_microseconds(make.fault.away_s)
+    return [make.at(back_us, Component.NODE, make.fault.node, Command.START)]
 
 
-def _node_join(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_join(make: ActionMaker) -> list[FaultAction]:
     """A node starts for the first time."""
-    return schedule.once(Component.NODE, schedule.fault.node, Command.START)
+    return make.once(Component.NODE, make.fault.node, Command.START)
 
 
-def _node_retire(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_retire(make: ActionMaker) -> list[FaultAction]:
     """A node retires: it is read from until it drains, then it ends."""
-    node = schedule.fault.node
+    node = make.fault.node
     return [
-        *schedule.once(Component.NODE, node, Command.RETIRE),
-        schedule.at(schedule.end_us, Component.NODE, node, Command.DRAIN),
-        schedule.at(schedule.end_us + RETIRED_US, Component.NODE, node, Command.KILL),
+        *make.once(Component.NODE, node, Command.RETIRE),
+        make.at(make.end_us, Component.NODE, node, Command.DRAIN),
+        make.at(make.end_us + RETIRED_DRAIN_US, Component.NODE, node, Command.KILL),
     ]
 
 
-def _node_silent(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_silent(make: ActionMaker) -> list[FaultAction]:
     """The links of all routers to a node carry nothing."""
     actions = []
-    for router in range(schedule.router_count):
-        link = [router, schedule.fault.node]
-        actions += schedule.during(Component.LINK, link, Command.SILENCE, Command.HEAL)
+    for router in range(make.router_count):
+        link = [router, make.fault.node]
+        actions += make.during(Component.LINK, link, Command.SILENCE, Command.HEAL)
     return actions
 
 
-def _node_spoil(schedule: FaultSchedule) -> list[FaultAction]:
+def _node_spoil(make: ActionMaker) -> list[FaultAction]:
     """A part of a node's answers is corrupt."""
-    return schedule.during(
+    return make.during(
         Component.NODE,
-        schedule.fault.node,
+        make.fault.node,
         Command.CORRUPT,
         Command.CORRUPT_NO_MORE,
-        share=schedule.fault.share,
+        share=make.fault.share,
     )
 
 
 # Links between a router and a node
 
 
-def _link_delay(schedule: FaultSchedule) -> list[FaultAction]:
+def _link_delay(make: ActionMaker) -> list[FaultAction]:
     """A link is slow."""
-    return schedule.during(
-        Component.LINK, schedule.link, Command.DELAY, Command.DELAY_NO_MORE, delay=schedule.delay_us
-    )
+    return make.during(Component.LINK, make.link, Command.DELAY, Command.DELAY_NO_MORE, delay=make.delay_us)
 
 
-def _link_silent(schedule: FaultSchedule) -> list[FaultAction]:
+def _link_silent(make: ActionMaker) -> list[FaultAction]:
     """A link carries nothing."""
-    return schedule.during(Component.LINK, schedule.link, Command.SILENCE, Command.HEAL)
+    return make.during(Component.LINK, make.link, Command.SILENCE, Command.HEAL)
 
 
-def _link_reset(schedule: FaultSchedule) -> list[FaultAction]:
+def _link_reset(make: ActionMaker) -> list[FaultAction]:
     """The connections of a link are reset."""
-    return schedule.once(Component.LINK, schedule.link, Command.RESET)
+    return make.once(Component.LINK, make.link, Command.RESET)
 
 
 # Routers
 
 
-def _killed_router(schedule: FaultSchedule, router: int) -> list[FaultAction]:
+def _killed_router(make: ActionMaker, router: int) -> list[FaultAction]:
     """A router is killed, which the front end notices after a while, and started again."""
-    return schedule.during(
-        Component.ROUTER, router, Command.KILL, Command.START, notice=schedule.front_end_notice_us
-    )
+    return make.during(Component.ROUTER, router, Command.KILL, Command.START, notice=make.front_end_notice_us)
 
 
-def _router_kill(schedule: FaultSchedule) -> list[FaultAction]:
+def _router_kill(make: ActionMaker) -> list[FaultAction]:
     """The fault's router is killed and started again."""
-    return _killed_router(schedule, schedule.fault.router)
+    return _killed_router(make, make.fault.router)
 
 
-def _router_restart(schedule: FaultSchedule) -> list[FaultAction]:
+def _router_restart(make: ActionMaker) -> list[FaultAction]:
     """A router is asked to stop, and started again when it has ended."""
-    no_accept_us = to_microseconds(schedule.random.uniform(*NO_ACCEPT_S))
-    return schedule.once(Component.ROUTER, schedule.fault.router, Command.RESTART, accept=no_accept_us)
+    notice_us = to_microseconds(make.random.uniform(*RESTART_NOTICE_S))
+    # The plan's key for this is `accept`; a killed router has the same time under `notice`.
+    return make.once(Component.ROUTER, make.fault.router, Command.RESTART, accept=notice_us)
 
 
-def _router_reload(schedule: FaultSchedule) -> list[FaultAction]:
+def _router_reload(make: ActionMaker) -> list[FaultAction]:
     """A router reads its configuration again."""
-    return schedule.once(Component.ROUTER, schedule.fault.router, Command.RELOAD)
+    return make.once(Component.ROUTER, make.fault.router, Command.RELOAD)
 
 
-def _router_pause(schedule: FaultSchedule) -> list[FaultAction]:
+def _router_pause(make: ActionMaker) -> list[FaultAction]:
     """A router's process stands still."""
-    return schedule.during(Component.ROUTER, schedule.fault.router, Command.PAUSE, Command.RESUME)
+    return make.during(Component.ROUTER, make.fault.router, Command.PAUSE, Command.RESUME)
 
 
 # Gossip between routers
 
 
-def _routers_apart(schedule: FaultSchedule) -> list[FaultAction]:
+def _routers_apart(make: ActionMaker) -> list[FaultAction]:
     """Gossip does not pass between a group of routers and the others, or only one way."""
-    group = sorted(set(schedule.fault.group))
-    return schedule.during(
-        Component.GOSSIP, group, Command.PARTITION, Command.HEAL, oneway=schedule.fault.oneway
-    )
+    group = sorted(set(make.fault.group))
+    return make.during(Component.GOSSIP, group, Command.PARTITION, Command.HEAL, oneway=make.fault.oneway)
 
 
-def _messages_lost(schedule: FaultSchedule) -> list[FaultAction]:
+def _messages_lost(make: ActionMaker) -> list[FaultAction]:
     """A part of the gossip is lost."""
-    return schedule.during(
-        Component.GOSSIP, [], Command.LOSE, Command.LOSE_NO_MORE, share=schedule.fault.share
-    )
+    return make.during(Component.GOSSIP, [], Command.LOSE, Command.LOSE_NO_MORE, share=make.fault.share)
 
 
-def _messages_late(schedule: FaultSchedule) -> list[FaultAction]:
+def _messages_late(make: ActionMaker) -> list[FaultAction]:
     """Gossip is late."""
-    return schedule.during(
-        Component.GOSSIP, [], Command.DELAY, Command.DELAY_NO_MORE, delay=schedule.delay_us
-    )
+    return make.during(Component.GOSSIP, [], Command.DELAY, Command.DELAY_NO_MORE, delay=make.delay_us)
 
 
-def _messages_doubled(schedule: FaultSchedule) -> list[FaultAction]:
+def _messages_doubled(make: ActionMaker) -> list[FaultAction]:
     """A part of the gossip comes twice."""
-    return schedule.during(
-        Component.GOSSIP, [], Command.DUPLICATE, Command.DUPLICATE_NO_MORE, share=schedule.fault.share
+    return make.during(
+        Component.GOSSIP, [], Command.DUPLICATE, Command.DUPLICATE_NO_MORE, share=make.fault.share
     )
 
 
-def _messages_shuffled(schedule: FaultSchedule) -> list[FaultAction]:
+def _messages_shuffled(make: ActionMaker) -> list[FaultAction]:
     """Gossip comes in another order, late by up to the fault's delay."""
-    return schedule.during(
-        Component.GOSSIP, [], Command.REORDER, Command.REORDER_NO_MORE, delay=schedule.delay_us
-    )
+    return make.during(Component.GOSSIP, [], Command.REORDER, Command.REORDER_NO_MORE, delay=make.delay_us)
 
 
 # The endpoint list and its sources
 
 
-def _list_late(schedule: FaultSchedule) -> list[FaultAction]:
+def _list_late(make: ActionMaker) -> list[FaultAction]:
     """The endpoint list is late."""
-    return schedule.during(
-        Component.ENDPOINT_LIST, [], Command.LATE, Command.ON_TIME, delay=schedule.delay_us
-    )
+    # Carried out by nobody: `endpoint_changes` has the effect in its times; it is in the plan for the record.
+    return make.during(Component.ENDPOINT_LIST, [], Command.LATE, Command.ON_TIME, delay=make.delay_us)
 
 
-def _list_silent(schedule: FaultSchedule) -> list[FaultAction]:
+def _list_silent(make: ActionMaker) -> list[FaultAction]:
     """Discovery does not answer."""
-    return schedule.during(Component.ENDPOINT_LIST, [], Command.SILENCE, Command.SPEAK)
+    return make.during(Component.ENDPOINT_LIST, [], Command.SILENCE, Command.SPEAK)
 
 
-def _etcd_drop(schedule: FaultSchedule) -> list[FaultAction]:
-    """Etcd drops its connections."""
-    return schedule.once(Component.ETCD, "", Command.DROP)
+def _etcd_drop(make: ActionMaker) -> list[FaultAction]:
+    """Every watch stream of etcd ends."""
+    return make.once(Component.ETCD, "", Command.DROP)
 
 
-def _etcd_compact(schedule: FaultSchedule) -> list[FaultAction]:
-    """Etcd compacts its history, so that a watch of an old revision is canceled."""
-    return schedule.once(Component.ETCD, "", Command.COMPACT)
+def _etcd_compact(make: ActionMaker) -> list[FaultAction]:
+    """Etcd compacts its history and ends every watch stream.
 
+    A watch that begins again at an old revision is cancelled.
+    """
+    return make.once(Component.ETCD, "", Command.COMPACT)
 
-def _etcd_silent(schedule: FaultSchedule) -> list[FaultAction]:
-    """Etcd holds its connections and says nothing."""
-    return schedule.during(Component.ETCD, "", Command.SILENCE, Command.SPEAK)
 
+def _etcd_silent(make: ActionMaker) -> list[FaultAction]:
+    """Etcd accepts calls and answers none until the fault ends."""
+    return make.during(Component.ETCD, "", Command.SILENCE, Command.SPEAK)
 
-def _etcd_outage(schedule: FaultSchedule) -> list[FaultAction]:
-    """Etcd can't be reached."""
-    return schedule.during(Component.ETCD, "", Command.UNAVAILABLE, Command.AVAILABLE)
 
+def _etcd_outage(make: ActionMaker) -> list[FaultAction]:
+    """Every call to etcd fails as unavailable, and every watch stream ends."""
+    return make.during(Component.ETCD, "", Command.UNAVAILABLE, Command.AVAILABLE)
 
-def _etcd_delay(schedule: FaultSchedule) -> list[FaultAction]:
-    """Etcd's watch events are late."""
-    return schedule.during(Component.ETCD, "", Command.DELAY, Command.ON_TIME, delay=schedule.delay_us)
+
+def _etcd_delay(make: ActionMaker) -> list[FaultAction]:
+    """Every answer of etcd is late."""
+    return make.during(Component.ETCD, "", Command.DELAY, Command.ON_TIME, delay=make.delay_us)
 
 
 # The database and the clients
 
 
-def _database_slow(schedule: FaultSchedule) -> list[FaultAction]:
+def _database_slow(make: ActionMaker) -> list[FaultAction]:
     """The database is slower by a factor."""
-    return schedule.during(
-        Component.DATABASE, "", Command.SLOW, Command.SLOW_NO_MORE, factor=schedule.fault.factor
-    )
+    return make.during(Component.DATABASE, "", Command.SLOW, Command.SLOW_NO_MORE, factor=make.fault.factor)
 
 
-def _database_stop(schedule: FaultSchedule) -> list[FaultAction]:
-    """The database does no work."""
-    return schedule.during(Component.DATABASE, "", Command.STOP, Command.STOP_NO_MORE)
+def _database_stop(make: ActionMaker) -> list[FaultAction]:
+    """The database stops: it resets its connections and refuses new ones."""
+    return make.during(Component.DATABASE, "", Command.STOP, Command.STOP_NO_MORE)
 
 
-def _clients_upgrade(schedule: FaultSchedule) -> list[FaultAction]:
+def _clients_upgrade(make: ActionMaker) -> list[FaultAction]:
     """A part of the clients' new connections speaks RESP3 from now on."""
-    return schedule.once(Component.CLIENTS, "", Command.UPGRADE, share=schedule.fault.share)
+    return make.once(Component.CLIENTS, "", Command.UPGRADE, share=make.fault.share)
 
 
-def _changes_requests_only(schedule: FaultSchedule) -> list[FaultAction]:
+def _changes_requests_only(make: ActionMaker) -> list[FaultAction]:
     """No action: the fault is in what clients send."""
     return []
 
--- a/rainhitch/rehearsal/faults.py
+++ b/rainhitch/rehearsal/faults.py
@@ -8,6 +8,7 @@
 from rainhitch import toml_schema as schema
 
 # By kind: which of `room`, `node`, `router` it needs, and which of the other keys have a meaning for it.
+# A room, node or router that a kind has no use for is an error; any other such key is accepted and ignored.
 KINDS: dict[str, tuple[str, ...]] = {
     "room-loss": ("room", "for_s", "routers"),
     "partition": ("room", "for_s"),
@@ -62,7 +63,11 @@
 
 @dataclass(slots=True)
 class Fault:
-    """One fault of a scenario. The fields are the keys of the file's `[[faults]]`."""
+    """One fault of a scenario. The fields are the keys of the file's `[[faults]]`.
+
+    Keys that `KINDS` does not have for a kind are accepted and ignored, but for `room`, `node` and `router`:
+    these are an error there (`check_faults`).
+    """
 
     kind: str = schema.text(schema.REQUIRED, "what goes wrong", tuple(KINDS))
     at_s: float = schema.number(schema.REQUIRED, 0, 3600, "when, from the first scored second")
@@ -86,7 +91,14 @@
 
     @property
     def until_s(self) -> float:
-        """When it is over, from the first scored second."""
+        """When it is over, from the first scored second.
+
+        Without `away_s`: a drained node ends at this time, and is back so much later.
+
+        The end of a fault is worked out again, not alike, from rows: `report.timeline` and `coverage`,
+        `shrink` and `grammar` of `explore` take `for_s` alone, also for a router's restart;
+        `explore.case_runner` adds `away_s`.
+        """
         duration_s = ROUTER_RESTART_S if self.kind == "router-restart" else self.for_s
         return self.at_s + duration_s
 
--- a/rainhitch/rehearsal/plan_model.py
+++ b/rainhitch/rehearsal/plan_model.py
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True)
 class PlannedRequest:
-    """One request and all its tries. The fields are the plan file's format."""
+    """One request and all its tries. The fields are the plan file's format.
+
+    The platform's words among them are explained in docs/glossary.md.
+    """
 
     at: int  # us
     room: int  # index of the client's zone
@@ -42,10 +45,10 @@
     work_us: int  # on a core of speed 1
     over: bool  # beyond its customer's quota
     honours: bool  # the client waits as long as a rejection with a time (`-BUSY MS`) says
-    order: str  # the idempotency key of a keyed write; "" for none
+    order: str  # no sequence: the idempotency key of a keyed write; "" for none
     router: int  # -1: whichever the front end gives
     tries: list[PlannedTry]
-    origin: int = 0  # 0 for the ordinary load, else the number of the fault that adds it, from 1
+    origin: int = 0  # 0 for the ordinary load, else the number from 1 of the fault that adds it; no database
     fresh: bool = False  # it comes on a new connection
 
 
@@ -167,8 +170,8 @@
     nodes: list[Json]
     routers: list[Json]
     warm: list[str]  # the keys that the prelude reads, least popular first
-    asks: list[PlannedRequest] = field(default_factory=list)
-    changes: list[EndpointChange] = field(default_factory=list)
+    asks: list[PlannedRequest] = field(default_factory=list)  # all requests, the prelude's first
+    changes: list[EndpointChange] = field(default_factory=list)  # of the endpoint list
     cues: list[Json] = field(default_factory=list)  # rows of `FaultAction`
 
     def rows(self) -> Json:
