--- a/rainhitch/rehearsal/checker/cold_overload.py
+++ b/rainhitch/rehearsal/checker/cold_overload.py
@@ -1,6 +1,6 @@
 """Rule 4, `overrun`: no cold node overloaded, and no database stopped by misses at cold nodes.
 
-A node that has just started falls over when it is sent a multiple of what it can do by then. That is the
+A node that has just started collapses when it is sent a multiple of what it can do by then. That is the
 routers' fault where two thirds of the work came from routers that had been sent that it had started; the
 others could not know.
 
--- a/rainhitch/rehearsal/checker/evidence.py
+++ b/rainhitch/rehearsal/checker/evidence.py
@@ -8,6 +8,7 @@
     MILLI,
     SECOND,
     AskedRequest,
+    CheckedClass,
     ClientTry,
     DatabaseStop,
     FurtherAnswer,
@@ -15,14 +16,13 @@
     ListEntry,
     NodeRecord,
     ObservedAttempt,
-    RequestClass,
     RouterCrash,
     RouterEvent,
 )
 from rainhitch.rehearsal.router_events import RouterEventKind
 
 MAX_PAUSE_NS = 200 * MILLI  # a router that stood still for longer owes no answer; with what signals take
-STALL_REACH_NS = SECOND  # round an instant, within which stalls of the rig itself count
+STALL_REACH_NS = SECOND  # round an instant, within which stalls of the kit itself count
 UNKNOWN = "unknown"  # the state of a node of which a router has been sent nothing since it started
 READY = "Ready"
 GONE = "Gone"
@@ -38,7 +38,7 @@
     plan: Json
     records: Json
     zero_ns: int = 0  # the first scored instant
-    classes: list[RequestClass] = field(default_factory=list)
+    classes: list[CheckedClass] = field(default_factory=list)
     requests: list[AskedRequest] = field(default_factory=list)
     client_tries: list[ClientTry] = field(default_factory=list)  # by request and number
     further_answers: list[FurtherAnswer] = field(default_factory=list)  # by time
@@ -47,18 +47,20 @@
     database_stops: list[DatabaseStop] = field(default_factory=list)
     router_events: dict[int, list[RouterEvent]] = field(default_factory=dict)
     crashes: list[RouterCrash] = field(default_factory=list)
-    stalls: list[tuple[int, int]] = field(default_factory=list)  # of the rig itself: begin and end, ns
+    stalls: list[tuple[int, int]] = field(default_factory=list)  # of the kit itself: begin and end, ns
     list_history: dict[tuple[int, str], list[ListEntry]] = field(default_factory=dict)  # by router and node
 
     def __post_init__(self) -> None:
         """Reads the rows."""
         parts = self.records["parts"]
         self.zero_ns = self.records["zero"]
-        self.classes = [RequestClass.from_row(row) for row in self.scenario["classes"]]
+        self.classes = [CheckedClass.from_row(row) for row in self.scenario["classes"]]
         self.requests = [AskedRequest.from_row(row) for row in self.plan["asks"]]
         self._read_clients(parts)
         self._read_attempts(parts)
-        self.database_stops = [DatabaseStop(at, pressed) for at, pressed in self.shared_services["stops"]]
+        self.database_stops = [
+            DatabaseStop(at, is_overload) for at, is_overload in self.shared_services["stops"]
+        ]
         self.stalls = sorted((begin, end) for rows in parts.values() for begin, end in rows["stalls"])
         self._read_routers()
         self._read_lists()
@@ -177,8 +179,8 @@
                 return True
         return False
 
-    def rig_stall_ns(self, at_ns: int) -> int:
-        """The longest stall of the rig itself near an instant: its clocks may be wrong by so much."""
+    def kit_stall_ns(self, at_ns: int) -> int:
+        """The longest stall of the kit itself near an instant: its clocks may be wrong by so much."""
         longest_ns = 0
         for begin_ns, end_ns in self.stalls:
             if begin_ns <= at_ns + STALL_REACH_NS and end_ns >= at_ns - STALL_REACH_NS:
--- a/rainhitch/rehearsal/checker/forbidden_retries.py
+++ b/rainhitch/rehearsal/checker/forbidden_retries.py
@@ -1,6 +1,6 @@
 """Rule 2, `repeated`: no forbidden retry.
 
-- Never two attempts of a request at once. Tolerance: 50 ms, and the rig's stalls near the second one.
+- Never two attempts of a request at once. Tolerance: 50 ms, and the kit's stalls near the second one.
 - At most five attempts of a request.
 - What may have run is sent again only as its class allows: `safe` always, `keyed` within the window in which
   its idempotency key is known (50 ms tolerance), `unsafe` never.
@@ -21,10 +21,10 @@
     DATABASE,
     MILLI,
     NEVER_NS,
+    CheckedClass,
     ObservedAttempt,
     Repeats,
-    RequestClass,
-    TryResult,
+    TryKind,
 )
 from rainhitch.rehearsal.checker.violations import TOLERANCE_NS, Rule, Violation, violation
 
@@ -75,7 +75,7 @@
     for number, later in enumerate(attempts):
         for earlier in attempts[:number]:
             overlap_ns = earlier.out_until_ns - later.last_byte_ns
-            if overlap_ns > TOLERANCE_NS + evidence.rig_stall_ns(later.last_byte_ns):
+            if overlap_ns > TOLERANCE_NS + evidence.kit_stall_ns(later.last_byte_ns):
                 until = "to the end"
                 if earlier.out_until_ns < NEVER_NS:
                     until = f"for {overlap_ns / MILLI:.0f} ms more"
@@ -92,7 +92,7 @@
                 return
 
 
-def _may_repeat(request_class: RequestClass, age_ns: int) -> bool:
+def _may_repeat(request_class: CheckedClass, age_ns: int) -> bool:
     """Whether what may have run this long ago may be executed again."""
     if request_class.repeats == Repeats.SAFE:
         return True
@@ -102,7 +102,7 @@
 
 
 def _check_repeated_execution(
-    evidence: Evidence, attempts: list[ObservedAttempt], request_class: RequestClass
+    evidence: Evidence, attempts: list[ObservedAttempt], request_class: CheckedClass
 ) -> Iterator[Violation]:
     """A violation for a router's first attempt after one that may have run, where the class forbids it."""
     for number, later in enumerate(attempts):
@@ -127,11 +127,11 @@
             return
 
 
-def _check_rejections(evidence: Evidence, class_by_id: dict[str, RequestClass]) -> Iterator[Violation]:
+def _check_rejections(evidence: Evidence, class_by_id: dict[str, CheckedClass]) -> Iterator[Violation]:
     """Violations for rejections of requests that may have run and may not be repeated."""
     for client_try in evidence.client_tries:
         request_class = class_by_id.get(client_try.id)
-        if client_try.result != TryResult.REFUSED or request_class is None:
+        if client_try.result != TryKind.REFUSED or request_class is None:
             continue
         may_have_run = [
             attempt
--- a/rainhitch/rehearsal/checker/lost_requests.py
+++ b/rainhitch/rehearsal/checker/lost_requests.py
@@ -1,17 +1,19 @@
 """Rule 1, `lost`: each request that a router took gets exactly one final answer, in time and made for it.
 
-Limit: an answer is due when the client leaves, and 20 ms more for its way. Tolerance: 50 ms, and the rig's
+Limit: an answer is due when the client leaves, and 20 ms more for its way. Tolerance: 50 ms, and the kit's
 stalls near that instant.
 
 Not lost is what a client left before its time, what no router took, and what a router held that was killed,
 crashed or stood still (`Evidence.owes_no_answer`). Lost is an answer after the limit, no answer, a connection
 that ended without a whole one, a second answer, and a value that was not made for this request.
+
+Any answer counts as answered here, also an error or what is no RESP; what it is worth, `service` says.
 """
 
 from collections.abc import Iterator
 
 from rainhitch.rehearsal.checker.evidence import Evidence
-from rainhitch.rehearsal.checker.records import MILLI, ClientTry, TryResult
+from rainhitch.rehearsal.checker.records import MILLI, ClientTry, TryKind
 from rainhitch.rehearsal.checker.violations import TOLERANCE_NS, Rule, Violation, violation
 
 ANSWER_WAY_NS = 20 * MILLI  # after the client's wait, in which its answer may still come
@@ -34,7 +36,7 @@
 def _check_final_answer(evidence: Evidence, client_try: ClientTry) -> Iterator[Violation]:
     """A violation where the final answer is late, foreign or missing."""
     limit_ns = client_try.sent_ns + client_try.wait_ns + ANSWER_WAY_NS + TOLERANCE_NS
-    limit_ns += evidence.rig_stall_ns(limit_ns)
+    limit_ns += evidence.kit_stall_ns(limit_ns)
     problem = _final_answer_problem(evidence, client_try, limit_ns)
     if problem:
         at_ns = client_try.answered_ns if client_try.answered_ns else limit_ns
@@ -49,12 +51,12 @@
         wait_ms = client_try.wait_ns / MILLI
         return f"answered {took_ms:.0f} ms after it was sent, the client left at {wait_ms:.0f} ms"
     if client_try.answered_ns:
-        if client_try.result == TryResult.SERVED:
+        if client_try.result == TryKind.SERVED:
             return _served_value_problem(evidence, client_try)
         return ""
     if evidence.owes_no_answer(client_try.router, client_try.sent_ns - TOLERANCE_NS, limit_ns):
         return ""
-    if client_try.result == TryResult.NONE:
+    if client_try.result == TryKind.NONE:
         return "no answer"
     return "the connection ended with no whole answer"
 
--- a/rainhitch/rehearsal/checker/prices.py
+++ b/rainhitch/rehearsal/checker/prices.py
@@ -6,7 +6,7 @@
 from rainhitch.rehearsal.checker.records import SECOND, Json, NodeRecord, ObservedAttempt
 from rainhitch.rehearsal.checker.request_outcome import RequestOutcome
 
-# Points for each rate of one: section 11 of the operators' brief.
+# Points for each rate of one; given by the operators, not derived here.
 PRICES = {
     "fetches": 5.0,  # from the database, a request
     "wasted_work": 4.0,  # as much as was asked for
--- a/rainhitch/rehearsal/checker/records.py
+++ b/rainhitch/rehearsal/checker/records.py
@@ -23,13 +23,15 @@
     UNSAFE = "unsafe"  # harm
 
 
-class TryResult(StrEnum):
-    """How a client's try ended, as clients record it."""
+class TryKind(StrEnum):
+    """How a client's try ended, as clients record it: the row's `kind`."""
 
-    NONE = ""
+    NONE = ""  # not at all: no answer
     SERVED = "served"
     REFUSED = "refused"
+    FAILED = "failed"  # answered with an error, or with no RESP
     ENDED = "ended"  # the connection closed
+    UNREACHABLE = "unreachable"  # no router took it
 
 
 class RouterEvent(NamedTuple):
@@ -40,8 +42,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestClass:
-    """A class of requests, as the scenario has it."""
+class CheckedClass:
+    """A class of requests, as the scenario has it.
+
+    The checker's own, on purpose: it shares no type with the router or the fakes, nor their mistakes.
+    """
 
     name: str
     repeats: str  # one of Repeats
@@ -51,7 +56,7 @@
     late_worth: float
 
     @classmethod
-    def from_row(cls, row: Json) -> "RequestClass":
+    def from_row(cls, row: Json) -> "CheckedClass":
         """The class of a row of the scenario."""
         return cls(
             name=row["name"],
@@ -107,7 +112,7 @@
     sent_ns: int
     wait_ns: int  # how long the client waits for the answer
     answered_ns: int
-    result: str  # one of TryResult, or another kind of answer
+    result: str  # one of TryKind
     detail: str
     is_own: bool  # the value that was served was made for this request
     left_ns: int  # when the client disconnected before its time
@@ -223,7 +228,7 @@
 
     uid: str
     starts_ns: list[int]
-    overloads_ns: list[int]  # when it fell over
+    overloads_ns: list[int]  # when it collapsed
     overhead_us: float  # work for connections and probes
     probes: int
     open_connections: list[tuple[int, int]]  # how many from an instant on
--- a/rainhitch/rehearsal/checker/rules.py
+++ b/rainhitch/rehearsal/checker/rules.py
@@ -3,19 +3,12 @@
 from collections.abc import Callable, Iterator
 
 from rainhitch.rehearsal.checker.cold_overload import find_cold_overload
+from rainhitch.rehearsal.checker.crashes import find_crashes
 from rainhitch.rehearsal.checker.evidence import Evidence
 from rainhitch.rehearsal.checker.forbidden_retries import find_forbidden_retries
 from rainhitch.rehearsal.checker.lost_requests import find_lost_requests
 from rainhitch.rehearsal.checker.sends_after_drain import find_sends_after_drain
-from rainhitch.rehearsal.checker.violations import Rule, Violation, violation
-
-
-def find_crashes(evidence: Evidence) -> Iterator[Violation]:
-    """Routers that ended when they should not have, with their last lines."""
-    for crash in evidence.crashes:
-        what = f"router {crash.router} {crash.reason}"
-        yield violation(evidence, Rule.CRASH, crash.at_ns, what, log=crash.log)
-
+from rainhitch.rehearsal.checker.violations import Rule, Violation
 
 FINDERS: dict[Rule, Callable[[Evidence], Iterator[Violation]]] = {
     Rule.LOST_REQUEST: find_lost_requests,
--- a/rainhitch/rehearsal/checker/sends_after_drain.py
+++ b/rainhitch/rehearsal/checker/sends_after_drain.py
@@ -1,7 +1,7 @@
 """Rule 3, `drained`: no new request to a node that drains or is gone.
 
 Limit: an attempt's first byte comes at most 1 s after this router was sent that the node is terminating or
-gone. Tolerance: 50 ms, and the rig's stalls near that byte. A router that starts anew knows of no drain.
+gone. Tolerance: 50 ms, and the kit's stalls near that byte. A router that starts anew knows of no drain.
 """
 
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
         if state not in NO_NEW_REQUESTS_STATES:
             continue
         after_ns = attempt.first_byte_ns - since_ns
-        limit_ns = STOP_SENDING_WITHIN_NS + TOLERANCE_NS + evidence.rig_stall_ns(attempt.first_byte_ns)
+        limit_ns = STOP_SENDING_WITHIN_NS + TOLERANCE_NS + evidence.kit_stall_ns(attempt.first_byte_ns)
         if after_ns > limit_ns:
             what = f"router {attempt.router}: sent {after_ns / SECOND:.3f} s after it was told that "
             what += f"the node is {state}"
--- a/rainhitch/rehearsal/checker/service.py
+++ b/rainhitch/rehearsal/checker/service.py
@@ -6,17 +6,20 @@
 
 from rainhitch.rehearsal.checker.evidence import Evidence
 from rainhitch.rehearsal.checker.prices import measure_prices
-from rainhitch.rehearsal.checker.records import AskedRequest, ClientTry, Json, RequestClass, TryResult
+from rainhitch.rehearsal.checker.records import AskedRequest, CheckedClass, ClientTry, Json, TryKind
 from rainhitch.rehearsal.checker.request_outcome import RequestOutcome
 
 K = TypeVar("K", bound=Hashable)
 WORST_WINDOW_S = 10  # length of the windows of which the worst counts
 STEP_S = 5  # of a row of the report
 DIGITS = 6  # of the report's figures
+# Given by the operators; not derived here.
 SCORE_WEIGHTS = {"whole": 0.4, "worst_window": 0.1, "worst_class": 0.1, "worst_customer": 0.4}
 POINTS_PER_SERVICE = 100  # prices are points of service in 100
 MICROSECONDS_PER_SECOND = 1_000_000
-# What the report calls a try's result where it is a reason why worth was not earned.
+# What the report calls a try's result where it is a reason why worth was not earned. "served too late" is
+# served after the client left, or with a value that was not its own; "served late", below, is served after
+# the objective, while the client waited.
 CAUSES = {"served": "served too late", "ended": "connection ended"}
 
 
@@ -38,13 +41,13 @@
 
 
 def _request_outcome(
-    request: AskedRequest, number: int, request_class: RequestClass, worth: float, tries: list[ClientTry]
+    request: AskedRequest, number: int, request_class: CheckedClass, worth: float, tries: list[ClientTry]
 ) -> RequestOutcome:
     """What became of a request: a retry is part of it, and its time counts from the first try."""
     begun_ns = next((one.sent_ns for one in tries if one.sent_ns), 0)
     for one in tries:
         in_time = one.answered_ns <= one.sent_ns + one.wait_ns
-        if one.result == TryResult.SERVED and one.is_own and in_time:
+        if one.result == TryKind.SERVED and one.is_own and in_time:
             took_ns = one.answered_ns - begun_ns
             if took_ns <= request_class.latency_objective_ns:
                 return RequestOutcome(request, number, worth, worth, "", took_ns)
@@ -61,7 +64,7 @@
     """Why a request earned nothing, by its last try."""
     if last.left_ns:
         return "left early"
-    if last.result == TryResult.NONE:
+    if last.result == TryKind.NONE:
         return "no answer"
     return CAUSES.get(last.result, last.result)
 
--- a/rainhitch/rehearsal/checker/violations.py
+++ b/rainhitch/rehearsal/checker/violations.py
@@ -7,7 +7,7 @@
 from rainhitch.rehearsal.checker.records import MILLI, SECOND, Json
 
 # Every time limit is longer by this than the rule's, for what networks and clocks take. Each rule that has
-# one adds the rig's own stalls near the instant (`Evidence.rig_stall_ns`).
+# one adds the kit's own stalls near the instant (`Evidence.kit_stall_ns`).
 TOLERANCE_NS = 50 * MILLI
 AT_DIGITS = 4  # of a violation's time in s
 
