--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -37,7 +37,7 @@
     router_commands,
     run_real,
 )
-from rainhitch.rehearsal import report
+from rainhitch.rehearsal import verdict
 from rainhitch.rehearsal.checker.evidence import Evidence
 from rainhitch.rehearsal.checker.records import SECOND
 from rainhitch.rehearsal.plan import draw_plan
@@ -186,7 +186,7 @@
         format_mean(rows, "over", with_largest=True),
         *(format_mean(rows, key) for key in ("hits", "new_reads", "moved", "service", "falls")),
         str(sum(sum(row["rules"].values()) for row in rows)),
-        str(sum(row["exit"] == report.VOID for row in rows)),
+        str(sum(row["exit"] == verdict.VOID for row in rows)),
     ]
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -34,7 +34,8 @@
 from rainhitch.rehearsal.fakes.cache_node_work import CacheNodeSpec
 from rainhitch.rehearsal.fakes.discovery import DiscoveryAgent
 from rainhitch.rehearsal.fakes.etcd_cluster import EtcdCluster
-from rainhitch.rehearsal.router_process import hold_port, resident_memory
+from rainhitch.rehearsal.ports import hold_port
+from rainhitch.rehearsal.router_process import resident_memory
 from rainhitch.rehearsal.router_settings import router_settings
 from rainhitch.rehearsal.scenario import read_scenario, shipped
 
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -15,7 +15,7 @@
 import orjson
 
 from benchmarks.rig import Json, comma_list, parser_for, print_row, print_table_header
-from rainhitch.rehearsal import report, runner
+from rainhitch.rehearsal import runner, verdict
 from rainhitch.rehearsal.scenario import read_scenario, shipped
 
 RAINHITCH = "rainhitch"
@@ -49,7 +49,7 @@
             for _ in range(MAX_RUNS):
                 scenario = read_scenario(shipped()[name])
                 made = await runner.run_scenario(scenario, name, seed, ROUTERS[router])
-                if made["exit"] != report.VOID:
+                if made["exit"] != verdict.VOID:
                     break
                 self.void_runs += 1
         broken = {rule: count for rule, count in made["rules"].items() if count}
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -32,7 +32,7 @@
     router_commands,
     run_real,
 )
-from rainhitch.rehearsal import report
+from rainhitch.rehearsal import verdict
 from rainhitch.rehearsal.checker.evidence import Evidence
 from rainhitch.rehearsal.checker.records import SECOND
 from rainhitch.rehearsal.checker.request_outcome import RequestOutcome
@@ -170,7 +170,7 @@
                 rows.append({**report_figures(SCENARIO, evidence), **storm_figures(evidence)})
             all_rows += [{"clients": kind, "router": router, **row} for row in rows]
             broken_rules = sum(sum(row["rules"].values()) for row in rows)
-            void = sum(row["exit"] == report.VOID for row in rows)
+            void = sum(row["exit"] == verdict.VOID for row in rows)
             figures = [format_mean(rows, key) for key in FIGURES]
             print_row([kind, router, *figures, str(broken_rules), str(void)])
     return all_rows
--- a/rainhitch/cli/rehearse.py
+++ b/rainhitch/cli/rehearse.py
@@ -67,11 +67,11 @@
 
 
 def _report(records_folder: Path, report_file: Path | None) -> int:
-    from rainhitch.rehearsal import report
+    from rainhitch.rehearsal import run_records
 
     try:
-        made = report.from_records(records_folder)
-    except report.RecordsError as problem:
+        made = run_records.from_records(records_folder)
+    except run_records.RecordsError as problem:
         raise InputError(str(problem)) from None
     show_report(made, report_file)
     return int(made["exit"])
@@ -79,7 +79,8 @@
 
 def _run_scenario(arguments: RehearseArguments) -> int:
     from rainhitch.rehearsal import runner, scenario
-    from rainhitch.rehearsal.router_process import RehearsalError, parse_command
+    from rainhitch.rehearsal.errors import RehearsalError
+    from rainhitch.rehearsal.router_process import parse_command
 
     path = scenario.find(arguments.targets[0])
     changes: dict[str, object] = {}
@@ -151,20 +152,20 @@
 
 
 async def _prove_checker(seed: int) -> int:
-    from rainhitch.rehearsal import report, runner
+    from rainhitch.rehearsal import runner, verdict
     from rainhitch.rehearsal.plain_router import MODES
 
     def print_mode(mode: str, wrong: str, made: Json) -> None:
         """Prints what the checker made of one faulty router; `wrong` says where it erred."""
         seen = next((breach["what"] for breach in made["breaches"]), "no breach")
-        late = " (void: the rig ran late)" if made["exit"] == report.VOID else ""
+        late = " (void: the rig ran late)" if made["exit"] == verdict.VOID else ""
         print(f"{'WRONG' if wrong else 'ok':6}{mode:18}{wrong or seen}{late}", flush=True)
 
     exit_code = await runner.prove_checker(list(MODES), print_mode, seed)
     summaries = {
-        report.HELD: "each is caught by its own rule, and no good one is accused",
-        report.BROKEN: "the judge is wrong",
-        report.VOID: "void",
+        verdict.HELD: "each is caught by its own rule, and no good one is accused",
+        verdict.BROKEN: "the judge is wrong",
+        verdict.VOID: "void",
     }
     print(summaries[exit_code])
     return exit_code
--- a/rainhitch/cli/rehearse_output.py
+++ b/rainhitch/cli/rehearse_output.py
@@ -45,7 +45,8 @@
 
 def show_report(report: Json, report_file: Path | None) -> None:
     """Prints a report as tables; writes the whole of it to the file, where one is given."""
-    from rainhitch.rehearsal.report import as_json, as_text
+    from rainhitch.rehearsal.report import as_json
+    from rainhitch.rehearsal.report_text import as_text
 
     width = min(MAX_WIDTH, shutil.get_terminal_size(DEFAULT_TERMINAL_SIZE).columns)
     print(as_text(report, width, sys.stdout.isatty()), end="")
--- a/rainhitch/cli/rehearse_virtual.py
+++ b/rainhitch/cli/rehearse_virtual.py
@@ -59,7 +59,7 @@
     FAILURE where two runs differ.
     """
     from rainhitch.rehearsal import report
-    from rainhitch.rehearsal.router_process import RehearsalError
+    from rainhitch.rehearsal.errors import RehearsalError
     from rainhitch.rehearsal.virtual.loop import StuckError
     from rainhitch.rehearsal.virtual.runner import run_virtual_scenario
 
--- a/rainhitch/rehearsal/__init__.py
+++ b/rainhitch/rehearsal/__init__.py
@@ -7,10 +7,10 @@
                                 `endpoint_changes`
     runner.py                   a run from the plan to the report, and the proof of the checker
     environment.py              the processes of a run: `worker_process`, `router_process`, `router_faults`,
-                                `router_configuration`, `router_settings`, `machine_checks`
+                                `router_configuration`, `router_settings`, `machine_checks`, `ports`
     fakes/                      clients, cache nodes, database, discovery, etcd and the links between them
     checker/                    what routers did wrong, and the service
-    report.py                   the report as JSON; `report_text` for a terminal
+    report.py                   the report as JSON; `report_text` for a terminal; `run_records` for kept runs
     virtual/                    the same run in virtual time, in one process
     explore/                    a search for scenarios in which something breaks
     plain_router.py             a yardstick, and broken routers to prove the checker
--- a/rainhitch/rehearsal/environment.py
+++ b/rainhitch/rehearsal/environment.py
@@ -14,6 +14,7 @@
 import orjson
 
 from rainhitch import system
+from rainhitch.rehearsal.errors import RehearsalError
 from rainhitch.rehearsal.plan_model import (
     MICROSECONDS_PER_SECOND,
     NANOSECONDS_PER_MICROSECOND,
@@ -21,13 +22,14 @@
     FaultAction,
     Plan,
 )
+from rainhitch.rehearsal.ports import hold_port
 from rainhitch.rehearsal.router_configuration import (
     RouterIdentity,
     operator_config_of_scenario,
     router_configuration,
 )
 from rainhitch.rehearsal.router_faults import RouterFaults
-from rainhitch.rehearsal.router_process import RehearsalError, RouterProcess, hold_port
+from rainhitch.rehearsal.router_process import RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.worker_process import READY_WITHIN_S, WorkerProcess
 
@@ -175,7 +177,7 @@
             self.routers.append(router)
             await router.start()
         for router in self.routers:
-            if not await router.ready():
+            if not await router.wait_until_ready():
                 lines = router.last_lines()
                 reason = router.crash["why"] if router.crash else "did not answer PING"
                 last_line = lines[-1] if lines else "no word"
--- a/rainhitch/rehearsal/explore/case_runner.py
+++ b/rainhitch/rehearsal/explore/case_runner.py
@@ -12,9 +12,9 @@
 import orjson
 
 from rainhitch.rehearsal import report
+from rainhitch.rehearsal.errors import RehearsalError
 from rainhitch.rehearsal.explore.coverage import coverage_features
 from rainhitch.rehearsal.plan import draw_plan
-from rainhitch.rehearsal.router_process import RehearsalError
 from rainhitch.rehearsal.scenario import scenario_of
 from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.rehearsal.virtual.loop import StuckError
--- a/rainhitch/rehearsal/machine_checks.py
+++ b/rainhitch/rehearsal/machine_checks.py
@@ -3,7 +3,7 @@
 import resource
 import socket
 
-from rainhitch.rehearsal.router_process import RehearsalError
+from rainhitch.rehearsal.errors import RehearsalError
 from rainhitch.rehearsal.scenario import Scenario
 
 SPARE_DESCRIPTORS = 200  # of a process beside its connections
--- a/rainhitch/rehearsal/report.py
+++ b/rainhitch/rehearsal/report.py
@@ -1,76 +1,26 @@
 """The report of a run, made from its records alone: the same records give the same bytes.
 
-The text for a terminal stands in `report_text`.
+The text for a terminal stands in `report_text`, the folder with a run's records in `run_records`.
 """
 
-from pathlib import Path
 from typing import Any
 
 import orjson
 
-from rainhitch.errors import RainhitchError
 from rainhitch.rehearsal.checker.evidence import Evidence
 from rainhitch.rehearsal.checker.records import MILLI, SECOND
 from rainhitch.rehearsal.checker.rules import find_violations
 from rainhitch.rehearsal.checker.service import measure_service
 from rainhitch.rehearsal.checker.violations import Rule, Violation
-from rainhitch.rehearsal.report_text import as_text
-from rainhitch.rehearsal.verdict import BAD_INPUT, BROKEN, HELD, VOID
-
-__all__ = [
-    "BAD_INPUT",
-    "BROKEN",
-    "HELD",
-    "RECORDS",
-    "VOID",
-    "RecordsError",
-    "as_json",
-    "as_text",
-    "build",
-    "from_records",
-    "keep",
-]
+from rainhitch.rehearsal.verdict import BROKEN, HELD, VOID
 
 Json = dict[str, Any]
 MAX_ARRIVALS_P99_MS = 50.0  # beyond it, arrivals were so late that the run says nothing
-MAX_STALLED_FRACTION = 0.05  # of the run, that one process of the rig may stand still
-RECORDS = ("scenario.json", "plan.json", "ledgers.json")  # the files of a run's records
+MAX_STALLED_FRACTION = 0.05  # of the run, that one process of the kit may stand still
 PERCENTILE = 0.99
 BYTES_PER_MB = 1 << 20
 
 
-class RecordsError(RainhitchError, ValueError):
-    """A folder that holds no records; one line says why."""
-
-
-# Records
-
-
-def keep(folder: Path, name: str, scenario: Json, plan: Json, records: Json) -> None:
-    """Writes the records of a run."""
-    folder.mkdir(parents=True, exist_ok=True)
-    for file, rows in zip(RECORDS, ({"name": name, **scenario}, plan, records), strict=True):
-        (folder / file).write_bytes(orjson.dumps(rows, option=orjson.OPT_SORT_KEYS))
-
-
-def from_records(folder: Path) -> Json:
-    """The report of a run whose records were kept.
-
-    Raises:
-        RecordsError: the folder holds no records, or what they hold can't be read.
-    """
-    try:
-        scenario, plan, records = (orjson.loads((folder / file).read_bytes()) for file in RECORDS)
-        return build(scenario.pop("name"), scenario, plan, records)
-    except OSError as problem:
-        raise RecordsError(f"{folder}: no records: {problem.strerror}: {problem.filename}") from None
-    except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError) as problem:
-        raise RecordsError(f"{folder}: records can't be read: {type(problem).__name__}: {problem}") from None
-
-
-# The report
-
-
 def build(name: str, scenario: Json, plan: Json, records: Json) -> Json:
     """The whole report as JSON takes it. `exit` is the exit code it stands for."""
     evidence = Evidence(scenario, plan, records)
@@ -78,7 +28,7 @@
     service = measure_service(evidence)
     overload_stops = sum(1 for stop in evidence.database_stops if stop.is_overload)
     unmet = _unmet_expectations(scenario["expect"], service, overload_stops)
-    lateness = rig_lateness(evidence)
+    lateness = kit_lateness(evidence)
     return {
         "scenario": name,
         "about": scenario["about"],
@@ -98,7 +48,7 @@
 
 
 def _exit_code(is_void: bool, is_broken: bool) -> int:
-    """What a report stands for: a rig that was late itself says nothing against the router."""
+    """What a report stands for: a kit that was late itself says nothing against the router."""
     if is_void:
         return VOID
     return BROKEN if is_broken else HELD
@@ -121,8 +71,8 @@
     return unmet
 
 
-def rig_lateness(evidence: Evidence) -> Json:
-    """How late the rig itself ran: arrivals against the plan, and stalls of its processes.
+def kit_lateness(evidence: Evidence) -> Json:
+    """How late the kit itself ran: arrivals against the plan, and stalls of its processes.
 
     Void beyond MAX_ARRIVALS_P99_MS or MAX_STALLED_FRACTION.
     """
--- a/rainhitch/rehearsal/router_faults.py
+++ b/rainhitch/rehearsal/router_faults.py
@@ -97,7 +97,7 @@
         if router.crash is not None:
             return
         await router.start()
-        if await router.ready():
+        if await router.wait_until_ready():
             # A turn of the loop, as every notice takes: virtual runs promise the same order of callbacks.
             await asyncio.sleep(0)
             self._tell_clients(router.number, is_up=True)
--- a/rainhitch/rehearsal/router_process.py
+++ b/rainhitch/rehearsal/router_process.py
@@ -8,7 +8,6 @@
 import shlex
 import shutil
 import signal
-import socket
 from dataclasses import dataclass, field
 from enum import StrEnum
 from pathlib import Path
@@ -17,7 +16,7 @@
 import orjson
 
 from rainhitch import system
-from rainhitch.errors import RainhitchError
+from rainhitch.rehearsal.errors import RehearsalError
 from rainhitch.rehearsal.router_events import RouterEventKind
 
 Json = dict[str, Any]
@@ -34,10 +33,6 @@
 PONG = b"+PONG\r\n"
 
 
-class RehearsalError(RainhitchError):
-    """A run can't be made as asked; one line says why."""
-
-
 class LastCommand(StrEnum):
     """What the environment did to a router's process last."""
 
@@ -69,19 +64,6 @@
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def hold_port() -> socket.socket:
-    """A socket that holds a free port of the loopback address for whoever binds it by its number.
-
-    It guards a process that is still to start: as long as this is open, the system gives that port to nobody
-    else.
-    """
-    held = socket.socket()
-    held.bind(("127.0.0.1", 0))
-    # Set only now: two that had it set before could have been given the same port.
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    return held
-
-
 @dataclass(eq=False)
 class RouterProcess:
     """One router's process, through its starts and ends; `events` has them with monotonic ns."""
@@ -124,7 +106,7 @@
         path.write_bytes(orjson.dumps(self.config))
         return path
 
-    def _environment(self) -> dict[str, str]:
+    def _environment_variables(self) -> dict[str, str]:
         """The process's environment variables; writes the files that they name."""
         scratch = self.folder / f"router-{self.number}"
         scratch.mkdir(exist_ok=True)
@@ -144,7 +126,7 @@
 
     async def start(self) -> None:
         """Starts the process, with its limit of descriptors, and watches it."""
-        variables = self._environment()
+        variables = self._environment_variables()
         self.last_command = LastCommand.START
         self.start_count += 1
         self.ended.clear()
@@ -164,7 +146,7 @@
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, limits)
         self.watching = asyncio.get_running_loop().create_task(self._watch(self.process))
 
-    async def ready(self) -> bool:
+    async def wait_until_ready(self) -> bool:
         """Waits until it answers PING; False: it ended, or took too long."""
         try:
             async with asyncio.timeout(READY_WITHIN_S):
--- a/rainhitch/rehearsal/runner.py
+++ b/rainhitch/rehearsal/runner.py
@@ -8,16 +8,17 @@
 
 import orjson
 
-from rainhitch.rehearsal import report
+from rainhitch.rehearsal import report, verdict
 from rainhitch.rehearsal.environment import Environment, ProgressCallback
 from rainhitch.rehearsal.machine_checks import check_descriptors, check_ports
 from rainhitch.rehearsal.plain_router import MODES
 from rainhitch.rehearsal.plan import draw_plan
+from rainhitch.rehearsal.run_records import write_records
 from rainhitch.rehearsal.scenario import Scenario, read_scenario
 
 Json = dict[str, Any]
 MAX_PARALLEL_PROOFS = 3
-MAX_TRIES = 3  # of a proof that is void since the rig itself ran late
+MAX_TRIES = 3  # of a proof that is void since the kit itself ran late
 
 
 def rainhitch_command() -> list[str]:
@@ -52,13 +53,13 @@
     scenario_rows = orjson.loads(orjson.dumps(scenario))
     plan_rows = plan.rows()
     if records_folder is not None:
-        report.keep(records_folder, name, scenario_rows, plan_rows, records)
+        write_records(records_folder, name, scenario_rows, plan_rows, records)
     return report.build(name, scenario_rows, plan_rows, records)
 
 
-def proof_problem(mode: str, made: Json) -> str:
+def proof_problem(mode: str, report_rows: Json) -> str:
     """What is wrong with the report on a plain router of this mode; "" for nothing."""
-    found = {rule for rule, count in made["rules"].items() if count}
+    found = {rule for rule, count in report_rows["rules"].items() if count}
     expected = {MODES[mode]} - {""}
     if found == expected:
         return ""
@@ -77,14 +78,14 @@
         """Runs one mode until its report is not void, and gives its exit code."""
         for _ in range(MAX_TRIES):
             async with slots:
-                made = await run_scenario(scenario, "prove", seed, plain_router_command(mode))
-            if made["exit"] != report.VOID:
+                report_rows = await run_scenario(scenario, "prove", seed, plain_router_command(mode))
+            if report_rows["exit"] != verdict.VOID:
                 break
-        problem = proof_problem(mode, made)
-        on_result(mode, problem, made)
-        if made["exit"] == report.VOID:
-            return report.VOID
-        return report.BROKEN if problem else report.HELD
+        problem = proof_problem(mode, report_rows)
+        on_result(mode, problem, report_rows)
+        if report_rows["exit"] == verdict.VOID:
+            return verdict.VOID
+        return verdict.BROKEN if problem else verdict.HELD
 
     codes = await asyncio.gather(*(prove(mode) for mode in modes))
-    return max(codes, default=report.HELD)
+    return max(codes, default=verdict.HELD)
--- a/rainhitch/rehearsal/verdict.py
+++ b/rainhitch/rehearsal/verdict.py
@@ -3,4 +3,4 @@
 HELD = 0  # all rules and expectations
 BROKEN = 1  # a rule or an expectation
 BAD_INPUT = 2
-VOID = 3  # the rig itself ran late
+VOID = 3  # the kit itself ran late
--- a/rainhitch/rehearsal/virtual/environment.py
+++ b/rainhitch/rehearsal/virtual/environment.py
@@ -18,10 +18,11 @@
 from rainhitch.node.configuration import load_operator_config, parse_configuration
 from rainhitch.node.router import Router as NodeRouter
 from rainhitch.rehearsal.environment import Environment, ProgressCallback, WorkerProcess
+from rainhitch.rehearsal.errors import RehearsalError
 from rainhitch.rehearsal.fakes.worker import Worker
 from rainhitch.rehearsal.fakes.worker_roles import make_worker
 from rainhitch.rehearsal.plan import Plan, random_stream
-from rainhitch.rehearsal.router_process import Json, LastCommand, RehearsalError, RouterProcess
+from rainhitch.rehearsal.router_process import Json, LastCommand, RouterProcess
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.virtual.costs import CallbackCosts
 from rainhitch.rehearsal.virtual.loop import CallbackObserver, StuckError, VirtualLoop
--- a/rainhitch/rehearsal/virtual/runner.py
+++ b/rainhitch/rehearsal/virtual/runner.py
@@ -5,9 +5,10 @@
 
 import orjson
 
-from rainhitch.rehearsal import report
+from rainhitch.rehearsal import report, verdict
 from rainhitch.rehearsal.environment import ProgressCallback
 from rainhitch.rehearsal.plan import draw_plan
+from rainhitch.rehearsal.run_records import write_records
 from rainhitch.rehearsal.scenario import Scenario
 from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
 from rainhitch.rehearsal.virtual.trace import TraceWriter
@@ -46,12 +47,12 @@
     scenario_row = orjson.loads(orjson.dumps(scenario))
     plan_rows = plan.rows()
     if records is not None:
-        report.keep(records, name, scenario_row, plan_rows, run_records)
+        write_records(records, name, scenario_row, plan_rows, run_records)
     made = report.build(name, scenario_row, plan_rows, run_records)
     made["problems"] = run_records["problems"]
     made["work"] = run_records["work"]
-    if made["problems"] and made["exit"] == report.HELD:
-        made["exit"] = report.BROKEN
+    if made["problems"] and made["exit"] == verdict.HELD:
+        made["exit"] = verdict.BROKEN
     made["unmet"] += [f"unhandled: {line}" for line in made["problems"]]
     return made
 
--- a/rainhitch/rehearsal/worker_process.py
+++ b/rainhitch/rehearsal/worker_process.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from rainhitch.rehearsal.router_process import RehearsalError
+from rainhitch.rehearsal.errors import RehearsalError
 
 Json = dict[str, Any]
 READY_WITHIN_S = 60.0
--- a/tests/rehearsal/test_held_port.py
+++ b/tests/rehearsal/test_held_port.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rainhitch.rehearsal.router_process import hold_port
+from rainhitch.rehearsal.ports import hold_port
 
 
 def test_a_held_port_is_given_to_nobody_and_can_be_listened_on_again_and_again() -> None:
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -182,7 +182,7 @@
 def test_without_the_extra_the_kit_says_what_to_install(tmp_path: Path) -> None:
     (tmp_path / "rich.py").write_text("raise ModuleNotFoundError('no rich', name='rich')")
     env = {**os.environ, "PYTHONPATH": str(tmp_path)}
-    code = "import sys, rainhitch.rehearsal.report as made\n"
+    code = "import sys, rainhitch.rehearsal.run_records as made\n"
     code += "from rainhitch.cli import run\n"
     code += "made.from_records = lambda folder: {'exit': 0}\n"
     code += "sys.exit(run(['rehearse', 'report', 'x']))"
--- a/tests/virtual/test_virtual_day.py
+++ b/tests/virtual/test_virtual_day.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from rainhitch.rehearsal import report
+from rainhitch.rehearsal import run_records, verdict
 from rainhitch.rehearsal.plan import draw_plan
 from rainhitch.rehearsal.scenario import Scenario, read_scenario
 from rainhitch.rehearsal.virtual.environment import run_in_virtual_time
@@ -132,7 +132,7 @@
 
     monkeypatch.setattr(RequestDriver, "stop", fails)
     made = run_virtual_scenario(read_text(tmp_path), "small", 1)
-    assert made["exit"] == report.BROKEN and "on purpose" in str(made["breaches"])
+    assert made["exit"] == verdict.BROKEN and "on purpose" in str(made["breaches"])
 
 
 def test_callbacks_that_call_themselves_without_end_stop_the_run(
@@ -158,6 +158,6 @@
 
 def test_the_records_of_a_virtual_run_give_its_report_again(tmp_path: Path) -> None:
     made = run_virtual_scenario(read_text(tmp_path), "small", 1, records=tmp_path / "records")
-    again = report.from_records(tmp_path / "records")
+    again = run_records.from_records(tmp_path / "records")
     assert orjson.dumps(again["service"]) == orjson.dumps(made["service"])
     assert again["rules"] == made["rules"]
