--- a/rainhitch/rehearsal/__init__.py
+++ b/rainhitch/rehearsal/__init__.py
@@ -14,5 +14,4 @@
     virtual/                    the same run in virtual time, in one process
     explore/                    a search for scenarios in which something breaks
     plain_router.py             a yardstick, and broken routers to prove the checker
-    closed_loop_simulation.py   rejections and retries of thousands of clients, without sockets
 """
--- a/rainhitch/rehearsal/scenario.py
+++ b/rainhitch/rehearsal/scenario.py
@@ -23,7 +23,10 @@
 
     length_s: float = schema.number(16.0, 1, 3600, "how long clients come")
     prelude_s: float = schema.number(
-        4.0, 0.5, 60, "before it: each warm key is read once, at no cost; not scored"
+        4.0,
+        0.5,
+        60,
+        "time before the first scored second, in which each warm key is read once, at no cost; not scored",
     )
     memory_mb: float = schema.number(192.0, 32, 65536, "of each router, which ends over it")
     sockets: int = schema.whole(1024, 64, 1 << 20, "descriptors that each router may hold")
@@ -38,8 +41,8 @@
     cores: int = schema.whole(7, 1, 256, "cores at work")
     speed: tuple[float, float] = schema.pair((0.85, 1.1), 0.01, 100, "of a core, drawn for each node")
     slots_per_core: int = schema.whole(16, 1, 1024, "requests in work at once")
-    queue_per_core: float = schema.number(2.5, 0, 1024, "requests that wait; those beyond are turned away")
-    table_per_core: float = schema.number(13.0, 1, 10000, "connections that are held; others are turned away")
+    queue_per_core: float = schema.number(2.5, 0, 1024, "requests that wait; those beyond are rejected")
+    table_per_core: float = schema.number(13.0, 1, 10000, "connections that are held; others are rejected")
 
 
 def _default_node_classes() -> list[NodeClass]:
@@ -62,11 +65,11 @@
     probe_ms: tuple[float, float] = schema.pair((2.8, 5.6), 0, 10000, "work that a probe costs a node")
     keepalive_s: float = schema.number(60.0, 0.5, 3600, "a node closes a connection that is idle for so long")
     cold_from: float = schema.number(0.3, 0.01, 1, "part of its capacity that a node starts with")
-    warm_s: float = schema.number(8.7, 0.1, 600, "until it has all of it")
+    warm_s: float = schema.number(8.7, 0.1, 600, "time from a node's start until it has its whole capacity")
     tip_multiple: float = schema.number(
-        3.0, 1, 100, "sent so many times its capacity, a cold node falls over"
+        3.0, 1, 100, "a cold node that is sent so many times its capacity collapses"
     )
-    tip_s: float = schema.number(1.0, 0.1, 60, "within so long")
+    tip_s: float = schema.number(1.0, 0.1, 60, "window of `tip_multiple`")
     error_rate: float = schema.number(0.0005, 0, 1, "answers that are errors")
     resp3: float = schema.number(0.0, 0, 1, "part of the nodes that speak RESP3 where they are greeted so")
 
@@ -77,10 +80,12 @@
 
     workers: int = schema.whole(9, 1, 1024, "requests in work at once")
     time_ms: float = schema.number(120.0, 0.1, 60000, "mean time of one")
-    queue: int = schema.whole(60, 0, 100000, "requests that wait; those beyond are turned away")
-    stop_multiple: float = schema.number(2.5, 1, 100, "sent so many times its capacity it stops,")
-    stop_after_s: float = schema.number(3.0, 0.1, 600, "if for so long,")
-    stop_s: float = schema.number(5.0, 0.1, 600, "and for so long")
+    queue: int = schema.whole(60, 0, 100000, "requests that wait; those beyond are rejected")
+    stop_multiple: float = schema.number(
+        2.5, 1, 100, "the database stops when it is sent so many times its capacity"
+    )
+    stop_after_s: float = schema.number(3.0, 0.1, 600, "overload time after which the database stops")
+    stop_s: float = schema.number(5.0, 0.1, 600, "how long the database stays stopped")
 
 
 @dataclass(slots=True)
@@ -90,12 +95,12 @@
     name: str = schema.text(schema.REQUIRED, "as requests name it")
     share: float = schema.number(schema.REQUIRED, 0, 100, "of the traffic, by weight")
     work_ms: float = schema.number(schema.REQUIRED, 0.1, 60000, "mean work of one, on a core of speed 1")
-    aim_ms: float = schema.number(schema.REQUIRED, 1, 600000, "answered in this time it is worth its full")
-    deadline_ms: float = schema.number(schema.REQUIRED, 1, 600000, "then the client gives up")
-    worth: float = schema.number(1.0, 0, 1000, "of one answered within its aim")
-    late_worth: float = schema.number(0.2, 0, 1, "part of it that a later answer earns")
+    aim_ms: float = schema.number(schema.REQUIRED, 1, 600000, "an answer within this time counts in full")
+    deadline_ms: float = schema.number(schema.REQUIRED, 1, 600000, "time after which the client gives up")
+    worth: float = schema.number(1.0, 0, 1000, "of an answer within `aim_ms`")
+    late_worth: float = schema.number(0.2, 0, 1, "part of `worth` that a later answer earns")
     repeats: str = schema.text("safe", "what a second execution does", ("safe", "keyed", "unsafe"))
-    window_s: float = schema.number(5.0, 0, 600, "keyed: for which repeats are dropped")
+    window_s: float = schema.number(5.0, 0, 600, "keyed: time for which repeats are dropped")
     write: bool = schema.flag(False, "goes to the order database")
 
 
@@ -114,7 +119,7 @@
     """One who shares the fleet: a table of `[[customers]]`."""
 
     name: str = schema.text(schema.REQUIRED, "as requests name it")
-    share: float = schema.number(schema.REQUIRED, 0, 100, "of what the fleet is held for, by weight")
+    share: float = schema.number(schema.REQUIRED, 0, 100, "of `traffic.quota_rps`, by weight")
     usage: float = schema.number(schema.REQUIRED, 0, 100, "how many times its share it sends")
 
 
@@ -143,7 +148,12 @@
     keys: int = schema.whole(6000, 1, 1 << 20, "different keys")
     zipf: float = schema.number(1.0, 0, 3, "exponent of their popularity")
     offset: float = schema.number(5.0, 0, 1000, "ranks by which the head is flattened")
-    drift: float = schema.number(0.0, 0, 1, "part of the ranks that change hands each second")
+    drift: float = schema.number(
+        0.0,
+        0,
+        1,
+        "part of the ranks of popularity that change keys each second; no clock: see `virtual.drift`",
+    )
     value_bytes: int = schema.whole(400, 64, 60000, "of a value")
     room_skew: float = schema.number(0.0, 0, 0.9, "how much more the first room has than the mean")
 
@@ -153,7 +163,7 @@
     """How clients send it: the table `[clients]`."""
 
     retries: int = schema.whole(1, 0, 4, "further tries of a request that failed or was refused")
-    backoff_ms: tuple[float, float] = schema.pair((30, 240), 0, 60000, "before a further try")
+    backoff_ms: tuple[float, float] = schema.pair((30, 240), 0, 60000, "time before a further try")
     honour: float = schema.number(0.9, 0, 1, "part of the clients that heed `-BUSY MS`")
     give_up: tuple[float, float] = schema.pair((0.7, 1.0), 0.01, 1, "part of the deadline that a try waits")
     told: bool = schema.flag(False, "routers may say after how long to come back")
@@ -174,7 +184,10 @@
     """The front end, which spreads a room's clients over its routers: the table `[front]`."""
 
     notice_s: tuple[float, float] = schema.pair(
-        (1.6, 3.9), 0, 600, "until a dead router gets no new connections"
+        (1.6, 3.9),
+        0,
+        600,
+        "time until the front end gives a dead router no new connections; the list's is `discovery.notice_s`",
     )
 
 
@@ -183,20 +196,24 @@
     """How late the endpoint list is: the table `[discovery]`."""
 
     notice_s: tuple[float, float] = schema.pair(
-        (0.72, 3), 0, 600, "until the list tells of a process that died"
+        (0.72, 3), 0, 600, "time until the list says that a node died; the front end's is `front.notice_s`"
+    )
+    drain_s: tuple[float, float] = schema.pair(
+        (0.2, 1), 0, 600, "time until the list says that a node drains or retires"
     )
-    drain_s: tuple[float, float] = schema.pair((0.2, 1), 0, 600, "or drains")
-    add_s: tuple[float, float] = schema.pair((0.48, 1.8), 0, 600, "or came")
-    spread_ms: tuple[float, float] = schema.pair((14, 110), 0, 60000, "more, for each router apart")
-    source: str = schema.text("agents", "the platform's agents, or a stand-in for etcd", ("agents", "etcd"))
+    add_s: tuple[float, float] = schema.pair((0.48, 1.8), 0, 600, "time until the list says that a node came")
+    spread_ms: tuple[float, float] = schema.pair(
+        (14, 110), 0, 60000, "further delay of the list, drawn for each router"
+    )
+    source: str = schema.text("agents", "the platform's agents, or a fake etcd", ("agents", "etcd"))
 
 
 @dataclass(slots=True)
 class Messages:
     """The network between routers: the table `[messages]`."""
 
-    delay_ms: tuple[float, float] = schema.pair((1.2, 31), 0, 60000, "of a datagram between routers")
-    loss: float = schema.number(0.0, 0, 1, "part of them that is lost")
+    delay_ms: tuple[float, float] = schema.pair((1.2, 31), 0, 60000, "delay of a datagram between routers")
+    loss: float = schema.number(0.0, 0, 1, "part of the datagrams that is lost")
 
 
 @dataclass(slots=True)
@@ -206,11 +223,16 @@
     core: float = schema.number(1.0, 0, 1000, "routers' cores are so many times as slow; 0: at no cost")
     chop: float = schema.number(0.0, 0, 1, "part of the writes that is cut in pieces at drawn places")
     way_ms: tuple[float, float] = schema.pair(
-        (0.04, 0.04), 0.001, 10000, "one way between two machines, drawn for each connection"
+        (0.04, 0.04), 0.001, 10000, "time one way between two machines, drawn for each connection"
     )
     mb_s: float = schema.number(1000.0, 0.001, 1e6, "of a connection, each way")
     window_kb: float = schema.number(256.0, 1, 1e6, "that an end holds unread")
-    drift: float = schema.number(0.0, 0, 0.05, "routers' clocks run faster or slower by up to this part")
+    drift: float = schema.number(
+        0.0,
+        0,
+        0.05,
+        "routers' clocks run faster or slower by up to this part; no change of keys: see `traffic.drift`",
+    )
     wall_s: float = schema.number(0.0, 0, 1e6, "routers' wall clocks are off by up to so much")
 
 
@@ -218,9 +240,11 @@
 class Expect:
     """What must hold besides the rules: the table `[expect]`."""
 
-    service: float = schema.number(0.001, 0, 1, "at least; a day on which nothing was served holds nothing")
-    score: float = schema.number(-10.0, -10, 1, "at least")
-    origin_stops: int = schema.whole(1000, 0, 1000, "at most: how often the database stops")
+    service: float = schema.number(
+        0.001, 0, 1, "the least service; a run in which nothing was served holds nothing"
+    )
+    score: float = schema.number(-10.0, -10, 1, "the least score")
+    origin_stops: int = schema.whole(1000, 0, 1000, "how often the database stops at most")
 
 
 class PlacedNode(NamedTuple):
--- a/rainhitch/rehearsal/closed_loop_simulation.py
+++ b/tests/closed_loop_simulation.py
@@ -5,8 +5,8 @@
 reject what is beyond their table, and go on with what nobody waits for any more, which is what makes an
 overload last. Times are ns from 0.
 
-Its clients and servers are not those of `fakes`: they have no sockets, no records and no other fault than
-load, so that thousands of clients play in a second or two.
+Its clients and servers are not the rehearsal kit's (`rehearsal/fakes`): they have no sockets, no records and
+no other fault than load, so that thousands of clients play in a second or two.
 """
 
 import heapq
--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -1,12 +1,12 @@
 """The closed loop of rejections, retries and returns, with thousands of clients in virtual time."""
 
 import pytest
+from closed_loop_simulation import ClientLoad, ClosedLoopSimulation, SimulationResult
 from support import SECOND
 
 from rainhitch import interface as api
 from rainhitch.overload.controller import OverloadController
 from rainhitch.policy.balancer import Balancer
-from rainhitch.rehearsal.closed_loop_simulation import ClientLoad, ClosedLoopSimulation, SimulationResult
 
 SETTINGS = api.Settings(
     [
