--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -14,9 +14,8 @@
 
 # Times the expected answer time after which an attempt in flight tells of its server's load.
 OVERDUE_FACTOR = 2
-MIN_OVERDUE_OBJECTIVE_DIVISOR = (
-    8  # the shortest latency objective by it: a younger attempt is never looked at
-)
+# The shortest latency objective by it: a younger attempt is never looked at.
+MIN_OVERDUE_OBJECTIVE_DIVISOR = 8
 SILENT_AFTER_INTERVALS = 8  # gossip intervals without gossip after which the other routers count as silent
 # The shortest latency objective by it: an answer that took longer cuts its server's range share.
 RANGE_CUT_LATENCY_DIVISOR = 2
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -17,9 +17,8 @@
 WARM_RATE_FACTOR = 3 / 2
 # Times what a warm server serves: of an arrival rate beyond that, chance admits so much.
 MAX_SURE_RATE_FACTOR = 2
-WARM_RATE_LIFETIME_DIVISOR = (
-    8  # the settings' window by it: how long the rate of warm servers holds once worked out
-)
+# The settings' window by it: how long the rate of warm servers holds once worked out.
+WARM_RATE_LIFETIME_DIVISOR = 8
 BUDGET_CAPACITY_DIVISOR = 4  # the tokens of the settings' window by it: so many may be saved up
 
 
--- a/rainhitch/policy/tenant_quotas.py
+++ b/rainhitch/policy/tenant_quotas.py
@@ -8,7 +8,7 @@
 from rainhitch.policy.rates import DecayingRate, TokenBucket
 
 ESTIMATE_LIFETIME_NS = 10_000_000  # for which this router's own estimate of its part of the traffic is kept
-MIN_QUOTA_BURST = 10  # requests at once that the least part of a quota allows
+MIN_QUOTA_BURST = 10  # requests at once that any part of a quota allows
 ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # shortest latency objectives over which arrivals are counted
 
 
