--- a/benchmarks/resp3.py
+++ b/benchmarks/resp3.py
@@ -25,6 +25,7 @@
 
 from benchmarks.rig import parser_for, print_row, print_table_header
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.protocol.resp3_reader import MAX_RESP3_MESSAGE_BYTES, Resp3Reader
 from rainhitch.protocol.resp3_types import Map, Push
 from rainhitch.protocol.resp3_writer import encode
@@ -141,7 +142,7 @@
     """Measures and prints what reading one answer costs, by reader."""
     resp2_answer = b"*3\r\n$400\r\n" + VALUE + b"\r\n$3\r\nhit\r\n$-1\r\n"
     resp3_answer = encode([VALUE, Map(((b"note", b"hit"),))], 3)
-    frames = resp.Resp2Reader(reads_replies=True)
+    frames = Resp2Reader(reads_replies=True)
     own_reader = Resp3Reader(relays_long_values=True)
     hiredis_reader = hiredis.Reader()
 
--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -8,6 +8,7 @@
 from rainhitch.node.relay import Relay
 from rainhitch.node.upstream_connection import OwningPool, UpstreamConnection
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 
 NOTES = {b"hit": NOTE_HIT, b"miss": NOTE_MISS, b"pending": NOTE_MISS_PENDING}
 
@@ -47,7 +48,7 @@
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
-        self.reader: resp.ReplyReader = resp.Resp2Reader(reads_replies=True)
+        self.reader: resp.ReplyReader = Resp2Reader(reads_replies=True)
 
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
         """The command as the client sent it, with another info list."""
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -11,6 +11,7 @@
 from rainhitch.node.response_slot import ResponseSlot
 from rainhitch.node.session import GREETINGS, Session
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.settings import Names
 
 REQUEST_COMMANDS = (b"C.GET", b"C.SET")
@@ -64,7 +65,7 @@
         """Appends an answer that is ready."""
         self.responses.put(answer, self.session.version)
 
-    def reject_rest(self, reader: resp.Resp2Reader) -> bytes:
+    def reject_rest(self, reader: Resp2Reader) -> bytes:
         """The answers to commands that were read and not handled: they are rejected.
 
         They do not cross the end of the connection, and nothing of them has begun.
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -26,6 +26,7 @@
 from rainhitch.node.session import Authenticator, Session
 from rainhitch.node.unread_age import UnreadAge
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 
 MAX_COMMANDS_PER_TURN = 16  # of one connection before others have their turn
 NS_PER_MS = 1_000_000
@@ -91,7 +92,7 @@
         self.host = host
         self.activity = host.activity
         self.state = CONNECTION_OPEN
-        self.reader = resp.Resp2Reader()
+        self.reader = Resp2Reader()
         self.session = Session(host.next_connection_id(), host.authenticator, host.can_serve)
         self.responses = ResponseQueue(self, host)
         self.commands = ClientCommands(host, self.session, self.responses)
--- a/rainhitch/node/read_flow.py
+++ b/rainhitch/node/read_flow.py
@@ -4,7 +4,7 @@
 
 from rainhitch.node.response_queue import BufferLimits, ResponseQueue
 from rainhitch.node.unread_age import UnreadAge
-from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 
 MAX_PIPELINED_COMMANDS = 32  # of one connection in work; those behind wait unread
 
@@ -15,7 +15,7 @@
     __slots__ = ("buffered_bytes", "limits", "paused", "reader", "responses", "turn_over", "unread_age")
 
     def __init__(
-        self, limits: BufferLimits, reader: resp.Resp2Reader, responses: ResponseQueue, unread_age: UnreadAge
+        self, limits: BufferLimits, reader: Resp2Reader, responses: ResponseQueue, unread_age: UnreadAge
     ) -> None:
         self.limits = limits
         self.reader = reader
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -9,6 +9,7 @@
 
 from rainhitch.node.client_events import ClientEvent, ClientEvents
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.system import System
 
 LINGER_S = 1.0  # for which a client that has its last answer may go on sending
@@ -61,7 +62,7 @@
     def __init__(self, owner: RejectedConnections, transport: asyncio.Transport) -> None:
         self.owner = owner
         self.transport = transport
-        self.reader = resp.Resp2Reader()
+        self.reader = Resp2Reader()
         transport.write(owner.answer())
         transport.write_eof()
         self.linger_timer = owner.loop.call_later(LINGER_S, transport.abort)
--- a/rainhitch/protocol/errors.py
+++ b/rainhitch/protocol/errors.py
@@ -10,7 +10,7 @@
 class FramingError(ProtocolError):
     """What came is no RESP, or not what may come here.
 
-    Where it came from a client, the text goes to that client: the texts of `resp.py` must not change.
+    Where it came from a client, the text goes to that client: the texts of `resp2_reader.py` must not change.
     """
 
 
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -13,6 +13,7 @@
 from rainhitch.node import connection_pool
 from rainhitch.node import relay as relay_module
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 
 SIZE = 300_000
 VALUE = bytes(range(251)) * (SIZE // 251 + 1)
@@ -232,7 +233,7 @@
 def test_any_chunking_gives_the_same_value(cuts: list[int], note: bytes) -> None:
     value = VALUE[:70_000]
     text = b"*3\r\n$70000\r\n%b\r\n$%d\r\n%b\r\n$-1\r\n" % (value, len(note), note)
-    reader = resp.Resp2Reader(reads_replies=True)
+    reader = Resp2Reader(reads_replies=True)
     received = b""
     rest = None
     edges = [0, *sorted(cut for cut in cuts if cut < len(text)), len(text)]
