--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -26,10 +26,7 @@
     events: ClientEvents
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command that is answered -BUSY and never reaches the decisions.
-
-        Its client had no room, or its connection ends.
-        """
+        """Counts a command answered -BUSY before any decision: no room, or its connection ends."""
 
 
 class ClientCommands:
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -127,10 +127,7 @@
         return 0 if self.overload is None else self.overload.connection_rejected(self.system.now())
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command that is answered -BUSY and never reaches the decisions.
-
-        Its client had no room, or its connection ends.
-        """
+        """Counts a command answered -BUSY before any decision: no room, or its connection ends."""
         with contextlib.suppress(ClientRequestError, IndexError):
             class_index = parse_client_request(parts, self.names).class_index
             self.driver.metrics.rejected[class_index] += 1
