--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -128,11 +128,11 @@
             return False
         attempt.grace_given = True
         request = attempt.request
-        for timer in (attempt.timeout_timer, request.overdue_timer):
+        for timer in (attempt.timeout_timer, request.deadline_timer):
             if timer is not None:
                 timer.cancel()
         attempt.timeout_timer = self.loop.call_later(UNREAD_ANSWER_GRACE_S, self.time_out, attempt)
-        request.overdue_timer = self.loop.call_later(
+        request.deadline_timer = self.loop.call_later(
             2 * UNREAD_ANSWER_GRACE_S, self.owner.deadline_passed, request
         )
         return True
@@ -172,7 +172,7 @@
         if not attempt.is_in_flight() or request.state is not REQUEST_OPEN:
             return None
         request.attempt = None
-        for timer in (request.overdue_timer, attempt.timeout_timer):
+        for timer in (request.deadline_timer, attempt.timeout_timer):
             if timer is not None:
                 timer.cancel()
         relay = self.owner.relay_started(request, source, size_bytes)
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -40,7 +40,7 @@
 
 
 class ResponseSink(Protocol):
-    """Where a request's one answer goes: `fill` or `stream` is called once."""
+    """Where a request's one answer goes: `fill` or `start_relay` is called once."""
 
     def fill(self, answer: bytes) -> None:
         """Takes the answer as it goes to the client."""
@@ -96,7 +96,7 @@
     state: InFlightState = REQUEST_OPEN
     attempts_started: int = 0
     attempt: Attempt | None = None
-    overdue_timer: asyncio.TimerHandle | None = None
+    deadline_timer: asyncio.TimerHandle | None = None
     relay: Relay | None = None  # its long value, while RELAYING
     finished_attempts: list[FinishedAttempt] = field(default_factory=list)
 
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -113,8 +113,9 @@
         self.request_bytes += size_bytes
         self.accounting.accepted(client_request)
         self.host.request_taken(client_request.tenant)
-        overdue_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
-        request.overdue_timer = self.loop.call_later(overdue_in_ns / NS_PER_S, self.deadline_passed, request)
+        # So long until `deadline_passed` is called, unless the attempt's own timer ends it before.
+        passed_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
+        request.deadline_timer = self.loop.call_later(passed_in_ns / NS_PER_S, self.deadline_passed, request)
         self.decisions.handle(_request_event(request))
         return request
 
@@ -240,8 +241,8 @@
     def _mark_finished(self, request: InFlightRequest) -> None:
         request.state = REQUEST_FINISHED
         self.metrics.in_flight -= 1
-        if request.overdue_timer is not None:
-            request.overdue_timer.cancel()
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
 
     def forget_if_over(self, request: InFlightRequest) -> None:
         """Drops a request that is over and has nothing in flight."""
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -327,7 +327,7 @@
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
         # The timer comes after the decisions' deadline and before the client's.
-        assert held.overdue_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
+        assert held.deadline_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver.deadline_passed(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
