--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -11,6 +11,7 @@
 from rainhitch.node.response_slot import ResponseSlot
 from rainhitch.node.session import GREETINGS, Session
 from rainhitch.protocol import resp
+from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.settings import Names
 
 REQUEST_COMMANDS = (b"C.GET", b"C.SET")
@@ -25,10 +26,7 @@
     events: ClientEvents
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command that is answered -BUSY and never reaches the decisions.
-
-        Its client had no room, or its connection ends.
-        """
+        """Counts a command answered -BUSY before any decision: no room, or its connection ends."""
 
 
 class ClientCommands:
@@ -64,7 +62,7 @@
         """Appends an answer that is ready."""
         self.responses.put(answer, self.session.version)
 
-    def reject_rest(self, reader: resp.Resp2Reader) -> bytes:
+    def reject_rest(self, reader: Resp2Reader) -> bytes:
         """The answers to commands that were read and not handled: they are rejected.
 
         They do not cross the end of the connection, and nothing of them has begun.
