--- a/rainhitch/rehearsal/environment.py
+++ b/rainhitch/rehearsal/environment.py
@@ -15,6 +15,7 @@
 
 from rainhitch import system
 from rainhitch.rehearsal.errors import RehearsalError
+from rainhitch.rehearsal.fakes import worker_messages as messages
 from rainhitch.rehearsal.plan_model import (
     MICROSECONDS_PER_SECOND,
     NANOSECONDS_PER_MICROSECOND,
@@ -124,7 +125,7 @@
         self.zero_ns = system.now() + int(LEAD_S * NANOSECONDS_PER_SECOND)
         self.zero_ns -= min(first_at_us, 0) * NANOSECONDS_PER_MICROSECOND
         for worker in self.workers:
-            worker.send({"zero": self.zero_ns})
+            worker.send(messages.StartRun(self.zero_ns).to_row())
         await self._run_timeline(clients)
         for router in self.routers:
             self._spawn(router.stop())
@@ -144,20 +145,21 @@
         self.workers += [shared_services, *nodes]
         for worker in self.workers:
             await worker.start()
-        await shared_services.receive("ready")
-        node_endpoints: Json = {}
+        await shared_services.receive(messages.READY)
+        node_endpoints: dict[str, list[str]] = {}
         for worker in nodes:
-            node_endpoints |= (await worker.receive("ready"))["nodes"]
+            node_endpoints |= messages.endpoints_of_ready(await worker.receive(messages.READY))
         bus_path = str(self.folder / "bus")
-        shared_services.send({"nodes": node_endpoints, "bus": bus_path})
-        sources = await shared_services.receive("lists")
+        shared_services.send(messages.NodesListening(node_endpoints, bus_path).to_row())
+        sources = await shared_services.receive(messages.SOURCES)
         for worker in nodes:
-            worker.send({"bus": bus_path})
+            worker.send(messages.JoinBus(bus_path).to_row())
         await self._start_routers(sources["agents"], sources["peers"])
-        listens = {
-            str(number): router.config["peer_listen"].split(":") for number, router in enumerate(self.routers)
-        }
-        shared_services.send({"listens": listens})
+        peer_addresses = {}
+        for number, router in enumerate(self.routers):
+            host, _, port = router.config["peer_listen"].rpartition(":")
+            peer_addresses[number] = (host, int(port))
+        shared_services.send(messages.RoutersListening(peer_addresses).to_row())
         self._write_json("addresses.json", [router.address for router in self.routers])
 
     async def _start_routers(self, agents: list[Json], peers: list[list[str]]) -> None:
@@ -190,7 +192,7 @@
         for worker in clients:
             await worker.start()
         for worker in clients:
-            await worker.receive("ready")
+            await worker.receive(messages.READY)
         return clients
 
     # The run
@@ -209,7 +211,10 @@
         longest_deadline_s = max(work_class.deadline_ms for work_class in self.scenario.classes) / 1000
         longest_s = self.scenario.day.length_s + 2 * longest_deadline_s + LONGEST_AFTER_END_S
         last_action_s = max((action.at_us for action in actions), default=0) / MICROSECONDS_PER_SECOND
-        ends = [loop.create_task(worker.receive("over", longest_s + READY_WITHIN_S)) for worker in clients]
+        ends = [
+            loop.create_task(worker.receive(messages.CLIENTS_DONE, longest_s + READY_WITHIN_S))
+            for worker in clients
+        ]
         while True:
             done, _ = await asyncio.wait(ends, timeout=PROGRESS_INTERVAL_S)
             at_s = (system.now() - self.zero_ns) / NANOSECONDS_PER_SECOND
@@ -227,9 +232,9 @@
         """Ends the fakes, and collects what they and the routers' processes recorded."""
         records: Json = {"parts": {}}
         for worker in self.workers:
-            worker.send({"end": f"{worker.name}.json"})
+            worker.send(messages.EndRun(f"{worker.name}.json").to_row())
         for worker in self.workers:
-            await worker.receive("ended")
+            await worker.receive(messages.ENDED)
             rows = orjson.loads((self.folder / f"{worker.name}.json").read_bytes())
             records["parts"][worker.role] = rows
         records["zero"] = self.zero_ns
--- a/rainhitch/rehearsal/fakes/worker_messages.py
+++ b/rainhitch/rehearsal/fakes/worker_messages.py
@@ -1,7 +1,7 @@
 """The messages between the environment and the workers, and among workers: the one place where they are JSON.
 
-A message is one line of JSON on a pipe (environment) or on a Unix socket (workers). The environment's side,
-`rainhitch/rehearsal/environment.py`, builds and reads the same JSON.
+A message is one line of JSON on a pipe (environment) or on a Unix socket (workers). Both the workers and
+`rainhitch/rehearsal/environment.py` build and read it with this module.
 """
 
 from dataclasses import dataclass
@@ -14,6 +14,13 @@
 Json = dict[str, Any]
 
 
+# The keys of the messages to the environment, which waits for them by these.
+READY = "ready"
+SOURCES = "lists"
+CLIENTS_DONE = "over"
+ENDED = "ended"
+
+
 class WorkerMessageError(RainhitchError):
     """A message that is none of those in this module."""
 
@@ -38,6 +45,10 @@
 
     zero_ns: int
 
+    def to_row(self) -> Json:
+        """The message as JSON takes it."""
+        return {"zero": self.zero_ns}
+
 
 @dataclass(frozen=True, slots=True)
 class EndRun:
@@ -45,6 +56,10 @@
 
     record_file: str
 
+    def to_row(self) -> Json:
+        """The message as JSON takes it."""
+        return {"end": self.record_file}
+
 
 @dataclass(frozen=True, slots=True)
 class NodesListening:
@@ -53,6 +68,10 @@
     endpoints: dict[str, list[str]]
     bus_path: str
 
+    def to_row(self) -> Json:
+        """The message as JSON takes it."""
+        return {"nodes": self.endpoints, "bus": self.bus_path}
+
 
 @dataclass(frozen=True, slots=True)
 class JoinBus:
@@ -60,6 +79,10 @@
 
     bus_path: str
 
+    def to_row(self) -> Json:
+        """The message as JSON takes it."""
+        return {"bus": self.bus_path}
+
 
 @dataclass(frozen=True, slots=True)
 class RoutersListening:
@@ -67,6 +90,10 @@
 
     addresses: dict[int, tuple[str, int]]
 
+    def to_row(self) -> Json:
+        """The message as JSON takes it; numbers of routers and ports are text there."""
+        return {"listens": {str(n): [host, str(port)] for n, (host, port) in self.addresses.items()}}
+
 
 @dataclass(frozen=True, slots=True)
 class RouterSeen:
@@ -75,6 +102,10 @@
     router: int
     up: bool
 
+    def to_row(self) -> Json:
+        """The message as JSON takes it."""
+        return {"router": self.router, "up": self.up}
+
 
 EnvironmentMessage = StartRun | EndRun | NodesListening | JoinBus | RoutersListening | RouterSeen
 
@@ -106,7 +137,7 @@
 
 def ready_row(details: Json) -> Json:
     """The worker is ready; a cache node worker gives its nodes' addresses."""
-    return {"ready": details}
+    return {READY: details}
 
 
 def node_addresses(endpoints: dict[str, list[str]]) -> Json:
@@ -114,6 +145,12 @@
     return {"nodes": endpoints}
 
 
+def endpoints_of_ready(details: Json) -> dict[str, list[str]]:
+    """The nodes' addresses of the details that `node_addresses` makes."""
+    endpoints: dict[str, list[str]] = details["nodes"]
+    return endpoints
+
+
 @dataclass(frozen=True, slots=True)
 class RouterSources:
     """What one router is configured with: its sources of the endpoint list and its peers' addresses."""
@@ -134,17 +171,17 @@
 def sources_row(sources: list[RouterSources]) -> Json:
     """The shared services serve: the sources of all routers, in their order."""
     agents = [source.to_agent_row() for source in sources]
-    return {"lists": {"agents": agents, "peers": [source.peers for source in sources]}}
+    return {SOURCES: {"agents": agents, "peers": [source.peers for source in sources]}}
 
 
 def clients_done_row() -> Json:
     """All of a client worker's requests have come to an end."""
-    return {"over": True}
+    return {CLIENTS_DONE: True}
 
 
 def ended_row() -> Json:
     """The worker's record is written."""
-    return {"ended": True}
+    return {ENDED: True}
 
 
 # among workers, over the bus
--- a/rainhitch/rehearsal/router_faults.py
+++ b/rainhitch/rehearsal/router_faults.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from rainhitch import system
+from rainhitch.rehearsal.fakes.worker_messages import RouterSeen
 from rainhitch.rehearsal.plan_model import (
     MICROSECONDS_PER_SECOND,
     NANOSECONDS_PER_MICROSECOND,
@@ -103,7 +104,7 @@
             self._tell_clients(router.number, is_up=True)
 
     def _tell_clients(self, number: int, is_up: bool) -> None:
-        """Tells all clients' processes that a router is up or down."""
+        """Tells all clients' processes that the front end takes a router to be up or down."""
         for worker in self.workers:
             if worker.role.startswith("clients"):
-                worker.send({"router": number, "up": is_up})
+                worker.send(RouterSeen(number, is_up).to_row())
--- a/rainhitch/rehearsal/worker_process.py
+++ b/rainhitch/rehearsal/worker_process.py
@@ -8,9 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-import orjson
-
 from rainhitch.rehearsal.errors import RehearsalError
+from rainhitch.rehearsal.fakes.worker_messages import from_line, to_line
 
 Json = dict[str, Any]
 READY_WITHIN_S = 60.0
@@ -51,7 +50,7 @@
     def send(self, message: Json) -> None:
         """Sends it a message."""
         assert self.process is not None and self.process.stdin is not None
-        self.process.stdin.write(orjson.dumps(message) + b"\n")
+        self.process.stdin.write(to_line(message))
 
     async def receive(self, key: str, within: float = READY_WITHIN_S) -> Any:
         """Waits for the next message with this key, for so many seconds, and gives the value.
@@ -63,7 +62,7 @@
         try:
             async with asyncio.timeout(within):
                 while line := await self.process.stdout.readline():
-                    message = orjson.loads(line)
+                    message = from_line(line)
                     if key in message:
                         return message[key]
         except TimeoutError:
