--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -116,9 +116,9 @@
         apart_s = scenario.day.length_s + APART_AFTER_S
         scenario.faults.append(Fault("routers-apart", 0.0, apart_s, group=half))
     with tempfile.TemporaryDirectory() as folder:
-        made = run_virtual_scenario(scenario, case.kind, seed, logs=Path(folder))
-        broken_rules = sum(made["rules"].values())
-        return RunResult(made["service"], broken_rules, sum_folder(Path(folder)).whole)
+        report_rows = run_virtual_scenario(scenario, case.kind, seed, logs=Path(folder))
+        broken_rules = sum(report_rows["rules"].values())
+        return RunResult(report_rows["service"], broken_rules, sum_folder(Path(folder)).whole)
 
 
 def rejected_within_quota(records: RecordSum) -> int:
--- a/benchmarks/kit_lateness.py
+++ b/benchmarks/kit_lateness.py
@@ -35,9 +35,9 @@
     return replace(quiet, fleet=fleet, traffic=traffic, database=database, day=day)
 
 
-def lateness_cells(rate_per_s: float, scenario: Scenario, made: Json) -> list[str]:
+def lateness_cells(rate_per_s: float, scenario: Scenario, report_rows: Json) -> list[str]:
     """A row of the table on lateness, from a run's report."""
-    late = made["rig_late"]
+    late = report_rows["rig_late"]
     return [
         f"{rate_per_s:g}",
         str(sum(one.count for one in scenario.fleet.nodes)),
@@ -46,7 +46,7 @@
         f"{late['arrivals_max_ms']} ms",
         f"{late['longest_stall_ms']} ms",
         f"{late['stalled_share']:.2%}",
-        f"{made['service']:.4f} {'void' if late['void'] else ''}",
+        f"{report_rows['service']:.4f} {'void' if late['void'] else ''}",
     ]
 
 
@@ -67,15 +67,15 @@
     )
     for rate_per_s, multiple in RATES_AND_SIZES:
         scenario = scaled_scenario(rate_per_s, multiple)
-        made = await runner.run_scenario(scenario, "rig", 1, runner.rainhitch_command())
-        print_row(lateness_cells(rate_per_s, scenario, made))
+        report_rows = await runner.run_scenario(scenario, "rig", 1, runner.rainhitch_command())
+        print_row(lateness_cells(rate_per_s, scenario, report_rows))
     for name in SPREAD_SCENARIOS:
         scenario = read_scenario(shipped()[name])
         plain = await runner.run_scenario(scenario, name, 1, runner.plain_router_command())
         services = []
         for _ in range(repeats):
-            made = await runner.run_scenario(scenario, name, 1, runner.rainhitch_command())
-            services.append(float(made["service"]))
+            report_rows = await runner.run_scenario(scenario, name, 1, runner.rainhitch_command())
+            services.append(float(report_rows["service"]))
         shown = ", ".join(f"{one:.4f}" for one in services)
         spread = max(services) - min(services)
         begin = f"{name}, {repeats} plays of seed 1: {shown}; spread {spread:.4f}"
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -48,22 +48,25 @@
         async with self.free:
             for _ in range(MAX_RUNS):
                 scenario = read_scenario(shipped()[name])
-                made = await runner.run_scenario(scenario, name, seed, ROUTERS[router])
-                if made["exit"] != verdict.VOID:
+                report_rows = await runner.run_scenario(scenario, name, seed, ROUTERS[router])
+                if report_rows["exit"] != verdict.VOID:
                     break
                 self.void_runs += 1
-        broken = {rule: count for rule, count in made["rules"].items() if count}
-        print(f"{name} {seed} {router}: {made['service']:.4f} {made['score']:.4f} {broken or ''}", flush=True)
+        broken = {rule: count for rule, count in report_rows["rules"].items() if count}
+        print(
+            f"{name} {seed} {router}: {report_rows['service']:.4f} {report_rows['score']:.4f} {broken or ''}",
+            flush=True,
+        )
         return {
-            **{key: made[key] for key in KEPT_FIGURES},
+            **{key: report_rows[key] for key in KEPT_FIGURES},
             "scenario": name,
             "seed": seed,
             "router": router,
-            "exit": made["exit"],
-            "rig_late": made["rig_late"],
+            "exit": report_rows["exit"],
+            "rig_late": report_rows["rig_late"],
             "breaches": [
                 f"{one['at_s']} {one['rule']} {one['request']} {one['node']} {one['what']}"
-                for one in made["breaches"][:MAX_BREACHES_KEPT]
+                for one in report_rows["breaches"][:MAX_BREACHES_KEPT]
             ],
         }
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -181,8 +181,8 @@
 
 def report_figures(name: str, evidence: Evidence) -> Json:
     """The figures of a run's report that benchmarks show or keep."""
-    made = report.build(name, evidence.scenario, evidence.plan, evidence.records)
-    return {key: made[key] for key in ("service", "rules", "exit", "database_stops", "rig_late")}
+    report_rows = report.build(name, evidence.scenario, evidence.plan, evidence.records)
+    return {key: report_rows[key] for key in ("service", "rules", "exit", "database_stops", "rig_late")}
 
 
 # one router's decisions
