--- a/rainhitch/rehearsal/environment.py
+++ b/rainhitch/rehearsal/environment.py
@@ -155,11 +155,7 @@
         for worker in nodes:
             worker.send(messages.JoinBus(bus_path).to_row())
         await self._start_routers(sources["agents"], sources["peers"])
-        peer_addresses = {}
-        for number, router in enumerate(self.routers):
-            host, _, port = router.config["peer_listen"].rpartition(":")
-            peer_addresses[number] = (host, int(port))
-        shared_services.send(messages.RoutersListening(peer_addresses).to_row())
+        shared_services.send(_routers_listening(self.routers).to_row())
         self._write_json("addresses.json", [router.address for router in self.routers])
 
     async def _start_routers(self, agents: list[Json], peers: list[list[str]]) -> None:
@@ -248,3 +244,12 @@
             for router in self.routers
         ]
         return records
+
+
+def _routers_listening(routers: list[RouterProcess]) -> messages.RoutersListening:
+    """Where the routers listen for datagrams, by their configuration."""
+    addresses = {}
+    for number, router in enumerate(routers):
+        host, _, port = router.config["peer_listen"].rpartition(":")
+        addresses[number] = (host, int(port))
+    return messages.RoutersListening(addresses)
