--- a/rainhitch/rehearsal/virtual/listener.py
+++ b/rainhitch/rehearsal/virtual/listener.py
@@ -176,7 +176,7 @@
 
 
 class VirtualListenPoint:
-    """A fake's listening address that can refuse, hang, and accept again (`fakes/link.py` `ListenPoint`)."""
+    """A fake's listening address that can refuse, hang, and accept again (`fakes/loop_with_network.py`)."""
 
     def __init__(self, listener: VirtualListeningSocket, make_protocol: Callable[[], Any]) -> None:
         self.listener = listener
--- a/rainhitch/rehearsal/virtual/transport.py
+++ b/rainhitch/rehearsal/virtual/transport.py
@@ -218,10 +218,7 @@
             self.loop.call_soon(self._deliver, context=self.context)
 
     def _deliver(self) -> None:
-        """Gives the protocol what has come: data, the end of the stream, or the loss.
-
-        `costs.callback_kind` goes by this method's name: renaming it changes its cost.
-        """
+        """Gives the protocol data, end or loss. `costs.callback_kind` goes by this name, not another."""
         self.read_scheduled = False
         if self.reading_paused or self.state is not OPEN or self.protocol is None:
             return
