--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -1,12 +1,13 @@
-"""The contract of the decisions (`policy/`): settings, events in, actions out, and overload control.
+"""Interface of the decision logic (`policy/`): settings, input events, output actions and overload control.
 
-Whoever hosts a router, on sockets or in a simulator, passes events in and carries out the actions.
-Durations and times are integer nanoseconds; times are monotonic, on the clock that is passed in with events.
-Servers, requests and keys are opaque texts; classes, tenants, zones, cells and kinds are indexes.
+The host of a router, a socket server or a simulator, passes events in and carries out the returned actions.
+Durations and times are integer nanoseconds. Times are monotonic, on the clock that is passed in with events.
+Servers, requests and keys are opaque strings; classes, tenants, zones, cells and kinds are indexes.
 
-Four rules: (1) each request gets exactly one final answer in its client's time, with one attempt at a time;
-(2) an attempt that may have been executed is repeated only where that does no harm; (3) nothing new goes to a
-server that drains; (4) no server in slow start, and no origin, gets more than it can take.
+Four rules: (1) each request gets exactly one final answer by its deadline, with one attempt at a time;
+(2) an attempt that may have been executed is repeated only where a second execution does no harm; (3) a
+draining server gets no new requests; (4) neither a server in slow start nor the origin gets more load than it
+can handle.
 """
 
 from dataclasses import dataclass, field
@@ -14,33 +15,34 @@
 from typing import Protocol
 
 Address = tuple[str, int]  # host, port
-DEFAULT_MIGRATION_FRACTION = 0.25  # of the origin's other requests, for keys that move to another server
+# Reads that migrate keys to another server, as a fraction of all other requests to the origin.
+DEFAULT_MIGRATION_FRACTION = 0.25
 
 
 class Idempotency(StrEnum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request twice."""
 
-    IDEMPOTENT = "idempotent"  # nothing
-    IDEMPOTENCY_KEY = "idempotency_key"  # nothing, where the server still knows the key of the first
-    NOT_IDEMPOTENT = "not_idempotent"  # harm
+    IDEMPOTENT = "idempotent"  # a second execution has no effect
+    IDEMPOTENCY_KEY = "idempotency_key"  # no effect while the server remembers the request's idempotency key
+    NOT_IDEMPOTENT = "not_idempotent"  # a second execution does harm
 
 
 class AttemptStatus(StrEnum):
-    """How an attempt at a server ended. The values stand in records and datagrams."""
+    """The outcome of an attempt at a server. The values are written to records and datagrams."""
 
-    OK = "ok"  # it was answered
-    ERROR = "error"  # the server answered that it failed
-    FULL = "full"  # the server rejected it: its queue or its connection table is full
-    TIMEOUT = "timeout"  # no answer within the attempt's timeout, or cancelled since its answer is lost
-    CONNECT_FAILED = "connect_failed"  # no connection came up
-    RESET = "reset"  # the connection broke
-    CANCELLED = "cancelled"  # given up, and perhaps executed; only the simulator reports it
-    ABANDONED = "moot"  # given up before it was written
-    MISS = "miss"  # the server lacks the key
-    NO_LOCAL_CONNECTION = "room"  # the router itself could open no more connections
+    OK = "ok"  # the server answered
+    ERROR = "error"  # the server answered with an error
+    FULL = "full"  # the server rejected the attempt: its queue or its connection table is full
+    TIMEOUT = "timeout"  # no answer within the attempt's timeout, or cancelled because the answer is lost
+    CONNECT_FAILED = "connect_failed"  # the connection could not be established
+    RESET = "reset"  # the connection broke during the attempt
+    CANCELLED = "cancelled"  # cancelled, and possibly executed; only the simulator reports it
+    ABANDONED = "moot"  # cancelled before it was written to a connection
+    MISS = "miss"  # the server does not hold the key
+    NO_LOCAL_CONNECTION = "room"  # this router has reached its own limit of connections
 
 
-# After these ends an attempt has certainly not been executed.
+# With these outcomes an attempt has certainly not been executed.
 NEVER_EXECUTED = frozenset(
     (
         AttemptStatus.FULL,
@@ -53,54 +55,60 @@
 
 
 class RejectReason(StrEnum):
-    """Which decision ended a request unserved, by `Reject` or `Fail`; also why an attempt may not start.
+    """The decision that ended a request unserved, by `Reject` or `Fail`, or that prevented an attempt.
 
-    The values stand in records. A time limit ends a request that waits; its reason is what it waited for.
+    The values are written to records. If a waiting request runs out of time, its reason names what it waited
+    for.
     """
 
-    # When it arrived
-    OVERLOAD_CONTROL = "storm"  # in a retry storm, too much or too late; always, too many idempotency keys
-    IDEMPOTENCY_KEY = "order"  # an earlier request of its key was not over in time, or may have been executed
-    # On its way to the origin
-    NO_TOKEN = "throttle"  # the origin's throttle is on: no token within its objective, or over its quota
-    WAIT_FOR_TOKEN = "buffer"  # it waited for a token until the end of its latency objective
-    READ_OF_ANOTHER_REQUEST = "fetch"  # it waited for another request's read of its key until then
-    # Before an attempt
-    NO_SERVER_WITH_CAPACITY = "placement"  # no cache server that may hold its key has capacity
-    ORIGIN_UNAVAILABLE = "origin"  # the origin is not listed, has no capacity, or has failed the request
-    NO_MORE_ATTEMPTS = "attempts"  # max_attempts, too little time, or a repeat might do harm
-    FLEET_READ_ALLOWANCE = "total"  # all routers together may send the origin no more reads now
+    # Decided on arrival.
+    # Rejected during a retry storm, as excess load or as too late; or, at any time, the limit of idempotency
+    # keys is reached.
+    OVERLOAD_CONTROL = "storm"
+    # An earlier request with the same idempotency key did not end in time, or may have been executed.
+    IDEMPOTENCY_KEY = "order"
+    # Decided at admission to the origin.
+    # The origin's throttle is on, and no token comes within the latency objective, or the request is over its
+    # tenant's quota.
+    NO_TOKEN = "throttle"
+    WAIT_FOR_TOKEN = "buffer"  # waited for a token until the end of the latency objective
+    READ_OF_ANOTHER_REQUEST = "fetch"  # waited that long for another request's read of the same key
+    # Decided before an attempt.
+    NO_SERVER_WITH_CAPACITY = "placement"  # no cache server that may hold the key has capacity
+    ORIGIN_UNAVAILABLE = "origin"  # the origin is not listed, has no capacity, or failed the request
+    NO_MORE_ATTEMPTS = "attempts"  # max_attempts reached, too little time left, or a repeat might do harm
+    FLEET_READ_ALLOWANCE = "total"  # all routers together have used up their allowance of origin reads
     RETRY_BUDGET = "budget"  # the retry budget is used up
-    # After an attempt that failed
-    OBJECTIVE_PASSED = "late"  # its latency objective is over, and a later answer is worth nothing
-    CACHE_FAILED = "error"  # a cache that reads the origin itself failed to
-    SERVER_FULL = "full"  # a second server was full, or the first one for work over its quota
-    NO_LOCAL_CONNECTION = "room"  # this router can open no more connections to servers
+    # Decided after a failed attempt.
+    OBJECTIVE_PASSED = "late"  # the latency objective has passed, and a later answer is worth nothing
+    CACHE_FAILED = "error"  # a cache that reads the origin itself failed to read it
+    SERVER_FULL = "full"  # a second server was full, or the first one for a request over its tenant's quota
+    NO_LOCAL_CONNECTION = "room"  # this router has reached its own limit of connections
 
 
-# How a cache server came by its answer, as far as it tells; the numbers are the wire's.
+# How a cache server obtained its answer, if it reports that. The numbers are those of the wire format.
 NOTE_NONE = 0
 NOTE_HIT = 1
-NOTE_MISS = 2  # it did not hold the key; where caches read the origin, it has read it there
-NOTE_MISS_PENDING = 3  # it did not hold the key either, and another request's read of it is under way
+NOTE_MISS = 2  # the server did not hold the key; where caches read the origin, it read the key there
+NOTE_MISS_PENDING = 3  # the server did not hold the key, and another request's read of it is in progress
 
 
 class EndpointState(StrEnum):
-    """What the endpoint list says of a server."""
+    """The state of a server on the endpoint list."""
 
     READY = "ready"
-    RETIRING = "retiring"  # is to go: owns no keys, and is still read for what it holds
+    RETIRING = "retiring"  # about to be removed: owns no keys, but is still read for the keys it holds
     DRAINING = "draining"  # gets no new requests
     GONE = "gone"
 
 
 class EndpointUpdateKind(StrEnum):
-    """What an EndpointUpdate carries."""
+    """The contents of an EndpointUpdate."""
 
     DELTA = "delta"  # the entries that changed
     FULL = "full"  # all entries
-    CACHED = "cached"  # all entries, as they were known before a restart
-    FAILED = "failed"  # none: the list was not to be had
+    CACHED = "cached"  # all entries, from the copy saved before a restart
+    FAILED = "failed"  # no entries: the list could not be read
 
 
 # Settings
@@ -108,46 +116,48 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests."""
+    """A class of requests."""
 
-    latency_objective_ns: int  # an answer within it has its full worth
-    deadline_ns: int  # after its arrival; there is no answer later
+    latency_objective_ns: int  # after the request's arrival; an answer within it has its full value
+    deadline_ns: int  # after the request's arrival; no answer is given later
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: str = "all"  # who knows a repeat by its key: "all" servers, or those of its "zone" or "cell"
-    dedup_window_ns: int = 0  # for how long after the first attempt
-    priority_weight: float = 1.0  # the worth of an answer within the objective; no decision reads it
-    late_weight: float = 0.0  # the fraction of that worth that a later answer has
-    is_relayed: bool = False  # its answer is relayed as it comes
+    # Servers that recognize a repeat by its idempotency key: "all", or those of the same "zone" or "cell".
+    dedup_scope: str = "all"
+    dedup_window_ns: int = 0  # how long after the first attempt servers recognize a repeat
+    priority_weight: float = 1.0  # value of an answer within the objective; not used in decisions
+    late_weight: float = 0.0  # value of a later answer, as a fraction of `priority_weight`
+    is_relayed: bool = False  # the answer is relayed to the client while it is received
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One customer and what it may send to all routers together."""
+    """A tenant and its quota over all routers together."""
 
-    quota_per_s: float = 0.0  # requests; 0: no quota
+    quota_per_s: float = 0.0  # requests per second; 0: no quota
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a router is given when it starts."""
+    """Settings of a router, fixed at its start."""
 
     classes: list[RequestClass]
-    router_count: int = 1  # routers in the fleet, with this one
+    router_count: int = 1  # routers in the fleet, including this one
     tenants: list[Tenant] = field(default_factory=list)
-    cache_aside: bool = False  # true: the router itself reads the origin after a miss; false: the caches do
-    origin_kind: int = -1  # the `Endpoint.kind` of the origin; -1: there is none
-    endpoints_polled: bool = False  # the endpoint list comes only on request
-    retry_after_allowed: bool = False  # rejected clients may be told when to come again
+    cache_aside: bool = False  # true: the router reads the origin after a miss; false: the cache servers do
+    origin_kind: int = -1  # `Endpoint.kind` of the origin; -1: there is no origin
+    endpoints_polled: bool = False  # the endpoint list is sent only on request
+    retry_after_allowed: bool = False  # rejections may tell clients when to retry
     max_retry_after_ns: int = 0
-    max_attempts: int = 1  # of one request
+    max_attempts: int = 1  # per request
     connect_timeout_ns: int = 250_000_000
-    max_poll_retry_ns: int = 10_000_000_000  # longest wait before an unavailable list is asked for again
-    slow_start_initial_fraction: float = 1.0  # of its capacity that a server has when it starts
-    slow_start_ns: int = 0  # from a server's start to its full capacity
-    slow_start_overload_factor: float = 1.0  # at which a starting server collapses; no decision reads it
-    slow_start_window_ns: int = 1_000_000_000  # over which that load is averaged
-    gossip_interval_ns: int = 0  # between reports to the other routers; 0: none are sent
-    migration_fraction: float = DEFAULT_MIGRATION_FRACTION  # below 0: keys move at once
+    max_poll_retry_ns: int = 10_000_000_000  # longest wait before an unavailable list is polled again
+    slow_start_initial_fraction: float = 1.0  # fraction of a server's capacity that it has at its start
+    slow_start_ns: int = 0  # time from a server's start to its full capacity
+    # Load, relative to its capacity, at which a server in slow start collapses; not used in decisions.
+    slow_start_overload_factor: float = 1.0
+    slow_start_window_ns: int = 1_000_000_000  # window over which that load is averaged
+    gossip_interval_ns: int = 0  # time between reports to the other routers; 0: no gossip
+    migration_fraction: float = DEFAULT_MIGRATION_FRACTION  # below 0: keys migrate at once
 
 
 # Events
@@ -155,20 +165,20 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One entry of the endpoint list."""
+    """An entry of the endpoint list."""
 
     server: str
     state: EndpointState = EndpointState.READY
     kind: int = 0
     zone: int = 0
     cell: int = 0
-    started_at_ns: int = 0  # its latest start, on the clock of the events; 0: long ago
-    weight: float = 1.0  # its capacity, relative to the others
+    started_at_ns: int = 0  # latest start, on the clock of the events; 0: long ago
+    weight: float = 1.0  # capacity relative to the other endpoints
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """The endpoint list has changed, or could not be read."""
+    """A change of the endpoint list, or a failure to read it."""
 
     kind: EndpointUpdateKind
     entries: list[Endpoint]
@@ -176,99 +186,98 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request, to be given exactly one final answer by its deadline."""
+    """A client's request, which needs exactly one final answer by its deadline."""
 
     id: str
     class_index: int
-    deadline_ns: int  # a time
-    key: str | None = None  # None: any server will do
+    deadline_ns: int  # point in time, not a duration
+    key: str | None = None  # None: any server can serve the request
     is_write: bool = False
     tenant: int = 0
-    is_client_retry: bool = False  # the client marks it as a retry of its own
+    is_client_retry: bool = False  # the client marked the request as a retry
     idempotency_key: str = ""  # "": none
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """A server's own report of its load, late and noisy; a field that it does not report is negative.
+    """A server's report of its own load, delayed and noisy; a field that it does not report is negative.
 
-    Decisions read `in_flight`, `latency_ms` and `served_per_s`.
+    Decisions use `in_flight`, `latency_ms` and `served_per_s` only.
     """
 
-    in_flight: float = -1.0  # requests it holds
-    queued: float = -1.0  # requests that wait there
-    utilization: float = -1.0  # fraction of its cores in use
-    latency_ms: float = -1.0  # recent service time, without waiting
-    served_per_s: float = -1.0  # requests
+    in_flight: float = -1.0  # requests received and not answered yet
+    queued: float = -1.0  # requests waiting in the server's queue
+    utilization: float = -1.0  # fraction of the cores in use
+    latency_ms: float = -1.0  # recent service time, without time in the queue
+    served_per_s: float = -1.0  # requests per second
     errors_per_s: float = -1.0
 
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended."""
+    """The end of an attempt."""
 
     id: str  # of the request
-    attempt: int  # its number in the request, from 0
+    attempt: int  # number of the attempt within its request, from 0
     server: str
     status: AttemptStatus
-    request_finished: (
-        bool  # nothing more is owed to the client: its final answer is given or begun, or it left
-    )
+    # No further answer is due: the final answer has been sent or begun, or the client has disconnected.
+    request_finished: bool
     elapsed_ns: int  # since the attempt started
-    answer_note: int = NOTE_NONE  # how the server came by its answer: one of NOTE_...
+    answer_note: int = NOTE_NONE  # how the server obtained its answer: one of NOTE_...
     load: LoadReport | None = None
-    connection_reused: bool | None = None  # the connection had carried others before; None: not known
+    connection_reused: bool | None = None  # the connection had carried earlier attempts; None: not known
 
 
 @dataclass(slots=True)
 class LatencyObservation:
-    """What a router saw of a server: the time of an answer, or for how long an attempt is in flight."""
+    """A latency that a router observed at a server, or the age of an attempt that is still in flight."""
 
     server: str
     elapsed_ns: int
-    is_in_flight: bool = False  # there is no answer yet
+    is_in_flight: bool = False  # the attempt has not been answered yet
 
 
 @dataclass(slots=True)
 class GossipReceived:
-    """Another router's observations of servers; they may come late, or never."""
+    """Another router's observations of servers; delivery may be delayed or fail."""
 
     observations: list[LatencyObservation]
 
 
 @dataclass(slots=True)
 class TrafficFractions:
-    """This router's fraction of the traffic that all routers receive, as their counts give it."""
+    """This router's fraction of the traffic of all routers, from the counts that the routers exchange."""
 
-    by_tenant: list[float]  # 0 to 1 each; a single value holds for all tenants
+    by_tenant: list[float]  # 0 to 1 each; a single value applies to all tenants
     valid_for_ns: int
 
 
 @dataclass(slots=True)
 class GossipIntervalElapsed:
-    """The gossip interval is over: what was observed in it is to be published."""
+    """The end of a gossip interval, at which the observations made in it are published."""
 
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client has left; its request needs no answer any more."""
+    """The disconnection of a client, whose request needs no answer any more."""
 
     id: str  # of the request
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was asked for with SetTimer is due."""
+    """The expiry of a timer that was set with SetTimer."""
 
     token: str
 
 
 @dataclass(slots=True)
 class KeysInvalidated:
-    """A server no longer holds these keys."""
+    """Keys that a server no longer holds."""
 
     server: str
-    keys: list[str] | None  # None: it holds none at all
+    keys: list[str] | None  # None: the server holds no keys at all
 
 
 Event = (
@@ -289,18 +298,19 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send a request to a server."""
+    """Send a request to a server once."""
 
     id: str  # of the request
     server: str
-    timeout_ns: int = 0  # 0: until the client gives up
-    # It is written whole within so long or never, since a repeat after that may do harm; 0: no such limit.
+    timeout_ns: int = 0  # 0: no timeout; the attempt runs until the client gives up
+    # The request is written completely within this time or not at all, because a repeat after that may do
+    # harm; 0: no such limit.
     write_within_ns: int = 0
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """End this attempt if it is in flight, as if its timeout were over."""
+    """End an attempt, if it is in flight, as if its timeout had expired."""
 
     id: str  # of the request
     attempt: int
@@ -308,17 +318,17 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not done, and trying again does no harm."""
+    """Final answer: not served, and sending the request again does no harm."""
 
     id: str  # of the request
-    retry_after_ns: int = 0  # when the client should come again; 0: it is not told
-    # A RejectReason's value, for records; a "+" behind it marks work over its tenant's quota.
+    retry_after_ns: int = 0  # after which the client should retry; 0: the client is not told
+    # Value of a RejectReason, for records; a "+" after it marks a request over its tenant's quota.
     reason: str = field(default="", compare=False)
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, and perhaps executed."""
+    """Final answer: failed, and possibly executed."""
 
     id: str  # of the request
     reason: str = field(default="", compare=False)  # as in Reject
@@ -326,7 +336,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired with this token after a delay."""
+    """Request a TimerFired event with this token after a delay."""
 
     delay_ns: int
     token: str
@@ -334,19 +344,19 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask for the endpoint list, and for its changes."""
+    """Request the endpoint list and its changes."""
 
 
 @dataclass(slots=True)
 class LogLine:
-    """A line for the operators."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(slots=True)
 class PublishGossip:
-    """Send the other routers what was observed since the last time: once an interval, even if nothing."""
+    """Send the other routers the observations since the last report, once per interval, even if empty."""
 
     observations: list[LatencyObservation]
 
@@ -358,43 +368,49 @@
 
 
 class AdmissionDecision(Enum):
-    """What becomes of a request that has just arrived."""
+    """The decision on a request that has just arrived."""
 
     ADMIT = "admit"
-    QUEUE = "wait"  # an earlier request with the same idempotency key is not over
+    QUEUE = "wait"  # an earlier request with the same idempotency key has not ended
     REJECT = "refuse"
 
 
 class OverloadControl(Protocol):
-    """What the decisions ask and report on retry storms and shared idempotency keys; `overload/` has it."""
+    """Protection against retry storms, and tracking of idempotency keys; implemented in `overload/`."""
 
-    period_ns: int  # between two calls of `step`; 0: it is never called
+    period_ns: int  # time between calls of `step`; 0: `step` is never called
 
     def admit(self, now_ns: int, request: Request, over_quota: bool) -> AdmissionDecision:
-        """Whether a request that has arrived is admitted; `over_quota`: it is beyond its tenant's."""
+        """Decides on a request that has arrived; `over_quota`: it exceeds its tenant's quota."""
 
     def earlier_attempts(self, request: Request) -> list[tuple[int, Endpoint]]:
-        """When (ns) and where attempts of other requests with the same key may have been executed."""
+        """Returns the send times (ns) and endpoints of possibly executed attempts.
+
+        They are those of other requests with the same idempotency key.
+        """
 
     def take_retry_budget(self, now_ns: int, is_retry: bool) -> bool:
-        """Whether the retry budget allows an attempt, and takes from it. `is_retry`: one failed before."""
+        """Takes an attempt from the retry budget; returns whether the budget allows it.
+
+        `is_retry`: an earlier attempt of the request failed.
+        """
 
     def attempt_started(
         self, now_ns: int, request_id: str, number: int, endpoint: Endpoint, dedup_window_ns: int
     ) -> None:
-        """An attempt has started; its server recognizes a repeat for `dedup_window_ns`."""
+        """Records the start of an attempt; its server recognizes a repeat for `dedup_window_ns`."""
 
     def attempt_finished(self, now_ns: int, event: AttemptFinished) -> str:
-        """An attempt has ended; returns the id of the queued request that may begin now, "" for none."""
+        """Records the end of an attempt; returns the id of the queued request that may begin now, or ""."""
 
     def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
-        """A request has ended here; returns the id of the queued request that may begin now, "" for none."""
+        """Records the end of a request; returns the id of the queued request that may begin now, or ""."""
 
     def retry_after_ns(self, now_ns: int, request: Request) -> int:
-        """After how long a rejected request should come again; 0 where clients may not be told."""
+        """Returns after how long a rejected request should be retried; 0 if clients may not be told."""
 
     def timer_delayed(self, delay_ns: int) -> None:
-        """The router's timer fired so long after its time."""
+        """Records by how much the router's timer fired late."""
 
     def step(self, now_ns: int) -> str:
-        """Called once a period; returns a line to log, or ""."""
+        """Runs once per `period_ns`; returns a line to log, or ""."""
