--- a/rainhitch/policy/__init__.py
+++ b/rainhitch/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on a request. Its settings, events and actions: rainhitch/interface.py."""
+"""Decision logic for requests; rainhitch/interface.py defines its settings, events and actions."""
