--- a/rainhitch/policy/attempt_admission.py
+++ b/rainhitch/policy/attempt_admission.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may start, at a server that was chosen for it."""
+"""Admission of attempts: the last checks before an attempt starts at the chosen server."""
 
 from collections.abc import Callable
 
@@ -9,23 +9,24 @@
 from rainhitch.policy.placement import SLOW_ANSWER_FRACTION
 from rainhitch.policy.server import Server
 
-NO_CROWD_LIMIT = 1 << 20  # times its uncrowded answer time: more than any server reaches
+NO_CROWD_LIMIT = 1 << 20  # a multiple of the unloaded latency that no server reaches
 
 
 class AttemptAdmission:
-    """Asks each limit that an attempt is under."""
+    """Checks the limits that apply to an attempt, in a fixed order."""
 
     def __init__(self, context: DecisionContext, overload_control: api.OverloadControl) -> None:
-        """Takes overload control, which holds the retry budget."""
+        """Initializes the checks; `overload_control` keeps the retry budget."""
         self.context = context
         self.overload_control = overload_control
-        # Takes one read, at a time (ns), from what all routers together may send the origin; None: no limit.
+        # Called with the time (ns); takes one read from the allowance that all routers share for the origin,
+        # and returns whether there was one. None: no limit.
         self.fleet_read_allowance: Callable[[int], bool] | None = None
 
     def admit_or_reason(self, pending: PendingRequest, server: Server | None) -> api.RejectReason | None:
-        """Admits an attempt at this server: None, or the reason why it may not start.
+        """Returns None if the attempt may start at this server, else the reason why it may not.
 
-        The limits are asked in this order, and the last two take from an allowance only if they allow it.
+        The last two checks consume from an allowance, so they come after all others.
         """
         now_ns = self.context.now_ns
         settings = self.context.settings
@@ -45,7 +46,10 @@
         return None
 
     def _origin_has_capacity(self, pending: PendingRequest, origin: Server) -> bool:
-        """Guards against work that keeps a crowded origin crowded, by the rule for cache servers."""
+        """Returns whether the origin is not overloaded for this request, by the rule for cache servers.
+
+        Without this check, new requests would keep an overloaded origin overloaded.
+        """
         limit_ns = pending.request_class.latency_objective_ns * SLOW_ANSWER_FRACTION
         routers = self.context.settings.router_count
         return origin.admits_or_starts_probe(self.context.now_ns, limit_ns, NO_CROWD_LIMIT, routers, routers)
