--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -1,4 +1,4 @@
-"""What this router learns of servers and zones from how its own attempts end."""
+"""Updates the state of servers and zones from the outcomes of this router's own attempts."""
 
 from rainhitch import interface as api
 from rainhitch.policy.connection_health import CONNECTION_FAILURES, PROCESS_ANSWERED
@@ -8,8 +8,8 @@
 from rainhitch.policy.server import INITIAL_LATENCY_DIVISOR, Server, ServerList
 from rainhitch.policy.zone_reachability import ZoneReachability
 
-MAX_REFUSED_CONNECTS_FRACTION = 1 / 2  # of the latest connects; above it, connection tables are full
-MIN_RESTART_DOWN_NS = SECOND  # a server that was down for less was not started anew meanwhile
+MAX_REFUSED_CONNECTS_FRACTION = 1 / 2  # above this fraction of recent connects, connection tables are full
+MIN_RESTART_DOWN_NS = SECOND  # a server that was down for a shorter time is not taken for restarted
 
 ANSWERED = (api.AttemptStatus.OK, api.AttemptStatus.MISS)
 ZONE_ANSWERED = (api.AttemptStatus.OK, api.AttemptStatus.MISS, api.AttemptStatus.ERROR)
@@ -17,7 +17,7 @@
 
 
 class AttemptObservations:
-    """Takes the end of each attempt into what is known of its server, by concern, and of its zone."""
+    """Records the outcome of each attempt in the state of its server and of that server's zone."""
 
     def __init__(
         self,
@@ -27,40 +27,40 @@
         gossip: GossipObservations,
         span_ns: int,
     ) -> None:
-        """`span_ns` is the time that an average of answer times covers."""
+        """Initializes the averages; `span_ns` is the averaging window of latencies."""
         self.context = context
         self.server_list = server_list
         self.zones = zones
         self.gossip = gossip
         self.span_ns = span_ns
-        # Moving average of answer times over all cache servers.
+        # Moving average of latencies over all cache servers.
         self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCY_DIVISOR
-        self.refused_connects = 0.0  # moving average: the fraction of new connects that were refused at once
+        self.refused_connects = 0.0  # moving average: fraction of new connects that were refused at once
 
     def are_connection_tables_full(self) -> bool:
-        """Whether most new connects are refused at once: the servers' connection tables are full."""
+        """Returns whether most new connects are refused at once, as with full connection tables."""
         return self.refused_connects > MAX_REFUSED_CONNECTS_FRACTION
 
     def attempt_finished(self, event: api.AttemptFinished) -> None:
-        """Learns from how an attempt ended."""
+        """Records the outcome of an attempt."""
         self.gossip.in_flight.pop((event.id, event.attempt), None)
         server = self.server_list.servers.get(event.server)
         if server is None:
             return
         server.in_flight = max(0, server.in_flight - 1)
         if event.status is api.AttemptStatus.NO_LOCAL_CONNECTION:
-            return  # it tells nothing of the server
+            return  # the attempt never reached the server
         is_reachable = server is self.server_list.origin or self._record_zone(server, event)
         server.load.record_report(self.context.now_ns, event.load)
-        # Guards against a full connection table taken for a full queue: a rejection on a connection that was
-        # just opened tells nothing of the server's load.
+        # A rejection on a connection that was just opened may come from a full connection table, so it says
+        # nothing about the server's load. Otherwise the server's queue is full.
         is_full = event.status is api.AttemptStatus.FULL
         is_table_full = is_full and event.connection_reused is False
         self._record_connection(server, event, is_table_full)
         self._record_latency(server, event, is_full and not is_table_full, is_reachable)
 
     def _record_zone(self, server: Server, event: api.AttemptFinished) -> bool:
-        """Learns from an attempt's end about its server's zone; gives whether that is reachable."""
+        """Updates the reachability of the server's zone; returns whether the zone is reachable."""
         zone = server.endpoint.zone
         status = event.status
         if status in ZONE_ANSWERED:
@@ -68,22 +68,22 @@
             if since_ns:
                 now_ns = self.context.now_ns
                 self._log(f"zone answers again zone={zone} after_ms={(now_ns - since_ns) // 1_000_000}")
-                # A connection that outlived it proves that the zone was cut off, and so that its servers kept
-                # running: as if they were down since just now.
+                # If a connection survived, the zone was only cut off from the network and its servers kept
+                # running, so they count as down since now and not since the zone became unreachable.
                 self._readmit_zone(zone, now_ns if event.connection_reused else since_ns)
         elif status in ZONE_FAILED and self.zones.record_failure(zone, event.server, self.context.now_ns):
             self._log(f"zone unreachable zone={zone}")
         return not self.zones.is_unreachable(zone)
 
     def _readmit_zone(self, zone: int, down_since_ns: int) -> None:
-        """A zone answers again: each of its servers is tried at once, as one that was down since then."""
+        """Ends the backoff of all servers in a zone that answers again, as down since `down_since_ns`."""
         now_ns = self.context.now_ns
         for server in self.server_list.servers.values():
             if server.endpoint.zone == zone and server is not self.server_list.origin:
                 server.connection.end_backoff(now_ns, down_since_ns)
 
     def _record_connection(self, server: Server, event: api.AttemptFinished, is_table_full: bool) -> None:
-        """Learns from an attempt's end whether connections to its server work."""
+        """Updates the connection health of the attempt's server."""
         health = server.connection
         has_failed = event.status in CONNECTION_FAILURES
         connect_timeout_ns = self.context.settings.connect_timeout_ns
@@ -101,7 +101,7 @@
             self._readmit(server, event)
 
     def _eject(self, server: Server, event: api.AttemptFinished) -> None:
-        """A server's connection has failed: it is ejected, or its backoff grows."""
+        """Ejects a server after a failed connection, or extends the backoff of an ejected one."""
         health = server.connection
         is_first = not health.consecutive_failures
         settings = self.context.settings
@@ -113,12 +113,13 @@
             )
 
     def _readmit(self, server: Server, event: api.AttemptFinished) -> None:
-        """An ejected server has answered."""
+        """Readmits an ejected server that has answered."""
         down_ns = self.context.now_ns - server.connection.down_since_ns
         server.connection.readmit()
         self._log(f"server answers again server={event.server} after_ms={down_ns // 1_000_000}")
-        # A process that died starts with cold caches, before the list tells; no connection outlives it. Where
-        # most connects are refused, a failure tells of full connection tables instead.
+        # A restarted process has a cold cache, and no connection survives its restart; the endpoint list
+        # reports the restart only later. While most connects are refused, the failure was more likely a full
+        # connection table than a restart.
         is_restart = down_ns > MIN_RESTART_DOWN_NS and not event.connection_reused
         if is_restart and not self.are_connection_tables_full():
             server.slow_start.started_at_ns = self.context.now_ns
@@ -126,7 +127,7 @@
     def _record_latency(
         self, server: Server, event: api.AttemptFinished, is_queue_full: bool, is_reachable: bool
     ) -> None:
-        """Learns from an attempt's end how fast its server answers, and what part of its range it bears."""
+        """Updates the server's latency and its share of its key range."""
         now_ns = self.context.now_ns
         status = event.status
         is_hit = status is api.AttemptStatus.OK
@@ -138,9 +139,10 @@
             server.record_proof(now_ns, now_ns - event.elapsed_ns)
         is_overloaded = is_queue_full or (is_reachable and self._is_overload_timeout(server, event))
         objective_ns = self.context.shortest_objective_ns
-        # A rejection for a full queue comes quickly, and proves no quick server.
+        # A rejection from a full queue is fast, but does not mean that the server is fast.
         elapsed_ns = objective_ns if is_queue_full else event.elapsed_ns
-        # Guards against an overloaded server whose keys went elsewhere: a probe that misses tells as well.
+        # A probe that misses counts too: the keys of an overloaded server have moved elsewhere, so its probes
+        # mostly miss, and it would never be seen to recover.
         is_probe_miss = status is api.AttemptStatus.MISS and server.is_probing
         if is_overloaded or is_hit or is_probe_miss:
             in_flight = server.in_flight + 1
@@ -152,10 +154,10 @@
             server.adjust_range_share(now_ns, event.elapsed_ns, is_slow)
 
     def _is_overload_timeout(self, server: Server, event: api.AttemptFinished) -> bool:
-        """Whether a time-out tells that its server is overloaded.
+        """Returns whether the attempt timed out because its server is overloaded.
 
-        Guards against one silent connection taken for an overloaded server: one that has answered what was
-        sent later is none. A time-out after less than the average answer time tells nothing either.
+        If the server has answered an attempt that was sent later, only this connection went silent, and the
+        server is not overloaded. A timeout shorter than the average latency proves no overload either.
         """
         if event.status is not api.AttemptStatus.TIMEOUT:
             return False
