--- a/rainhitch/policy/balancer.py
+++ b/rainhitch/policy/balancer.py
@@ -1,15 +1,15 @@
-"""One router's decisions: takes the time and an event, returns the actions.
+"""The decisions of one router: takes the time and an event, and returns the actions.
 
-The way of a request, in the order of this file:
+A request passes these steps, in the order of this file:
 
-1. `_on_request`: it arrives; overload control admits, queues or rejects it.
-2. `_begin`: a likely miss needs the origin, whose throttle it passes first; everything else proceeds.
-3. `_proceed`: a server is chosen, and the attempt starts there if no limit forbids it.
-4. `_on_attempt_finished`: an answer ends the request; `RetryPlanner` decides what follows a miss or failure.
-5. `_finish_unserved` and `_finish`: its one final answer.
+1. `_on_request`: the request arrives; overload control admits, queues or rejects it.
+2. `_begin`: a likely miss has to pass the origin's throttle first; every other request proceeds at once.
+3. `_proceed`: a server is chosen, and an attempt starts there if all limits allow it.
+4. `_on_attempt_finished`: an answer ends the request; after a miss or a failure `RetryPlanner` decides.
+5. `_finish_unserved` and `_finish`: the request gets its only final answer.
 
-Why a request was rejected, or not retried: `api.RejectReason` names each cause, and the decisions stand in
-`attempt_admission.py` (before an attempt) and `retry_policy.py` (after one).
+`api.RejectReason` lists the reasons for which a request is rejected or not retried. Most of these decisions
+are in `attempt_admission.py` (before an attempt) and `retry_policy.py` (after an attempt).
 """
 
 from collections.abc import Callable
@@ -34,15 +34,18 @@
 
 
 class Balancer:
-    """Owns the parts that decide, and takes each request from its arrival to its one final answer."""
+    """Owns the decision modules, and takes each request from its arrival to its final answer."""
 
     def __init__(
         self, settings: api.Settings, seed: int, overload_control: api.OverloadControl | None = None
     ) -> None:
-        """Takes the seed of all random numbers, and overload control; None: everything is admitted."""
+        """Initializes all decision modules.
+
+        `seed` is the seed of all random numbers. Without `overload_control` every request is admitted.
+        """
         self.settings = settings
         self.overload_control = overload_control or NoOverloadControl(settings)
-        self.requests: dict[str, PendingRequest] = {}  # held now, by id
+        self.requests: dict[str, PendingRequest] = {}  # requests without a final answer yet, by id
         self.context = DecisionContext(settings, seed)
         self.servers = ServerRegistry(self.context)
         self.tenant_quotas = TenantQuotas(self.context)
@@ -73,13 +76,13 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Decides on one event at its time (ns, monotonic)."""
+        """Handles one event; `now` is its time (ns, monotonic). Returns the actions."""
         self._begin_event(now)
         self.handlers[type(event)](event)
         return self.context.finish_event()
 
     def advance(self, now: int) -> list[api.Action]:
-        """Runs the timers that are due by now (ns, monotonic), with no event to decide on."""
+        """Runs the timers due by `now` (ns, monotonic), without an event. Returns the actions."""
         self._begin_event(now)
         return self.context.finish_event()
 
@@ -90,7 +93,7 @@
             if self.overload_control.period_ns:
                 self.context.schedule(self.overload_control.period_ns, self._step_overload_control)
 
-    # 1. A request arrives.
+    # 1. Arrival of a request.
     def _on_request(self, event: api.Request) -> None:
         now_ns = self.context.now_ns
         request_class = self.settings.classes[event.class_index]
@@ -110,18 +113,18 @@
             self._begin(pending)
 
     def _begin_queued(self, request_id: str) -> None:
-        """Begins a request whose turn at its idempotency key it is now; "" stands for none."""
+        """Begins a queued request once the earlier one with its idempotency key has ended; "": none."""
         pending = self.requests.get(request_id)
         if pending is not None and pending.state is QUEUED:
             pending.inherit_attempts(self.overload_control)
             pending.leave_queue()
             self._begin(pending)
 
-    # 2. It goes to a server, or to the origin's throttle first.
+    # 2. Admission to the origin for likely misses.
     def _begin(self, pending: PendingRequest) -> None:
         event = pending.request
         if pending.possibly_executed and not retry_policy.may_reject(pending, self.context.now_ns):
-            # The dedup window of an earlier attempt is over, so that a repeat could be executed twice.
+            # The dedup window of an earlier attempt is over, so a repeat could be executed a second time.
             self._finish_unserved(pending, api.RejectReason.IDEMPOTENCY_KEY)
         elif event.is_write and self.settings.cache_aside:
             pending.at_origin = True
@@ -132,12 +135,12 @@
         else:
             self._proceed(pending)
 
-    # 3. An attempt starts, the first or a later one.
+    # 3. Start of an attempt, the first or a later one.
     def _proceed(self, pending: PendingRequest | None) -> None:
         if pending is None or pending.request.id not in self.requests:
-            return  # it has ended meanwhile
+            return  # the request has ended in the meantime
         if pending.state is IN_FLIGHT or pending.state is QUEUED:
-            return  # rule 1 (one answer, one attempt at a time)
+            return  # rule 1: one final answer, one attempt at a time
         server = self.servers.origin if pending.at_origin else self.placement.choose(pending)
         reason = self.attempt_admission.admit_or_reason(pending, server)
         if server is None or reason is not None:
@@ -159,7 +162,7 @@
             api.StartAttempt(request_id, server.endpoint.server, timeout_ns, write_within_ns)
         )
 
-    # 4. An attempt has ended.
+    # 4. End of an attempt.
     def _on_attempt_finished(self, event: api.AttemptFinished) -> None:
         pending = self.requests.get(event.id)
         is_answered = event.status is api.AttemptStatus.OK
@@ -175,20 +178,21 @@
         else:
             self.retry_planner.attempt_failed(pending, event)
 
-    # 5. The final answer.
+    # 5. Final answer.
     def _finish_unserved(
         self, pending: PendingRequest | None, reason: api.RejectReason | None = None
     ) -> None:
-        """Rejects a request where trying again does no harm, else fails it.
+        """Rejects a request if sending it again does no harm, else fails it.
 
-        Timers call it without a reason once time is up: the answer then has what the request waits for.
+        Timers call it without a reason when the request runs out of time. The answer's reason is then what
+        the request was waiting for.
         """
         if (
             pending is None
             or self.requests.get(pending.request.id) is not pending
             or pending.state is IN_FLIGHT
         ):
-            return  # it has ended meanwhile, or the end of an attempt decides
+            return  # the request has ended in the meantime, or the end of its attempt will decide
         if reason is not None:
             pending.reason = reason
         if pending.state is QUEUED:
