--- a/rainhitch/policy/connection_health.py
+++ b/rainhitch/policy/connection_health.py
@@ -1,7 +1,7 @@
-"""Whether connections to one server work: ejection after a failure, backoff, and the attempt that ends it.
+"""Connection health of one server: ejection after a failure, backoff and readmission.
 
-States, by `consecutive_failures`: 0, the server is used; above, it is ejected, and after the backoff it gets
-one attempt at a time until it answers. `eject`, `end_backoff` and `readmit` are the transitions.
+With `consecutive_failures` at 0 the server is in use. Above 0 it is ejected, and after the backoff it gets
+one attempt at a time until it answers. The transitions are `eject`, `end_backoff` and `readmit`.
 """
 
 from dataclasses import dataclass
@@ -10,46 +10,48 @@
 from rainhitch import interface as api
 
 CONNECTION_FAILURES = (api.AttemptStatus.CONNECT_FAILED, api.AttemptStatus.RESET)
-# An attempt that ends so has proved that the server's process answers.
+# Outcomes that prove that the server's process is alive.
 PROCESS_ANSWERED = (
     api.AttemptStatus.OK,
     api.AttemptStatus.MISS,
     api.AttemptStatus.FULL,
     api.AttemptStatus.ERROR,
 )
-MAX_BACKOFF_DOUBLINGS = 4  # of the connect timeout
+MAX_BACKOFF_DOUBLINGS = 4  # the longest backoff is the connect timeout doubled so many times
 
 
 @dataclass(slots=True)
 class ConnectionHealth:
-    """What this router knows of its connections to one server."""
+    """State of this router's connections to one server."""
 
-    accepts_connections: bool = False  # it took this router's last connect
-    last_attempt_broke: bool = False  # the latest attempt's connection failed or broke
-    consecutive_failures: int = 0  # connections failed or broken in a row, but for one that was forgiven
+    accepts_connections: bool = False  # the server accepted this router's latest connect
+    last_attempt_broke: bool = False  # the connection of the latest attempt failed or broke
+    consecutive_failures: int = 0  # connections that failed or broke in a row, without a tolerated one
     down_since_ns: int = 0
-    retry_at_ns: int = 0  # when the backoff ends
+    retry_at_ns: int = 0  # end of the backoff
 
     def may_be_tried(self, now_ns: int, in_flight: int) -> bool:
-        """Whether an attempt may go there: one at a time after a failure and its backoff, until it answers.
+        """Returns whether an attempt may be sent to the server.
 
-        `in_flight` is what this router has in flight there.
+        An ejected server gets one attempt at a time after its backoff, until it answers. `in_flight` is the
+        number of this router's attempts in flight at the server.
         """
         return not self.consecutive_failures or (now_ns >= self.retry_at_ns and not in_flight)
 
     def is_forgiven(self, answered_lately: bool) -> bool:
-        """Whether the failure that has just come ejects nobody: the first, of a server that answered lately.
+        """Returns whether the present failure is tolerated, so that the server is not ejected.
 
-        Guards against one broken connection taken for a dead server.
+        That is the first failure of a server that has answered recently: one broken connection does not mean
+        that the server is down.
         """
         is_first = not self.last_attempt_broke and not self.consecutive_failures
         return is_first and answered_lately
 
     def eject(self, now_ns: int, connect_timeout_ns: int, random: Random) -> int:
-        """Counts a failure and starts the backoff; gives that, in ns.
+        """Counts a failure and starts the backoff; returns the backoff in ns.
 
-        It doubles with each failure in a row, and half of it is left to chance, so that routers don't try a
-        server all at once.
+        The backoff doubles with each failure in a row. It is drawn from the upper half of the range, so that
+        routers do not all try a server at the same time.
         """
         if not self.consecutive_failures:
             self.down_since_ns = now_ns
@@ -60,10 +62,11 @@
         return backoff_ns
 
     def end_backoff(self, now_ns: int, down_since_ns: int) -> None:
-        """The server's zone answers again: it is tried at once, as one that was down since then.
+        """Ends the backoff when the server's zone answers again, so that the server is tried at once.
 
-        Guards a zone whose servers were started anew: a server of which no attempt failed is ejected too,
-        unless it is down since just now, so that its first answer is taken for that of a restarted server.
+        The server counts as down since `down_since_ns`. If that is in the past, a server without failed
+        attempts is ejected as well: the zone's servers may have been restarted, and only the first answer of
+        an ejected server can be treated as that of a restarted one.
         """
         self.retry_at_ns = now_ns
         self.down_since_ns = down_since_ns
@@ -71,5 +74,5 @@
             self.consecutive_failures = 1
 
     def readmit(self) -> None:
-        """The server has answered, or was started anew: it is used without limit."""
+        """Puts the server back into use, after an answer or a restart."""
         self.consecutive_failures = 0
