--- a/rainhitch/policy/decision_context.py
+++ b/rainhitch/policy/decision_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one router's decisions share: the time, random numbers, the actions taken, the timers."""
+"""State shared by all decision modules of a router: time, random numbers, actions and timers."""
 
 import heapq
 import random
@@ -7,15 +7,15 @@
 from rainhitch import interface as api
 from rainhitch.policy.pending_request import PendingRequest
 
-# A step on a request: what sends it on or ends it, and what a timer calls, with None where it concerns none.
+# Callback that continues or ends a request. A timer that concerns no request calls it with None.
 RequestStep = Callable[[PendingRequest | None], None]
 
 
 class DecisionContext:
-    """The event that is being decided on: its time, and the actions so far; and what is due later.
+    """The event being handled, with its time and the actions so far, and the timers of the router.
 
-    All timers share one alarm of the host: the earliest is asked for with `SetTimer`, whose token is the time
-    it is due.
+    All timers share one timer of the host, which is set with `SetTimer` to the earliest of them. Its token is
+    the time at which it is due.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -24,26 +24,26 @@
         self.shortest_objective_ns = min(spec.latency_objective_ns for spec in settings.classes)
         self.now_ns = 0  # monotonic
         self.actions: list[api.Action] = []
-        # A heap of: due at (ns), order of scheduling, callback, its request.
+        # Heap of: due time (ns), sequence number, callback, request of the callback.
         self.timers: list[tuple[int, int, RequestStep, PendingRequest | None]] = []
-        self.timers_scheduled = 0  # so far; it keeps timers that are due together in order
-        self.alarm_at_ns = 0  # when the host's alarm is due; 0: none was asked for
+        self.timers_scheduled = 0  # last sequence number; it orders timers with equal due times
+        self.alarm_at_ns = 0  # due time of the host's timer; 0: not set
 
     def begin_event(self, now_ns: int) -> None:
-        """Starts the decisions on one event, with no actions yet."""
+        """Starts the handling of one event, with an empty list of actions."""
         self.now_ns = now_ns
         self.actions = []
 
     def schedule(self, delay_ns: int, callback: RequestStep, pending: PendingRequest | None = None) -> None:
-        """Calls back after a delay. No timer is taken back: the callback checks whether it still applies."""
+        """Schedules a callback; it cannot be cancelled, so the callback checks whether it still applies."""
         self.timers_scheduled += 1
         heapq.heappush(self.timers, (self.now_ns + delay_ns, self.timers_scheduled, callback, pending))
 
     def alarm_fired(self, token: str) -> int:
-        """Returns how late the host's alarm came, ns; -1 where this is not the alarm that was asked for last.
+        """Returns by how much (ns) the host's timer fired late; -1 if it is not the timer that was set last.
 
-        Guards against coarse timers of the host: the alarm is known by its token, since it may come a little
-        before its time. Its lateness is 0 then.
+        The timer is identified by its token and not by the time, because a host with coarse timers may fire
+        it slightly early. The result is 0 in that case.
         """
         if token != str(self.alarm_at_ns):
             return -1
@@ -52,14 +52,15 @@
         return late_ns
 
     def finish_event(self) -> list[api.Action]:
-        """Calls back all timers that are due, in order, and asks for an alarm for the next.
+        """Runs the callbacks of all due timers in order, and sets the host's timer for the next one.
 
         Returns all actions of the event.
         """
         while self.timers and self.timers[0][0] <= self.now_ns:
             _, _, callback, pending = heapq.heappop(self.timers)
             callback(pending)
-        # Guards against an alarm that never comes: one overdue, or none yet, is asked for anew.
+        # The host's timer is set if it is unset, later than the next callback, or overdue: an overdue timer
+        # may never fire.
         if self.timers and (self.alarm_at_ns <= self.now_ns or self.timers[0][0] < self.alarm_at_ns):
             self.alarm_at_ns = self.timers[0][0]
             self.actions.append(api.SetTimer(self.alarm_at_ns - self.now_ns, str(self.alarm_at_ns)))
