--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -1,10 +1,11 @@
-"""Keys that move from where they are held to the new owners of their ranges, at a pace that the origin bears.
-
-A list that changes shifts most boundaries, and a key asked for at its new owner is a miss: one origin read.
-So a key that was lately seen hit stays where it was seen, and is asked for at its owner only when there is a
-token for it. A key that this router has not seen is looked for first where it was before the migration.
-Tokens come at a part of what this router lately sent the origin besides, so that the moves of all routers add
-up to that part of what they send; a move that finds the key at its owner already returns its token.
+"""Migration of keys to the new owners of their ranges, at a rate that the origin can handle.
+
+A change of the server list shifts most range boundaries, and the first read of a key at its new owner is a
+miss, which costs an origin read. So a key with a recent hit is read from the server that holds it, and from
+its new owner only if a migration token is available. A key that this router has not seen is read first from
+its owner before the migration. Tokens are issued at a fraction of the rate of this router's other origin
+requests, so the migrations of all routers add up to that fraction of their origin requests. A migration that
+finds the key at its owner already returns its token.
 """
 
 from rainhitch import interface as api
@@ -13,40 +14,40 @@
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.rates import SECOND, DecayingRate, TokenBucket
 
-# Spans over which what the origin is sent besides is counted; the lesser of both rates holds.
+# Windows in which the other origin requests are counted; the lower of the two rates applies.
 LONG_RATE_SPAN_NS = 8 * SECOND
 SHORT_RATE_SPAN_NS = 2 * SECOND
-MAX_MOVE_BURST = 1.0  # moves at once
-MIN_FLEET_MOVES_PER_S = 0.5  # of all routers together, where next to nothing is sent besides
-SETTLED_READS_FRACTION = 1 / 100  # of all reads: with fewer hits at previous holders, the keys have moved
+MAX_MOVE_BURST = 1.0  # capacity of the token bucket, key migrations
+MIN_FLEET_MOVES_PER_S = 0.5  # rate of all routers together while there are hardly any other origin requests
+SETTLED_READS_FRACTION = 1 / 100  # the migration ends once hits at previous holders are at most this fraction
 SETTLED_CHECK_INTERVAL_NS = SECOND
-NOT_UNDER_WAY = -1  # in place of the time at which a migration began
+NOT_UNDER_WAY = -1  # value of `began_at_ns` while there is no migration
 
 
 class KeyMigration:
-    """The migration that is under way, if one is, and its pace.
+    """State and rate limit of the current key migration, if there is one.
 
-    It begins with a change of the list of owners, begins anew with each further one, and ends with an
-    interval in which nearly all reads went to the keys' owners.
+    A migration begins with a change of the list of owners, restarts with each further change, and ends after
+    an interval in which nearly all reads went to the owners of their keys.
     """
 
     def __init__(self, context: DecisionContext, origin_admission: OriginAdmission) -> None:
         self.context = context
         self.origin_admission = origin_admission
-        # Origin requests that are no moves, over the long and the short span.
+        # Rates of origin requests other than key migrations, over the long and the short window.
         self.origin_rates = (DecayingRate(LONG_RATE_SPAN_NS), DecayingRate(SHORT_RATE_SPAN_NS))
         self.bucket = TokenBucket()
-        self.began_at_ns = NOT_UNDER_WAY  # when the list last changed
+        self.began_at_ns = NOT_UNDER_WAY  # latest change of the list of owners
         self.previous_ranges = KeyRanges()  # before the migration
-        # Since the migration began.
+        # Counted since the migration began.
         self.moved_keys = 0
         self.reads_at_previous_holder = 0
-        # Since the last check of whether it is over.
+        # Counted since the latest check of whether the migration is over.
         self.reads = 0
         self.hits_at_previous_holder = 0
 
     def begin(self, before: list[str], after: list[str]) -> None:
-        """The list of owners, sorted ids, has changed."""
+        """Begins or restarts a migration after a change of the list of owners, given as sorted ids."""
         joined = len(set(after) - set(before))
         left = len(set(before) - set(after))
         self.context.actions.append(api.LogLine(f"key migration started joined={joined} left={left}"))
@@ -63,7 +64,7 @@
         self.hits_at_previous_holder = 0
 
     def _check_settled(self, _: object) -> None:
-        """Ends the migration after an interval in which nearly all reads went to the keys' owners."""
+        """Ends the migration if nearly all reads of the past interval went to the owners of their keys."""
         age_ns = self.context.now_ns - self.began_at_ns
         is_settled = self.hits_at_previous_holder <= self.reads * SETTLED_READS_FRACTION
         self._reset_interval()
@@ -79,27 +80,27 @@
         )
 
     def origin_request_sent(self, is_migrating: bool) -> None:
-        """The origin was sent a request, by a move or by anything else."""
+        """Counts a request to the origin, unless it migrates a key."""
         if is_migrating:
             return
         for rate in self.origin_rates:
             rate.add(self.context.now_ns)
 
     def hit_at_previous_holder(self) -> None:
-        """A key was hit where it was held, not at its owner."""
+        """Counts a hit at a key's previous holder."""
         self.hits_at_previous_holder += 1
         self.reads_at_previous_holder += 1
 
     def take_move_token(self) -> bool:
-        """Takes a token for the move of one more key; returns whether there was one.
+        """Takes a token for the migration of one key; returns whether there was one.
 
-        None moves while the throttle is short of tokens.
+        No key is migrated while the origin's throttle is on and its token bank is not full.
         """
         throttle = self.origin_admission.monitor.throttle
         settings = self.context.settings
         if throttle is not None and throttle.level < throttle.bank:
             return False
-        # Guards against a burst just before, which is no measure of what the origin bears.
+        # The lower rate is used because a recent burst does not show what the origin can handle.
         origin_requests_per_s = min(rate.per_second(self.context.now_ns) for rate in self.origin_rates)
         moves_per_s = max(
             origin_requests_per_s * settings.migration_fraction,
@@ -108,11 +109,11 @@
         return self.bucket.take(self.context.now_ns, moves_per_s, MAX_MOVE_BURST)
 
     def return_token(self) -> None:
-        """A token was not needed."""
+        """Puts back a token that was not needed."""
         self.bucket.tokens = min(self.bucket.tokens + 1, MAX_MOVE_BURST)
 
     def move_finished(self, hit: bool) -> None:
-        """A move was answered by the owner: it has the key already, or has to fetch it from the origin."""
+        """Counts a migration; if the owner held the key already (`hit`), the token is returned."""
         self.moved_keys += 1
         if hit:
             self.return_token()
