--- a/rainhitch/policy/key_ranges.py
+++ b/rainhitch/policy/key_ranges.py
@@ -1,23 +1,23 @@
-"""Key ranges: the hash space in equal parts, one for each server of a sorted list."""
+"""Key ranges: the hash space divided into equal parts, one for each server of a sorted list."""
 
 from zlib import crc32
 
-HASH_SPACE_SIZE = 1 << 32  # of crc32
-# The lowest bits of a key's hash choose one of so many instants of a slow start, at which its owner takes it.
+HASH_SPACE_SIZE = 1 << 32  # number of crc32 values
+# Number of steps in a slow start. The lowest bits of a key's hash choose the step from which on an owner in
+# slow start takes the key.
 SLOW_START_INSTANTS = 1 << 16
 
 
 class KeyRanges:
-    """Which server owns a key, and which are next."""
+    """Mapping of each key to its owner and to the servers after the owner."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
-        self.chains: dict[
-            int, list[str]
-        ] = {}  # all servers in range order, by the range that the list begins with
+        # All servers in range order, by the index of the range with which the list begins.
+        self.chains: dict[int, list[str]] = {}
 
     def set_servers(self, names: list[str]) -> bool:
-        """Takes the sorted ids of the servers; whether they are others than before."""
+        """Sets the servers, given as sorted ids; returns whether they differ from those before."""
         if names == self.names:
             return False
         self.names = names
@@ -25,20 +25,21 @@
         return True
 
     def owner(self, key: str) -> str:
-        """The server of the range in which a key lies, the first that `locate` gives.
+        """Returns the owner of a key, the first server in the list from `locate`.
 
-        Raises IndexError where there are no servers.
+        Raises IndexError if there are no servers.
         """
         return self.names[crc32(key.encode()) * len(self.names) // HASH_SPACE_SIZE]
 
     def locate(self, key: str) -> tuple[float, float, list[str]]:
-        """Where a key lies in the hash space.
+        """Returns the position of a key and the servers to send its requests to.
 
-        Three values, in a bare tuple since each request needs them up to twice, and an object costs more:
+        The result is a tuple of three values, because each request needs them up to twice and an object costs
+        more time:
 
-        - how deep it lies in its range, 0 to 1;
-        - from which part of its capacity on, 0 to 1, a server in slow start takes the key;
-        - where to look for it: the owner of its range, then all others in range order.
+        - the relative position of the key in its range, 0 to 1;
+        - the fraction of its capacity, 0 to 1, from which on a server in slow start takes the key;
+        - the servers to try: the owner of the range, then all others in range order.
         """
         hash_value = crc32(key.encode())
         first, depth = divmod(hash_value * len(self.names), HASH_SPACE_SIZE)
