--- a/rainhitch/policy/latency_estimator.py
+++ b/rainhitch/policy/latency_estimator.py
@@ -1,8 +1,9 @@
-"""The answer time to expect of one server, by what was observed of it.
+"""Estimate of a server's latency from observed latencies.
 
-Three things are estimated: the moving average of answer times, the answer time when the server is uncrowded,
-and how many attempts of this router were in flight there meanwhile. What the average has above the uncrowded
-answer time is put down to a queue at the server, which drains while nobody is heard to send more.
+The estimator keeps three values: the moving average of latencies, the unloaded latency (the lowest recent
+average), and the average number of this router's attempts in flight at the server. The difference between the
+average and the unloaded latency is attributed to a queue at the server, which drains while no new load is
+known.
 """
 
 import math
@@ -10,30 +11,30 @@
 
 from rainhitch.policy.rates import SMOOTHING
 
-MAX_SAMPLE_WEIGHT = 1 / 2  # of one answer time in the moving average
-# The uncrowded answer time grows by this factor with each sample, so that it is slowly forgotten.
+MAX_SAMPLE_WEIGHT = 1 / 2  # of one sample in the moving average
+# The unloaded latency grows by this factor with each sample, so that an outdated minimum is forgotten slowly.
 UNCROWDED_GROWTH_FACTOR = 1 + SMOOTHING / 16
-# Times the expected answer time after which an answer is taken as lost: with this mean, e^-8 of them take
-# longer.
+# Multiple of the expected latency after which an answer counts as lost. Of exponentially distributed
+# latencies with this mean, a fraction of e^-8 is longer.
 LOST_ANSWER_FACTOR = 8
 
 
 @dataclass(slots=True)
 class LatencyEstimator:
-    """What is known of one server's answer times."""
+    """Latency estimate of one server."""
 
     average_ns: float  # moving average
-    uncrowded_ns: float = 0.0  # the least average seen, slowly forgotten; 0: none yet
+    uncrowded_ns: float = 0.0  # unloaded latency: the lowest average, forgotten slowly; 0: not known yet
     updated_at_ns: int = 0
-    mean_in_flight: float = 1.0  # moving average of the attempts this router had in flight meanwhile
+    mean_in_flight: float = 1.0  # moving average of this router's attempts in flight, at each answer
 
     def idle_adjusted_ns(self, now_ns: int, routers: int) -> float:
-        """The average by now, without the part of the queue that has drained since the last sample.
+        """Returns the average less the part of the queue that has drained since the last sample.
 
-        Guards against a queue that drained long ago and is still expected: the server's last answer was slow,
-        so nobody asks it again, so it stays slow in all routers' eyes. A queue is served within the answer
-        time that it caused, unless others send more: `routers` is how many send without being heard of,
-        with this one.
+        Without this, a server whose last answer was slow would get no more requests, so all routers would
+        keep counting it as slow although its queue has drained. A queue drains within the latency that it
+        caused, unless other routers add to it. `routers` is the number of routers whose load is unknown, plus
+        one for this router.
         """
         queueing_ns = self.average_ns - self.uncrowded_ns
         if not self.uncrowded_ns or queueing_ns <= 0:
@@ -42,21 +43,22 @@
         return self.uncrowded_ns + queueing_ns * math.exp(age_ns / (self.average_ns * routers))
 
     def expected_ns(self, now_ns: int, in_flight: int, routers: int) -> float:
-        """The answer time to expect of one more request.
+        """Returns the expected latency of one more request.
 
-        It is taken to grow with what this router has in flight there. `routers`: see `idle_adjusted_ns`.
+        It grows in proportion to this router's attempts in flight at the server. `routers`: see
+        `idle_adjusted_ns`.
         """
         return self.idle_adjusted_ns(now_ns, routers) * (in_flight + 1) / self.mean_in_flight
 
     def record_latency(
         self, now_ns: int, span_ns: int, elapsed_ns: int, routers: int, min_weight: float = SMOOTHING
     ) -> None:
-        """Takes an answer time into the average, whichever router observed it.
+        """Adds a latency, observed by any router, to the moving average.
 
-        `span_ns` is the time that the average covers. A sample weighs the part of it that has passed since
-        the last, from `min_weight` to `MAX_SAMPLE_WEIGHT`: guards against an average that hardly moves where
-        answers come seldom. The drained part of a queue is forgotten only after a silence longer than an
-        answer time: guards against a lasting queue forgotten bit by bit between any two answers.
+        `span_ns` is the averaging window. The weight of a sample is the fraction of the window since the last
+        sample, from `min_weight` to `MAX_SAMPLE_WEIGHT`, so that the average also follows rare answers. The
+        drained part of a queue is left out only after an interval longer than the average latency; otherwise
+        a lasting queue would be forgotten bit by bit between answers.
         """
         weight = min(max((now_ns - self.updated_at_ns) / span_ns, min_weight), MAX_SAMPLE_WEIGHT)
         if now_ns - self.updated_at_ns > self.average_ns * routers:
