--- a/rainhitch/policy/no_overload_control.py
+++ b/rainhitch/policy/no_overload_control.py
@@ -1,30 +1,30 @@
-"""Stands in for overload control in a router that has none."""
+"""Overload control that admits everything, for a router without overload control."""
 
 from rainhitch import interface as api
 
 
 class NoOverloadControl:
-    """Admits every request and every attempt; `api.OverloadControl` says what each method is for."""
+    """Admits every request and every attempt; `api.OverloadControl` documents the methods."""
 
     period_ns = 0  # `step` is never called
 
     def __init__(self, settings: api.Settings) -> None:
-        """Takes the settings that say after how long rejected clients are told to come again."""
+        """Initializes the retry-after time of rejections from the settings."""
         self.told_retry_after_ns = 0
         if settings.retry_after_allowed:
             shortest_objective_ns = min(spec.latency_objective_ns for spec in settings.classes)
             self.told_retry_after_ns = min(shortest_objective_ns, settings.max_retry_after_ns)
 
     def admit(self, now_ns: int, request: api.Request, over_quota: bool) -> api.AdmissionDecision:
-        """Admits."""
+        """Admits every request."""
         return api.AdmissionDecision.ADMIT
 
     def earlier_attempts(self, request: api.Request) -> list[tuple[int, api.Endpoint]]:
-        """Remembers none."""
+        """Returns no attempts, since none are recorded."""
         return []
 
     def take_retry_budget(self, now_ns: int, is_retry: bool) -> bool:
-        """Allows it."""
+        """Allows every attempt."""
         return True
 
     def attempt_started(
@@ -33,20 +33,20 @@
         """Does nothing."""
 
     def attempt_finished(self, now_ns: int, event: api.AttemptFinished) -> str:
-        """Queues none, so none begins."""
+        """Returns "", since no request is ever queued."""
         return ""
 
     def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
-        """Queues none, so none begins."""
+        """Returns "", since no request is ever queued."""
         return ""
 
     def retry_after_ns(self, now_ns: int, request: api.Request) -> int:
-        """The shortest latency objective, as far as the settings allow it."""
+        """Returns the shortest latency objective, limited by the settings."""
         return self.told_retry_after_ns
 
     def timer_delayed(self, delay_ns: int) -> None:
         """Does nothing."""
 
     def step(self, now_ns: int) -> str:
-        """Logs nothing."""
+        """Returns "": there is nothing to log."""
         return ""
