--- a/rainhitch/policy/key_popularity.py
+++ b/rainhitch/policy/key_popularity.py
@@ -1,8 +1,8 @@
 """Popularity of keys among this router's recent requests, to spread a hot key over several servers."""
 
 COUNTED_PER_SERVER = 8  # requests per server after which all counts are halved
-# A server can handle about two fair shares of the load, so a hot key is spread over this many servers for each
-# fair share that it makes up.
+# A server can handle about two fair shares of the load, so a hot key is spread over this many servers for
+# each fair share that it makes up.
 SERVERS_PER_FAIR_SHARE = 2
 
 
