--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -1,7 +1,7 @@
-"""Where a request for a key goes: to the key's previous holder, its owner, or a stand-in for the owner.
+"""Placement: chooses the previous holder of a request's key, the key's owner or a replacement for the owner.
 
-Keys belong to servers by equal ranges of the hash space (key_ranges.py). While a change of the list moves
-them (key_migration.py), a key is read where it is held.
+Each server owns an equal range of the hash space (key_ranges.py). While keys migrate after a change of the
+server list (key_migration.py), a key is read from the server that holds it.
 """
 
 from rainhitch import interface as api
@@ -15,16 +15,16 @@
 from rainhitch.policy.server import Server
 from rainhitch.policy.server_registry import ServerRegistry
 
-# Of a request's latency objective: an answer that takes longer is slow, and its server overloaded.
+# Fraction of the latency objective above which an answer is slow and its server counts as overloaded.
 SLOW_ANSWER_FRACTION = 3 / 4
-# The same for requests over their tenant's quota, which are shed first: with this mean, e^-4 of them are
-# late.
+# The same for requests over their tenant's quota, which are shed first. Of exponentially distributed
+# latencies with this mean, a fraction of e^-4 exceeds the objective.
 SLOW_ANSWER_FRACTION_OVER_QUOTA = 1 / 4
-CROWD_FACTOR = 4  # times its uncrowded answer time at which a server is overloaded
+CROWD_FACTOR = 4  # multiple of its unloaded latency above which a server is overloaded
 CROWD_FACTOR_OVER_QUOTA = 2  # the same for requests over their tenant's quota
-MAX_RANGE_SPILLS = 2  # servers whose ranges' far ends a key passes on its way to who bears it
-MAX_OVERLOADED_TRIED = 2  # overloaded servers found on a request's way before it is rejected
-ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # shortest latency objectives over which arrivals are counted
+MAX_RANGE_SPILLS = 2  # servers that a key may skip because their reduced range share excludes it
+MAX_OVERLOADED_TRIED = 2  # overloaded servers after which a request is rejected
+ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # averaging window of the arrival rate, in shortest latency objectives
 
 
 class Placement:
@@ -46,15 +46,15 @@
         self.arrival_rate = DecayingRate(ARRIVAL_RATE_SPAN_OBJECTIVES * context.shortest_objective_ns)
 
     def set_servers(self, names: list[str]) -> None:
-        """Takes the sorted ids of the ready cache servers."""
+        """Sets the ready cache servers, given as sorted ids; a change begins a key migration."""
         before = self.ranges.names
         if self.ranges.set_servers(names) and before:
             self.migration.begin(before, names)
 
     def count_arrival(self, request: api.Request) -> int:
-        """Counts a request; gives how many owners of a hot key's ranges it skips, drawn evenly.
+        """Counts a request; returns how many servers it skips if its key is hot, drawn uniformly.
 
-        Guards against a hot key that overloads its one cache server: it is spread over as many as it fills.
+        A hot key would overload a single cache server, so it is spread over as many as its load needs.
         """
         self.arrival_rate.add(self.context.now_ns)
         if request.key is None:
@@ -64,11 +64,12 @@
         return self.context.random.randrange(1 + spread)
 
     def choose(self, pending: PendingRequest) -> Server | None:
-        """The server that a request goes to, None if it is to be rejected.
+        """Returns the server for a request, or None if the request has to be rejected.
 
-        1. A key that this router has seen elsewhere moves to its owner now, if the pace of moves allows it.
-        2. Else it is read at its previous holder, if that has capacity.
-        3. Else it goes to the owner of its range, or who stands in for that.
+        1. A key last seen at another server than its owner migrates to the owner if a migration token is
+           available.
+        2. Otherwise it is read from its previous holder, if that has capacity.
+        3. Otherwise the request goes to the owner of its range, or to a replacement for the owner.
         """
         pending.is_migrating = False
         pending.at_previous_holder = False
@@ -78,7 +79,7 @@
             holder, is_seen = self._previous_holder(pending, path)
             if holder is not None and is_seen and self.migration.take_move_token():
                 owner = self._owner_or_next(pending)
-                # Guards against two moves in place of one: a key does not move to a server that stands in.
+                # A key does not migrate to a replacement for its owner, or it would have to migrate twice.
                 if owner is not None and owner.endpoint.server in path:
                     pending.is_migrating = True
                     return owner
@@ -89,7 +90,7 @@
         return self._owner_or_next(pending)
 
     def _owners_of_key(self, pending: PendingRequest) -> list[str]:
-        """The owner of a key's range, and the next servers up to who bears the part in which the key lies."""
+        """Returns the owner of a key's range and the next servers, up to the first that serves the key."""
         if pending.request.key is None:
             return []
         depth, _, names = self.ranges.locate(pending.request.key)
@@ -100,11 +101,11 @@
         return names[: 1 + spills]
 
     def _previous_holder(self, pending: PendingRequest, path: list[str]) -> tuple[Server | None, bool]:
-        """The server that holds a key until it moves, and whether the key was seen.
+        """Returns the server that holds a key until it migrates, and whether this router has seen the key.
 
-        That is the server at which the key was last seen hit. A key that was not seen was held, if at all, by
-        its owner before the list changed. None if there is no such server to ask: one on the key's `path` of
-        owners does not count, nor one that holds nothing now.
+        That is the server of the key's last hit. A key that was not seen can only be at its owner before the
+        list changed. The server is None if it is on the key's `path` of owners, was tried already, cannot be
+        used, is in slow start, or was restarted and lost the key.
         """
         key = pending.request.key or ""
         seen = self.key_memory.seen.get(key)
@@ -120,19 +121,19 @@
             return None, False
         if not self.servers.is_usable(holder) or holder.slow_start.started_at_ns > held_since_ns:
             return None, False
-        # Rule 4 (no server in slow start gets more than it can take): it gets requests for its own range
-        # alone.
+        # Rule 4 (no server in slow start gets more load than it can handle): it gets requests for its own
+        # range only.
         if holder.slow_start.slow_start_fraction(self.context.now_ns, self.context.settings) < 1:
             holder = None
         return holder, seen is not None
 
     def _latency_limit_ns(self, pending: PendingRequest) -> float:
-        """The answer time past which a server is overloaded for this request."""
+        """Returns the latency above which a server is overloaded for this request."""
         fraction = SLOW_ANSWER_FRACTION_OVER_QUOTA if pending.over_quota else SLOW_ANSWER_FRACTION
         return pending.request_class.latency_objective_ns * fraction
 
     def _admits(self, server: Server, pending: PendingRequest) -> bool:
-        """Whether a server is not overloaded for this request, or a probe is due, which begins with it."""
+        """Returns whether a server has capacity for this request, or a probe is due and starts with it."""
         return server.admits_or_starts_probe(
             self.context.now_ns,
             self._latency_limit_ns(pending),
@@ -142,11 +143,12 @@
         )
 
     def _owner_or_next(self, pending: PendingRequest) -> Server | None:
-        """The owner of a request's range, or the next in range order where that may not be used.
+        """Returns the owner of a request's range, or the next usable server in range order.
 
-        The request passes a server in slow start that does not admit it, one that is ejected, and up to two
-        that don't bear the far end of their range. It spills once from an overloaded server to the next. None
-        if there is nobody left: it is to be rejected. A request without a key goes by its id.
+        The request skips servers in slow start that do not admit it, ejected servers, and up to two servers
+        whose reduced range share excludes it. It spills once from an overloaded server to the next. If no
+        server is left, the result is None, and the request has to be rejected. A request without a key is
+        placed by its id.
         """
         depth, slow_start_from, names = self.ranges.locate(pending.request.key or pending.request.id)
         candidates = self._candidates(pending, names)
@@ -155,12 +157,12 @@
         for server in candidates:
             if server.endpoint.server in pending.tried_servers:
                 continue
-            # The owner takes a key at an instant of its slow start that the key's hash gives, others none
-            # until their slow start is over.
+            # The owner takes a key from a point of its slow start on that the key's hash determines. Other
+            # servers take it only after their slow start.
             min_fraction = slow_start_from if server.endpoint.server == names[0] else 1
             if not self._admits_in_slow_start(server, pending, min_fraction, len(candidates)):
                 continue
-            # Guards against a range that is more than its server bears: the far end passes to the next.
+            # The far end of a range passes to the next server if its owner cannot handle the whole range.
             is_spilled = range_spills < MAX_RANGE_SPILLS and not server.bears(depth)
             if is_spilled or not self.servers.is_usable(server):
                 if not server.connection.consecutive_failures:
@@ -168,9 +170,9 @@
                 continue
             if self._admits(server, pending):
                 return server
-            # Guards against a storm of rejections by full servers: work spills once, or is rejected here. And
-            # against neighbours that fail together: one that is slow with nothing of ours there does not
-            # count.
+            # A request spills once and is then rejected here, because full servers would otherwise cause a
+            # storm of rejections. A server that is slow without any load from this router does not count, so
+            # that several adjacent servers that fail together are skipped.
             latency = server.latency
             if latency.average_ns <= self._latency_limit_ns(pending) * latency.mean_in_flight:
                 overloaded += 1
@@ -179,25 +181,25 @@
         return None
 
     def _candidates(self, pending: PendingRequest, names: list[str]) -> list[Server]:
-        """All servers in the order in which they are asked for this request."""
+        """Returns all servers in the order in which this request tries them."""
         known = self.servers.servers
         candidates = [known[name] for name in names if name in known]
         if pending.skipped_owners:
             candidates = candidates[pending.skipped_owners :] + candidates[: pending.skipped_owners]
         if self.servers.attempts.are_connection_tables_full():
-            # While most new connects are refused, servers that this router is connected to go first.
+            # While most new connects are refused, servers that accepted this router's last one come first.
             candidates.sort(key=lambda server: not server.connection.accepts_connections)
         return candidates
 
     def _admits_in_slow_start(
         self, server: Server, pending: PendingRequest, min_fraction: float, servers: int
     ) -> bool:
-        """Whether a server that may be in slow start gets this request.
+        """Returns whether a server, which may be in slow start, admits this request.
 
-        Keeps rule 4: no server in slow start gets more than it can take.
+        Enforces rule 4: no server in slow start gets more load than it can handle.
 
-        Takes a token of its budget if it is in slow start and gets the request. `min_fraction`: the part of
-        its capacity from which on it gets the key; `servers`: how many there are.
+        A server in slow start spends a token of its budget on the request. `min_fraction` is the fraction of
+        its capacity from which on it takes the key; `servers` is the number of servers.
         """
         now_ns = self.context.now_ns
         fraction = server.slow_start.slow_start_fraction(now_ns, self.context.settings)
@@ -205,7 +207,7 @@
             return False
         if fraction >= 1:
             return True
-        # Guards against a hot key that a starting server takes up, from all routers at once.
+        # Without this, all routers would send a hot key to a starting server at the same time.
         heat = self.popularity.heat(pending.request.key or "", servers)
         arrivals_per_s = self.arrival_rate.per_second(now_ns) / servers
         return self.servers.admits_in_slow_start(server, fraction, heat, arrivals_per_s)
