--- a/rainhitch/policy/rates.py
+++ b/rainhitch/policy/rates.py
@@ -1,4 +1,4 @@
-"""How often something happens, and how often it may."""
+"""Rate measurement and rate limiting."""
 
 import math
 
@@ -7,9 +7,9 @@
 
 
 class DecayingRate:
-    """How often something happened lately: an event counter that decays exponentially.
+    """Recent rate of events: a counter with exponential decay.
 
-    `span_ns` is the time after which an event counts e^-1.
+    `span_ns` is the time constant: an event of that age has a weight of e^-1.
     """
 
     __slots__ = ("decayed_events", "span_ns", "updated_at_ns")
@@ -20,21 +20,21 @@
         self.updated_at_ns = now_ns
 
     def add(self, now_ns: int, events: float = 1.0) -> None:
-        """Counts so many events; 0 brings the decay up to date."""
+        """Counts `events` events; 0 only applies the decay."""
         decay = math.exp((self.updated_at_ns - now_ns) / self.span_ns)
         self.decayed_events = self.decayed_events * decay + events
         self.updated_at_ns = now_ns
 
     def per_second(self, now_ns: int) -> float:
-        """The rate by now, in events a second."""
+        """Returns the rate at this time, in events per second."""
         decay = math.exp((self.updated_at_ns - now_ns) / self.span_ns)
         return self.decayed_events * decay * SECOND / self.span_ns
 
 
 class TokenBucket:
-    """Tokens that are refilled evenly, at a rate and up to a capacity given with each use.
+    """Token bucket whose refill rate and capacity are given with each use.
 
-    A bucket starts with one token.
+    It starts with one token.
     """
 
     __slots__ = ("refilled_at_ns", "tokens")
@@ -44,9 +44,9 @@
         self.refilled_at_ns = 0
 
     def take(self, now_ns: int, rate_per_s: float, capacity: float) -> bool:
-        """Refills the bucket and takes one token; whether there was one.
+        """Refills the bucket and takes one token; returns whether there was one.
 
-        The capacity is one token at least.
+        The capacity is at least one token.
         """
         refill = rate_per_s * (now_ns - self.refilled_at_ns) / SECOND
         self.tokens = min(self.tokens + refill, max(1.0, capacity))
