--- a/rainhitch/policy/read_tracking.py
+++ b/rainhitch/policy/read_tracking.py
@@ -1,4 +1,4 @@
-"""Tells the parts that follow keys and origin reads what attempts do and show."""
+"""Forwards the progress of attempts to the modules that track keys and origin reads."""
 
 from rainhitch import interface as api
 from rainhitch.policy.key_memory import KeyMemory
@@ -19,7 +19,7 @@
         origin_admission: OriginAdmission,
         coalesced_reads: RequestCoalescing,
     ) -> None:
-        """Takes the parts that are notified."""
+        """Initializes with the modules to notify."""
         self.context = origin_admission.context
         self.cache_aside = self.context.settings.cache_aside
         self.key_memory = key_memory
@@ -28,7 +28,7 @@
         self.coalesced_reads = coalesced_reads
 
     def attempt_started(self, pending: PendingRequest, server: str, number: int) -> None:
-        """An attempt was sent to a server, or to the origin."""
+        """Reports that an attempt was sent to a cache server or to the origin."""
         key = pending.request.key
         is_origin_read = pending.at_origin and not pending.request.is_write
         cache_reads_origin = pending.likely_miss and not self.cache_aside
@@ -47,13 +47,13 @@
             self.coalesced_reads.read_started(key)
 
     def request_finished(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """The client has its answer, or the end of one that had begun."""
+        """Reports an attempt whose end also ended its request."""
         key = pending.request.key
         is_answered = event.status is api.AttemptStatus.OK
         if key is None or pending.request.is_write:
             return
         if pending.at_origin:
-            if is_answered:  # it is stored where it was missed
+            if is_answered:  # the value is stored in the cache server that missed it
                 self.key_memory.remember(key, self.context.now_ns, self._held_at(pending, pending.missed_at))
             self.coalesced_reads.read_finished(key, is_answered)
         elif is_answered:
@@ -69,16 +69,19 @@
 
     @staticmethod
     def _held_at(pending: PendingRequest, server: str) -> str:
-        """Where a key is remembered to be; "": where it was. The further owners of a hot key do not count."""
+        """Returns the server to remember for a key, or "" to keep the recorded one.
+
+        A hot key is recorded at its owner only, not at the other servers over which it is spread.
+        """
         return "" if pending.skipped_owners else server
 
     def client_gone(self, pending: PendingRequest) -> None:
-        """The client left while an attempt was in flight: an origin read for nobody is not stored."""
+        """Reports a client's disconnection during an attempt: the value of its origin read is not stored."""
         if pending.at_origin and pending.request.key is not None and not pending.request.is_write:
             self.coalesced_reads.read_finished(pending.request.key, False)
 
     def missed(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """The cache server that a read was sent to lacks its key."""
+        """Reports that the cache server of a read did not hold the key."""
         pending.missed_at = event.server
         if pending.request.key is not None:
             self.key_memory.record_read(pending.request.key, self.context.now_ns, "", False)
