--- a/rainhitch/policy/request_coalescing.py
+++ b/rainhitch/policy/request_coalescing.py
@@ -1,4 +1,4 @@
-"""Request coalescing: one origin read of a key at a time; other requests for the key wait for it."""
+"""Request coalescing: a key has one origin read at a time, and other requests for the key wait for it."""
 
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import RequestStep
@@ -7,7 +7,7 @@
 
 
 class RequestCoalescing:
-    """The keys that are being read from the origin, and the requests that wait for each read."""
+    """Keys with an origin read in flight, and the requests waiting for each read."""
 
     def __init__(
         self,
@@ -16,7 +16,11 @@
         proceed: RequestStep,
         finish_unserved: RequestStep,
     ) -> None:
-        """Takes the router's held requests by id, and what sends one on or ends it."""
+        """Initializes without reads.
+
+        `requests` are the router's pending requests by id. `proceed` continues a request, `finish_unserved`
+        ends it.
+        """
         self.context = origin_admission.context
         self.origin_admission = origin_admission
         self.requests = requests
@@ -25,18 +29,18 @@
         self.waiting_by_key: dict[str, list[PendingRequest]] = {}
 
     def __len__(self) -> int:
-        """How many keys are being read."""
+        """Returns the number of keys being read."""
         return len(self.waiting_by_key)
 
     def read_started(self, key: str) -> None:
-        """An origin read of this key is in flight from now on."""
+        """Records the start of an origin read of this key."""
         self.waiting_by_key.setdefault(key, [])
 
     def join_or_read(self, pending: PendingRequest) -> None:
-        """Lets a request wait for the read of its key that is in flight, else asks for a read of its own.
+        """Makes a request wait for the read of its key in flight, or requests admission of its own read.
 
-        Guards against a flood of origin reads for one key. The wait lasts until the request's latency
-        objective at most; past that a request reads on its own.
+        This limits the origin reads of one key. A request waits at most until the end of its latency
+        objective. After that it reads the origin itself.
         """
         now_ns = self.context.now_ns
         waiting = self.waiting_by_key.get(pending.request.key or "")
@@ -48,10 +52,10 @@
         self.context.schedule(pending.objective_at_ns - now_ns, self.finish_unserved, pending)
 
     def read_finished(self, key: str, is_stored: bool) -> None:
-        """An origin read has ended; sends on the requests that waited for it.
+        """Records the end of an origin read, and continues the requests that waited for it.
 
-        If the value is now stored in the cache, they are sent there, together with those that wait for a
-        token to read the same key. If not, the first of them reads, and the others wait again.
+        If the value is now stored in the cache, they read it there, as do the requests that wait for a token
+        to read the same key. If not, the first of them reads the origin, and the others wait for it.
         """
         waiting = self.waiting_by_key.pop(key, [])
         if is_stored:
