--- a/rainhitch/policy/retry_planner.py
+++ b/rainhitch/policy/retry_planner.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that brought no answer: another attempt now or later, or the end of the request."""
+"""The step after an attempt without an answer: another attempt, now or later, or the end of the request."""
 
 from rainhitch import interface as api
 from rainhitch.policy import retry_policy
@@ -9,7 +9,7 @@
 
 
 class RetryPlanner:
-    """Carries out what `retry_policy` says for a miss, a failure at a cache server, one at the origin."""
+    """Applies `retry_policy` after a miss, a failure at a cache server or a failure at the origin."""
 
     def __init__(
         self,
@@ -19,7 +19,7 @@
         proceed: RequestStep,
         finish_unserved: RequestStep,
     ) -> None:
-        """Takes what sends a request on, and what ends one."""
+        """Initializes the planner; `proceed` continues a request, `finish_unserved` ends it."""
         self.context = context
         self.settings = context.settings
         self.servers = servers
@@ -29,7 +29,7 @@
         self.finish_unserved = finish_unserved
 
     def attempt_failed(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """Decides on a request whose attempt has ended without an answer."""
+        """Decides the next step of a request whose attempt ended without an answer."""
         if event.status in api.NEVER_EXECUTED:
             pending.possibly_executed.pop(event.attempt, None)
         if pending.at_origin:
@@ -40,18 +40,18 @@
             self._after_cache_failure(pending, event)
 
     def _after_miss(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """Reads the origin; in a migration asks the key's owner first, if that leaves an attempt for it."""
+        """Reads the origin; during a migration, tries the key's owner first if attempts and time allow it."""
         self.reads.missed(pending, event)
         leaves_origin_attempt = pending.attempts_started + 1 < self.settings.max_attempts
         is_timely = self.context.now_ns < pending.objective_at_ns
         if pending.at_previous_holder and leaves_origin_attempt and is_timely:
-            self.proceed(pending)  # its owner may have it by now, from another router
+            self.proceed(pending)  # another router may have migrated the key to its owner by now
             return
         pending.at_origin = True
         self.coalesced_reads.join_or_read(pending)
 
     def _after_cache_failure(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """Tries another cache server at once, unless the retry policy has a reason not to."""
+        """Tries another cache server at once, unless the retry policy gives a reason against it."""
         reason = retry_policy.reason_not_to_try_another_cache(
             pending, event, self.settings.cache_aside, self.context.now_ns
         )
@@ -62,7 +62,7 @@
             self.finish_unserved(pending)
 
     def _after_origin_failure(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """Retries a write within its objective, after a backoff; ends a read, to protect the origin."""
+        """Retries a write within its latency objective, after a backoff; ends a read to protect the origin."""
         wait_ns = retry_policy.origin_retry_delay_ns(pending, self.context.random)
         if self._may_retry_at_origin(pending, wait_ns):
             pending.schedule_retry()
