--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -1,4 +1,4 @@
-"""One server as this router has observed it, and the list of them all."""
+"""State of a server as observed by this router, and the list of all servers."""
 
 from dataclasses import dataclass, field
 
@@ -9,14 +9,14 @@
 from rainhitch.policy.rates import SECOND, SMOOTHING
 from rainhitch.policy.slow_start import SlowStart
 
-INITIAL_LATENCY_DIVISOR = 8  # the shortest latency objective by it is expected of a server not seen yet
-MIN_UNCROWDED_DIVISOR = 16  # the uncrowded answer time is never taken as less than the limit by it
-PROBE_SAMPLE_WEIGHT = 1 / 2  # of a probe's answer time in the moving average
+INITIAL_LATENCY_DIVISOR = 8  # initial latency estimate: the shortest latency objective divided by this
+MIN_UNCROWDED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
+PROBE_SAMPLE_WEIGHT = 1 / 2  # of a probe's latency in the moving average
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this router has observed of one server, by concern."""
+    """State of one server as observed by this router."""
 
     endpoint: api.Endpoint
     latency: LatencyEstimator
@@ -26,36 +26,37 @@
     # This router's attempts.
     in_flight: int = 0
     last_sent_at_ns: int = 0
-    is_probing: bool = False  # what is in flight was sent to see whether an overloaded server has recovered
-    # Its answers, also those that other routers tell of.
-    proven_sent_at_ns: int = 0  # when the latest attempt was sent that it has answered
-    answered_at_ns: int = -SECOND  # when it last answered
+    is_probing: bool = False  # the attempt in flight probes whether an overloaded server has recovered
+    # The server's answers, including those reported by other routers.
+    proven_sent_at_ns: int = 0  # send time of the most recently sent attempt that the server has answered
+    answered_at_ns: int = -SECOND  # time of the latest answer
     # Its key range.
-    range_share: float = 1.0  # the part of it that it bears; the rest passes to the next server
+    range_share: float = 1.0  # fraction of the range that the server serves; the rest goes to the next server
     share_cut_at_ns: int = 0
-    relative_weight: float = 1.0  # its listed weight by the mean of all cache servers
+    relative_weight: float = 1.0  # listed weight divided by the mean weight of all cache servers
 
     def is_usable(self, now_ns: int) -> bool:
-        """Whether it may be tried, by its state on the list and by how connections to it fare."""
+        """Returns whether the server may be tried, by its state on the list and its connection health."""
         is_in_use = self.endpoint.state in (api.EndpointState.READY, api.EndpointState.RETIRING)
         return is_in_use and self.connection.may_be_tried(now_ns, self.in_flight)
 
     def bears(self, range_depth: float) -> bool:
-        """Whether it bears the part of its key range in which a key lies; the far end is 1."""
+        """Returns whether the server serves a position in its key range, from 0 to 1 at the far end."""
         return range_depth < self.range_share * self.relative_weight
 
     def expected_latency_ns(self, now_ns: int, routers: int) -> float:
-        """The answer time to expect of one more request; see `LatencyEstimator.expected_ns`."""
+        """Returns the expected latency of one more request; see `LatencyEstimator.expected_ns`."""
         return self.latency.expected_ns(now_ns, self.in_flight, routers)
 
     def has_capacity(
         self, expected_ns: float, reported_ns: float, limit_ns: float, crowd_factor: int
     ) -> bool:
-        """Whether one more request is answered in time: within a limit and so many uncrowded answer times.
+        """Returns whether one more request would be answered within the latency limits.
 
-        `expected_ns` and `reported_ns` are the answer times to expect by this router's estimate and by the
-        server's own report (0: none). The report is late and noisy, so it has a wider limit. Guards against
-        quick servers taken for crowded ones: a few times next to nothing is no crowd.
+        The limits are `limit_ns` and `crowd_factor` times the unloaded latency. `expected_ns` and
+        `reported_ns` are the expected latencies by this router's estimate and by the server's own report (0:
+        no report). The report is delayed and noisy, so its limit is wider. The unloaded latency has a lower
+        bound, because a small multiple of a very low latency is no sign of overload.
         """
         uncrowded_ns = self.latency.uncrowded_ns
         if uncrowded_ns == 0:
@@ -64,10 +65,10 @@
         return expected_ns <= min(limit_ns, crowded_ns) and reported_ns <= limit_ns * crowd_factor / 2
 
     def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, routers: int) -> bool:
-        """Whether a request may go to this overloaded server all the same, to see whether it has recovered.
+        """Returns whether a request may probe if this overloaded server has recovered.
 
-        One at a time, and from all `routers` together one in an answer time, which is what one core serves:
-        guards against probes that keep a server overloaded.
+        Each router sends one probe at a time, and all `routers` together one probe per latency, which is the
+        load of one core. More probes would keep the server overloaded.
         """
         report = self.load.report
         service_ns = self.latency.uncrowded_ns if report is None else report.latency_ms * NS_PER_MS
@@ -77,10 +78,10 @@
     def admits_or_starts_probe(
         self, now_ns: int, limit_ns: float, crowd_factor: int, routers_to_account_for: int, routers: int
     ) -> bool:
-        """Whether one more request may go there: it has capacity, or a probe is due, which begins with it.
+        """Returns whether the server has capacity for one more request, or a probe is due and starts with it.
 
-        `limit_ns` and `crowd_factor`: see `has_capacity`. `routers_to_account_for`: how many routers send
-        without being heard of, with this one; `routers`: how many there are.
+        `limit_ns` and `crowd_factor`: see `has_capacity`. `routers_to_account_for` is the number of routers
+        whose load is unknown, plus one for this router; `routers` is the number of all routers.
         """
         expected_ns = self.latency.expected_ns(now_ns, self.in_flight, routers_to_account_for)
         reported_ns = self.load.expected_ns(now_ns)
@@ -92,9 +93,10 @@
         return True
 
     def record_answer(self, now_ns: int, span_ns: int, elapsed_ns: int, in_flight: int, routers: int) -> None:
-        """Takes the answer time of an attempt of this router, which had `in_flight` there with it.
+        """Records the latency of an attempt of this router.
 
-        The other arguments are those of `LatencyEstimator.record_latency`.
+        `in_flight` is the number of this router's attempts in flight at the server, including this one. The
+        other arguments are those of `LatencyEstimator.record_latency`.
         """
         latency = self.latency
         latency.mean_in_flight += (in_flight - latency.mean_in_flight) * SMOOTHING
@@ -103,14 +105,15 @@
         self.is_probing = False
 
     def record_proof(self, now_ns: int, sent_at_ns: int) -> None:
-        """It has answered, to any router, an attempt that was sent at that time."""
+        """Records that the server has answered an attempt of any router that was sent at `sent_at_ns`."""
         self.proven_sent_at_ns = max(self.proven_sent_at_ns, sent_at_ns)
         self.answered_at_ns = now_ns
 
     def adjust_range_share(self, now_ns: int, elapsed_ns: int, slow: bool) -> None:
-        """A slow answer cuts the part of its range that it bears by a quarter, a quick one adds a little.
+        """Reduces the range share by a quarter after a slow answer, and raises it slightly after a fast one.
 
-        Guards against several cuts for one jam: an answer to what was sent before the last cut cuts nothing.
+        Slow answers to attempts sent before the last reduction are ignored, so that one congestion reduces
+        the share only once.
         """
         if not slow:
             self.range_share = min(self.range_share + SMOOTHING / 2, 1.0)
@@ -121,7 +124,7 @@
 
 @dataclass(slots=True)
 class ServerList:
-    """All servers on the endpoint list by id, and the origin among them if it is ready."""
+    """All servers on the endpoint list by id, and which of them is the origin, if it is ready."""
 
     servers: dict[str, Server] = field(default_factory=dict)
     origin: Server | None = None
