--- a/rainhitch/policy/retry_planner.py
+++ b/rainhitch/policy/retry_planner.py
@@ -62,7 +62,7 @@
             self.finish_unserved(pending)
 
     def _after_origin_failure(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
-        """Retries a write within its latency objective, after a backoff; ends a read to protect the origin."""
+        """Retries a write after a backoff, within its latency objective; ends a read to spare the origin."""
         wait_ns = retry_policy.origin_retry_delay_ns(pending, self.context.random)
         if self._may_retry_at_origin(pending, wait_ns):
             pending.schedule_retry()
