--- a/rainhitch/policy/server_registry.py
+++ b/rainhitch/policy/server_registry.py
@@ -1,8 +1,7 @@
-"""The list of all servers, and the place where the other decisions ask about them.
+"""Registry of all servers, through which the other decision modules query and update their state.
 
-What is known of one server, by concern: latency_estimator.py, connection_health.py, slow_start.py,
-load_reports.py; of zones: zone_reachability.py. How it is learned: attempt_observations.py,
-gossip_observations.py.
+The state of a server is in latency_estimator.py, connection_health.py, slow_start.py and load_reports.py,
+that of zones in zone_reachability.py. It is updated by attempt_observations.py and gossip_observations.py.
 """
 
 from rainhitch import interface as api
@@ -16,15 +15,15 @@
 from rainhitch.policy.slow_start import SlowStart, SlowStartAdmission
 from rainhitch.policy.zone_reachability import ZoneReachability
 
-# How long this router waits at most before it asks for the endpoint list again, after that was unavailable.
+# Longest wait before an unavailable endpoint list is polled again.
 MAX_POLL_RETRY_NS = 2 * SECOND
-AVERAGING_SPAN_OBJECTIVES = 2  # shortest latency objectives that an average of answer times covers
-SERVED_RATE_SPAN_OBJECTIVES = 4  # shortest latency objectives over which served requests are counted
-NO_ORIGIN_KIND = -1  # in place of the origin's kind where the servers fetch from it themselves
+AVERAGING_SPAN_OBJECTIVES = 2  # averaging window of latencies, in shortest latency objectives
+SERVED_RATE_SPAN_OBJECTIVES = 4  # averaging window of the rate of served requests, in the same unit
+NO_ORIGIN_KIND = -1  # replaces the origin's kind where the cache servers read the origin themselves
 
 
 class ServerRegistry:
-    """All servers on the list, and the origin among them."""
+    """All servers on the endpoint list, including the origin."""
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
@@ -38,15 +37,15 @@
 
     @property
     def origin(self) -> Server | None:
-        """The origin, if it is on the list and ready; None where requests don't go there from this router."""
+        """The origin, if it is listed and ready; None also where this router sends it no requests."""
         return self.server_list.origin
 
     # The endpoint list.
 
     def apply_update(self, event: api.EndpointUpdate) -> list[str] | None:
-        """Takes news of the endpoint list; gives the sorted ids of the ready cache servers.
+        """Applies a change of the endpoint list; returns the sorted ids of the ready cache servers.
 
-        None if the list was unavailable.
+        Returns None if the list was unavailable.
         """
         if event.kind is api.EndpointUpdateKind.FAILED:
             self._retry_poll()
@@ -66,7 +65,7 @@
         return self._select_ready()
 
     def _select_ready(self) -> list[str]:
-        """Sets what depends on the list as a whole; gives the sorted ids of the ready cache servers."""
+        """Updates zones, relative weights and origin; returns the sorted ids of the ready cache servers."""
         settings = self.context.settings
         origin_kind = settings.origin_kind if settings.cache_aside else NO_ORIGIN_KIND
         ready = [one for one in self.servers.values() if one.endpoint.state is api.EndpointState.READY]
@@ -75,7 +74,7 @@
         mean_weight = sum(server.endpoint.weight for server in caches) / max(1, len(caches))
         if mean_weight == 0:
             mean_weight = 1.0
-        # Guards against an equal key range for an unequal machine: a small one bears less of it.
+        # Key ranges are equal but machines are not, so a small machine serves less of its range.
         for server in caches:
             server.relative_weight = server.endpoint.weight / mean_weight
         self.server_list.origin = next(
@@ -86,10 +85,10 @@
     def _remove(self, entry: api.Endpoint) -> None:
         removed = self.servers.pop(entry.server, None)
         if removed is not None:
-            removed.endpoint = entry  # requests that may have run there refer to it
+            removed.endpoint = entry  # requests possibly executed there still refer to the server
 
     def _add_or_update(self, entry: api.Endpoint, is_cached: bool) -> None:
-        """Takes an entry of the list. `is_cached`: of the list as it was at first, so that nobody is new."""
+        """Applies a list entry; with `is_cached` (initial list), unknown servers do not count as new."""
         server = self.servers.get(entry.server)
         if server is None:
             self.servers[entry.server] = self._new_server(entry, is_cached)
@@ -104,7 +103,7 @@
         now_ns = self.context.now_ns
         started_at_ns = entry.started_at_ns
         if not is_cached and not started_at_ns:
-            started_at_ns = now_ns  # new to the list, with no start time: taken as started just now
+            started_at_ns = now_ns  # new on the list and without a start time: counts as started now
         served = DecayingRate(SERVED_RATE_SPAN_OBJECTIVES * objective_ns, now_ns)
         return Server(
             entry,
@@ -113,8 +112,8 @@
         )
 
     def _retry_poll(self) -> None:
-        """The list was unavailable: it is asked for again after a wait, of which half is left to chance."""
-        # Guards against news that counts as delivered while this router waits to ask again.
+        """Schedules another poll of an unavailable list, after a random wait of at least half the maximum."""
+        # The wait is short because a change of the list counts as delivered while this router waits.
         max_wait_ns = min(MAX_POLL_RETRY_NS, self.context.settings.max_poll_retry_ns)
         wait_ns = max_wait_ns * self.context.random.uniform(0.5, 1)
         line = f"endpoint list unavailable retry_ms={wait_ns / 1e6:.0f}"
@@ -124,15 +123,18 @@
     def _poll(self, _: PendingRequest | None) -> None:
         self.context.actions.append(api.WatchEndpoints())
 
-    # Questions of the other decisions.
+    # Queries.
 
     def is_usable(self, server: Server) -> bool:
-        """Whether it may be tried, by what is known of it and of its zone."""
+        """Returns whether a server may be tried, by its own state and that of its zone."""
         now_ns = self.context.now_ns
         return server.is_usable(now_ns) and self.zones.may_be_tried(server.endpoint.zone, now_ns)
 
     def ejected_servers(self) -> set[str]:
-        """Who is tried with one attempt at a time at most, since connections there or to its zone fail."""
+        """Returns the ids of servers that get at most one attempt at a time.
+
+        Connections to these servers, or to their zones, have failed.
+        """
         return {
             name
             for name, server in self.servers.items()
@@ -142,7 +144,7 @@
     def admits_in_slow_start(
         self, server: Server, capacity_fraction: float, heat: float, arrivals_per_s: float
     ) -> bool:
-        """Whether one more request may go to a server in slow start; takes a token of its budget if so.
+        """Returns whether a server in slow start admits one more request; if so, takes a token of its budget.
 
         The arguments are those of `slow_start.passes_by_chance`.
         """
@@ -174,7 +176,7 @@
     # Attempts.
 
     def attempt_started(self, server: Server, attempt: tuple[str, int], is_idempotent: bool) -> None:
-        """An attempt, by its request's id and its number, goes to a server."""
+        """Records the start of an attempt, given by request id and attempt number, at a server."""
         now_ns = self.context.now_ns
         server.in_flight += 1
         server.last_sent_at_ns = now_ns
