--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start: a server that started lately has a part of its capacity, which grows to the whole.
+"""Slow start: a server that started recently has a fraction of its capacity, which grows to all of it.
 
-Keeps rule 4: no server in slow start gets more than it can take.
+Enforces rule 4: no server in slow start gets more load than it can handle.
 
-It is sent what that part bears by all routers together. None of them knows what the others send: each takes
-what warm servers of the same kind serve it for its part of such a server's capacity.
+The load of all routers together must not exceed that fraction. Since no router knows the load of the others,
+each takes the rate at which a warm server of the same kind serves this router as its own part of a server's
+capacity.
 """
 
 from collections.abc import Iterable
@@ -13,25 +14,27 @@
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.rates import SECOND, DecayingRate, TokenBucket
 
-# Times what warm servers serve that a starting one may be sent, for its part of capacity.
+# Limit of a starting server's request rate: this multiple of a warm server's rate times the fraction of its
+# capacity that the starting server has.
 WARM_RATE_FACTOR = 3 / 2
-# Times what a warm server serves: of an arrival rate beyond that, chance admits so much.
+# Multiple of a warm server's rate up to which all arrivals pass. Of a higher arrival rate, a random sample of
+# this size passes.
 MAX_SURE_RATE_FACTOR = 2
-# The settings' window by it: how long the rate of warm servers holds once worked out.
+# The slow-start window divided by it is how long a computed warm rate is valid.
 WARM_RATE_LIFETIME_DIVISOR = 8
-BUDGET_CAPACITY_DIVISOR = 4  # the tokens of the settings' window by it: so many may be saved up
+BUDGET_CAPACITY_DIVISOR = 4  # budget capacity: the tokens of one slow-start window divided by this
 
 
 @dataclass(slots=True)
 class SlowStart:
-    """One server's slow start, as far as this router sees it."""
+    """Slow-start state of one server, as observed by this router."""
 
     started_at_ns: int = 0  # 0: long ago
-    served: DecayingRate = field(default_factory=lambda: DecayingRate(SECOND))  # hits it served this router
-    budget: TokenBucket = field(default_factory=TokenBucket)  # of what it may be sent meanwhile
+    served: DecayingRate = field(default_factory=lambda: DecayingRate(SECOND))  # hits served to this router
+    budget: TokenBucket = field(default_factory=TokenBucket)  # requests allowed during slow start
 
     def slow_start_fraction(self, now_ns: int, settings: api.Settings) -> float:
-        """The part of its capacity, 0 to 1, that the server has by now; 1 after its slow start."""
+        """Returns the fraction of its capacity, 0 to 1, that the server has now; 1 after its slow start."""
         if self.started_at_ns <= max(0, now_ns - settings.slow_start_ns):
             return 1.0
         elapsed_fraction = max(0, now_ns - self.started_at_ns) / settings.slow_start_ns
@@ -42,32 +45,33 @@
 def passes_by_chance(
     draw: float, arrivals_per_s: float, heat: float, capacity_fraction: float, warm_rate_per_s: float
 ) -> bool:
-    """Whether a request may ask for a token of a starting server's budget.
+    """Returns whether a request may take a token of a starting server's budget.
 
-    What is far beyond what a server bears is left to chance. Guards against a surge to a starting server from
-    many routers at once, of which each has a first token saved up.
+    Of an arrival rate far above a server's capacity, only a random sample passes. Otherwise many routers,
+    each with an unused first token, could send requests to a starting server at the same time.
 
-    `draw`: a random number from 0 to 1; `arrivals_per_s`: what this router receives for a server's range;
-    `heat`: the key's part of the requests, in servers' fair shares; `capacity_fraction`: the part of its
-    capacity that the server has; `warm_rate_per_s`: what a warm server of its kind serves this router.
+    `draw` is a random number from 0 to 1, `arrivals_per_s` the rate at which this router receives requests
+    for a server's range, `heat` the key's part of the requests as a multiple of a server's fair share,
+    `capacity_fraction` the fraction of its capacity that the server has, and `warm_rate_per_s` the rate at
+    which a warm server of its kind serves this router.
     """
     return draw * arrivals_per_s * max(1.0, heat / capacity_fraction) < MAX_SURE_RATE_FACTOR * warm_rate_per_s
 
 
 @dataclass(frozen=True, slots=True)
 class WarmRate:
-    """What a warm server of one kind serves this router."""
+    """Rate at which a warm server of one kind serves this router."""
 
-    rate_per_s: float  # requests
+    rate_per_s: float  # requests per second
     valid_until_ns: int
 
 
 class SlowStartAdmission:
-    """Decides what this router sends to servers in slow start."""
+    """Admission of this router's requests to servers in slow start."""
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.warm_rates: dict[int, WarmRate] = {}  # by kind of server
+        self.warm_rates: dict[int, WarmRate] = {}  # by `Endpoint.kind`
 
     def admits_in_slow_start(
         self,
@@ -79,9 +83,9 @@
         heat: float,
         arrivals_per_s: float,
     ) -> bool:
-        """Whether one more request may go to a starting server; takes a token of its budget if so.
+        """Returns whether a starting server admits one more request; if so, takes a token of its budget.
 
-        `same_kind`: all servers of its kind. The other arguments are those of `passes_by_chance`.
+        `same_kind` are all servers of its kind. The other arguments are those of `passes_by_chance`.
         """
         now_ns = self.context.now_ns
         warm_rate_per_s = self._warm_rate_per_s(kind, same_kind)
@@ -95,7 +99,7 @@
         )
 
     def _warm_rate_per_s(self, kind: int, same_kind: Iterable[SlowStart]) -> float:
-        """What a warm server of this kind serves this router, in requests a second, on average."""
+        """Returns the mean rate at which warm servers of this kind serve this router, requests per second."""
         now_ns = self.context.now_ns
         settings = self.context.settings
         known = self.warm_rates.get(kind)
@@ -106,8 +110,8 @@
             for one in same_kind
             if one.slow_start_fraction(now_ns, settings) == 1
         ]
-        # Guards against a fleet that starts as a whole and has no warm server to go by: one request a second,
-        # of all routers together, shows what a server bears.
+        # In a fleet that starts as a whole there is no warm server to measure. One request per second, from
+        # all routers together, is enough to find out what a server can handle.
         warm_rate_per_s = max(sum(rates) / max(1, len(rates)), 1 / settings.router_count)
         valid_until_ns = now_ns + settings.slow_start_window_ns // WARM_RATE_LIFETIME_DIVISOR
         self.warm_rates[kind] = WarmRate(warm_rate_per_s, valid_until_ns)
