--- a/rainhitch/policy/tenant_quotas.py
+++ b/rainhitch/policy/tenant_quotas.py
@@ -1,19 +1,20 @@
-"""Which requests are over their tenant's quota.
+"""Tenant quotas: marks the requests that exceed their tenant's quota.
 
-The quota holds for all routers: it is cut to this router's part of the tenant's traffic.
+A quota applies to all routers together. Each router enforces the part of it that corresponds to its fraction
+of the tenant's traffic.
 """
 
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.rates import DecayingRate, TokenBucket
 
-ESTIMATE_LIFETIME_NS = 10_000_000  # for which this router's own estimate of its part of the traffic is kept
-MIN_QUOTA_BURST = 10  # requests at once that any part of a quota allows
-ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # shortest latency objectives over which arrivals are counted
+ESTIMATE_LIFETIME_NS = 10_000_000  # validity of this router's own estimate of its traffic fraction
+MIN_QUOTA_BURST = 10  # minimum capacity of a tenant's token bucket, requests
+ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # averaging window of arrival rates, in shortest latency objectives
 
 
 class TenantQuotas:
-    """Marks requests that exceed a tenant's quota."""
+    """Checks requests against this router's part of each tenant's quota."""
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
@@ -21,20 +22,19 @@
         span_ns = ARRIVAL_RATE_SPAN_OBJECTIVES * context.shortest_objective_ns
         self.arrival_rates = [DecayingRate(span_ns) for _ in tenants]
         self.buckets = [TokenBucket() for _ in tenants]
-        # This router's part of each tenant's traffic, 0 to 1, or one for all of them; and until when it
-        # holds.
+        # This router's fraction of each tenant's traffic, 0 to 1, or a single value for all tenants.
         self.traffic_fractions = [0.0]
         self.fractions_valid_until_ns = 0
 
     def apply_fractions(self, event: api.TrafficFractions) -> None:
-        """Takes this router's part of the tenants' traffic as the routers' counts give it."""
+        """Sets this router's fraction of the tenants' traffic, from the counts that the routers exchange."""
         self.traffic_fractions = event.by_tenant
         self.fractions_valid_until_ns = self.context.now_ns + event.valid_for_ns
 
     def count_and_check_quota(self, event: api.Request) -> bool:
-        """Counts a request; returns whether it is over its tenant's quota.
+        """Counts a request; returns whether it exceeds its tenant's quota.
 
-        Never where there is a single tenant, or none has a quota.
+        The result is always false with a single tenant, or for a tenant without a quota.
         """
         quotas = self.context.settings.tenants
         if event.tenant >= len(quotas) or len(quotas) < 2 or not quotas[event.tenant].quota_per_s:
@@ -51,9 +51,10 @@
         return not self.buckets[event.tenant].take(now_ns, rate_per_s, max(MIN_QUOTA_BURST, rate_per_s))
 
     def _estimate_traffic_fraction(self) -> float:
-        """This router's part of all traffic: the median of the parts of their quotas that tenants use here.
+        """Returns an estimate of this router's fraction of all traffic.
 
-        Guards against a surge of all tenants taken for a large part: it is no more than the whole.
+        It is the median, over the tenants, of their rate at this router divided by their quota. It is limited
+        to 1, so that a surge of all tenants does not give a router more than the whole quota.
         """
         rates = zip(self.arrival_rates, self.context.settings.tenants, strict=True)
         used_fractions = sorted(
