--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -1,4 +1,4 @@
-"""What a router learns of a server from how an attempt there ends."""
+"""Updates of a server's state from the outcomes of attempts."""
 
 from support import MILLI, SECOND, Router, fleet, settings
 
@@ -8,11 +8,11 @@
 
 
 def test_a_full_connection_table_is_not_overload_and_another_server_is_tried() -> None:
-    """Servers' connection tables were smaller than the number of routers.
+    """Guards against a full connection table being treated as overload.
 
-    Each new connection that was rejected made the server look overloaded to all routers, and after two of
-    them a request was rejected while servers were idle. Such a rejection has to leave latency and gossip
-    alone, and the request goes on to the next server.
+    The servers' connection tables were smaller than the number of routers. Each rejected new connection made
+    the server look overloaded to all routers, and after two of them a request was rejected while servers were
+    idle. Such a rejection must not change latency or gossip, and the request tries the next server.
     """
     router = Router(settings(gossip_interval_ns=SECOND), fleet(6))
     _, (send,) = router.request("k")
