--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""What each part decides, one failure or rule at a time."""
+"""Decisions of the balancer and its modules, one rule or failure per test."""
 
 import re
 
@@ -17,13 +17,16 @@
 
 
 def sends(actions: list[api.Action]) -> list[str]:
-    """The servers at which attempts start."""
+    """Returns the servers at which attempts start."""
     return [action.server for action in actions if isinstance(action, api.StartAttempt)]
 
 
 @pytest.fixture(autouse=True)
 def no_key_is_hot(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a handful of requests each repeated key would be a hot one; test_regressions.py has those."""
+    """Turns off hot keys: with so few requests each repeated key would count as hot.
+
+    Hot keys are tested in test_regressions.py.
+    """
     monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
 
 
@@ -54,7 +57,7 @@
     assert router.balancer.placement.ranges.names == ["c0", "c1"]
 
 
-# Memory of keys
+# Key memory
 
 
 def test_memory_is_bounded_and_forgets_the_oldest() -> None:
@@ -98,7 +101,7 @@
     waiting = set(throttle.queue)
     assert waiting and len(waiting) <= throttle.buffer
     later = router.wait(SECOND)
-    assert sends(later), "tokens free waiting jobs"
+    assert sends(later), "expected queued requests to start when tokens arrive"
     refused = {action.id for action in at_once + later if isinstance(action, api.Reject)}
     sent = {action.id for action in at_once + later if isinstance(action, api.StartAttempt)}
     assert refused | sent == set(asked) and not refused & sent
@@ -145,7 +148,7 @@
 def test_a_short_history_is_not_taken_for_a_low_rate() -> None:
     monitor = OriginMonitor(SECOND)
     monitor.started_at_ns = START
-    for n in range(100):  # fifty likely misses a second from the very start
+    for n in range(100):  # fifty likely misses per second since the start
         monitor.admitted_rate.add(START + n * SECOND // 50)
     assert 45 < monitor.recent_rate_per_s(START + 2 * SECOND) < 55
 
@@ -162,7 +165,7 @@
 
 
 def test_one_congestion_cuts_the_throttles_rate_once() -> None:
-    """Guards against reads sent before a cut cutting r again."""
+    """Guards against a second reduction of the rate by reads that were sent before the first one."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
         monitor.admitted_rate.add(SECOND)
@@ -183,7 +186,7 @@
 
 
 def test_the_throttles_rate_does_not_rise_while_reads_hang_between_two_cuts() -> None:
-    """Guards against a jam that feeds itself."""
+    """Guards against a rising rate that adds to the congestion while reads hang."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
         monitor.admitted_rate.add(SECOND)
@@ -201,7 +204,7 @@
     assert throttle.rate_per_s > rate
     for _ in range(9):
         monitor.step(2 * SECOND, False)
-    assert throttle.rate_per_s < 2.5 * monitor.recent_rate_per_s(2 * SECOND), "nor far past what is spent"
+    assert throttle.rate_per_s < 2.5 * monitor.recent_rate_per_s(2 * SECOND), "rate far above the used rate"
 
 
 def test_an_origin_that_hangs_turns_the_throttle_on_before_any_outcome() -> None:
@@ -214,7 +217,7 @@
 
 
 def test_one_read_of_a_key_is_in_flight_and_waiting_reads_are_served_by_the_cache() -> None:
-    """Guards against a flood of reads for one key."""
+    """Guards against many simultaneous origin reads of one key."""
     router = Router()
     _, (first,) = router.request("hot")
     (read,) = router.end_attempt(first, S.MISS)
@@ -240,11 +243,11 @@
     assert [action.id for action in later if isinstance(action, api.Reject)] == [third]
 
 
-# Server view
+# Server state
 
 
 def test_full_answers_count_as_overload_and_not_as_quick_answers() -> None:
-    """Guards against a storm of full answers: work spills once, to a calm server, or is refused."""
+    """Guards against a storm of full answers: a request spills once, to an idle server, or is rejected."""
     router = Router()
     home = router.balancer.servers.servers[router.fetch_and_store("k")]
     for _ in range(12):
@@ -271,18 +274,21 @@
     assert not one.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
     assert one.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
     one.record_answer(SECOND, SECOND, SECOND // 10, 1, 1)
-    assert one.latency.average_ns < 0.6 * SECOND, "a trial's answer counts for half"
+    assert one.latency.average_ns < 0.6 * SECOND, "a probe's latency must have half the weight"
 
 
 def test_probes_of_an_overloaded_server_are_shared_by_all_routers() -> None:
-    """Forty routers with one trial an answer time each were more than a server's whole work."""
+    """Guards against probes from forty routers, one per latency each, that exceed a server's capacity."""
     one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), uncrowded_ns=SECOND / 10))
     assert not one.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
     assert one.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
 
 
 def test_a_first_attempts_timeout_follows_the_fleets_usual_latency() -> None:
-    """Two quick answers of a server made a router give up on the third, and read the key elsewhere."""
+    """Guards against a timeout that is too short for normal latencies.
+
+    After two fast answers of a server, a router timed out on the third and read the key elsewhere.
+    """
     waits = []
     for usual in (SECOND // 100, SECOND // 10):
         router = Router()
@@ -324,7 +330,7 @@
 
 @pytest.mark.parametrize("routers", [1, 40])
 def test_a_starting_server_gets_its_part_evenly_however_many_routers(routers: int) -> None:
-    """Guards against a first token for each router, which pushed cold servers over at full size."""
+    """Guards against a first token at each router, which overloaded cold servers in a large fleet."""
     fresh = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
     several = [Router() for _ in range(routers)]
     for router in several:
@@ -339,12 +345,15 @@
     quarters = [sum(sent[n : n + 500]) for n in range(0, 2000, 500)]
     taken_up = [125 * (2 * n + 1) / 8 for n in range(4)]
     assert all(count < even + 25 for count, even in zip(quarters, taken_up, strict=True))
-    assert quarters[0] > 4 and min(quarters[1:]) > 12  # the budget of its part of the mean flow may bind
+    assert quarters[0] > 4 and min(quarters[1:]) > 12  # the slow-start budget may limit the rate further
 
 
 @pytest.mark.parametrize(("instant", "after"), [(0.25, 0.1), (0.45, 2.5), (0.9, 9.0)])
 def test_a_starting_server_is_used_by_its_initial_fraction(instant: float, after: float) -> None:
-    """Six in ten servers new within 7 s left all the work to the others, as if they began from nothing."""
+    """Guards against starting servers that are treated as if they had no initial capacity.
+
+    Six of ten servers started within 7 s, and all load went to the other four.
+    """
     for wait, taken in ((after, True), (after - 2, False)):
         router = Router(settings(slow_start_initial_fraction=0.3))
         router.handle(
@@ -396,7 +405,7 @@
     assert router.balancer.servers.servers["c0"].slow_start.started_at_ns == 0
 
 
-# Lifecycle
+# Request lifecycle
 
 
 @pytest.mark.parametrize("members", [[], fleet(0), [api.Endpoint("c0", api.EndpointState.DRAINING)]])
@@ -419,7 +428,7 @@
 
 
 def test_reads_do_not_keep_an_overloaded_origin_overloaded() -> None:
-    """Guards against the second's excess that is out before the first slow read shows."""
+    """Guards against reads that are sent to the origin before the first slow read ends."""
     router = Router()
     origin = router.balancer.servers.origin
     assert origin is not None
@@ -436,7 +445,7 @@
 
 
 def test_writes_do_not_keep_an_overloaded_origin_overloaded() -> None:
-    """Guards against writes that keep a jammed origin jammed; a trial still shows when it recovers."""
+    """Guards against writes that keep an origin overloaded; a probe still detects its recovery."""
     router = Router()
     origin = router.balancer.servers.origin
     assert origin is not None
@@ -449,7 +458,7 @@
 def test_a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried() -> None:
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
-    assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "no time-out of our own cuts it off"
+    assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "the router must not time out"
     assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
 
 
@@ -492,7 +501,7 @@
 
 
 def test_an_origin_read_runs_until_the_client_gives_up() -> None:
-    """Guards against an origin slower than an aim, at which reads given up would fill no cache."""
+    """Guards against an origin slower than the latency objective, whose timed-out reads fill no cache."""
     router = Router(settings(classes=[api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]))
     _, (first,) = router.request("k")
     (read,) = router.end_attempt(first, S.MISS)
@@ -503,13 +512,13 @@
 def test_neighbours_that_fail_together_are_skipped() -> None:
     router = Router(endpoints=fleet(6))
     owner, *rest = router.candidates("k")
-    for one in [owner, *rest[:2]]:  # slow with nothing of ours out, and a trial is out at each
+    for one in [owner, *rest[:2]]:  # slow without load from this router, with a probe in flight at each
         one.latency.average_ns, one.latency.uncrowded_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
     assert sends(router.request("k")[1]) == [rest[2].endpoint.server]
 
 
 def test_no_second_probe_starts_while_one_is_in_flight() -> None:
-    """Guards against a long memory of a jam: its answer counts half, whoever asked meanwhile."""
+    """Guards against a slow recovery: a probe's latency has half the weight in the average."""
     tested = Server(api.Endpoint("c"), LatencyEstimator(4.0 * SECOND))
     assert tested.admits_or_starts_probe(START, SECOND, 4, 1, 1) and tested.is_probing
     tested.in_flight, tested.last_sent_at_ns = 1, START
@@ -519,7 +528,7 @@
 
 
 def test_an_answer_after_a_long_silence_counts_more() -> None:
-    """Guards against a fleet so wide that this router sees a server seldom."""
+    """Guards against a slow average in a large fleet, where a router rarely gets answers of a server."""
     often, seldom = (
         Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, updated_at_ns=START)) for _ in range(2)
     )
@@ -529,7 +538,7 @@
 
 
 def test_a_probe_that_misses_shows_recovery() -> None:
-    """Guards against a swamped server whose keys went elsewhere: it would never be seen to recover."""
+    """Guards against an overloaded server whose keys moved elsewhere and whose recovery goes unnoticed."""
     router = Router()
     owner = router.candidates("k")[0]
     owner.latency.average_ns, owner.latency.uncrowded_ns = 4.0 * SECOND, SECOND / 10
@@ -540,7 +549,7 @@
 
 
 def test_the_estimate_of_what_was_in_flight_decays_slowly() -> None:
-    """Guards against a crowded server that looks slow by itself as soon as it gets one request at a time."""
+    """Guards against a busy server that looks slow as soon as it gets one request at a time."""
     one = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
     one.record_answer(START, 2 * SECOND, SECOND, 1, 1)
     assert one.latency.mean_in_flight == 8 and one.expected_latency_ns(START, 1) < SECOND / 4
@@ -557,7 +566,7 @@
 def test_a_timer_that_fires_early_does_not_stop_the_others() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    router.end_attempt(first, S.MISS)  # its origin read is out
+    router.end_attempt(first, S.MISS)  # starts the origin read
     waits, none = router.request("k")  # waits for that read
     assert none == []
     when, token = router.timers.pop()
@@ -622,7 +631,7 @@
     assert Router(endpoints=[]).request()[1] == [api.Reject("r1", 0)]
 
 
-# The list on request
+# Polled endpoint list
 
 
 def test_a_polled_list_is_asked_for_again_after_a_failure() -> None:
@@ -651,7 +660,7 @@
 
 
 def test_one_broken_connection_does_not_eject_a_server_that_has_just_answered() -> None:
-    """Where connections broke now and then, each break put a server aside for a third of a second."""
+    """Guards against ejections by occasional broken connections, each for a third of a second."""
     router = Router()
     owner = router.fetch_and_store("k")
     server = router.balancer.servers.servers[owner]
@@ -674,10 +683,10 @@
 
 
 def test_a_retry_may_begin_only_within_what_is_left_of_its_dedup_window() -> None:
-    """Seed 109 of the short days.
+    """Guards against a repeat that is written after its dedup window.
 
-    A repeat that was decided in time was written after its window, behind a connection that came up late.
-    What a hold-up between the decision and the write may take is kept.
+    A repeat was decided in time, but its connection was established late, and it was written after the
+    window. A reserve at the end of the window covers such a delay between the decision and the write.
     """
     router = Router()
     _, (first,) = router.request(class_index=1)
