--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -1,4 +1,4 @@
-"""What a router learns from others of servers, and of its own attempts that are in flight for long."""
+"""Observations from other routers, and detection of overdue attempts and lost answers."""
 
 import pytest
 from support import MILLI, SECOND, Router, fleet, settings
@@ -26,9 +26,9 @@
 
 
 def router_with_late_attempt(goes_on: bool = True) -> tuple[Router, api.StartAttempt, Server]:
-    """A router that gossips, with one attempt in flight.
+    """Returns a router that gossips, its one attempt in flight, and the attempt's server.
 
-    Its server is known to answer in 100 ms, and goes on answering what was sent earlier if `goes_on`.
+    The server is known to answer in 100 ms. With `goes_on` it has answered an attempt that was sent earlier.
     """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=60), fleet(2))
     router.handle(api.GossipReceived([api.LatencyObservation(f"c{n}", SECOND // 10) for n in (0, 1)]))
@@ -41,7 +41,7 @@
 
 
 def ages_published(actions: list[api.Action], name: str) -> list[int]:
-    """The ages that were gossiped of attempts in flight at this server."""
+    """Returns the published ages of attempts in flight at this server."""
     observations = [
         seen for one in actions if isinstance(one, api.PublishGossip) for seen in one.observations
     ]
@@ -49,11 +49,11 @@
 
 
 def test_an_overdue_attempt_is_published_before_its_answer_comes() -> None:
-    """All routers learned of an overload with its answers, seconds late.
+    """Guards against overload that is noticed only by its answers, seconds late.
 
-    On days without faults, sixty routers' answers took four times what was expected when the requests were
-    sent. An attempt that is in flight for far longer than expected has to raise the latency at once, here and
-    by gossip.
+    In runs without faults, sixty routers saw latencies of four times the latency expected when the requests
+    were sent. An attempt in flight for much longer than expected must raise the latency at once, in this
+    router and by gossip.
     """
     router, send, server = router_with_late_attempt()
     before = server.latency.average_ns
@@ -66,9 +66,10 @@
 
 
 def test_a_server_that_answers_nobody_is_unreachable_and_not_overloaded() -> None:
-    """A zone was cut off, and its servers were taken for overloaded ones long after the cut.
+    """Guards against unreachable servers being treated as overloaded.
 
-    Attempts at a server that answers nobody must not raise its latency.
+    A zone was cut off, and its servers counted as overloaded long after that. Attempts at a server that does
+    not answer any router must not raise its latency.
     """
     router, send, server = router_with_late_attempt(goes_on=False)
     before = server.latency.average_ns
@@ -84,9 +85,9 @@
 
 
 def test_a_silent_connection_to_a_server_that_answers_later_attempts_is_not_published() -> None:
-    """One lost answer was taken for an overload.
+    """Guards against one lost answer being treated as overload.
 
-    Where the server has answered what was sent later, the late attempt must tell nothing of it.
+    If the server has answered an attempt that was sent later, an overdue attempt must not affect its latency.
     """
     router, send, server = router_with_late_attempt()
     router.wait(50 * MILLI)
@@ -99,9 +100,10 @@
 
 
 def test_an_overdue_attempt_is_not_published_while_other_routers_are_silent() -> None:
-    """Answers were lost in a fleet whose gossip was lost as well.
+    """Guards against lost answers being treated as overload while gossip is lost too.
 
-    Then nothing proves that the server answers others, and an overdue attempt must tell nothing.
+    Without gossip there is no evidence that the server answers other routers, so an overdue attempt must not
+    affect its latency.
     """
     router, send, server = router_with_late_attempt()
     router.balancer.servers.gossip.received_at_ns = -SECOND * 1000
@@ -115,10 +117,10 @@
 def test_a_read_whose_answer_is_lost_is_cancelled_and_sent_elsewhere(
     cls: int, write: bool, ends: bool
 ) -> None:
-    """Answers were lost on the way, and such reads waited seven seconds, until their clients were gone.
+    """Guards against reads that wait for a lost answer until their clients disconnect, seven seconds later.
 
-    A read has to be cancelled once its server has answered what was sent much later; what may have an effect
-    is waited for.
+    A read must be cancelled once its server has answered an attempt that was sent much later. A request that
+    may have an effect is not cancelled.
     """
     router = Router(
         settings(gossip_interval_ns=200 * MILLI, router_count=60, cache_aside=False), fleet(3, origin=False)
@@ -131,7 +133,7 @@
     stops = []
     for _ in range(6):
         stops += [one for one in router.wait(200 * MILLI) if isinstance(one, api.CancelAttempt)]
-        assert not stops, "no proof yet that its server has answered what was sent much later"
+        assert not stops, "cancelled before its server answered an attempt that was sent much later"
     router.handle(gossip)
     stops += [one for one in router.wait(300 * MILLI) if isinstance(one, api.CancelAttempt)]
     assert bool(stops) is ends and all(one == api.CancelAttempt(name, 0) for one in stops)
@@ -142,10 +144,10 @@
 
 @pytest.mark.parametrize("is_in_flight", [False, True])
 def test_a_lost_answer_is_no_overload_where_another_router_got_a_later_one(is_in_flight: bool) -> None:
-    """Answers were lost on the way, and three in four healthy servers got no more requests.
+    """Guards against healthy servers that get no more requests because answers are lost.
 
-    Each lost answer was gossiped as overdue until its timeout, by a router that sends the server little.
-    Gossip of a later answer has to stop that.
+    Three of four healthy servers were affected. Each lost answer was published as overdue until its timeout,
+    by a router that sends the server few requests. Gossip of a later answer must stop that.
     """
     router, send, server = router_with_late_attempt()
     router.wait(600 * MILLI)
@@ -156,4 +158,4 @@
     assert (server.latency.average_ns > SECOND / 5) is is_in_flight
     overloaded = server.latency.average_ns
     router.end_attempt(send, S.TIMEOUT, 0, 1800 * MILLI)
-    assert (server.latency.average_ns > overloaded) is is_in_flight, "nor is its time-out one"
+    assert (server.latency.average_ns > overloaded) is is_in_flight, "its timeout counted as overload"
