--- a/tests/policy/test_latency_estimator.py
+++ b/tests/policy/test_latency_estimator.py
@@ -1,4 +1,4 @@
-"""The answer time to expect of a server whose queue drains unseen, or stays."""
+"""Expected latency of a server whose queue drains without answers, or persists."""
 
 from support import MILLI, SECOND, START
 
@@ -8,20 +8,20 @@
 
 
 def queueing(in_flight: int = 0) -> Server:
-    """A server that took 700 ms when it last answered, and 100 ms when it was uncrowded."""
+    """Returns a server with a latency of 700 ms at its last answer and an unloaded latency of 100 ms."""
     latency = LatencyEstimator(0.7 * SECOND, SECOND / 10, START, 1.0 + in_flight)
     return Server(api.Endpoint("c"), latency, in_flight=in_flight, last_sent_at_ns=START)
 
 
 def test_a_queue_is_forgotten_in_the_time_in_which_it_drains() -> None:
-    """An idle fleet collapsed.
+    """Guards against an idle server that counts as slow.
 
-    Each server's last answer was slow, nobody asked it again, and so it stayed slow for all routers. A queue
-    that nobody adds to has to be forgotten as it drains.
+    A fleet collapsed while it was idle: each server's last answer was slow, so it got no more requests and
+    stayed slow for all routers. A queue without new load must be forgotten as it drains.
     """
     assert not queueing().admits_or_starts_probe(START + SECOND // 10, SECOND, 4, 1, 1)
     assert queueing().admits_or_starts_probe(START + SECOND, SECOND, 4, 1, 1)
-    assert not queueing().is_probing, "it has capacity, and is not probed"
+    assert not queueing().is_probing, "a server with capacity must not be probed"
 
 
 def test_a_queue_is_forgotten_more_slowly_where_routers_that_are_not_heard_of_may_add_to_it() -> None:
@@ -35,9 +35,10 @@
 
 
 def test_a_quick_answer_after_a_long_silence_is_added_to_what_is_left_of_the_queue() -> None:
-    """One quick answer after a long silence changed the average little, though the queue was long gone.
+    """Guards against an average that includes a queue that has drained.
 
-    What has drained has to be left out first.
+    A fast answer after a long time without answers changed the average only a little, although the queue had
+    drained. The drained part must be subtracted before the answer is added.
     """
     one = queueing()
     one.latency.record_latency(START + 10 * SECOND, 2 * SECOND, SECOND // 10, 1)
@@ -45,10 +46,10 @@
 
 
 def test_a_lasting_queue_is_not_forgotten_between_frequent_answers() -> None:
-    """A bit of a lasting queue was forgotten between any two answers.
+    """Guards against a lasting queue that is forgotten bit by bit between answers.
 
-    Ten answers a second left a third of it unseen. Only a silence longer than an answer time may shorten a
-    queue.
+    With ten answers per second a third of the queue was ignored. Only an interval without answers that is
+    longer than the latency may shorten a queue.
     """
     one = queueing()
     for step in range(1, 200):
