--- a/tests/policy/test_server.py
+++ b/tests/policy/test_server.py
@@ -1,4 +1,4 @@
-"""Whether an overloaded server is probed, and how often by all routers together."""
+"""Probes of an overloaded server by all routers together."""
 
 import pytest
 from support import MILLI, SECOND, Router, fleet, settings
@@ -12,10 +12,11 @@
 def test_all_routers_together_probe_an_overloaded_server_once_in_an_answer_time(
     routers: int,
 ) -> None:
-    """Each router probed an overloaded server once in an answer time.
+    """Guards against probes that keep a server overloaded.
 
-    From sixty routers that was a third of all that such servers were sent, and kept them overloaded. All
-    routers share one probe, also while gossip comes.
+    Each of sixty routers sent an overloaded server one probe per latency. That was a third of the requests
+    to such servers, and kept them overloaded. All routers share one probe per latency, also while gossip
+    arrives.
     """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=routers), fleet(1))
     server = router.balancer.servers.servers["c0"]
