--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Rules 1 to 3 over random legal event sequences, checked by a model that shares no code with the module."""
+"""Rules 1 to 3 over random legal event sequences, checked by a model that shares no code with the policy."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass
 class Held:
-    """A request as the model sees it."""
+    """A request in the model."""
 
     cls: int
     deadline: int
@@ -28,7 +28,7 @@
 
 
 class RandomSimulation:
-    """Plays clients, list and servers at random but legally, and checks every action."""
+    """Simulates clients, endpoint list and servers with random legal events, and checks every action."""
 
     def __init__(self, seed: int, mode: str) -> None:
         self.random = random.Random(seed)
@@ -44,7 +44,7 @@
         self.start()
 
     def start(self) -> None:
-        """A fresh instance with its restored list; whatever the old one held is the clients' business."""
+        """Starts a router with a cached endpoint list; the requests of the previous router are dropped."""
         self.router = Balancer(self.options, self.random.getrandbits(64))
         self.held: dict[str, Held] = {}
         self.due.clear()
@@ -56,7 +56,7 @@
         self.play(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.known.values())))
 
     def play(self, event: api.Event) -> None:
-        """Handles an event, and checks each action."""
+        """Passes an event to the router, and checks each action."""
         for action in self.router.handle(self.now, event):
             if isinstance(action, api.StartAttempt):
                 self.check_send(action)
@@ -64,30 +64,30 @@
                 self.check_answer(action)
             elif isinstance(action, api.SetTimer):
                 assert action.delay_ns >= 0
-                # Timers are coarser than the clock: an timer may come a little early, never at once.
+                # Coarse timers may fire slightly early, but never at once.
                 delay = action.delay_ns // MICRO * MICRO if self.coarse else action.delay_ns
                 self.timers.append((self.now + max(1, delay), action.token))
 
     def check_send(self, action: api.StartAttempt) -> None:
-        """Checks an attempt against rules 1 to 3, and plans its end."""
+        """Checks an attempt against rules 1 to 3, and schedules its end."""
         one = self.held[action.id]
-        assert not one.ended, "rule 1: sent for an ended request"
-        assert action.server in self.known, "sent to a server no list named"
+        assert not one.ended, "rule 1: attempt for an ended request"
+        assert action.server in self.known, "attempt at a server that no list named"
         assert self.now <= self.left.get(action.server, self.now) + GRACE, "rule 3: sent to a draining server"
         assert len(one.attempts) < self.options.max_attempts
         assert all(outcome for _, _, outcome in one.attempts), "rule 1: two attempts at once"
         ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in PROVEN]
         spec = self.options.classes[one.cls]
         if ran and spec.idempotency is api.Idempotency.NOT_IDEMPOTENT:
-            raise AssertionError("rule 2: an unsafe request that may have run was sent again")
+            raise AssertionError("rule 2: repeat of a non-idempotent request that may have been executed")
         if ran and spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
-            assert self.now < ran[0][1] + spec.dedup_window_ns, "rule 2: keyed, past its window"
+            assert self.now < ran[0][1] + spec.dedup_window_ns, "rule 2: repeat after the dedup window"
             for server, _ in ran:
                 for place in ("zone", "cell"):
                     if spec.dedup_scope == place:
                         first, then = self.known[server], self.known[action.server]
                         assert getattr(first, place) == getattr(then, place), (
-                            "rule 2: keyed, out of its group"
+                            "rule 2: repeat outside the dedup scope"
                         )
         one.attempts.append((action.server, self.now, ""))
         limit = one.deadline if action.timeout_ns == 0 else min(one.deadline, self.now + action.timeout_ns)
@@ -104,12 +104,12 @@
         ran = any(outcome not in PROVEN for _, _, outcome in one.attempts)
         if isinstance(action, api.Reject) and ran and spec.idempotency is not api.Idempotency.IDEMPOTENT:
             assert spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY and spec.dedup_scope == "all", (
-                "rule 2: refused though it may have run"
+                "rule 2: rejection of a request that may have been executed"
             )
         one.ended = True
 
     def arrive(self) -> None:
-        """A client sends a request."""
+        """Sends a client's request."""
         cls = self.random.randrange(len(self.options.classes))
         spec = self.options.classes[cls]
         name = f"r{len(self.held)}"
@@ -122,7 +122,7 @@
         )
 
     def relist(self) -> None:
-        """The endpoint list changes, or can't be read."""
+        """Changes the endpoint list, or fails to read it."""
         if self.options.endpoints_polled and self.random.random() < 0.3:
             self.play(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
             return
@@ -159,7 +159,7 @@
         self.play(api.EndpointUpdate(kind, entries))
 
     def finish(self, when: int, name: str, attempt: int) -> None:
-        """Ends an attempt, with a drawn outcome."""
+        """Ends an attempt with a random outcome."""
         one = self.held[name]
         server, sent, _ = one.attempts[attempt]
         trouble = self.random.random() < self.trouble
@@ -183,7 +183,7 @@
         )
 
     def run(self, steps: int) -> None:
-        """Plays so many drawn steps, and then until all is answered."""
+        """Runs `steps` random steps, and then until all requests have an answer."""
         self.trouble = self.random.choice([0.02, 0.3, 0.95])
         for _ in range(steps):
             self.advance(self.now + self.random.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
@@ -192,7 +192,7 @@
         assert all(one.ended for one in self.held.values()), "rule 1: no answer"
 
     def advance(self, end: int) -> None:
-        """Outcomes and timers come in the order of their times; nobody may be left without an answer."""
+        """Runs outcomes and timers until `end` in order of time, and checks that no answer is late."""
         while True:
             when, name, attempt = min(self.due, default=(end + 1, "", 0))
             timer, token = min(self.timers, default=(end + 1, ""))
@@ -210,7 +210,7 @@
         self.now = end
 
     def withdraw(self) -> None:
-        """A client leaves."""
+        """Disconnects a random client."""
         open_ones = [name for name, one in self.held.items() if not one.ended]
         if open_ones:
             name = self.random.choice(open_ones)
@@ -218,7 +218,7 @@
             self.play(api.ClientGone(name))
 
     def restart(self) -> None:
-        """The router is started anew."""
+        """Restarts the router."""
         self.start()
 
 
