--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -1,4 +1,4 @@
-"""Keys that move when the list changes: several routers' decisions over a simulated fleet."""
+"""Key migration after changes of the server list, by several routers over a simulated fleet."""
 
 import math
 from collections import OrderedDict
@@ -24,20 +24,23 @@
 
 @pytest.fixture(autouse=True)
 def no_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A key that a few requests repeat would count as hot; test_regressions.py has those."""
+    """Turns off hot keys: a key that a few requests repeat would count as hot.
+
+    Hot keys are tested in test_regressions.py.
+    """
     monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
 
 
 class SimulatedFleet:
-    """Caches that hold the latest keys, an origin that counts, and routers that read through them."""
+    """Caches with LRU eviction, an origin that counts its requests, and routers that read from both."""
 
     def __init__(self, nodes: int = 9, routers: int = 3, share: float = 0.5, memory: int = 200) -> None:
         self.memory = memory
         self.listed = {f"c{n:02}": api.Endpoint(f"c{n:02}") for n in range(nodes)}
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
-        self.origin: list[int] = []  # when it was asked
-        self.asked: list[tuple[int, str, str]] = []  # when, which server, and "hit" or "miss"
+        self.origin: list[int] = []  # times of the origin's requests
+        self.asked: list[tuple[int, str, str]] = []  # cache reads: time, server, "hit" or "miss"
         options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
@@ -46,16 +49,16 @@
 
     @property
     def now(self) -> int:
-        """The routers' time, ns."""
+        """The time of the routers, ns."""
         return self.routers[0].now
 
     def wait(self, delay: int) -> None:
-        """Lets so many ns pass at all routers."""
+        """Advances the time of all routers by `delay` ns."""
         for router in self.routers:
             router.wait(delay)
 
     def update_list(self, *members: api.Endpoint, to: Iterable[int] | None = None) -> None:
-        """Changes the endpoint list, at all routers or at those named."""
+        """Changes the endpoint list, at all routers or at those in `to`."""
         for member in members:
             self.listed[member.server] = member
             if member.state is api.EndpointState.GONE:
@@ -67,21 +70,21 @@
             self.routers[number].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(members)))
 
     def join(self, name: str, to: Iterable[int] | None = None) -> None:
-        """Lists a new server."""
+        """Adds a server to the list."""
         self.update_list(api.Endpoint(name), to=to)
 
     def leave(self, name: str) -> None:
-        """Takes a server off the list."""
+        """Removes a server from the list."""
         self.update_list(api.Endpoint(name, api.EndpointState.GONE))
 
     def order(self, key: str) -> None:
-        """A write is carried out: the origin drops the copies."""
+        """Executes a write: the origin invalidates all cached copies."""
         self.versions[key] = self.versions.get(key, 0) + 1
         for cache in self.caches.values():
             cache.pop(key, None)
 
     def read(self, number: int, key: str) -> list[str]:
-        """Plays one read to its end; gives whom it was sent to."""
+        """Runs one read to its end; returns the servers of its attempts."""
         router = self.routers[number]
         name, actions = router.request(key)
         sent: list[str] = []
@@ -96,10 +99,10 @@
                 for one in missed[:2]:
                     self._store(one, key)
             else:
-                assert server in self.listed, "nothing goes to a server that is off the list"
+                assert server in self.listed, "attempt at a server that is not on the list"
                 held = self.caches[server].get(key)
                 status = S.OK if held is not None else S.MISS
-                assert held is None or held == self.versions.get(key, 0), "an old value was read"
+                assert held is None or held == self.versions.get(key, 0), "stale value read"
                 if held is None:
                     missed.append(server)
                 else:
@@ -117,17 +120,17 @@
             cache.popitem(last=False)
 
     def owner(self, key: str) -> str:
-        """The owner of a key, as the first router has it."""
+        """Returns the owner of a key at the first router."""
         return self.routers[0].balancer.placement.ranges.owner(key)
 
     def run(self, seconds: float, rate: int, keys: "Zipf") -> None:
-        """Reads at a rate, by the routers in turn."""
+        """Reads random keys at a rate, with the routers in turn."""
         for n in range(int(seconds * rate)):
             self.wait(SECOND // rate)
             self.read(n % len(self.routers), keys.pick())
 
     def load(self, begin: int, end: int) -> list[int]:
-        """Origin requests in each second between two instants."""
+        """Returns the origin requests in each second between two times."""
         counts = [0] * max(1, (end - begin) // SECOND)
         for at in self.origin:
             if begin <= at < begin + len(counts) * SECOND:
@@ -136,7 +139,7 @@
 
 
 class Zipf:
-    """Keys by popularity, and some that are wanted once."""
+    """Random keys with a Zipf distribution, and some that are read only once."""
 
     def __init__(self, keys: int, once: float = 0.05, seed: int = 1) -> None:
         self.random, self.keys, self.once, self.count = Random(seed), keys, once, 0
@@ -144,7 +147,7 @@
         self.drawn: list[int] = []
 
     def pick(self) -> str:
-        """Draws a key."""
+        """Returns a random key."""
         if self.random.random() < self.once:
             self.count += 1
             return f"once{self.count}"
@@ -154,7 +157,7 @@
 
 
 def no_tokens(fleet: SimulatedFleet) -> None:
-    """Takes all routers' migration tokens."""
+    """Removes the migration tokens of all routers."""
     for router in fleet.routers:
         bucket = router.balancer.migration.bucket
         bucket.tokens = 0.0
@@ -162,7 +165,10 @@
 
 
 def grown(share: float) -> tuple[float, int, SimulatedFleet]:
-    """A third more nodes in a warm fleet; the steady origin load, and the most in a second afterwards."""
+    """Adds a third more nodes to a warm fleet.
+
+    Returns the origin's steady load before, its highest load in a second after, and the fleet.
+    """
     fleet, keys = SimulatedFleet(share=share), Zipf(800)
     fleet.run(30, 200, keys)
     steady = sum(fleet.load(fleet.now - 10 * SECOND, fleet.now)) / 10
@@ -176,15 +182,15 @@
 def test_a_third_more_nodes_keep_the_origin_below_twice_its_steady_load() -> None:
     steady, most, fleet = grown(0.5)
     assert most < 2 * steady
-    assert grown(-1.0)[1] > 3 * steady  # all at once: what it guards against
-    # And the fleet ends on the new ranges.
+    assert grown(-1.0)[1] > 3 * steady  # without a limit, all keys migrate at once
+    # After the migration, keys are read at their new owners.
     assert all(router.balancer.migration.began_at_ns < 0 for router in fleet.routers)
     assert any("key migration finished" in line for line in fleet.routers[0].log)
     for n in range(100):
         for number in range(3):
             assert fleet.read(number, f"k{n}")[-1] == fleet.owner(f"k{n}")
     fresh = [one for one in fleet.asked[-4000:] if one[1] in ("a00", "c04x", "d00")]
-    assert len(fresh) > 400  # three of twelve
+    assert len(fresh) > 400  # three of twelve servers are new
 
 
 def test_until_it_moves_a_key_is_read_where_it_is_held() -> None:
@@ -218,11 +224,11 @@
     assert fleet.read(0, "k1") == [after, "origin"]
     assert fleet.read(1, "k1") == [after] and fleet.read(2, "k1") == [after]
     assert len(fleet.origin) == 2
-    assert fleet.routers[1].balancer.migration.bucket.tokens >= 1  # it cost the origin nothing
+    assert fleet.routers[1].balancer.migration.bucket.tokens >= 1  # put back, as the origin was not read
 
 
 def moved_away(fleet: SimulatedFleet, key: str) -> str:
-    """Lists servers until the key has another owner; gives who holds it."""
+    """Adds servers until the key has another owner; returns the previous owner, which holds the key."""
     before = fleet.owner(key)
     for n in range(40):
         fleet.join(f"a{n:02}")
@@ -239,10 +245,10 @@
         fleet.read(number, "k1")
     holder = moved_away(fleet, "k1")
     fleet.caches[holder].clear()
-    fleet._store(fleet.owner("k1"), "k1")  # another router has moved it
+    fleet._store(fleet.owner("k1"), "k1")  # migrated by another router
     assert fleet.read(0, "k1") == [holder, fleet.owner("k1")]
     fleet.caches[fleet.owner("k1")].clear()
-    assert fleet.read(1, "k1") == [holder, fleet.owner("k1"), "origin"]  # and stored at both
+    assert fleet.read(1, "k1") == [holder, fleet.owner("k1"), "origin"]  # the value is stored at both
     assert "k1" in fleet.caches[fleet.owner("k1")]
 
 
@@ -287,7 +293,7 @@
 
 
 def test_a_write_in_transition_leaves_no_old_value_to_be_read() -> None:
-    """The origin drops the copies at both; SimulatedFleet fails on an old value."""
+    """The origin invalidates both copies; SimulatedFleet fails if a stale value is read."""
     fleet = SimulatedFleet(routers=2)
     for number in range(2):
         fleet.read(number, "k1")
@@ -332,7 +338,7 @@
             besides.append(context.now_ns)
     for n, begin in enumerate(taken):
         for m, end in enumerate(taken[n:], 1):
-            # What was sent besides long before still counts a little: e^-4 after 32 s.
+            # Earlier requests still have a small weight: e^-4 after 32 s.
             near = sum(math.exp(min(0.0, (at - begin) / (8 * SECOND))) for at in besides if at <= end)
             span = (end - begin) / SECOND
             assert m <= MAX_MOVE_BURST + 1 + 0.2 * span + share * near * (1 + span / 8)
