--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found on the bench; each fails without its fix."""
+"""Regression tests for failures found in simulations; each fails without its fix."""
 
 import pytest
 from support import MILLI, SECOND, START, Router, fleet, settings
@@ -10,17 +10,20 @@
 
 
 def test_an_answer_that_is_worth_something_late_is_waited_for() -> None:
-    """Kochi's retry storm: reads sent again half-way to their deadline doubled the work in a jam."""
+    """Guards against repeats that double the load of an overloaded fleet.
+
+    In a retry storm, reads were repeated half-way to their deadline.
+    """
     router = Router()
     for one in router.balancer.servers.servers.values():
-        one.range_share = 3 / 4  # slow lately
+        one.range_share = 3 / 4  # recent answers were slow
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     assert send.timeout_ns == 2 * SECOND
 
 
 def quick(router: Router) -> list[str]:
-    """Keys that one quick server holds, among many."""
+    """Returns keys that are held by the same fast server as "q0", their owner."""
     held = {f"q{n}": router.fetch_and_store(f"q{n}") for n in range(24)}
     for one in router.balancer.servers.servers.values():
         one.latency.average_ns, one.latency.uncrowded_ns, one.range_share = 20.0 * MILLI, 20.0 * MILLI, 1.0
@@ -28,7 +31,10 @@
 
 
 def test_a_first_attempt_waits_for_some_answer_times_and_the_next_for_as_long_as_it_may() -> None:
-    """Connections that fell silent cost the whole deadline, 660 ms where 13 are usual."""
+    """Guards against silent connections that delay a request until its deadline.
+
+    Such a request took 660 ms where 13 ms were usual.
+    """
     router = Router()
     _, (send,) = router.request(quick(router)[0])
     assert isinstance(send, api.StartAttempt)
@@ -40,7 +46,11 @@
 
 
 def test_one_silent_connection_does_not_count_as_overload() -> None:
-    """Each was learnt as an answer of 660 ms, and the server's range refused until trials had undone it."""
+    """Guards against a silent connection being treated as overload of its server.
+
+    Each one was recorded as a latency of 660 ms, and requests for the server's range were rejected until
+    probes had corrected the latency.
+    """
     router = Router()
     first, second, third = quick(router)[:3]
     _, (lost,) = router.request(first)
@@ -62,11 +72,14 @@
     assert isinstance(lost, api.StartAttempt) and lost.server == later.server
     router.now += SECOND
     router.end_attempt(lost, api.AttemptStatus.TIMEOUT, elapsed=SECOND)
-    assert server.latency.average_ns > 2 * before  # nothing sent later was answered
+    assert server.latency.average_ns > 2 * before  # no attempt sent later was answered
 
 
 def test_no_attempt_starts_that_no_server_could_answer_in_time() -> None:
-    """After a time-out at the deadline another attempt went out, and its end after 0.2 ms was learnt."""
+    """Guards against an attempt that starts just before the deadline.
+
+    After a timeout close to the deadline another attempt was started, and its end after 0.2 ms was recorded.
+    """
     router = Router()
     router.fetch_and_store("k")
     for one in router.balancer.servers.servers.values():
@@ -78,7 +91,10 @@
 
 
 def test_a_hot_key_takes_as_many_ranges_as_it_fills() -> None:
-    """Malabar at full size: one key was 7% of all requests, five servers' fair shares, on one server."""
+    """Guards against a hot key that overloads its owner.
+
+    In a large fleet one key made up 7% of all requests, the fair share of five servers, on one server.
+    """
     popularity = KeyPopularity()
     wide = [popularity.count_and_spread("hot" if n % 5 == 0 else f"k{n}", 20) for n in range(200)]
     assert wide[1] == wide[2] == 0
@@ -111,14 +127,18 @@
 
 
 def test_the_far_end_of_a_range_passes_to_the_next_while_its_server_answers_slowly() -> None:
-    """Full size: each of 400 routers gave a slow server one trial an answer time, which was everything."""
+    """Guards against a slow server that keeps its whole range.
+
+    In a large fleet each of 400 routers sent a slow server one probe per latency, which used its whole
+    capacity.
+    """
     router = Router(endpoints=fleet(4))
     keys = [f"k{n}" for n in range(400)]
     owned = [key for key in keys if router.candidates(key)[0].endpoint.server == "c1"]
     slow = router.balancer.servers.servers["c1"]
     for n in range(2):
         slow.adjust_range_share(router.now + n, 0, True)
-        slow.adjust_range_share(router.now + n, SECOND, True)  # sent before the cut: the same jam
+        slow.adjust_range_share(router.now + n, SECOND, True)  # sent before the reduction: same congestion
     assert slow.range_share == 9 / 16
     kept = 0
     for key in owned:
@@ -135,7 +155,10 @@
 
 
 def test_a_server_in_slow_start_takes_no_work_of_others() -> None:
-    """Malabar's deploys: work that left other servers came on top of a cold server's own range."""
+    """Guards against a cold server that gets requests of other servers on top of its own range.
+
+    That happened during deploys, when requests left other servers.
+    """
     router = Router(endpoints=[*fleet(3), api.Endpoint("c3", started_at_ns=START - SECOND)])
     router.wait(7 * SECOND)
     owned = 0
@@ -153,11 +176,15 @@
 
 
 def test_hot_keys_do_not_overload_a_server_in_slow_start() -> None:
-    """Kaohsiung in a release: two hot keys moved to a cold server, 95 of its 124 requests in two seconds."""
+    """Guards against hot keys that overload a cold server.
+
+    In a deploy two hot keys moved to a cold server and made up 95 of its 124 requests in two seconds.
+    """
     router = Router(endpoints=[*fleet(7), api.Endpoint("c7", started_at_ns=START - SECOND)])
     router.wait(8 * SECOND)
     mine = [key for key in map(str, range(900)) if router.candidates(key)[0].endpoint.server == "c7"]
-    mine = [key for key in mine if router.balancer.placement.ranges.locate(key)[1] < 0.8][:4]  # taken up
+    # Keys that the server takes at this point of its slow start.
+    mine = [key for key in mine if router.balancer.placement.ranges.locate(key)[1] < 0.8][:4]
     sent = 0
     for n in range(400):
         _, (send,) = router.request(mine[n % 4] if n % 2 else f"other{n}")
@@ -169,14 +196,20 @@
 
 
 def test_a_read_that_a_cache_could_not_read_from_the_origin_is_not_sent_to_another() -> None:
-    """Kochi with a slow origin: each failed fetch was tried again at a second cache."""
+    """Guards against repeated origin reads while the origin is slow.
+
+    Each read that one cache could not get from the origin was tried again at a second cache.
+    """
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     name, (send,) = router.request("k")
     assert router.end_attempt(send, api.AttemptStatus.ERROR) == [api.Reject(name)]
 
 
 def test_a_small_machine_gets_a_small_part_of_its_range() -> None:
-    """Kochi's slow boxes, listed at half a weight, had the same range as those of three times their speed."""
+    """Guards against equal ranges for unequal machines.
+
+    Slow machines, listed with a weight of 0.5, got the same range as machines of three times their speed.
+    """
     members = [api.Endpoint(f"c{n}", weight=0.5 if n == 1 else 1.5) for n in range(6)]
     router = Router(settings(cache_aside=False), members)
     counts = {one.server: 0 for one in members}
@@ -200,7 +233,10 @@
 
 
 def test_while_most_connects_are_refused_a_router_uses_the_connections_it_has() -> None:
-    """Vedi at full size: 417 routers, and each server takes 105 connections; 66% of attempts got none."""
+    """Guards against attempts at servers whose connection tables are full.
+
+    With 417 routers and servers that accept 105 connections each, 66% of the attempts got no connection.
+    """
     router = Router(endpoints=fleet(20))
     taken = {f"c{n}" for n in range(0, 20, 4)}
     refused: list[int] = []
@@ -236,7 +272,10 @@
 
 
 def test_a_clock_younger_than_slow_start_puts_no_server_in_slow_start() -> None:
-    """Found by the adapter's tests: at second 1 a server warm since long ago was refused as a cold one."""
+    """Guards against warm servers that count as cold while the clock is small.
+
+    At second 1 of the clock, a server that had been warm for long was rejected as cold.
+    """
     balancer = Balancer(settings(), 7)
     balancer.handle(0, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet()))
     actions = balancer.handle(SECOND, api.Request("r", 0, 3 * SECOND, "k"))
@@ -244,7 +283,10 @@
 
 
 def test_failures_of_the_origin_are_counted_until_there_are_enough() -> None:
-    """Full size: one of 400 routers sees a likely miss in two seconds, never two within one period."""
+    """Guards against an overloaded origin that goes unnoticed in a large fleet.
+
+    Each of 400 routers sees one likely miss in two seconds, never two within one period.
+    """
     monitor = OriginMonitor(SECOND // 2)
     monitor.started_at_ns = 0
     for n in range(1, 9):
@@ -266,9 +308,12 @@
 
 
 def test_few_requests_make_no_key_hot() -> None:
-    """Among a restarted router's first requests, each key that came twice was spread over a dozen servers."""
+    """Guards against keys that count as hot after a restart.
+
+    Among a router's first requests, each key that came twice was spread over a dozen servers.
+    """
     popular = KeyPopularity()
     assert [popular.count_and_spread("k", 60) for _ in range(3)] == [0, 0, 0]
     assert max(popular.count_and_spread("k", 60) for _ in range(30)) > 2, (
-        "one that all ask for is hot all the same"
+        "a key that all requests ask for must be hot"
     )
