--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -1,6 +1,6 @@
-"""What is shared by all routers, as the decisions heed it.
+"""Limits of the decisions: quotas and allowances shared by all routers, and this router's own connections.
 
-Parts of a customer's share, totals, and this router's own connections, of which no other server has more.
+A router without a free local connection has none for any other server either.
 """
 
 import pytest
@@ -13,12 +13,12 @@
 
 
 def of_two(**changes: object) -> Router:
-    """A router of ten, and two customers."""
+    """Returns one of ten routers, with two tenants."""
     return Router(settings(router_count=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
 
 
 def marked(router: Router, rate: int, seconds: int, fractions: list[float] | None) -> float:
-    """Which part of the second customer's requests is taken to be beyond its share."""
+    """Returns the fraction of the second tenant's requests that count as over its quota."""
     beyond = 0
     for n in range(rate * seconds):
         router.wait(SECOND // rate)
@@ -31,13 +31,13 @@
 
 
 def test_a_tenant_within_its_quota_is_never_over_quota_however_unevenly_its_traffic_comes() -> None:
-    """Guards small customers.
+    """Guards against requests within the quota that count as over it.
 
-    Nearly all of one's requests come to this router, which took a tenth of its share for its part of it, or
-    the median customer's for all.
+    Nearly all requests of a small tenant came to one router, which enforced a tenth of its quota, or the
+    fraction of the median tenant.
     """
     assert marked(of_two(), 30, 20, [0.0, 0.9]) == 0
-    assert marked(of_two(), 30, 20, None) > 0.5, "what it reckons alone"
+    assert marked(of_two(), 30, 20, None) > 0.5, "the router's own estimate must be lower"
 
 
 @pytest.mark.parametrize(("part", "wanted"), [(0.5, 0.5), (1.0, 0.0), (0.25, 0.75), (0.0, 0.9)])
@@ -50,9 +50,10 @@
 
 
 def test_a_surge_of_all_tenants_gives_no_router_more_than_the_whole_quota() -> None:
-    """Guards a router that hears nobody.
+    """Guards against an estimated traffic fraction above 1 at a router without counts from the others.
 
-    Ten times the load of all customers was taken for ten times its part, and nothing was marked for seconds.
+    Ten times the load of all tenants was taken for ten times the router's fraction, and no request counted as
+    over quota for seconds.
     """
     router = of_two()
     for n in range(4000):
@@ -70,10 +71,10 @@
 
 
 def test_a_request_without_a_local_connection_is_rejected_at_once() -> None:
-    """Guards the budget for retries.
+    """Guards against retries for lack of local connections, which use up the retry budget.
 
-    A full table of its own was tried five times a request at as many servers, and nothing was left for those
-    whose server had failed.
+    A router at its own connection limit tried five servers per request, and nothing of the budget was left
+    for requests whose server had failed.
     """
     router = Router(settings(), fleet(6))
     before = {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()}
@@ -112,4 +113,4 @@
     assert isinstance(how[0], api.StartAttempt)
     assert [one.reason for one in how[1:] if isinstance(one, api.Reject)] == ["total", "total"]
     name, (send,) = router.request("w", 1, write=True)
-    assert isinstance(send, api.StartAttempt) and send.id == name, "orders are not in it"
+    assert isinstance(send, api.StartAttempt) and send.id == name, "writes must not need the allowance"
