--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,7 +1,7 @@
-"""The slow start of a server under all routers together.
+"""Slow start of a server under the load of all routers together.
 
-However many routers there are, however unevenly traffic comes to them and whoever of them is restarted, no
-window holds more than its budget and what chance adds to it.
+For any number of routers, any distribution of traffic over them and any restarts of routers, no window
+contains more requests than its budget plus the random variation.
 """
 
 import heapq
@@ -17,23 +17,23 @@
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
 
-CORES, WORK = 2, SECOND // 10  # of each server: so many requests at once, each for so long
-CAPACITY = CORES * SECOND / WORK  # requests a second, warm
+CORES, WORK = 2, SECOND // 10  # of each server: concurrent requests, and service time of one, ns
+CAPACITY = CORES * SECOND / WORK  # of a warm server, requests per second
 FALL = SECOND
 COLD = "c0"
-SMALL = {COLD: 0.5, "c1": 0.5}  # the speed of small machines, which no weight tells of
+SMALL = {COLD: 0.5, "c1": 0.5}  # speed of small machines, which the listed weight does not show
 
 
 @dataclass
 class Served:
-    """A server that holds what it was asked for, does so much at once and turns away what is beyond."""
+    """A server that caches keys, serves CORES requests at once and rejects requests if its queue is full."""
 
     cold_since: int = 0
     held: set[str] = field(default_factory=set)
-    free: list[int] = field(default_factory=list)  # when each core is
+    free: list[int] = field(default_factory=list)  # time from which on each core is free
 
     def take(self, now: int, part: float) -> int:
-        """When a request that comes now is done; 0 where it is turned away."""
+        """Accepts a request; returns the time at which it is done, or 0 if it is rejected."""
         self.free = sorted(max(now, at) for at in self.free) or [now] * CORES
         if self.free[0] - now > 10 * WORK:
             return 0
@@ -42,7 +42,7 @@
 
 
 class StartingFleet:
-    """Routers' decisions over one fleet in which a server starts cold, driven event by event."""
+    """Simulation, event by event, of routers over one fleet in which a server starts cold."""
 
     def __init__(
         self,
@@ -75,32 +75,32 @@
         self.balancers = [self.begin(n, cold=False) for n in range(routers)]
         self.weights = [
             self.random.paretovariate(1.2) for _ in range(routers)
-        ]  # some get many times the mean
+        ]  # traffic of each router; some get many times the mean
         self.restarted = restarted
         self.events: list[tuple[int, int, int, api.Event]] = []
         self.count = 0
-        self.sent: list[int] = []  # when something went to the cold server
+        self.sent: list[int] = []  # times of attempts at the cold server
 
     def members(self, cold: bool) -> list[api.Endpoint]:
-        """The endpoint list, with the starting server or without."""
+        """Returns the endpoint list, with or without the starting server."""
         since = self.servers[COLD].cold_since
         one = [api.Endpoint(COLD, kind=COLD in self.small, started_at_ns=since)] if cold else []
         rest = [api.Endpoint(name, kind=name in self.small) for name in self.servers if name != COLD]
         return [*one, *rest, api.Endpoint("origin", kind=ORIGIN_KIND)]
 
     def begin(self, number: int, cold: bool) -> Balancer:
-        """Starts a router anew."""
+        """Starts or restarts a router."""
         balancer = Balancer(self.options, number)
         balancer.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, self.members(cold)))
         return balancer
 
     def push(self, at: int, router: int, event: api.Event) -> None:
-        """Plans an event."""
+        """Schedules an event."""
         self.count += 1
         heapq.heappush(self.events, (at, self.count, router, event))
 
     def run(self, seconds: float, joins: float) -> None:
-        """So many seconds of traffic; the cold server is on every list after `joins` of them."""
+        """Simulates `seconds` of traffic; the cold server is on every list after `joins` seconds."""
         now, number = START, 0
         end, join = START + int(seconds * SECOND), START + int(joins * SECOND)
         rate = self.load * CAPACITY * len(self.servers)
@@ -127,7 +127,7 @@
             self.handle(now, router, event)
 
     def handle(self, now: int, router: int, event: api.Event) -> None:
-        """Has a router handle an event, and carries out its actions."""
+        """Passes an event to a router, and carries out its actions."""
         balancer = self.balancers[router]
         for action in balancer.handle(now, event):
             if isinstance(action, api.SetTimer):
@@ -137,7 +137,7 @@
                 self.attempt(now, router, action, pending.attempts_started - 1, pending.request.key or "")
 
     def attempt(self, now: int, router: int, send: api.StartAttempt, number: int, key: str) -> None:
-        """Plays an attempt; its outcome is what its server does."""
+        """Simulates an attempt; its outcome depends on the state of its server."""
         if send.server == "origin":
             self.outcome(now, router, send, number, status=api.AttemptStatus.OK, at=now + 20 * MILLI)
             self.servers[self.balancers[router].requests[send.id].missed_at or "c1"].held.add(key)
@@ -163,7 +163,7 @@
         status: api.AttemptStatus,
         at: int,
     ) -> None:
-        """Plans the end of an attempt."""
+        """Schedules the end of an attempt."""
         closed = status is api.AttemptStatus.OK
         event = api.AttemptFinished(
             send.id, number, send.server, status, closed, at - now, connection_reused=True
@@ -171,14 +171,14 @@
         self.push(at, router, event)
 
     def part(self, name: str, now: int) -> float:
-        """The part of its capacity that a server has by then, 0 to 1."""
+        """Returns the fraction of its capacity, 0 to 1, that a server has at this time."""
         since = self.servers[name].cold_since
         if not since:
             return 1.0
         return min(1.0, self.cold_from + (1 - self.cold_from) * (now - since) / self.ramp)
 
     def over(self) -> float:
-        """The fullest window, as a part of its budget and what chance may add to that."""
+        """Returns the highest load of any window, relative to its budget plus the random variation."""
         worst, first = 0.0, 0
         warm = self.servers[COLD].cold_since + self.ramp
         for last, at in enumerate(at for at in self.sent if at < warm):
@@ -220,10 +220,10 @@
 
 
 def test_hundreds_of_routers_do_not_send_a_hot_key_to_a_starting_server_at_once() -> None:
-    """A hot key's range went to a starting server: it got 1.59 times what is allowed.
+    """Guards against a starting server that gets a hot key from many routers at once.
 
-    Each of 200 routers had one token saved up when the list named it to all of them. What is far beyond its
-    budget has to be left to chance.
+    The server got 1.59 times the allowed load: each of 200 routers had one unused token when the server was
+    listed. Of load far above the budget only a random sample may pass.
     """
     fleet = StartingFleet(1, 200, 1.6, 0.6, restarted=0.7)
     fleet.run(7.0, 3.0)
@@ -231,9 +231,9 @@
 
 
 def test_a_starting_small_machine_is_measured_by_warm_ones_of_its_kind() -> None:
-    """Thirty routers measured a small machine by what the mean server serves.
+    """Guards against a small machine that is measured by the mean of all servers.
 
-    It got 1.09 times what is allowed. Only warm servers of its kind count.
+    It got 1.09 times the allowed load from thirty routers. Only warm servers of its kind may count.
     """
     fleet = StartingFleet(1, 30, 2.4, 0.6, (0.6, 3.6), restarted=0.7, small=True)
     fleet.run(7.0, 3.0)
