--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -1,4 +1,4 @@
-"""Hand-worked sequences of the throttle."""
+"""Throttle: token and queue sequences checked against expected values."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 def job(name: str) -> PendingRequest:
-    """A request that waits for a token."""
+    """Returns a request to offer to the throttle."""
     return PendingRequest(Request(name, 0, 2 * SECOND), SPEC, SECOND)
 
 
@@ -68,7 +68,7 @@
 @settings(derandomize=True, max_examples=200)
 @given(gaps=st.lists(st.integers(0, 3 * SECOND // 10), max_size=80), split=st.integers(0, LEAST_TOTAL))
 def test_only_the_sum_of_capacities_sets_what_passes(gaps: list[int], split: int) -> None:
-    """Berger's theorem 2: from matching levels the same arrivals are blocked at the same places."""
+    """Checks Berger's theorem 2: from corresponding levels the same arrivals are blocked."""
     blocked = []
     for bank in (LEAST_TOTAL, split):
         throttle = Throttle(0, 10.0, LEAST_TOTAL)
@@ -84,7 +84,10 @@
 
 
 def test_a_read_that_was_answered_in_time_while_the_router_was_away_is_no_bad_one() -> None:
-    """Three processes, one stopped for 4 s: two such reads put its throttle on at what it had used lately."""
+    """Guards against a paused router that takes answers handled late for slow ones.
+
+    One of three processes was stopped for 4 s, and two such reads turned on its throttle at its recent rate.
+    """
     turn = DecisionContext(Settings([SPEC]), 1)
     gate = OriginAdmission(turn, lambda job: None, lambda job: None)
     for name in ("early", "late"):
