--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -1,4 +1,4 @@
-"""A zone that can't be reached is known as such after a few failures, and not by chance."""
+"""Detection of unreachable zones after a few failures, without false positives by chance."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -77,7 +77,7 @@
 
 
 def cut_off(router: Router) -> int:
-    """Fails what goes to zone 1, as a link that is cut does; gives how many attempts it took."""
+    """Fails all attempts in zone 1, like a broken network link; returns the number of failed attempts."""
     failed = 0
     for n in range(200):
         _, actions = router.request(f"key{n}")
@@ -94,9 +94,9 @@
 
 
 def test_a_zone_cut_off_costs_a_few_attempts_and_not_some_at_each_server() -> None:
-    """A link to a zone was cut, and requests spent all their attempts on servers behind it.
+    """Guards against requests that spend all their attempts in an unreachable zone.
 
-    After failures at a few of its servers the zone has to be passed over.
+    The network link to a zone was broken. After failures at a few of its servers the zone must be skipped.
     """
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     assert cut_off(router) <= FAILED_SERVERS_TO_EJECT_ZONE + 1
@@ -105,7 +105,7 @@
 
 
 def zone_comes_back(router: Router, reused: bool) -> api.StartAttempt:
-    """Cuts zone 1 off for two seconds, and has its trial answered."""
+    """Makes zone 1 unreachable for two seconds; returns the attempt there that is then answered."""
     cut_off(router)
     router.wait(2 * SECOND)
     for n in range(99):
@@ -119,9 +119,10 @@
 
 
 def test_a_zone_that_comes_back_is_in_slow_start_until_a_server_proves_otherwise() -> None:
-    """A zone that was lost came back with cold caches at all its servers, before the list said so.
+    """Guards against full load on cold servers when a lost zone returns.
 
-    Each of them has to be taken as started anew (rule 4).
+    All its servers had cold caches, and the endpoint list reported their restart later. Each of them must
+    count as restarted (rule 4).
     """
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=False)
