--- a/rainhitch/policy/attempt_admission.py
+++ b/rainhitch/policy/attempt_admission.py
@@ -9,7 +9,7 @@
 from rainhitch.policy.placement import SLOW_ANSWER_FRACTION
 from rainhitch.policy.server import Server
 
-NO_CROWD_LIMIT = 1 << 20  # a multiple of the unloaded latency that no server reaches
+UNLIMITED_OVERLOAD_FACTOR = 1 << 20  # a multiple of the unloaded latency that no server reaches
 
 
 class AttemptAdmission:
@@ -52,4 +52,4 @@
         """
         limit_ns = pending.request_class.latency_objective_ns * SLOW_ANSWER_FRACTION
         routers = self.context.settings.router_count
-        return origin.admits_or_starts_probe(self.context.now_ns, limit_ns, NO_CROWD_LIMIT, routers, routers)
+        return origin.admits_or_starts_probe(self.context.now_ns, limit_ns, UNLIMITED_OVERLOAD_FACTOR, routers, routers)
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -20,8 +20,8 @@
 # The same for requests over their tenant's quota, which are shed first. Of exponentially distributed
 # latencies with this mean, a fraction of e^-4 exceeds the objective.
 SLOW_ANSWER_FRACTION_OVER_QUOTA = 1 / 4
-CROWD_FACTOR = 4  # multiple of its unloaded latency above which a server is overloaded
-CROWD_FACTOR_OVER_QUOTA = 2  # the same for requests over their tenant's quota
+OVERLOAD_FACTOR = 4  # multiple of its unloaded latency above which a server is overloaded
+OVERLOAD_FACTOR_OVER_QUOTA = 2  # the same for requests over their tenant's quota
 MAX_RANGE_SPILLS = 2  # servers that a key may skip because their reduced range share excludes it
 MAX_OVERLOADED_TRIED = 2  # overloaded servers after which a request is rejected
 ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # averaging window of the arrival rate, in shortest latency objectives
@@ -137,7 +137,7 @@
         return server.admits_or_starts_probe(
             self.context.now_ns,
             self._latency_limit_ns(pending),
-            CROWD_FACTOR_OVER_QUOTA if pending.over_quota else CROWD_FACTOR,
+            OVERLOAD_FACTOR_OVER_QUOTA if pending.over_quota else OVERLOAD_FACTOR,
             self.servers.gossip.routers_to_account_for(),
             self.context.settings.router_count,
         )
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -49,11 +49,11 @@
         return self.latency.expected_ns(now_ns, self.in_flight, routers)
 
     def has_capacity(
-        self, expected_ns: float, reported_ns: float, limit_ns: float, crowd_factor: int
+        self, expected_ns: float, reported_ns: float, limit_ns: float, overload_factor: int
     ) -> bool:
         """Returns whether one more request would be answered within the latency limits.
 
-        The limits are `limit_ns` and `crowd_factor` times the unloaded latency. `expected_ns` and
+        The limits are `limit_ns` and `overload_factor` times the unloaded latency. `expected_ns` and
         `reported_ns` are the expected latencies by this router's estimate and by the server's own report (0:
         no report). The report is delayed and noisy, so its limit is wider. The unloaded latency has a lower
         bound, because a small multiple of a very low latency is no sign of overload.
@@ -61,8 +61,8 @@
         uncrowded_ns = self.latency.uncrowded_ns
         if uncrowded_ns == 0:
             uncrowded_ns = limit_ns
-        crowded_ns = crowd_factor * max(uncrowded_ns, limit_ns / MIN_UNCROWDED_DIVISOR)
-        return expected_ns <= min(limit_ns, crowded_ns) and reported_ns <= limit_ns * crowd_factor / 2
+        overloaded_ns = overload_factor * max(uncrowded_ns, limit_ns / MIN_UNCROWDED_DIVISOR)
+        return expected_ns <= min(limit_ns, overloaded_ns) and reported_ns <= limit_ns * overload_factor / 2
 
     def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, routers: int) -> bool:
         """Returns whether a request may probe if this overloaded server has recovered.
@@ -76,16 +76,16 @@
         return not self.in_flight and now_ns - self.last_sent_at_ns >= interval_ns
 
     def admits_or_starts_probe(
-        self, now_ns: int, limit_ns: float, crowd_factor: int, routers_to_account_for: int, routers: int
+        self, now_ns: int, limit_ns: float, overload_factor: int, routers_to_account_for: int, routers: int
     ) -> bool:
         """Returns whether the server has capacity for one more request, or a probe is due and starts with it.
 
-        `limit_ns` and `crowd_factor`: see `has_capacity`. `routers_to_account_for` is the number of routers
+        `limit_ns` and `overload_factor`: see `has_capacity`. `routers_to_account_for` is the number of routers
         whose load is unknown, plus one for this router; `routers` is the number of all routers.
         """
         expected_ns = self.latency.expected_ns(now_ns, self.in_flight, routers_to_account_for)
         reported_ns = self.load.expected_ns(now_ns)
-        if self.has_capacity(expected_ns, reported_ns, limit_ns, crowd_factor):
+        if self.has_capacity(expected_ns, reported_ns, limit_ns, overload_factor):
             return True
         if not self.may_probe(now_ns, expected_ns, reported_ns, routers):
             return False
