--- a/rainhitch/policy/key_ranges.py
+++ b/rainhitch/policy/key_ranges.py
@@ -42,9 +42,9 @@
         - the servers to try: the owner of the range, then all others in range order.
         """
         hash_value = crc32(key.encode())
-        first, depth = divmod(hash_value * len(self.names), HASH_SPACE_SIZE)
+        first, position = divmod(hash_value * len(self.names), HASH_SPACE_SIZE)
         chain = self.chains.get(first)
         if chain is None:
             chain = self.names[first:] + self.names[:first]
             self.chains[first] = chain
-        return depth / HASH_SPACE_SIZE, hash_value % SLOW_START_INSTANTS / SLOW_START_INSTANTS, chain
+        return position / HASH_SPACE_SIZE, hash_value % SLOW_START_INSTANTS / SLOW_START_INSTANTS, chain
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -93,10 +93,10 @@
         """Returns the owner of a key's range and the next servers, up to the first that serves the key."""
         if pending.request.key is None:
             return []
-        depth, _, names = self.ranges.locate(pending.request.key)
+        position, _, names = self.ranges.locate(pending.request.key)
         servers = self.servers.servers
         spills = 0
-        while spills < min(MAX_RANGE_SPILLS, len(names)) and not servers[names[spills]].bears(depth):
+        while spills < min(MAX_RANGE_SPILLS, len(names)) and not servers[names[spills]].serves_position(position):
             spills += 1
         return names[: 1 + spills]
 
@@ -150,7 +150,7 @@
         server is left, the result is None, and the request has to be rejected. A request without a key is
         placed by its id.
         """
-        depth, slow_start_from, names = self.ranges.locate(pending.request.key or pending.request.id)
+        position, slow_start_from, names = self.ranges.locate(pending.request.key or pending.request.id)
         candidates = self._candidates(pending, names)
         range_spills = 0
         overloaded = 0
@@ -163,7 +163,7 @@
             if not self._admits_in_slow_start(server, pending, min_fraction, len(candidates)):
                 continue
             # The far end of a range passes to the next server if its owner cannot handle the whole range.
-            is_spilled = range_spills < MAX_RANGE_SPILLS and not server.bears(depth)
+            is_spilled = range_spills < MAX_RANGE_SPILLS and not server.serves_position(position)
             if is_spilled or not self.servers.is_usable(server):
                 if not server.connection.consecutive_failures:
                     range_spills += 1
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -40,9 +40,9 @@
         is_in_use = self.endpoint.state in (api.EndpointState.READY, api.EndpointState.RETIRING)
         return is_in_use and self.connection.may_be_tried(now_ns, self.in_flight)
 
-    def bears(self, range_depth: float) -> bool:
+    def serves_position(self, range_position: float) -> bool:
         """Returns whether the server serves a position in its key range, from 0 to 1 at the far end."""
-        return range_depth < self.range_share * self.relative_weight
+        return range_position < self.range_share * self.relative_weight
 
     def expected_latency_ns(self, now_ns: int, routers: int) -> float:
         """Returns the expected latency of one more request; see `LatencyEstimator.expected_ns`."""
