--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -136,7 +136,7 @@
             server.slow_start.served.add(now_ns, 1.0 if is_hit else 0.0)
             if server is not self.server_list.origin:
                 self.mean_cache_latency_ns += (event.elapsed_ns - self.mean_cache_latency_ns) * SMOOTHING
-            server.record_proof(now_ns, now_ns - event.elapsed_ns)
+            server.record_answered_attempt(now_ns, now_ns - event.elapsed_ns)
         is_overloaded = is_queue_full or (is_reachable and self._is_overload_timeout(server, event))
         objective_ns = self.context.shortest_objective_ns
         # A rejection from a full queue is fast, but does not mean that the server is fast.
@@ -162,7 +162,7 @@
         if event.status is not api.AttemptStatus.TIMEOUT:
             return False
         sent_at_ns = self.context.now_ns - event.elapsed_ns
-        has_answered_later = server.proven_sent_at_ns > sent_at_ns
+        has_answered_later = server.last_answered_sent_at_ns > sent_at_ns
         return not has_answered_later and event.elapsed_ns >= server.latency.average_ns
 
     def _log(self, text: str) -> None:
--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -78,7 +78,7 @@
                 continue
             elapsed_ns = observation.elapsed_ns
             if not observation.is_in_flight:
-                server.record_proof(now_ns, now_ns - elapsed_ns - self.context.settings.gossip_interval_ns)
+                server.record_answered_attempt(now_ns, now_ns - elapsed_ns - self.context.settings.gossip_interval_ns)
             server.latency.record_latency(now_ns, self.span_ns, elapsed_ns, 1)
             server.adjust_range_share(now_ns, elapsed_ns, elapsed_ns > slow_above_ns)
 
@@ -108,7 +108,7 @@
     unreachable and not overloaded. It must not have answered an attempt sent later, or only this answer is
     lost.
     """
-    answers_earlier_ones = server.answered_at_ns > sent_at_ns > server.proven_sent_at_ns
+    answers_earlier_ones = server.answered_at_ns > sent_at_ns > server.last_answered_sent_at_ns
     return answers_earlier_ones and age_ns > OVERDUE_FACTOR * expected_ns
 
 
@@ -118,4 +118,4 @@
     Such an attempt is cancelled if it may be repeated, so that the request can be sent to another server.
     Otherwise reads would wait for lost answers until their clients have disconnected.
     """
-    return server.proven_sent_at_ns - sent_at_ns > LOST_ANSWER_FACTOR * expected_ns
+    return server.last_answered_sent_at_ns - sent_at_ns > LOST_ANSWER_FACTOR * expected_ns
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -28,7 +28,7 @@
     last_sent_at_ns: int = 0
     is_probing: bool = False  # the attempt in flight probes whether an overloaded server has recovered
     # The server's answers, including those reported by other routers.
-    proven_sent_at_ns: int = 0  # send time of the most recently sent attempt that the server has answered
+    last_answered_sent_at_ns: int = 0  # send time of the most recently sent attempt that the server has answered
     answered_at_ns: int = -SECOND  # time of the latest answer
     # Its key range.
     range_share: float = 1.0  # fraction of the range that the server serves; the rest goes to the next server
@@ -104,9 +104,9 @@
         latency.record_latency(now_ns, span_ns, elapsed_ns, routers, min_weight)
         self.is_probing = False
 
-    def record_proof(self, now_ns: int, sent_at_ns: int) -> None:
+    def record_answered_attempt(self, now_ns: int, sent_at_ns: int) -> None:
         """Records that the server has answered an attempt of any router that was sent at `sent_at_ns`."""
-        self.proven_sent_at_ns = max(self.proven_sent_at_ns, sent_at_ns)
+        self.last_answered_sent_at_ns = max(self.last_answered_sent_at_ns, sent_at_ns)
         self.answered_at_ns = now_ns
 
     def adjust_range_share(self, now_ns: int, elapsed_ns: int, slow: bool) -> None:
