--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -92,10 +92,10 @@
             refused = 1.0 if has_failed or is_table_full else 0.0
             self.refused_connects += (refused - self.refused_connects) * SMOOTHING
         health.accepts_connections = not has_failed and not is_table_full
-        answered_lately = self.context.now_ns - server.answered_at_ns < connect_timeout_ns
-        is_forgiven = has_failed and health.is_forgiven(answered_lately)
+        answered_recently = self.context.now_ns - server.answered_at_ns < connect_timeout_ns
+        is_tolerated = has_failed and health.is_tolerated(answered_recently)
         health.last_attempt_broke = has_failed
-        if has_failed and not is_forgiven:
+        if has_failed and not is_tolerated:
             self._eject(server, event)
         elif health.consecutive_failures and event.status in PROCESS_ANSWERED:
             self._readmit(server, event)
--- a/rainhitch/policy/connection_health.py
+++ b/rainhitch/policy/connection_health.py
@@ -38,14 +38,14 @@
         """
         return not self.consecutive_failures or (now_ns >= self.retry_at_ns and not in_flight)
 
-    def is_forgiven(self, answered_lately: bool) -> bool:
+    def is_tolerated(self, answered_recently: bool) -> bool:
         """Returns whether the present failure is tolerated, so that the server is not ejected.
 
         That is the first failure of a server that has answered recently: one broken connection does not mean
         that the server is down.
         """
         is_first = not self.last_attempt_broke and not self.consecutive_failures
-        return is_first and answered_lately
+        return is_first and answered_recently
 
     def eject(self, now_ns: int, connect_timeout_ns: int, random: Random) -> int:
         """Counts a failure and starts the backoff; returns the backoff in ns.
