--- a/rainhitch/policy/balancer.py
+++ b/rainhitch/policy/balancer.py
@@ -228,7 +228,7 @@
             self.placement.set_servers(ready)
 
     def _on_timer_fired(self, event: api.TimerFired) -> None:
-        late_ns = self.context.alarm_fired(event.token)
+        late_ns = self.context.host_timer_fired(event.token)
         if late_ns >= 0:
             self.overload_control.timer_delayed(late_ns)
 
--- a/rainhitch/policy/decision_context.py
+++ b/rainhitch/policy/decision_context.py
@@ -27,7 +27,7 @@
         # Heap of: due time (ns), sequence number, callback, request of the callback.
         self.timers: list[tuple[int, int, RequestStep, PendingRequest | None]] = []
         self.timers_scheduled = 0  # last sequence number; it orders timers with equal due times
-        self.alarm_at_ns = 0  # due time of the host's timer; 0: not set
+        self.host_timer_at_ns = 0  # due time of the host's timer; 0: not set
 
     def begin_event(self, now_ns: int) -> None:
         """Starts the handling of one event, with an empty list of actions."""
@@ -39,16 +39,16 @@
         self.timers_scheduled += 1
         heapq.heappush(self.timers, (self.now_ns + delay_ns, self.timers_scheduled, callback, pending))
 
-    def alarm_fired(self, token: str) -> int:
+    def host_timer_fired(self, token: str) -> int:
         """Returns by how much (ns) the host's timer fired late; -1 if it is not the timer that was set last.
 
         The timer is identified by its token and not by the time, because a host with coarse timers may fire
         it slightly early. The result is 0 in that case.
         """
-        if token != str(self.alarm_at_ns):
+        if token != str(self.host_timer_at_ns):
             return -1
-        late_ns = max(0, self.now_ns - self.alarm_at_ns)
-        self.alarm_at_ns = 0
+        late_ns = max(0, self.now_ns - self.host_timer_at_ns)
+        self.host_timer_at_ns = 0
         return late_ns
 
     def finish_event(self) -> list[api.Action]:
@@ -61,7 +61,7 @@
             callback(pending)
         # The host's timer is set if it is unset, later than the next callback, or overdue: an overdue timer
         # may never fire.
-        if self.timers and (self.alarm_at_ns <= self.now_ns or self.timers[0][0] < self.alarm_at_ns):
-            self.alarm_at_ns = self.timers[0][0]
-            self.actions.append(api.SetTimer(self.alarm_at_ns - self.now_ns, str(self.alarm_at_ns)))
+        if self.timers and (self.host_timer_at_ns <= self.now_ns or self.timers[0][0] < self.host_timer_at_ns):
+            self.host_timer_at_ns = self.timers[0][0]
+            self.actions.append(api.SetTimer(self.host_timer_at_ns - self.now_ns, str(self.host_timer_at_ns)))
         return self.actions
