--- a/rainhitch/policy/key_popularity.py
+++ b/rainhitch/policy/key_popularity.py
@@ -25,10 +25,10 @@
         # A minimum total keeps a router with few requests from taking every key that is requested twice for
         # a hot key.
         min_total = COUNTED_PER_SERVER * servers // 2
-        heat = self.heat(key, servers) * self.total / max(self.total, min_total)
+        fair_shares = self.fair_shares(key, servers) * self.total / max(self.total, min_total)
         self.requests[key] = self.requests.get(key, 0) + 1
-        return int(SERVERS_PER_FAIR_SHARE * heat) if heat >= 1 else 0
+        return int(SERVERS_PER_FAIR_SHARE * fair_shares) if fair_shares >= 1 else 0
 
-    def heat(self, key: str, servers: int) -> float:
+    def fair_shares(self, key: str, servers: int) -> float:
         """Returns a key's part of the counted requests, as a multiple of a server's fair share."""
         return self.requests.get(key, 0) * servers / max(1, self.total)
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -208,6 +208,6 @@
         if fraction >= 1:
             return True
         # Without this, all routers would send a hot key to a starting server at the same time.
-        heat = self.popularity.heat(pending.request.key or "", servers)
+        fair_shares = self.popularity.fair_shares(pending.request.key or "", servers)
         arrivals_per_s = self.arrival_rate.per_second(now_ns) / servers
-        return self.servers.admits_in_slow_start(server, fraction, heat, arrivals_per_s)
+        return self.servers.admits_in_slow_start(server, fraction, fair_shares, arrivals_per_s)
--- a/rainhitch/policy/server_registry.py
+++ b/rainhitch/policy/server_registry.py
@@ -142,7 +142,7 @@
         }
 
     def admits_in_slow_start(
-        self, server: Server, capacity_fraction: float, heat: float, arrivals_per_s: float
+        self, server: Server, capacity_fraction: float, fair_shares: float, arrivals_per_s: float
     ) -> bool:
         """Returns whether a server in slow start admits one more request; if so, takes a token of its budget.
 
@@ -155,7 +155,7 @@
             kind,
             same_kind,
             capacity_fraction=capacity_fraction,
-            heat=heat,
+            fair_shares=fair_shares,
             arrivals_per_s=arrivals_per_s,
         )
 
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -43,7 +43,7 @@
 
 
 def passes_by_chance(
-    draw: float, arrivals_per_s: float, heat: float, capacity_fraction: float, warm_rate_per_s: float
+    draw: float, arrivals_per_s: float, fair_shares: float, capacity_fraction: float, warm_rate_per_s: float
 ) -> bool:
     """Returns whether a request may take a token of a starting server's budget.
 
@@ -51,11 +51,11 @@
     each with an unused first token, could send requests to a starting server at the same time.
 
     `draw` is a random number from 0 to 1, `arrivals_per_s` the rate at which this router receives requests
-    for a server's range, `heat` the key's part of the requests as a multiple of a server's fair share,
+    for a server's range, `fair_shares` the key's part of the requests as a multiple of a server's fair share,
     `capacity_fraction` the fraction of its capacity that the server has, and `warm_rate_per_s` the rate at
     which a warm server of its kind serves this router.
     """
-    return draw * arrivals_per_s * max(1.0, heat / capacity_fraction) < MAX_SURE_RATE_FACTOR * warm_rate_per_s
+    return draw * arrivals_per_s * max(1.0, fair_shares / capacity_fraction) < MAX_SURE_RATE_FACTOR * warm_rate_per_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
         same_kind: Iterable[SlowStart],
         *,
         capacity_fraction: float,
-        heat: float,
+        fair_shares: float,
         arrivals_per_s: float,
     ) -> bool:
         """Returns whether a starting server admits one more request; if so, takes a token of its budget.
@@ -90,7 +90,7 @@
         now_ns = self.context.now_ns
         warm_rate_per_s = self._warm_rate_per_s(kind, same_kind)
         draw = self.context.random.random()
-        if not passes_by_chance(draw, arrivals_per_s, heat, capacity_fraction, warm_rate_per_s):
+        if not passes_by_chance(draw, arrivals_per_s, fair_shares, capacity_fraction, warm_rate_per_s):
             return False
         rate_per_s = WARM_RATE_FACTOR * warm_rate_per_s * capacity_fraction
         window_ns = self.context.settings.slow_start_window_ns
