--- a/rainhitch/policy/server_registry.py
+++ b/rainhitch/policy/server_registry.py
@@ -146,7 +146,7 @@
     ) -> bool:
         """Returns whether a server in slow start admits one more request; if so, takes a token of its budget.
 
-        The arguments are those of `slow_start.passes_by_chance`.
+        The arguments are those of `slow_start.passes_sampling`.
         """
         kind = server.endpoint.kind
         same_kind = (one.slow_start for one in self.servers.values() if one.endpoint.kind == kind)
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -19,7 +19,7 @@
 WARM_RATE_FACTOR = 3 / 2
 # Multiple of a warm server's rate up to which all arrivals pass. Of a higher arrival rate, a random sample of
 # this size passes.
-MAX_SURE_RATE_FACTOR = 2
+MAX_UNSAMPLED_RATE_FACTOR = 2
 # The slow-start window divided by it is how long a computed warm rate is valid.
 WARM_RATE_LIFETIME_DIVISOR = 8
 BUDGET_CAPACITY_DIVISOR = 4  # budget capacity: the tokens of one slow-start window divided by this
@@ -42,20 +42,20 @@
         return initial_fraction + (1 - initial_fraction) * elapsed_fraction
 
 
-def passes_by_chance(
-    draw: float, arrivals_per_s: float, fair_shares: float, capacity_fraction: float, warm_rate_per_s: float
+def passes_sampling(
+    random_value: float, arrivals_per_s: float, fair_shares: float, capacity_fraction: float, warm_rate_per_s: float
 ) -> bool:
     """Returns whether a request may take a token of a starting server's budget.
 
     Of an arrival rate far above a server's capacity, only a random sample passes. Otherwise many routers,
     each with an unused first token, could send requests to a starting server at the same time.
 
-    `draw` is a random number from 0 to 1, `arrivals_per_s` the rate at which this router receives requests
+    `random_value` is a random number from 0 to 1, `arrivals_per_s` the rate at which this router receives requests
     for a server's range, `fair_shares` the key's part of the requests as a multiple of a server's fair share,
     `capacity_fraction` the fraction of its capacity that the server has, and `warm_rate_per_s` the rate at
     which a warm server of its kind serves this router.
     """
-    return draw * arrivals_per_s * max(1.0, fair_shares / capacity_fraction) < MAX_SURE_RATE_FACTOR * warm_rate_per_s
+    return random_value * arrivals_per_s * max(1.0, fair_shares / capacity_fraction) < MAX_UNSAMPLED_RATE_FACTOR * warm_rate_per_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,12 +85,12 @@
     ) -> bool:
         """Returns whether a starting server admits one more request; if so, takes a token of its budget.
 
-        `same_kind` are all servers of its kind. The other arguments are those of `passes_by_chance`.
+        `same_kind` are all servers of its kind. The other arguments are those of `passes_sampling`.
         """
         now_ns = self.context.now_ns
         warm_rate_per_s = self._warm_rate_per_s(kind, same_kind)
-        draw = self.context.random.random()
-        if not passes_by_chance(draw, arrivals_per_s, fair_shares, capacity_fraction, warm_rate_per_s):
+        random_value = self.context.random.random()
+        if not passes_sampling(random_value, arrivals_per_s, fair_shares, capacity_fraction, warm_rate_per_s):
             return False
         rate_per_s = WARM_RATE_FACTOR * warm_rate_per_s * capacity_fraction
         window_ns = self.context.settings.slow_start_window_ns
