--- a/rainhitch/policy/throttle.py
+++ b/rainhitch/policy/throttle.py
@@ -13,8 +13,8 @@
 from rainhitch.policy.rates import SECOND
 
 # Minimum of C_J + C_T. From this size on, the output rate hardly depends on arrival rates above r.
-LEAST_TOTAL = 10
-FEW_TOKENS = 2  # initial tokens, few so that the throttle takes effect at once
+MIN_TOTAL_CAPACITY = 10
+INITIAL_TOKENS = 2  # initial tokens, few so that the throttle takes effect at once
 
 
 class TokenOffer(Enum):
@@ -31,12 +31,12 @@
     __slots__ = ("bank", "buffer", "level", "queue", "rate_per_s", "refilled_at_ns")
 
     def __init__(self, now_ns: int, rate_per_s: float, total: int) -> None:
-        """Starts with FEW_TOKENS in a bank of that capacity; the rest of `total` is the buffer."""
+        """Starts with INITIAL_TOKENS in a bank of that capacity; the rest of `total` is the buffer."""
         self.rate_per_s = rate_per_s  # r, tokens per second
         self.refilled_at_ns = now_ns  # arrival time of the last counted token
-        self.bank = FEW_TOKENS  # C_T, tokens
-        self.buffer = max(total, LEAST_TOTAL) - FEW_TOKENS  # C_J, requests
-        self.level = FEW_TOKENS
+        self.bank = INITIAL_TOKENS  # C_T, tokens
+        self.buffer = max(total, MIN_TOTAL_CAPACITY) - INITIAL_TOKENS  # C_J, requests
+        self.level = INITIAL_TOKENS
         self.queue: dict[str, PendingRequest] = {}  # waiting requests by id, in order of arrival
 
     def refill(self, now_ns: int) -> list[PendingRequest]:
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -7,7 +7,7 @@
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.pending_request import PendingRequest
-from rainhitch.policy.throttle import FEW_TOKENS, LEAST_TOTAL, Throttle, TokenOffer
+from rainhitch.policy.throttle import INITIAL_TOKENS, MIN_TOTAL_CAPACITY, Throttle, TokenOffer
 
 SECOND = 1_000_000_000
 SPEC = RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)
@@ -19,16 +19,16 @@
 
 
 def test_requests_take_tokens_then_wait_and_then_are_rejected() -> None:
-    throttle = Throttle(0, 10.0, LEAST_TOTAL)
-    offers = [throttle.offer(job(str(n))) for n in range(LEAST_TOTAL + 2)]
-    admitted = [TokenOffer.ADMITTED] * FEW_TOKENS
-    queued = [TokenOffer.QUEUED] * (LEAST_TOTAL - FEW_TOKENS)
+    throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
+    offers = [throttle.offer(job(str(n))) for n in range(MIN_TOTAL_CAPACITY + 2)]
+    admitted = [TokenOffer.ADMITTED] * INITIAL_TOKENS
+    queued = [TokenOffer.QUEUED] * (MIN_TOTAL_CAPACITY - INITIAL_TOKENS)
     assert offers == admitted + queued + [TokenOffer.REJECTED] * 2
-    assert throttle.level == -(LEAST_TOTAL - FEW_TOKENS)
+    assert throttle.level == -(MIN_TOTAL_CAPACITY - INITIAL_TOKENS)
 
 
 def test_tokens_come_evenly_and_go_to_waiting_requests_in_order() -> None:
-    throttle = Throttle(0, 10.0, LEAST_TOTAL)
+    throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     for n in range(4):
         throttle.offer(job(str(n)))
     assert throttle.refill(SECOND // 10 - 1) == []
@@ -38,24 +38,24 @@
 
 
 def test_a_full_token_bank_loses_tokens() -> None:
-    throttle = Throttle(0, 10.0, LEAST_TOTAL)
+    throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     assert throttle.refill(5 * SECOND) == []
-    assert throttle.level == throttle.bank == FEW_TOKENS
+    assert throttle.level == throttle.bank == INITIAL_TOKENS
 
 
 def test_lasting_overload_turns_buffer_into_bank_and_keeps_waiting_requests() -> None:
-    throttle = Throttle(0, 10.0, LEAST_TOTAL)
+    throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     for n in range(6):
         throttle.offer(job(str(n)))
-    throttle.shift(LEAST_TOTAL)
-    assert (throttle.bank, throttle.buffer) == (LEAST_TOTAL, 0)
+    throttle.shift(MIN_TOTAL_CAPACITY)
+    assert (throttle.bank, throttle.buffer) == (MIN_TOTAL_CAPACITY, 0)
     assert throttle.offer(job("late")) is TokenOffer.REJECTED
     assert len(throttle.refill(SECOND)) == 4
     assert throttle.level == 6
 
 
 def test_a_request_that_leaves_frees_its_place_in_the_buffer() -> None:
-    throttle = Throttle(0, 10.0, LEAST_TOTAL)
+    throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     jobs = [job(str(n)) for n in range(4)]
     for one in jobs:
         throttle.offer(one)
@@ -66,13 +66,13 @@
 
 
 @settings(derandomize=True, max_examples=200)
-@given(gaps=st.lists(st.integers(0, 3 * SECOND // 10), max_size=80), split=st.integers(0, LEAST_TOTAL))
+@given(gaps=st.lists(st.integers(0, 3 * SECOND // 10), max_size=80), split=st.integers(0, MIN_TOTAL_CAPACITY))
 def test_only_the_sum_of_capacities_sets_what_passes(gaps: list[int], split: int) -> None:
     """Checks Berger's theorem 2: from corresponding levels the same arrivals are blocked."""
     blocked = []
-    for bank in (LEAST_TOTAL, split):
-        throttle = Throttle(0, 10.0, LEAST_TOTAL)
-        throttle.bank, throttle.buffer, throttle.level = bank, LEAST_TOTAL - bank, bank
+    for bank in (MIN_TOTAL_CAPACITY, split):
+        throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
+        throttle.bank, throttle.buffer, throttle.level = bank, MIN_TOTAL_CAPACITY - bank, bank
         now, places = 0, []
         for place, gap in enumerate(gaps):
             now += gap
