--- a/rainhitch/policy/key_memory.py
+++ b/rainhitch/policy/key_memory.py
@@ -3,9 +3,9 @@
 from rainhitch import interface as api
 from rainhitch.policy.rates import SMOOTHING
 
-KEYS_KEPT = 1 << 14  # maximum number of remembered keys; the oldest are evicted first
+MAX_KEYS = 1 << 14  # maximum number of remembered keys; the oldest are evicted first
 AGE_UNIT_BITS = 26  # ages are measured in units of 2^26 ns, about 67 ms
-NOT_REMEMBERED_AGE = 63  # age class of keys that are not remembered
+UNKNOWN_KEY_AGE_CLASS = 63  # age class of keys that are not remembered
 MIN_LIKELY_HIT_FRACTION = 0.5
 
 
@@ -17,13 +17,13 @@
         self.seen: dict[str, tuple[int, str]] = {}
         # Moving average of the hit rate by age class. The last class is for keys that are not remembered;
         # they count as misses until hits are observed.
-        self.hit_fractions = [1.0] * NOT_REMEMBERED_AGE + [0.0]
+        self.hit_fractions = [1.0] * UNKNOWN_KEY_AGE_CLASS + [0.0]
 
     def _age_class(self, key: str, now_ns: int) -> int:
         """Returns the age class of a key: the binary logarithm of the time since it was last seen."""
         seen = self.seen.get(key)
         if seen is None:
-            return NOT_REMEMBERED_AGE
+            return UNKNOWN_KEY_AGE_CLASS
         return ((now_ns - seen[0]) >> AGE_UNIT_BITS).bit_length()
 
     def likely_miss(self, key: str, now_ns: int) -> bool:
@@ -50,5 +50,5 @@
         """Records that this server holds a key now; "": the server recorded before still holds it."""
         _, previous = self.seen.pop(key, (0, ""))
         self.seen[key] = now_ns, server or previous
-        if len(self.seen) > KEYS_KEPT:
+        if len(self.seen) > MAX_KEYS:
             del self.seen[next(iter(self.seen))]
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -6,7 +6,7 @@
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
-from rainhitch.policy.key_memory import KEYS_KEPT, KeyMemory
+from rainhitch.policy.key_memory import MAX_KEYS, KeyMemory
 from rainhitch.policy.key_popularity import KeyPopularity
 from rainhitch.policy.latency_estimator import LatencyEstimator
 from rainhitch.policy.origin_monitor import OriginMonitor
@@ -62,10 +62,10 @@
 
 def test_memory_is_bounded_and_forgets_the_oldest() -> None:
     memory = KeyMemory()
-    for n in range(KEYS_KEPT + 5):
+    for n in range(MAX_KEYS + 5):
         memory.remember(str(n), n, "s")
-    assert len(memory.seen) == KEYS_KEPT
-    assert memory.likely_miss("0", KEYS_KEPT) and not memory.likely_miss(str(KEYS_KEPT), KEYS_KEPT)
+    assert len(memory.seen) == MAX_KEYS
+    assert memory.likely_miss("0", MAX_KEYS) and not memory.likely_miss(str(MAX_KEYS), MAX_KEYS)
 
 
 def test_an_age_at_which_hits_turned_to_misses_is_learned() -> None:
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -13,7 +13,7 @@
 
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import DecisionContext
-from rainhitch.policy.key_memory import KEYS_KEPT
+from rainhitch.policy.key_memory import MAX_KEYS
 from rainhitch.policy.key_migration import MAX_MOVE_BURST, KeyMigration
 from rainhitch.policy.key_popularity import KeyPopularity
 from rainhitch.policy.origin_admission import OriginAdmission
@@ -379,11 +379,11 @@
 def test_what_is_remembered_of_keys_is_bounded_whatever_the_churn() -> None:
     fleet = SimulatedFleet(nodes=4, routers=1)
     memory = fleet.routers[0].balancer.key_memory
-    for n in range(KEYS_KEPT + 100):
+    for n in range(MAX_KEYS + 100):
         memory.remember(f"k{n}", n, "c00")
     for n in range(50):
         fleet.join(f"d{n:02}")
         fleet.leave(f"d{n:02}")
-    assert len(memory.seen) == KEYS_KEPT
+    assert len(memory.seen) == MAX_KEYS
     assert len(fleet.routers[0].balancer.placement.ranges.chains) <= 5
     assert len(fleet.routers[0].balancer.context.timers) < 10
