--- a/rainhitch/policy/attempt_admission.py
+++ b/rainhitch/policy/attempt_admission.py
@@ -52,4 +52,6 @@
         """
         limit_ns = pending.request_class.latency_objective_ns * SLOW_ANSWER_FRACTION
         routers = self.context.settings.router_count
-        return origin.admits_or_starts_probe(self.context.now_ns, limit_ns, UNLIMITED_OVERLOAD_FACTOR, routers, routers)
+        return origin.admits_or_starts_probe(
+            self.context.now_ns, limit_ns, UNLIMITED_OVERLOAD_FACTOR, routers, routers
+        )
--- a/rainhitch/policy/decision_context.py
+++ b/rainhitch/policy/decision_context.py
@@ -61,7 +61,9 @@
             callback(pending)
         # The host's timer is set if it is unset, later than the next callback, or overdue: an overdue timer
         # may never fire.
-        if self.timers and (self.host_timer_at_ns <= self.now_ns or self.timers[0][0] < self.host_timer_at_ns):
+        if self.timers and (
+            self.host_timer_at_ns <= self.now_ns or self.timers[0][0] < self.host_timer_at_ns
+        ):
             self.host_timer_at_ns = self.timers[0][0]
             self.actions.append(api.SetTimer(self.host_timer_at_ns - self.now_ns, str(self.host_timer_at_ns)))
         return self.actions
--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -78,7 +78,9 @@
                 continue
             elapsed_ns = observation.elapsed_ns
             if not observation.is_in_flight:
-                server.record_answered_attempt(now_ns, now_ns - elapsed_ns - self.context.settings.gossip_interval_ns)
+                server.record_answered_attempt(
+                    now_ns, now_ns - elapsed_ns - self.context.settings.gossip_interval_ns
+                )
             server.latency.record_latency(now_ns, self.span_ns, elapsed_ns, 1)
             server.adjust_range_share(now_ns, elapsed_ns, elapsed_ns > slow_above_ns)
 
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -96,7 +96,7 @@
         position, _, names = self.ranges.locate(pending.request.key)
         servers = self.servers.servers
         spills = 0
-        while spills < min(MAX_RANGE_SPILLS, len(names)) and not servers[names[spills]].serves_position(position):
+        while spills < min(MAX_RANGE_SPILLS, len(names)) and not servers[names[spills]].serves(position):
             spills += 1
         return names[: 1 + spills]
 
@@ -163,7 +163,7 @@
             if not self._admits_in_slow_start(server, pending, min_fraction, len(candidates)):
                 continue
             # The far end of a range passes to the next server if its owner cannot handle the whole range.
-            is_spilled = range_spills < MAX_RANGE_SPILLS and not server.serves_position(position)
+            is_spilled = range_spills < MAX_RANGE_SPILLS and not server.serves(position)
             if is_spilled or not self.servers.is_usable(server):
                 if not server.connection.consecutive_failures:
                     range_spills += 1
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -28,7 +28,7 @@
     last_sent_at_ns: int = 0
     is_probing: bool = False  # the attempt in flight probes whether an overloaded server has recovered
     # The server's answers, including those reported by other routers.
-    last_answered_sent_at_ns: int = 0  # send time of the most recently sent attempt that the server has answered
+    last_answered_sent_at_ns: int = 0  # send time of the most recently sent attempt that was answered
     answered_at_ns: int = -SECOND  # time of the latest answer
     # Its key range.
     range_share: float = 1.0  # fraction of the range that the server serves; the rest goes to the next server
@@ -40,7 +40,7 @@
         is_in_use = self.endpoint.state in (api.EndpointState.READY, api.EndpointState.RETIRING)
         return is_in_use and self.connection.may_be_tried(now_ns, self.in_flight)
 
-    def serves_position(self, range_position: float) -> bool:
+    def serves(self, range_position: float) -> bool:
         """Returns whether the server serves a position in its key range, from 0 to 1 at the far end."""
         return range_position < self.range_share * self.relative_weight
 
@@ -80,8 +80,8 @@
     ) -> bool:
         """Returns whether the server has capacity for one more request, or a probe is due and starts with it.
 
-        `limit_ns` and `overload_factor`: see `has_capacity`. `routers_to_account_for` is the number of routers
-        whose load is unknown, plus one for this router; `routers` is the number of all routers.
+        `limit_ns` and `overload_factor`: see `has_capacity`. `routers_to_account_for` is the number of
+        routers whose load is unknown, plus one for this router; `routers` is the number of all routers.
         """
         expected_ns = self.latency.expected_ns(now_ns, self.in_flight, routers_to_account_for)
         reported_ns = self.load.expected_ns(now_ns)
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -43,19 +43,26 @@
 
 
 def passes_sampling(
-    random_value: float, arrivals_per_s: float, fair_shares: float, capacity_fraction: float, warm_rate_per_s: float
+    random_value: float,
+    arrivals_per_s: float,
+    fair_shares: float,
+    capacity_fraction: float,
+    warm_rate_per_s: float,
 ) -> bool:
     """Returns whether a request may take a token of a starting server's budget.
 
     Of an arrival rate far above a server's capacity, only a random sample passes. Otherwise many routers,
     each with an unused first token, could send requests to a starting server at the same time.
 
-    `random_value` is a random number from 0 to 1, `arrivals_per_s` the rate at which this router receives requests
-    for a server's range, `fair_shares` the key's part of the requests as a multiple of a server's fair share,
-    `capacity_fraction` the fraction of its capacity that the server has, and `warm_rate_per_s` the rate at
-    which a warm server of its kind serves this router.
+    `random_value` is a random number from 0 to 1, `arrivals_per_s` the rate at which this router receives
+    requests for a server's range, `fair_shares` the key's part of the requests as a multiple of a server's
+    fair share, `capacity_fraction` the fraction of its capacity that the server has, and `warm_rate_per_s`
+    the rate at which a warm server of its kind serves this router.
     """
-    return random_value * arrivals_per_s * max(1.0, fair_shares / capacity_fraction) < MAX_UNSAMPLED_RATE_FACTOR * warm_rate_per_s
+    return (
+        random_value * arrivals_per_s * max(1.0, fair_shares / capacity_fraction)
+        < MAX_UNSAMPLED_RATE_FACTOR * warm_rate_per_s
+    )
 
 
 @dataclass(frozen=True, slots=True)
