--- a/rainhitch/policy/key_ranges.py
+++ b/rainhitch/policy/key_ranges.py
@@ -5,7 +5,7 @@
 HASH_SPACE_SIZE = 1 << 32  # number of crc32 values
 # Number of steps in a slow start. The lowest bits of a key's hash choose the step from which on an owner in
 # slow start takes the key.
-SLOW_START_INSTANTS = 1 << 16
+SLOW_START_STEPS = 1 << 16
 
 
 class KeyRanges:
@@ -14,14 +14,14 @@
     def __init__(self) -> None:
         self.names: list[str] = []
         # All servers in range order, by the index of the range with which the list begins.
-        self.chains: dict[int, list[str]] = {}
+        self.preference_lists: dict[int, list[str]] = {}
 
     def set_servers(self, names: list[str]) -> bool:
         """Sets the servers, given as sorted ids; returns whether they differ from those before."""
         if names == self.names:
             return False
         self.names = names
-        self.chains = {}
+        self.preference_lists = {}
         return True
 
     def owner(self, key: str) -> str:
@@ -43,8 +43,8 @@
         """
         hash_value = crc32(key.encode())
         first, position = divmod(hash_value * len(self.names), HASH_SPACE_SIZE)
-        chain = self.chains.get(first)
-        if chain is None:
-            chain = self.names[first:] + self.names[:first]
-            self.chains[first] = chain
-        return position / HASH_SPACE_SIZE, hash_value % SLOW_START_INSTANTS / SLOW_START_INSTANTS, chain
+        preference_list = self.preference_lists.get(first)
+        if preference_list is None:
+            preference_list = self.names[first:] + self.names[:first]
+            self.preference_lists[first] = preference_list
+        return position / HASH_SPACE_SIZE, hash_value % SLOW_START_STEPS / SLOW_START_STEPS, preference_list
