--- a/rainhitch/policy/origin_admission.py
+++ b/rainhitch/policy/origin_admission.py
@@ -34,7 +34,7 @@
             if slow_from_ns > now_ns:
                 break
             del self.reads_in_flight[read]
-            self.monitor.record_end(False, sent_at_ns)
+            self.monitor.record_outcome(False, sent_at_ns)
         self._release(None)  # updates the level with the tokens due by now
         before = self.monitor.throttle
         line = self.monitor.step(now_ns, bool(self.reads_in_flight))
@@ -109,7 +109,7 @@
         known = self.reads_in_flight.pop(read, None)
         if known is not None:
             sent_at_ns, slow_from_ns = known
-            self.monitor.record_end(is_answered and sent_at_ns + elapsed_ns < slow_from_ns, sent_at_ns)
+            self.monitor.record_outcome(is_answered and sent_at_ns + elapsed_ns < slow_from_ns, sent_at_ns)
 
     def withdraw(self, pending: PendingRequest) -> None:
         """Removes a request from the throttle's buffer, if it is there."""
--- a/rainhitch/policy/origin_monitor.py
+++ b/rainhitch/policy/origin_monitor.py
@@ -8,7 +8,7 @@
 RATE_SPAN_PERIODS = 8  # averaging window of the rate of admitted likely misses, in periods
 RATE_RISE_FRACTION = 1 / 4  # increase of the throttle's rate r in a healthy period, as a fraction of r
 HEALTHY_PERIODS_TO_TURN_OFF = 8  # consecutive healthy periods with a full token bank
-MIN_EVIDENCE = 4  # ended likely misses from which on an origin can be judged healthy
+MIN_OUTCOMES = 4  # ended likely misses from which on an origin can be judged healthy
 SLOW_TAIL_FRACTION = 1 / 16  # fraction of likely misses that even a healthy origin may answer slowly
 
 
@@ -35,10 +35,10 @@
         The rate is corrected for the time since the start: soon after a restart, the average over a window
         that is not filled yet would be too low.
         """
-        known_fraction = -math.expm1((self.started_at_ns - now_ns) / self.admitted_rate.span_ns)
-        return self.admitted_rate.per_second(now_ns) / known_fraction
+        filled_fraction = -math.expm1((self.started_at_ns - now_ns) / self.admitted_rate.span_ns)
+        return self.admitted_rate.per_second(now_ns) / filled_fraction
 
-    def record_end(self, is_healthy: bool, sent_at_ns: int) -> None:
+    def record_outcome(self, is_healthy: bool, sent_at_ns: int) -> None:
         """Counts the outcome of a likely miss, unless it was sent before the last rate reduction.
 
         Otherwise one congestion would reduce the rate twice.
@@ -62,7 +62,7 @@
         is_silent = has_reads_in_flight and not self.healthy
         is_overloaded = self._is_overloaded(ended)
         # The counts are kept until there are enough, for routers that see few misses.
-        if is_overloaded or ended >= MIN_EVIDENCE:
+        if is_overloaded or ended >= MIN_OUTCOMES:
             self.healthy = 0
             self.unhealthy = 0
         if is_overloaded:
@@ -93,8 +93,8 @@
     def _cut_rate(self, throttle: Throttle, now_ns: int, unhealthy_fraction: float) -> None:
         # The reduction starts from the rate in use, since reducing an unused rate would limit nothing.
         used_per_s = min(throttle.rate_per_s, self.recent_rate_per_s(now_ns))
-        least_per_s = SECOND / self.admitted_rate.span_ns / 2
-        throttle.rate_per_s = max(used_per_s * (1 - unhealthy_fraction / 2), least_per_s)
+        min_per_s = SECOND / self.admitted_rate.span_ns / 2
+        throttle.rate_per_s = max(used_per_s * (1 - unhealthy_fraction / 2), min_per_s)
         throttle.shift(max(1, (throttle.bank + throttle.buffer) // 4))
 
     def _after_healthy_period(self, throttle: Throttle, now_ns: int, is_silent: bool) -> str:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -159,7 +159,7 @@
 def test_a_slow_tail_within_chance_does_not_turn_the_throttle_on(seen: int, bad: int, acts: bool) -> None:
     monitor = OriginMonitor(SECOND)
     for n in range(seen):
-        monitor.record_end(n >= bad, START)
+        monitor.record_outcome(n >= bad, START)
     monitor.step(START, False)
     assert (monitor.throttle is not None) is acts
 
@@ -169,17 +169,17 @@
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
         monitor.admitted_rate.add(SECOND)
-        monitor.record_end(False, 0)
+        monitor.record_outcome(False, 0)
     assert monitor.step(SECOND, False).startswith("throttle on ")
     throttle = monitor.throttle
     assert throttle is not None
     rate = throttle.rate_per_s
     for _ in range(8):
-        monitor.record_end(False, SECOND // 2)
+        monitor.record_outcome(False, SECOND // 2)
     monitor.step(2 * SECOND, False)
     assert throttle.rate_per_s >= rate
     for _ in range(8):
-        monitor.record_end(False, 2 * SECOND)
+        monitor.record_outcome(False, 2 * SECOND)
     monitor.step(3 * SECOND, False)
     assert throttle.rate_per_s < rate
     assert throttle.bank > 2 and throttle.bank + throttle.buffer >= 10
@@ -190,7 +190,7 @@
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
         monitor.admitted_rate.add(SECOND)
-        monitor.record_end(False, 0)
+        monitor.record_outcome(False, 0)
     monitor.step(SECOND, True)
     throttle = monitor.throttle
     assert throttle is not None
@@ -199,7 +199,7 @@
     assert throttle.rate_per_s == rate
     for _ in range(24):
         monitor.admitted_rate.add(2 * SECOND)
-    monitor.record_end(True, 2 * SECOND)
+    monitor.record_outcome(True, 2 * SECOND)
     monitor.step(2 * SECOND, True)
     assert throttle.rate_per_s > rate
     for _ in range(9):
--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -292,7 +292,7 @@
     for n in range(1, 9):
         if n % 4 == 0:
             monitor.admitted_rate.add(n * SECOND // 2)
-            monitor.record_end(False, n * SECOND // 2)
+            monitor.record_outcome(False, n * SECOND // 2)
         monitor.step(n * SECOND // 2, False)
     assert monitor.throttle is not None
     assert monitor.throttle.rate_per_s < 1
@@ -302,7 +302,7 @@
     monitor = OriginMonitor(SECOND // 2)
     monitor.started_at_ns = 0
     for n in range(1, 60):
-        monitor.record_end(n % 12 != 0, n * SECOND // 2)
+        monitor.record_outcome(n % 12 != 0, n * SECOND // 2)
         monitor.step(n * SECOND // 2, False)
     assert monitor.throttle is None
 
