--- a/rainhitch/policy/attempt_timeout.py
+++ b/rainhitch/policy/attempt_timeout.py
@@ -29,7 +29,7 @@
         # latency, of this server or of all cache servers, whichever is higher. It does not apply to a slow
         # server, whose range share is reduced.
         expected_ns = server.expected_latency_ns(now_ns, servers.routers_to_account_for())
-        usual_ns = max(expected_ns, servers.attempts.mean_cache_latency_ns)
-        least_ns = spec.latency_objective_ns // MIN_TIMEOUT_DIVISOR
-        timeout_ns = min(timeout_ns, max(least_ns, int(LOST_ANSWER_FACTOR * usual_ns)))
+        typical_ns = max(expected_ns, servers.attempts.mean_cache_latency_ns)
+        min_ns = spec.latency_objective_ns // MIN_TIMEOUT_DIVISOR
+        timeout_ns = min(timeout_ns, max(min_ns, int(LOST_ANSWER_FACTOR * typical_ns)))
     return max(timeout_ns, 0)
--- a/rainhitch/policy/key_popularity.py
+++ b/rainhitch/policy/key_popularity.py
@@ -1,6 +1,6 @@
 """Popularity of keys among this router's recent requests, to spread a hot key over several servers."""
 
-COUNTED_PER_SERVER = 8  # requests per server after which all counts are halved
+MAX_COUNTED_PER_SERVER = 8  # requests per server after which all counts are halved
 # A server can handle about two fair shares of the load, so a hot key is spread over this many servers for
 # each fair share that it makes up.
 SERVERS_PER_FAIR_SHARE = 2
@@ -18,13 +18,13 @@
 
         The result is 0 for a key that is not hot. `servers` is the number of cache servers.
         """
-        if self.total >= COUNTED_PER_SERVER * max(1, servers):
+        if self.total >= MAX_COUNTED_PER_SERVER * max(1, servers):
             self.requests = {name: count // 2 for name, count in self.requests.items() if count > 1}
             self.total //= 2
         self.total += 1
         # A minimum total keeps a router with few requests from taking every key that is requested twice for
         # a hot key.
-        min_total = COUNTED_PER_SERVER * servers // 2
+        min_total = MAX_COUNTED_PER_SERVER * servers // 2
         fair_shares = self.fair_shares(key, servers) * self.total / max(self.total, min_total)
         self.requests[key] = self.requests.get(key, 0) + 1
         return int(SERVERS_PER_FAIR_SHARE * fair_shares) if fair_shares >= 1 else 0
--- a/rainhitch/policy/no_overload_control.py
+++ b/rainhitch/policy/no_overload_control.py
@@ -10,10 +10,10 @@
 
     def __init__(self, settings: api.Settings) -> None:
         """Initializes the retry-after time of rejections from the settings."""
-        self.told_retry_after_ns = 0
+        self.fixed_retry_after_ns = 0
         if settings.retry_after_allowed:
             shortest_objective_ns = min(spec.latency_objective_ns for spec in settings.classes)
-            self.told_retry_after_ns = min(shortest_objective_ns, settings.max_retry_after_ns)
+            self.fixed_retry_after_ns = min(shortest_objective_ns, settings.max_retry_after_ns)
 
     def admit(self, now_ns: int, request: api.Request, over_quota: bool) -> api.AdmissionDecision:
         """Admits every request."""
@@ -42,7 +42,7 @@
 
     def retry_after_ns(self, now_ns: int, request: api.Request) -> int:
         """Returns the shortest latency objective, limited by the settings."""
-        return self.told_retry_after_ns
+        return self.fixed_retry_after_ns
 
     def timer_delayed(self, delay_ns: int) -> None:
         """Does nothing."""
--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -136,5 +136,5 @@
 
 def origin_retry_delay_ns(pending: PendingRequest, source: random.Random) -> int:
     """Returns the backoff before a write's next attempt at the origin: exponential, with jitter."""
-    most_ns = pending.request_class.latency_objective_ns << pending.attempts_started
-    return int(most_ns * source.uniform(0.5, 1)) // ORIGIN_BACKOFF_DIVISOR
+    max_ns = pending.request_class.latency_objective_ns << pending.attempts_started
+    return int(max_ns * source.uniform(0.5, 1)) // ORIGIN_BACKOFF_DIVISOR
--- a/rainhitch/policy/tenant_quotas.py
+++ b/rainhitch/policy/tenant_quotas.py
@@ -46,8 +46,8 @@
             self.traffic_fractions = [self._estimate_traffic_fraction()]
             self.fractions_valid_until_ns = now_ns + ESTIMATE_LIFETIME_NS
         fraction = self.traffic_fractions[event.tenant % len(self.traffic_fractions)]
-        least_fraction = 1 / self.context.settings.router_count
-        rate_per_s = quotas[event.tenant].quota_per_s * max(least_fraction, fraction)
+        min_fraction = 1 / self.context.settings.router_count
+        rate_per_s = quotas[event.tenant].quota_per_s * max(min_fraction, fraction)
         return not self.buckets[event.tenant].take(now_ns, rate_per_s, max(MIN_QUOTA_BURST, rate_per_s))
 
     def _estimate_traffic_fraction(self) -> float:
--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -5,7 +5,7 @@
 
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
-from rainhitch.policy.key_popularity import COUNTED_PER_SERVER, KeyPopularity
+from rainhitch.policy.key_popularity import MAX_COUNTED_PER_SERVER, KeyPopularity
 from rainhitch.policy.origin_monitor import OriginMonitor
 
 
@@ -108,7 +108,7 @@
         popularity.count_and_spread("hot", 4)
     for n in range(2000):
         popularity.count_and_spread(f"k{n}", 4)
-        assert len(popularity.requests) <= popularity.total <= COUNTED_PER_SERVER * 4
+        assert len(popularity.requests) <= popularity.total <= MAX_COUNTED_PER_SERVER * 4
     assert popularity.count_and_spread("hot", 4) == 0
 
 
