--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -17,11 +17,11 @@
 # Windows in which the other origin requests are counted; the lower of the two rates applies.
 LONG_RATE_SPAN_NS = 8 * SECOND
 SHORT_RATE_SPAN_NS = 2 * SECOND
-MAX_MOVE_BURST = 1.0  # capacity of the token bucket, key migrations
-MIN_FLEET_MOVES_PER_S = 0.5  # rate of all routers together while there are hardly any other origin requests
+MAX_MIGRATION_BURST = 1.0  # capacity of the token bucket, key migrations
+MIN_FLEET_MIGRATIONS_PER_S = 0.5  # rate of all routers together while there are hardly any other origin requests
 SETTLED_READS_FRACTION = 1 / 100  # the migration ends once hits at previous holders are at most this fraction
 SETTLED_CHECK_INTERVAL_NS = SECOND
-NOT_UNDER_WAY = -1  # value of `began_at_ns` while there is no migration
+NO_MIGRATION = -1  # value of `began_at_ns` while there is no migration
 
 
 class KeyMigration:
@@ -37,7 +37,7 @@
         # Rates of origin requests other than key migrations, over the long and the short window.
         self.origin_rates = (DecayingRate(LONG_RATE_SPAN_NS), DecayingRate(SHORT_RATE_SPAN_NS))
         self.bucket = TokenBucket()
-        self.began_at_ns = NOT_UNDER_WAY  # latest change of the list of owners
+        self.began_at_ns = NO_MIGRATION  # latest change of the list of owners
         self.previous_ranges = KeyRanges()  # before the migration
         # Counted since the migration began.
         self.moved_keys = 0
@@ -71,7 +71,7 @@
         if age_ns < SETTLED_CHECK_INTERVAL_NS or not is_settled:
             self.context.schedule(SETTLED_CHECK_INTERVAL_NS, self._check_settled)
             return
-        self.began_at_ns = NOT_UNDER_WAY
+        self.began_at_ns = NO_MIGRATION
         self.context.actions.append(
             api.LogLine(
                 f"key migration finished moved_keys={self.moved_keys} duration_s={age_ns / SECOND:.0f} "
@@ -91,7 +91,7 @@
         self.hits_at_previous_holder += 1
         self.reads_at_previous_holder += 1
 
-    def take_move_token(self) -> bool:
+    def take_token(self) -> bool:
         """Takes a token for the migration of one key; returns whether there was one.
 
         No key is migrated while the origin's throttle is on and its token bank is not full.
@@ -102,17 +102,17 @@
             return False
         # The lower rate is used because a recent burst does not show what the origin can handle.
         origin_requests_per_s = min(rate.per_second(self.context.now_ns) for rate in self.origin_rates)
-        moves_per_s = max(
+        migrations_per_s = max(
             origin_requests_per_s * settings.migration_fraction,
-            MIN_FLEET_MOVES_PER_S / settings.router_count,
+            MIN_FLEET_MIGRATIONS_PER_S / settings.router_count,
         )
-        return self.bucket.take(self.context.now_ns, moves_per_s, MAX_MOVE_BURST)
+        return self.bucket.take(self.context.now_ns, migrations_per_s, MAX_MIGRATION_BURST)
 
     def return_token(self) -> None:
         """Puts back a token that was not needed."""
-        self.bucket.tokens = min(self.bucket.tokens + 1, MAX_MOVE_BURST)
+        self.bucket.tokens = min(self.bucket.tokens + 1, MAX_MIGRATION_BURST)
 
-    def move_finished(self, hit: bool) -> None:
+    def key_migrated(self, hit: bool) -> None:
         """Counts a migration; if the owner held the key already (`hit`), the token is returned."""
         self.moved_keys += 1
         if hit:
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -77,7 +77,7 @@
         holder = None
         if path and not pending.skipped_owners and self.context.settings.migration_fraction >= 0:
             holder, is_seen = self._previous_holder(pending, path)
-            if holder is not None and is_seen and self.migration.take_move_token():
+            if holder is not None and is_seen and self.migration.take_token():
                 owner = self._owner_or_next(pending)
                 # A key does not migrate to a replacement for its owner, or it would have to migrate twice.
                 if owner is not None and owner.endpoint.server in path:
--- a/rainhitch/policy/read_tracking.py
+++ b/rainhitch/policy/read_tracking.py
@@ -63,7 +63,7 @@
         held_at = self._held_at(pending, event.server)
         self.key_memory.record_read(key, self.context.now_ns, held_at, True)
         if pending.is_migrating:
-            self.migration.move_finished(event.answer_note != api.NOTE_MISS)
+            self.migration.key_migrated(event.answer_note != api.NOTE_MISS)
         elif pending.at_previous_holder:
             self.migration.hit_at_previous_holder()
 
@@ -86,4 +86,4 @@
         if pending.request.key is not None:
             self.key_memory.record_read(pending.request.key, self.context.now_ns, "", False)
         if pending.is_migrating:
-            self.migration.move_finished(False)
+            self.migration.key_migrated(False)
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -14,7 +14,7 @@
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.key_memory import MAX_KEYS
-from rainhitch.policy.key_migration import MAX_MOVE_BURST, KeyMigration
+from rainhitch.policy.key_migration import MAX_MIGRATION_BURST, KeyMigration
 from rainhitch.policy.key_popularity import KeyPopularity
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.throttle import Throttle
@@ -310,12 +310,12 @@
     admission = OriginAdmission(context, lambda pending: None, lambda pending: None)
     migration = KeyMigration(context, admission)
     context.now_ns = START
-    migration.bucket.tokens, migration.bucket.refilled_at_ns = MAX_MOVE_BURST, START
+    migration.bucket.tokens, migration.bucket.refilled_at_ns = MAX_MIGRATION_BURST, START
     throttle = admission.monitor.throttle = Throttle(START, 10.0, 10)
     throttle.level = throttle.bank - 1
-    assert not migration.take_move_token()
+    assert not migration.take_token()
     throttle.level = throttle.bank
-    assert migration.take_move_token()
+    assert migration.take_token()
 
 
 @given(
@@ -331,7 +331,7 @@
     besides, taken = [], []
     for step, asks in steps:
         context.now_ns += step
-        if asks and migration.take_move_token():
+        if asks and migration.take_token():
             taken.append(context.now_ns)
         elif not asks:
             migration.origin_request_sent(False)
@@ -341,7 +341,7 @@
             # Earlier requests still have a small weight: e^-4 after 32 s.
             near = sum(math.exp(min(0.0, (at - begin) / (8 * SECOND))) for at in besides if at <= end)
             span = (end - begin) / SECOND
-            assert m <= MAX_MOVE_BURST + 1 + 0.2 * span + share * near * (1 + span / 8)
+            assert m <= MAX_MIGRATION_BURST + 1 + 0.2 * span + share * near * (1 + span / 8)
 
 
 @settings(max_examples=25)
