--- a/rainhitch/policy/pending_request.py
+++ b/rainhitch/policy/pending_request.py
@@ -49,7 +49,7 @@
     # requests with the same idempotency key have negative numbers.
     possibly_executed: dict[int, tuple[api.Endpoint, int]] = field(default_factory=dict)
     tried_servers: set[str] = field(default_factory=set)
-    missed_at: str = ""  # the last server that did not hold its key
+    missed_server: str = ""  # the last server that did not hold its key
     # What the request waits for, or the decision that ended it. If the request runs out of time, this is the
     # reason in its answer, so it is kept until another decision replaces it.
     reason: api.RejectReason = api.RejectReason.OBJECTIVE_PASSED
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -111,7 +111,7 @@
         seen = self.key_memory.seen.get(key)
         if seen is not None and not pending.likely_miss:
             held_since_ns, name = seen
-        elif self.migration.began_at_ns >= 0 and seen is None and not pending.missed_at:
+        elif self.migration.began_at_ns >= 0 and seen is None and not pending.missed_server:
             held_since_ns = self.migration.began_at_ns
             name = self.migration.previous_ranges.owner(key)
         else:
--- a/rainhitch/policy/read_tracking.py
+++ b/rainhitch/policy/read_tracking.py
@@ -54,21 +54,21 @@
             return
         if pending.at_origin:
             if is_answered:  # the value is stored in the cache server that missed it
-                self.key_memory.remember(key, self.context.now_ns, self._held_at(pending, pending.missed_at))
+                self.key_memory.remember(key, self.context.now_ns, self._holder_to_record(pending, pending.missed_server))
             self.coalesced_reads.read_finished(key, is_answered)
         elif is_answered:
             self._hit(pending, key, event)
 
     def _hit(self, pending: PendingRequest, key: str, event: api.AttemptFinished) -> None:
-        held_at = self._held_at(pending, event.server)
-        self.key_memory.record_read(key, self.context.now_ns, held_at, True)
+        holder = self._holder_to_record(pending, event.server)
+        self.key_memory.record_read(key, self.context.now_ns, holder, True)
         if pending.is_migrating:
             self.migration.key_migrated(event.answer_note != api.NOTE_MISS)
         elif pending.at_previous_holder:
             self.migration.hit_at_previous_holder()
 
     @staticmethod
-    def _held_at(pending: PendingRequest, server: str) -> str:
+    def _holder_to_record(pending: PendingRequest, server: str) -> str:
         """Returns the server to remember for a key, or "" to keep the recorded one.
 
         A hot key is recorded at its owner only, not at the other servers over which it is spread.
@@ -82,7 +82,7 @@
 
     def missed(self, pending: PendingRequest, event: api.AttemptFinished) -> None:
         """Reports that the cache server of a read did not hold the key."""
-        pending.missed_at = event.server
+        pending.missed_server = event.server
         if pending.request.key is not None:
             self.key_memory.record_read(pending.request.key, self.context.now_ns, "", False)
         if pending.is_migrating:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -140,7 +140,7 @@
         """Simulates an attempt; its outcome depends on the state of its server."""
         if send.server == "origin":
             self.outcome(now, router, send, number, status=api.AttemptStatus.OK, at=now + 20 * MILLI)
-            self.servers[self.balancers[router].requests[send.id].missed_at or "c1"].held.add(key)
+            self.servers[self.balancers[router].requests[send.id].missed_server or "c1"].held.add(key)
             return
         if send.server == COLD:
             self.sent.append(now)
