--- a/rainhitch/policy/read_tracking.py
+++ b/rainhitch/policy/read_tracking.py
@@ -54,7 +54,9 @@
             return
         if pending.at_origin:
             if is_answered:  # the value is stored in the cache server that missed it
-                self.key_memory.remember(key, self.context.now_ns, self._holder_to_record(pending, pending.missed_server))
+                self.key_memory.remember(
+                    key, self.context.now_ns, self._holder_to_record(pending, pending.missed_server)
+                )
             self.coalesced_reads.read_finished(key, is_answered)
         elif is_answered:
             self._hit(pending, key, event)
