--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -47,10 +47,10 @@
         return False
     if spec.dedup_scope == "all":
         return True
-    earlier = [sent_to for sent_to, _ in pending.possibly_executed.values()]
+    earlier_endpoints = [sent_to for sent_to, _ in pending.possibly_executed.values()]
     if spec.dedup_scope == "zone":
-        return all(one.zone == endpoint.zone for one in earlier)
-    return all(one.cell == endpoint.cell for one in earlier)
+        return all(earlier.zone == endpoint.zone for earlier in earlier_endpoints)
+    return all(earlier.cell == endpoint.cell for earlier in earlier_endpoints)
 
 
 def may_reject(pending: PendingRequest, now_ns: int) -> bool:
--- a/rainhitch/policy/server_registry.py
+++ b/rainhitch/policy/server_registry.py
@@ -68,7 +68,9 @@
         """Updates zones, relative weights and origin; returns the sorted ids of the ready cache servers."""
         settings = self.context.settings
         origin_kind = settings.origin_kind if settings.cache_aside else NO_ORIGIN_KIND
-        ready = [one for one in self.servers.values() if one.endpoint.state is api.EndpointState.READY]
+        ready = [
+            server for server in self.servers.values() if server.endpoint.state is api.EndpointState.READY
+        ]
         caches = [server for server in ready if server.endpoint.kind != origin_kind]
         self.zones.set_zones({server.endpoint.zone for server in caches})
         mean_weight = sum(server.endpoint.weight for server in caches) / max(1, len(caches))
@@ -149,7 +151,7 @@
         The arguments are those of `slow_start.passes_sampling`.
         """
         kind = server.endpoint.kind
-        same_kind = (one.slow_start for one in self.servers.values() if one.endpoint.kind == kind)
+        same_kind = (other.slow_start for other in self.servers.values() if other.endpoint.kind == kind)
         return self.slow_start.admits_in_slow_start(
             server.slow_start,
             kind,
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -113,9 +113,9 @@
         if known is not None and now_ns < known.valid_until_ns:
             return known.rate_per_s
         rates = [
-            one.served.per_second(now_ns)
-            for one in same_kind
-            if one.slow_start_fraction(now_ns, settings) == 1
+            server.served.per_second(now_ns)
+            for server in same_kind
+            if server.slow_start_fraction(now_ns, settings) == 1
         ]
         # In a fleet that starts as a whole there is no warm server to measure. One request per second, from
         # all routers together, is enough to find out what a server can handle.
