--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -56,13 +56,13 @@
 
 def test_a_request_that_leaves_frees_its_place_in_the_buffer() -> None:
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
-    jobs = [job(str(n)) for n in range(4)]
-    for one in jobs:
+    requests = [job(str(n)) for n in range(4)]
+    for one in requests:
         throttle.offer(one)
-    assert throttle.leave(jobs[2])
-    assert not throttle.leave(jobs[2])
+    assert throttle.leave(requests[2])
+    assert not throttle.leave(requests[2])
     assert throttle.level == -1
-    assert throttle.refill(SECOND // 10) == [jobs[3]]
+    assert throttle.refill(SECOND // 10) == [requests[3]]
 
 
 @settings(derandomize=True, max_examples=200)
@@ -88,11 +88,11 @@
 
     One of three processes was stopped for 4 s, and two such reads turned on its throttle at its recent rate.
     """
-    turn = DecisionContext(Settings([SPEC]), 1)
-    gate = OriginAdmission(turn, lambda job: None, lambda job: None)
+    context = DecisionContext(Settings([SPEC]), 1)
+    admission = OriginAdmission(context, lambda job: None, lambda job: None)
     for name in ("early", "late"):
-        gate.read_started((name, 0), SECOND)
-    turn.now_ns += 4 * SECOND
-    gate.read_finished(("early", 0), True, SECOND // 50)
-    gate.read_finished(("late", 0), True, 4 * SECOND)
-    assert (gate.monitor.healthy, gate.monitor.unhealthy) == (1, 1)
+        admission.read_started((name, 0), SECOND)
+    context.now_ns += 4 * SECOND
+    admission.read_finished(("early", 0), True, SECOND // 50)
+    admission.read_finished(("late", 0), True, 4 * SECOND)
+    assert (admission.monitor.healthy, admission.monitor.unhealthy) == (1, 1)
