--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -13,14 +13,14 @@
 SPEC = RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)
 
 
-def job(name: str) -> PendingRequest:
+def pending_request(name: str) -> PendingRequest:
     """Returns a request to offer to the throttle."""
     return PendingRequest(Request(name, 0, 2 * SECOND), SPEC, SECOND)
 
 
 def test_requests_take_tokens_then_wait_and_then_are_rejected() -> None:
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
-    offers = [throttle.offer(job(str(n))) for n in range(MIN_TOTAL_CAPACITY + 2)]
+    offers = [throttle.offer(pending_request(str(n))) for n in range(MIN_TOTAL_CAPACITY + 2)]
     admitted = [TokenOffer.ADMITTED] * INITIAL_TOKENS
     queued = [TokenOffer.QUEUED] * (MIN_TOTAL_CAPACITY - INITIAL_TOKENS)
     assert offers == admitted + queued + [TokenOffer.REJECTED] * 2
@@ -30,7 +30,7 @@
 def test_tokens_come_evenly_and_go_to_waiting_requests_in_order() -> None:
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     for n in range(4):
-        throttle.offer(job(str(n)))
+        throttle.offer(pending_request(str(n)))
     assert throttle.refill(SECOND // 10 - 1) == []
     assert [one.request.id for one in throttle.refill(SECOND // 10)] == ["2"]
     assert [one.request.id for one in throttle.refill(SECOND // 5)] == ["3"]
@@ -46,17 +46,17 @@
 def test_lasting_overload_turns_buffer_into_bank_and_keeps_waiting_requests() -> None:
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     for n in range(6):
-        throttle.offer(job(str(n)))
+        throttle.offer(pending_request(str(n)))
     throttle.shift(MIN_TOTAL_CAPACITY)
     assert (throttle.bank, throttle.buffer) == (MIN_TOTAL_CAPACITY, 0)
-    assert throttle.offer(job("late")) is TokenOffer.REJECTED
+    assert throttle.offer(pending_request("late")) is TokenOffer.REJECTED
     assert len(throttle.refill(SECOND)) == 4
     assert throttle.level == 6
 
 
 def test_a_request_that_leaves_frees_its_place_in_the_buffer() -> None:
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
-    requests = [job(str(n)) for n in range(4)]
+    requests = [pending_request(str(n)) for n in range(4)]
     for one in requests:
         throttle.offer(one)
     assert throttle.leave(requests[2])
@@ -77,7 +77,7 @@
         for place, gap in enumerate(gaps):
             now += gap
             throttle.refill(now)
-            if throttle.offer(job(str(place))) is TokenOffer.REJECTED:
+            if throttle.offer(pending_request(str(place))) is TokenOffer.REJECTED:
                 places.append(place)
         blocked.append(places)
     assert blocked[0] == blocked[1]
@@ -89,7 +89,7 @@
     One of three processes was stopped for 4 s, and two such reads turned on its throttle at its recent rate.
     """
     context = DecisionContext(Settings([SPEC]), 1)
-    admission = OriginAdmission(context, lambda job: None, lambda job: None)
+    admission = OriginAdmission(context, lambda pending: None, lambda pending: None)
     for name in ("early", "late"):
         admission.read_started((name, 0), SECOND)
     context.now_ns += 4 * SECOND
