--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -12,22 +12,22 @@
 QUOTA = 40.0
 
 
-def of_two(**changes: object) -> Router:
+def router_with_two_tenants(**changes: object) -> Router:
     """Returns one of ten routers, with two tenants."""
     return Router(settings(router_count=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
 
 
-def marked(router: Router, rate: int, seconds: int, fractions: list[float] | None) -> float:
+def over_quota_fraction(router: Router, rate: int, seconds: int, fractions: list[float] | None) -> float:
     """Returns the fraction of the second tenant's requests that count as over its quota."""
-    beyond = 0
+    over_quota_count = 0
     for n in range(rate * seconds):
         router.wait(SECOND // rate)
         if fractions is not None:
             router.handle(api.TrafficFractions(fractions, SECOND))
-        beyond += router.balancer.tenant_quotas.count_and_check_quota(
+        over_quota_count += router.balancer.tenant_quotas.count_and_check_quota(
             api.Request(str(n), 0, 0, "k", tenant=1)
         )
-    return beyond / (rate * seconds)
+    return over_quota_count / (rate * seconds)
 
 
 def test_a_tenant_within_its_quota_is_never_over_quota_however_unevenly_its_traffic_comes() -> None:
@@ -36,17 +36,17 @@
     Nearly all requests of a small tenant came to one router, which enforced a tenth of its quota, or the
     fraction of the median tenant.
     """
-    assert marked(of_two(), 30, 20, [0.0, 0.9]) == 0
-    assert marked(of_two(), 30, 20, None) > 0.5, "the router's own estimate must be lower"
+    assert over_quota_fraction(router_with_two_tenants(), 30, 20, [0.0, 0.9]) == 0
+    assert over_quota_fraction(router_with_two_tenants(), 30, 20, None) > 0.5, "the router's own estimate must be lower"
 
 
 @pytest.mark.parametrize(("part", "wanted"), [(0.5, 0.5), (1.0, 0.0), (0.25, 0.75), (0.0, 0.9)])
 def test_requests_beyond_the_routers_fraction_of_the_quota_are_over_quota(part: float, wanted: float) -> None:
-    assert marked(of_two(), int(QUOTA), 30, [0.0, part]) == pytest.approx(wanted, abs=0.05)
+    assert over_quota_fraction(router_with_two_tenants(), int(QUOTA), 30, [0.0, part]) == pytest.approx(wanted, abs=0.05)
 
 
 def test_a_single_fraction_holds_for_all_tenants() -> None:
-    assert marked(of_two(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
+    assert over_quota_fraction(router_with_two_tenants(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
 
 
 def test_a_surge_of_all_tenants_gives_no_router_more_than_the_whole_quota() -> None:
@@ -55,7 +55,7 @@
     Ten times the load of all tenants was taken for ten times the router's fraction, and no request counted as
     over quota for seconds.
     """
-    router = of_two()
+    router = router_with_two_tenants()
     for n in range(4000):
         router.wait(SECOND // 800)
         router.balancer.tenant_quotas.count_and_check_quota(api.Request(f"a{n}", 0, 0, "k", tenant=0))
@@ -64,10 +64,10 @@
 
 
 def test_a_traffic_fraction_expires() -> None:
-    router = of_two()
+    router = router_with_two_tenants()
     router.handle(api.TrafficFractions([1.0, 1.0], SECOND))
     router.wait(2 * SECOND)
-    assert marked(router, int(QUOTA), 10, None) > 0.5
+    assert over_quota_fraction(router, int(QUOTA), 10, None) > 0.5
 
 
 def test_a_request_without_a_local_connection_is_rejected_at_once() -> None:
@@ -106,11 +106,11 @@
         return left[0] >= 0
 
     router.balancer.attempt_admission.fleet_read_allowance = allowance
-    how = []
+    outcomes = []
     for n in range(3):
         _, (send,) = router.request(f"k{n}")
-        how.append(router.end_attempt(send, S.MISS)[0])
-    assert isinstance(how[0], api.StartAttempt)
-    assert [one.reason for one in how[1:] if isinstance(one, api.Reject)] == ["total", "total"]
+        outcomes.append(router.end_attempt(send, S.MISS)[0])
+    assert isinstance(outcomes[0], api.StartAttempt)
+    assert [one.reason for one in outcomes[1:] if isinstance(one, api.Reject)] == ["total", "total"]
     name, (send,) = router.request("w", 1, write=True)
     assert isinstance(send, api.StartAttempt) and send.id == name, "writes must not need the allowance"
