--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,6 +1,6 @@
 """Slow start of a server under the load of all routers together.
 
-For any number of routers, any distribution of traffic over them and any restarts of routers, no window
+For any number of routers, any distribution of traffic max_relative_load them and any restarts of routers, no window
 contains more requests than its budget plus the random variation.
 """
 
@@ -17,32 +17,32 @@
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
 
-CORES, WORK = 2, SECOND // 10  # of each server: concurrent requests, and service time of one, ns
-CAPACITY = CORES * SECOND / WORK  # of a warm server, requests per second
-FALL = SECOND
+CORES, SERVICE_NS = 2, SECOND // 10  # of each server: concurrent requests, and service time of one, ns
+CAPACITY = CORES * SECOND / SERVICE_NS  # of a warm server, requests per second
+WINDOW_NS = SECOND
 COLD = "c0"
-SMALL = {COLD: 0.5, "c1": 0.5}  # speed of small machines, which the listed weight does not show
+SMALL_MACHINE_SPEEDS = {COLD: 0.5, "c1": 0.5}  # speed of small machines, which the listed weight does not show
 
 
 @dataclass
-class Served:
+class SimulatedServer:
     """A server that caches keys, serves CORES requests at once and rejects requests if its queue is full."""
 
     cold_since: int = 0
     held: set[str] = field(default_factory=set)
-    free: list[int] = field(default_factory=list)  # time from which on each core is free
+    core_free_at: list[int] = field(default_factory=list)  # time from which on each core is core_free_at
 
-    def take(self, now: int, part: float) -> int:
+    def accept(self, now: int, capacity_fraction: float) -> int:
         """Accepts a request; returns the time at which it is done, or 0 if it is rejected."""
-        self.free = sorted(max(now, at) for at in self.free) or [now] * CORES
-        if self.free[0] - now > 10 * WORK:
+        self.core_free_at = sorted(max(now, at) for at in self.core_free_at) or [now] * CORES
+        if self.core_free_at[0] - now > 10 * SERVICE_NS:
             return 0
-        self.free[0] += round(WORK / part)
-        return self.free[0]
+        self.core_free_at[0] += round(SERVICE_NS / capacity_fraction)
+        return self.core_free_at[0]
 
 
 class StartingFleet:
-    """Simulation, event by event, of routers over one fleet in which a server starts cold."""
+    """Simulation, event by event, of routers max_relative_load one fleet in which a server starts cold."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
     ) -> None:
         self.random = Random(seed)
         cold_from, ramp = cold[0], int(cold[1] * SECOND)
-        self.small = SMALL if small else {}
+        self.small = SMALL_MACHINE_SPEEDS if small else {}
         self.cold_from, self.ramp = cold_from, ramp
         self.options = api.Settings(
             [api.RequestClass(SECOND, 4 * SECOND, late_weight=0.5)],
@@ -68,11 +68,11 @@
             slow_start_initial_fraction=cold_from,
             slow_start_ns=ramp,
             slow_start_overload_factor=3.0,
-            slow_start_window_ns=FALL,
+            slow_start_window_ns=WINDOW_NS,
         )
-        self.servers = {f"c{n}": Served() for n in range(8)}
+        self.servers = {f"c{n}": SimulatedServer() for n in range(8)}
         self.load, self.hot = load, hot
-        self.balancers = [self.begin(n, cold=False) for n in range(routers)]
+        self.balancers = [self.start_router(n, cold=False) for n in range(routers)]
         self.weights = [
             self.random.paretovariate(1.2) for _ in range(routers)
         ]  # traffic of each router; some get many times the mean
@@ -88,13 +88,13 @@
         rest = [api.Endpoint(name, kind=name in self.small) for name in self.servers if name != COLD]
         return [*one, *rest, api.Endpoint("origin", kind=ORIGIN_KIND)]
 
-    def begin(self, number: int, cold: bool) -> Balancer:
+    def start_router(self, number: int, cold: bool) -> Balancer:
         """Starts or restarts a router."""
         balancer = Balancer(self.options, number)
         balancer.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, self.members(cold)))
         return balancer
 
-    def push(self, at: int, router: int, event: api.Event) -> None:
+    def schedule(self, at: int, router: int, event: api.Event) -> None:
         """Schedules an event."""
         self.count += 1
         heapq.heappush(self.events, (at, self.count, router, event))
@@ -111,8 +111,8 @@
                 self.servers[COLD].cold_since = now
                 for router in range(len(self.balancers)):
                     if self.random.random() < self.restarted:
-                        self.balancers[router] = self.begin(router, cold=True)
-                    self.push(
+                        self.balancers[router] = self.start_router(router, cold=True)
+                    self.schedule(
                         now, router, api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.members(True))
                     )
             if self.events and self.events[0][0] <= now:
@@ -131,7 +131,7 @@
         balancer = self.balancers[router]
         for action in balancer.handle(now, event):
             if isinstance(action, api.SetTimer):
-                self.push(now + action.delay_ns, router, api.TimerFired(action.token))
+                self.schedule(now + action.delay_ns, router, api.TimerFired(action.token))
             elif isinstance(action, api.StartAttempt):
                 pending = balancer.requests[action.id]
                 self.attempt(now, router, action, pending.attempts_started - 1, pending.request.key or "")
@@ -145,7 +145,7 @@
         if send.server == COLD:
             self.sent.append(now)
         server = self.servers[send.server]
-        done = server.take(now, self.part(send.server, now) * self.small.get(send.server, 1.0))
+        done = server.accept(now, self.capacity_fraction(send.server, now) * self.small.get(send.server, 1.0))
         if not done:
             self.outcome(now, router, send, number, status=api.AttemptStatus.FULL, at=now + MILLI)
         elif key not in server.held and server.cold_since:
@@ -168,28 +168,28 @@
         event = api.AttemptFinished(
             send.id, number, send.server, status, closed, at - now, connection_reused=True
         )
-        self.push(at, router, event)
+        self.schedule(at, router, event)
 
-    def part(self, name: str, now: int) -> float:
+    def capacity_fraction(self, name: str, now: int) -> float:
         """Returns the fraction of its capacity, 0 to 1, that a server has at this time."""
         since = self.servers[name].cold_since
         if not since:
             return 1.0
         return min(1.0, self.cold_from + (1 - self.cold_from) * (now - since) / self.ramp)
 
-    def over(self) -> float:
+    def max_relative_load(self) -> float:
         """Returns the highest load of any window, relative to its budget plus the random variation."""
         worst, first = 0.0, 0
         warm = self.servers[COLD].cold_since + self.ramp
         for last, at in enumerate(at for at in self.sent if at < warm):
-            while self.sent[first] <= at - FALL:
+            while self.sent[first] <= at - WINDOW_NS:
                 first += 1
             budget = (
                 self.options.slow_start_overload_factor
-                * self.part(COLD, max(self.sent[first], at - FALL))
+                * self.capacity_fraction(COLD, max(self.sent[first], at - WINDOW_NS))
                 * CAPACITY
             )
-            budget *= FALL / SECOND * self.small.get(COLD, 1.0)
+            budget *= WINDOW_NS / SECOND * self.small.get(COLD, 1.0)
             worst = max(worst, (last - first + 1) / (budget + 2 * math.sqrt(budget) + 2))
         return worst
 
@@ -216,7 +216,7 @@
 ) -> None:
     fleet = StartingFleet(seed, routers, load, hot, cold, restarted=restarted, small=small)
     fleet.run(7.0, 3.0)
-    assert fleet.over() <= 1
+    assert fleet.max_relative_load() <= 1
 
 
 def test_hundreds_of_routers_do_not_send_a_hot_key_to_a_starting_server_at_once() -> None:
@@ -227,7 +227,7 @@
     """
     fleet = StartingFleet(1, 200, 1.6, 0.6, restarted=0.7)
     fleet.run(7.0, 3.0)
-    assert fleet.over() <= 1
+    assert fleet.max_relative_load() <= 1
 
 
 def test_a_starting_small_machine_is_measured_by_warm_ones_of_its_kind() -> None:
@@ -237,7 +237,7 @@
     """
     fleet = StartingFleet(1, 30, 2.4, 0.6, (0.6, 3.6), restarted=0.7, small=True)
     fleet.run(7.0, 3.0)
-    assert fleet.over() <= 1
+    assert fleet.max_relative_load() <= 1
 
 
 @pytest.mark.parametrize("routers", [3, 30])
