--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,6 +1,6 @@
 """Slow start of a server under the load of all routers together.
 
-For any number of routers, any distribution of traffic max_relative_load them and any restarts of routers, no window
+For any number of routers, any distribution of traffic over them and any restarts of routers, no window
 contains more requests than its budget plus the random variation.
 """
 
@@ -21,7 +21,7 @@
 CAPACITY = CORES * SECOND / SERVICE_NS  # of a warm server, requests per second
 WINDOW_NS = SECOND
 COLD = "c0"
-SMALL_MACHINE_SPEEDS = {COLD: 0.5, "c1": 0.5}  # speed of small machines, which the listed weight does not show
+SMALL_MACHINE_SPEEDS = {COLD: 0.5, "c1": 0.5}  # relative speed, which the listed weight does not show
 
 
 @dataclass
@@ -30,7 +30,7 @@
 
     cold_since: int = 0
     held: set[str] = field(default_factory=set)
-    core_free_at: list[int] = field(default_factory=list)  # time from which on each core is core_free_at
+    core_free_at: list[int] = field(default_factory=list)  # time from which on each core is free
 
     def accept(self, now: int, capacity_fraction: float) -> int:
         """Accepts a request; returns the time at which it is done, or 0 if it is rejected."""
@@ -42,7 +42,7 @@
 
 
 class StartingFleet:
-    """Simulation, event by event, of routers max_relative_load one fleet in which a server starts cold."""
+    """Simulation, event by event, of routers over one fleet in which a server starts cold."""
 
     def __init__(
         self,
