--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -12,7 +12,7 @@
 QUOTA = 40.0
 
 
-def router_with_two_tenants(**changes: object) -> Router:
+def two_tenant_router(**changes: object) -> Router:
     """Returns one of ten routers, with two tenants."""
     return Router(settings(router_count=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
 
@@ -36,17 +36,19 @@
     Nearly all requests of a small tenant came to one router, which enforced a tenth of its quota, or the
     fraction of the median tenant.
     """
-    assert over_quota_fraction(router_with_two_tenants(), 30, 20, [0.0, 0.9]) == 0
-    assert over_quota_fraction(router_with_two_tenants(), 30, 20, None) > 0.5, "the router's own estimate must be lower"
+    assert over_quota_fraction(two_tenant_router(), 30, 20, [0.0, 0.9]) == 0
+    assert over_quota_fraction(two_tenant_router(), 30, 20, None) > 0.5, "the estimate must be lower"
 
 
 @pytest.mark.parametrize(("part", "wanted"), [(0.5, 0.5), (1.0, 0.0), (0.25, 0.75), (0.0, 0.9)])
 def test_requests_beyond_the_routers_fraction_of_the_quota_are_over_quota(part: float, wanted: float) -> None:
-    assert over_quota_fraction(router_with_two_tenants(), int(QUOTA), 30, [0.0, part]) == pytest.approx(wanted, abs=0.05)
+    assert over_quota_fraction(two_tenant_router(), int(QUOTA), 30, [0.0, part]) == pytest.approx(
+        wanted, abs=0.05
+    )
 
 
 def test_a_single_fraction_holds_for_all_tenants() -> None:
-    assert over_quota_fraction(router_with_two_tenants(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
+    assert over_quota_fraction(two_tenant_router(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
 
 
 def test_a_surge_of_all_tenants_gives_no_router_more_than_the_whole_quota() -> None:
@@ -55,7 +57,7 @@
     Ten times the load of all tenants was taken for ten times the router's fraction, and no request counted as
     over quota for seconds.
     """
-    router = router_with_two_tenants()
+    router = two_tenant_router()
     for n in range(4000):
         router.wait(SECOND // 800)
         router.balancer.tenant_quotas.count_and_check_quota(api.Request(f"a{n}", 0, 0, "k", tenant=0))
@@ -64,7 +66,7 @@
 
 
 def test_a_traffic_fraction_expires() -> None:
-    router = router_with_two_tenants()
+    router = two_tenant_router()
     router.handle(api.TrafficFractions([1.0, 1.0], SECOND))
     router.wait(2 * SECOND)
     assert over_quota_fraction(router, int(QUOTA), 10, None) > 0.5
