--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -11,14 +11,14 @@
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
 
-GRACE = SECOND // 4
-MICRO = 1000
-PROVEN = {"full", "connect_failed", "moot", "miss"}
+DRAIN_GRACE_NS = SECOND // 4
+MICROSECOND = 1000
+NEVER_EXECUTED = {"full", "connect_failed", "moot", "miss"}
 ENDS = ["ok", "error", "full", "timeout", "connect_failed", "reset", "miss"]
 
 
 @dataclass
-class Held:
+class RequestModel:
     """A request in the model."""
 
     cls: int
@@ -32,7 +32,7 @@
 
     def __init__(self, seed: int, mode: str) -> None:
         self.random = random.Random(seed)
-        self.coarse = self.random.random() < 0.5
+        self.coarse_timers = self.random.random() < 0.5
         self.options = router_settings(
             cache_aside=mode != "through",
             endpoints_polled=mode == "asked",
@@ -46,37 +46,37 @@
     def start(self) -> None:
         """Starts a router with a cached endpoint list; the requests of the previous router are dropped."""
         self.router = Balancer(self.options, self.random.getrandbits(64))
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, RequestModel] = {}
         self.due.clear()
         self.timers.clear()
         self.left: dict[str, int] = {}  # servers told as draining or gone, and when
         self.known = {
             one.server: one for one in fleet(self.random.choice([0, 1, 4, 7]), self.random.random() < 0.9)
         }
-        self.play(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.known.values())))
+        self.handle(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.known.values())))
 
-    def play(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
         """Passes an event to the router, and checks each action."""
         for action in self.router.handle(self.now, event):
             if isinstance(action, api.StartAttempt):
-                self.check_send(action)
+                self.check_attempt(action)
             elif isinstance(action, api.Reject | api.Fail):
                 self.check_answer(action)
             elif isinstance(action, api.SetTimer):
                 assert action.delay_ns >= 0
                 # Coarse timers may fire slightly early, but never at once.
-                delay = action.delay_ns // MICRO * MICRO if self.coarse else action.delay_ns
+                delay = action.delay_ns // MICROSECOND * MICROSECOND if self.coarse_timers else action.delay_ns
                 self.timers.append((self.now + max(1, delay), action.token))
 
-    def check_send(self, action: api.StartAttempt) -> None:
+    def check_attempt(self, action: api.StartAttempt) -> None:
         """Checks an attempt against rules 1 to 3, and schedules its end."""
         one = self.held[action.id]
         assert not one.ended, "rule 1: attempt for an ended request"
         assert action.server in self.known, "attempt at a server that no list named"
-        assert self.now <= self.left.get(action.server, self.now) + GRACE, "rule 3: sent to a draining server"
+        assert self.now <= self.left.get(action.server, self.now) + DRAIN_GRACE_NS, "rule 3: sent to a draining server"
         assert len(one.attempts) < self.options.max_attempts
         assert all(outcome for _, _, outcome in one.attempts), "rule 1: two attempts at once"
-        ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in PROVEN]
+        ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in NEVER_EXECUTED]
         spec = self.options.classes[one.cls]
         if ran and spec.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             raise AssertionError("rule 2: repeat of a non-idempotent request that may have been executed")
@@ -101,7 +101,7 @@
         assert not one.ended, "rule 1: a second final answer"
         assert self.now <= one.deadline + 20 * MILLI, "rule 1: late"
         spec = self.options.classes[one.cls]
-        ran = any(outcome not in PROVEN for _, _, outcome in one.attempts)
+        ran = any(outcome not in NEVER_EXECUTED for _, _, outcome in one.attempts)
         if isinstance(action, api.Reject) and ran and spec.idempotency is not api.Idempotency.IDEMPOTENT:
             assert spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY and spec.dedup_scope == "all", (
                 "rule 2: rejection of a request that may have been executed"
@@ -114,17 +114,17 @@
         spec = self.options.classes[cls]
         name = f"r{len(self.held)}"
         deadline = self.now + int(spec.deadline_ns * self.random.uniform(0.05, 1))
-        self.held[name] = Held(cls, deadline)
+        self.held[name] = RequestModel(cls, deadline)
         key = self.random.choice([None, "hot", f"k{self.random.randrange(60)}"])
         write = spec.idempotency is not api.Idempotency.IDEMPOTENT and self.options.cache_aside
-        self.play(
+        self.handle(
             api.Request(name, cls, deadline, key, write, self.random.randrange(2), self.random.random() < 0.2)
         )
 
-    def relist(self) -> None:
+    def change_list(self) -> None:
         """Changes the endpoint list, or fails to read it."""
         if self.options.endpoints_polled and self.random.random() < 0.3:
-            self.play(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
+            self.handle(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
             return
         entries = []
         for name in (
@@ -156,14 +156,14 @@
             for name in self.known:
                 if name not in {one.server for one in entries}:
                     self.left.setdefault(name, self.now)
-        self.play(api.EndpointUpdate(kind, entries))
+        self.handle(api.EndpointUpdate(kind, entries))
 
     def finish(self, when: int, name: str, attempt: int) -> None:
         """Ends an attempt with a random outcome."""
         one = self.held[name]
         server, sent, _ = one.attempts[attempt]
-        trouble = self.random.random() < self.trouble
-        outcome = self.random.choice(ENDS) if trouble else "ok"
+        failure_probability = self.random.random() < self.failure_probability
+        outcome = self.random.choice(ENDS) if failure_probability else "ok"
         if when >= one.deadline:
             outcome = "timeout"
         if outcome == "ok" and server != "origin" and self.random.random() < 0.4:
@@ -173,10 +173,10 @@
         one.ended = closed
         load = (
             api.LoadReport(in_flight=self.random.randrange(30), latency_ms=50, served_per_s=20)
-            if trouble
+            if failure_probability
             else None
         )
-        self.play(
+        self.handle(
             api.AttemptFinished(
                 name, attempt, server, api.AttemptStatus(outcome), closed, self.now - sent, load=load
             )
@@ -184,10 +184,10 @@
 
     def run(self, steps: int) -> None:
         """Runs `steps` random steps, and then until all requests have an answer."""
-        self.trouble = self.random.choice([0.02, 0.3, 0.95])
+        self.failure_probability = self.random.choice([0.02, 0.3, 0.95])
         for _ in range(steps):
             self.advance(self.now + self.random.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
-            self.random.choices([self.arrive, self.relist, self.withdraw, self.restart], [40, 4, 2, 0.3])[0]()
+            self.random.choices([self.arrive, self.change_list, self.disconnect_client, self.restart], [40, 4, 2, 0.3])[0]()
         self.advance(self.now + 10 * SECOND)
         assert all(one.ended for one in self.held.values()), "rule 1: no answer"
 
@@ -201,7 +201,7 @@
             self.now = min(when, timer)
             if timer <= when:
                 self.timers.remove((timer, token))
-                self.play(api.TimerFired(token))
+                self.handle(api.TimerFired(token))
             else:
                 self.due.remove((when, name, attempt))
                 self.finish(when, name, attempt)
@@ -209,13 +209,13 @@
                 assert one.ended or self.now <= one.deadline + 20 * MILLI, "rule 1: no answer in time"
         self.now = end
 
-    def withdraw(self) -> None:
+    def disconnect_client(self) -> None:
         """Disconnects a random client."""
         open_ones = [name for name, one in self.held.items() if not one.ended]
         if open_ones:
             name = self.random.choice(open_ones)
             self.held[name].ended = True
-            self.play(api.ClientGone(name))
+            self.handle(api.ClientGone(name))
 
     def restart(self) -> None:
         """Restarts the router."""
@@ -230,13 +230,13 @@
 
 def test_invariants_hold_when_the_origin_and_every_server_fail_at_once() -> None:
     simulation = RandomSimulation(5, "aside")
-    simulation.trouble = 1.0
+    simulation.failure_probability = 1.0
     simulation.known = {one.server: one for one in fleet(6)}
-    simulation.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(simulation.known.values())))
+    simulation.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(simulation.known.values())))
     for _ in range(300):
         simulation.advance(simulation.now + 5 * MILLI)
         simulation.arrive()
-    simulation.play(api.EndpointUpdate(api.EndpointUpdateKind.FULL, []))
+    simulation.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, []))
     simulation.left.update(dict.fromkeys(simulation.known, simulation.now))
     for _ in range(50):
         simulation.advance(simulation.now + 5 * MILLI)
