--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -65,7 +65,9 @@
             elif isinstance(action, api.SetTimer):
                 assert action.delay_ns >= 0
                 # Coarse timers may fire slightly early, but never at once.
-                delay = action.delay_ns // MICROSECOND * MICROSECOND if self.coarse_timers else action.delay_ns
+                delay = (
+                    action.delay_ns // MICROSECOND * MICROSECOND if self.coarse_timers else action.delay_ns
+                )
                 self.timers.append((self.now + max(1, delay), action.token))
 
     def check_attempt(self, action: api.StartAttempt) -> None:
@@ -73,7 +75,9 @@
         one = self.held[action.id]
         assert not one.ended, "rule 1: attempt for an ended request"
         assert action.server in self.known, "attempt at a server that no list named"
-        assert self.now <= self.left.get(action.server, self.now) + DRAIN_GRACE_NS, "rule 3: sent to a draining server"
+        assert self.now <= self.left.get(action.server, self.now) + DRAIN_GRACE_NS, (
+            "rule 3: attempt at a draining server"
+        )
         assert len(one.attempts) < self.options.max_attempts
         assert all(outcome for _, _, outcome in one.attempts), "rule 1: two attempts at once"
         ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in NEVER_EXECUTED]
@@ -162,8 +166,8 @@
         """Ends an attempt with a random outcome."""
         one = self.held[name]
         server, sent, _ = one.attempts[attempt]
-        failure_probability = self.random.random() < self.failure_probability
-        outcome = self.random.choice(ENDS) if failure_probability else "ok"
+        may_fail = self.random.random() < self.failure_probability
+        outcome = self.random.choice(ENDS) if may_fail else "ok"
         if when >= one.deadline:
             outcome = "timeout"
         if outcome == "ok" and server != "origin" and self.random.random() < 0.4:
@@ -173,7 +177,7 @@
         one.ended = closed
         load = (
             api.LoadReport(in_flight=self.random.randrange(30), latency_ms=50, served_per_s=20)
-            if failure_probability
+            if may_fail
             else None
         )
         self.handle(
@@ -187,7 +191,9 @@
         self.failure_probability = self.random.choice([0.02, 0.3, 0.95])
         for _ in range(steps):
             self.advance(self.now + self.random.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
-            self.random.choices([self.arrive, self.change_list, self.disconnect_client, self.restart], [40, 4, 2, 0.3])[0]()
+            self.random.choices(
+                [self.arrive, self.change_list, self.disconnect_client, self.restart], [40, 4, 2, 0.3]
+            )[0]()
         self.advance(self.now + 10 * SECOND)
         assert all(one.ended for one in self.held.values()), "rule 1: no answer"
 
