--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -40,7 +40,7 @@
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
         self.origin: list[int] = []  # times of the origin's requests
-        self.asked: list[tuple[int, str, str]] = []  # cache reads: time, server, "hit" or "miss"
+        self.cache_reads: list[tuple[int, str, str]] = []  # cache reads: time, server, "hit" or "miss"
         options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
@@ -107,7 +107,7 @@
                     missed.append(server)
                 else:
                     self.caches[server].move_to_end(key)
-                self.asked.append((router.now, server, "hit" if held is not None else "miss"))
+                self.cache_reads.append((router.now, server, "hit" if held is not None else "miss"))
             closed = status is S.OK
             actions = router.handle(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
         return sent
@@ -127,7 +127,7 @@
         """Reads random keys at a rate, with the routers in turn."""
         for n in range(int(seconds * rate)):
             self.wait(SECOND // rate)
-            self.read(n % len(self.routers), keys.pick())
+            self.read(n % len(self.routers), keys.next_key())
 
     def load(self, begin: int, end: int) -> list[int]:
         """Returns the origin requests in each second between two times."""
@@ -146,7 +146,7 @@
         self.weights = [1 / (rank + 5) for rank in range(keys)]
         self.drawn: list[int] = []
 
-    def pick(self) -> str:
+    def next_key(self) -> str:
         """Returns a random key."""
         if self.random.random() < self.once:
             self.count += 1
@@ -156,7 +156,7 @@
         return f"k{self.drawn.pop()}"
 
 
-def no_tokens(fleet: SimulatedFleet) -> None:
+def remove_tokens(fleet: SimulatedFleet) -> None:
     """Removes the migration tokens of all routers."""
     for router in fleet.routers:
         bucket = router.balancer.migration.bucket
@@ -164,7 +164,7 @@
         bucket.refilled_at_ns = router.now
 
 
-def grown(share: float) -> tuple[float, int, SimulatedFleet]:
+def grow_fleet(share: float) -> tuple[float, int, SimulatedFleet]:
     """Adds a third more nodes to a warm fleet.
 
     Returns the origin's steady load before, its highest load in a second after, and the fleet.
@@ -180,17 +180,17 @@
 
 
 def test_a_third_more_nodes_keep_the_origin_below_twice_its_steady_load() -> None:
-    steady, most, fleet = grown(0.5)
+    steady, most, fleet = grow_fleet(0.5)
     assert most < 2 * steady
-    assert grown(-1.0)[1] > 3 * steady  # without a limit, all keys migrate at once
+    assert grow_fleet(-1.0)[1] > 3 * steady  # without a limit, all keys migrate at once
     # After the migration, keys are read at their new owners.
     assert all(router.balancer.migration.began_at_ns < 0 for router in fleet.routers)
     assert any("key migration finished" in line for line in fleet.routers[0].log)
     for n in range(100):
         for number in range(3):
             assert fleet.read(number, f"k{n}")[-1] == fleet.owner(f"k{n}")
-    fresh = [one for one in fleet.asked[-4000:] if one[1] in ("a00", "c04x", "d00")]
-    assert len(fresh) > 400  # three of twelve servers are new
+    new_server_reads = [one for one in fleet.cache_reads[-4000:] if one[1] in ("a00", "c04x", "d00")]
+    assert len(new_server_reads) > 400  # three of twelve servers are new
 
 
 def test_until_it_moves_a_key_is_read_where_it_is_held() -> None:
@@ -202,7 +202,7 @@
         fleet.join(f"a{n:02}")
     away = [key for key in held if fleet.owner(key) != held[key]]
     assert away
-    no_tokens(fleet)
+    remove_tokens(fleet)
     for key in away:
         assert fleet.read(0, key) == [held[key]]
     assert len(fleet.origin) == 3
@@ -227,14 +227,14 @@
     assert fleet.routers[1].balancer.migration.bucket.tokens >= 1  # put back, as the origin was not read
 
 
-def moved_away(fleet: SimulatedFleet, key: str) -> str:
+def change_owner(fleet: SimulatedFleet, key: str) -> str:
     """Adds servers until the key has another owner; returns the previous owner, which holds the key."""
     before = fleet.owner(key)
     for n in range(40):
         fleet.join(f"a{n:02}")
         if fleet.owner(key) != before:
             break
-    no_tokens(fleet)
+    remove_tokens(fleet)
     assert fleet.owner(key) != before
     return before
 
@@ -243,7 +243,7 @@
     fleet = SimulatedFleet(routers=2)
     for number in range(2):
         fleet.read(number, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet.caches[holder].clear()
     fleet._store(fleet.owner("k1"), "k1")  # migrated by another router
     assert fleet.read(0, "k1") == [holder, fleet.owner("k1")]
@@ -253,20 +253,20 @@
 
 
 def test_the_last_attempt_is_left_for_the_origin() -> None:
-    for attempts, asked in ((2, 2), (3, 3)):
+    for attempts, cache_reads in ((2, 2), (3, 3)):
         fleet = SimulatedFleet(routers=1)
         fleet.routers[0].balancer.settings.max_attempts = attempts
         fleet.read(0, "k1")
-        holder = moved_away(fleet, "k1")
+        holder = change_owner(fleet, "k1")
         fleet.caches[holder].clear()
         sent = fleet.read(0, "k1")
-        assert len(sent) == asked and sent[0] == holder and sent[-1] == "origin"
+        assert len(sent) == cache_reads and sent[0] == holder and sent[-1] == "origin"
 
 
 def test_a_key_whose_holder_left_the_list_is_not_asked_for_there() -> None:
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet.leave(holder)
     assert holder not in fleet.read(0, "k1")
 
@@ -275,7 +275,7 @@
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
     holder = fleet.owner("k1")
-    no_tokens(fleet)
+    remove_tokens(fleet)
     fleet.update_list(api.Endpoint(holder, api.EndpointState.RETIRING))
     assert fleet.owner("k1") != holder and fleet.read(0, "k1") == [holder]
     assert holder not in fleet.read(0, "never seen")
@@ -286,7 +286,7 @@
 def test_a_holder_that_was_restarted_holds_nothing() -> None:
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet.wait(MILLI)
     fleet.update_list(api.Endpoint(holder, started_at_ns=fleet.now))
     assert fleet.read(0, "k1")[0] == fleet.owner("k1")
@@ -297,7 +297,7 @@
     fleet = SimulatedFleet(routers=2)
     for number in range(2):
         fleet.read(number, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet._store(fleet.owner("k1"), "k1")
     fleet.order("k1")
     for number in (0, 1, 0, 1):
@@ -328,18 +328,18 @@
     context = DecisionContext(router_settings(migration_fraction=share), 1)
     migration = KeyMigration(context, OriginAdmission(context, lambda pending: None, lambda pending: None))
     context.now_ns = START
-    besides, taken = [], []
+    other_requests, taken = [], []
     for step, asks in steps:
         context.now_ns += step
         if asks and migration.take_token():
             taken.append(context.now_ns)
         elif not asks:
             migration.origin_request_sent(False)
-            besides.append(context.now_ns)
+            other_requests.append(context.now_ns)
     for n, begin in enumerate(taken):
         for m, end in enumerate(taken[n:], 1):
             # Earlier requests still have a small weight: e^-4 after 32 s.
-            near = sum(math.exp(min(0.0, (at - begin) / (8 * SECOND))) for at in besides if at <= end)
+            near = sum(math.exp(min(0.0, (at - begin) / (8 * SECOND))) for at in other_requests if at <= end)
             span = (end - begin) / SECOND
             assert m <= MAX_MIGRATION_BURST + 1 + 0.2 * span + share * near * (1 + span / 8)
 
