--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -40,7 +40,7 @@
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
         self.origin: list[int] = []  # times of the origin's requests
-        self.cache_reads: list[tuple[int, str, str]] = []  # cache reads: time, server, "hit" or "miss"
+        self.cache_reads: list[tuple[int, str, str]] = []  # time, server, "hit" or "miss"
         options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
@@ -77,7 +77,7 @@
         """Removes a server from the list."""
         self.update_list(api.Endpoint(name, api.EndpointState.GONE))
 
-    def order(self, key: str) -> None:
+    def execute_write(self, key: str) -> None:
         """Executes a write: the origin invalidates all cached copies."""
         self.versions[key] = self.versions.get(key, 0) + 1
         for cache in self.caches.values():
@@ -253,14 +253,14 @@
 
 
 def test_the_last_attempt_is_left_for_the_origin() -> None:
-    for attempts, cache_reads in ((2, 2), (3, 3)):
+    for attempts, sent_count in ((2, 2), (3, 3)):
         fleet = SimulatedFleet(routers=1)
         fleet.routers[0].balancer.settings.max_attempts = attempts
         fleet.read(0, "k1")
         holder = change_owner(fleet, "k1")
         fleet.caches[holder].clear()
         sent = fleet.read(0, "k1")
-        assert len(sent) == cache_reads and sent[0] == holder and sent[-1] == "origin"
+        assert len(sent) == sent_count and sent[0] == holder and sent[-1] == "origin"
 
 
 def test_a_key_whose_holder_left_the_list_is_not_asked_for_there() -> None:
@@ -299,7 +299,7 @@
         fleet.read(number, "k1")
     holder = change_owner(fleet, "k1")
     fleet._store(fleet.owner("k1"), "k1")
-    fleet.order("k1")
+    fleet.execute_write("k1")
     for number in (0, 1, 0, 1):
         assert fleet.read(number, "k1")
     assert holder in fleet.caches
