--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -93,10 +93,10 @@
     router.throttle_on()
     throttle = router.balancer.origin_admission.monitor.throttle
     assert throttle is not None
-    asked, at_once = [], []
+    request_ids, at_once = [], []
     for n in range(30):
         name, actions = router.request(f"new{n}")
-        asked.append(name)
+        request_ids.append(name)
         at_once += actions
     waiting = set(throttle.queue)
     assert waiting and len(waiting) <= throttle.buffer
@@ -104,7 +104,7 @@
     assert sends(later), "expected queued requests to start when tokens arrive"
     refused = {action.id for action in at_once + later if isinstance(action, api.Reject)}
     sent = {action.id for action in at_once + later if isinstance(action, api.StartAttempt)}
-    assert refused | sent == set(asked) and not refused & sent
+    assert refused | sent == set(request_ids) and not refused & sent
 
 
 def test_the_origin_read_of_an_unexpected_miss_takes_a_token_too() -> None:
@@ -121,7 +121,7 @@
     assert sends([second]) == ["origin"] and (level, throttle.level) == (2, 1)
 
 
-def test_lately_hit_keys_pass_a_throttle_that_is_on() -> None:
+def test_recently_hit_keys_pass_a_throttle_that_is_on() -> None:
     router = Router()
     name = router.fetch_and_store("k")
     router.throttle_on()
@@ -145,7 +145,7 @@
     assert [type(action) for action in actions] == [api.Reject]
 
 
-def test_a_short_history_is_not_taken_for_a_low_rate() -> None:
+def test_the_rate_is_corrected_for_a_short_history() -> None:
     monitor = OriginMonitor(SECOND)
     monitor.started_at_ns = START
     for n in range(100):  # fifty likely misses per second since the start
@@ -185,7 +185,7 @@
     assert throttle.bank > 2 and throttle.bank + throttle.buffer >= 10
 
 
-def test_the_throttles_rate_does_not_rise_while_reads_hang_between_two_cuts() -> None:
+def test_the_throttles_rate_does_not_rise_while_reads_hang() -> None:
     """Guards against a rising rate that adds to the congestion while reads hang."""
     monitor = OriginMonitor(SECOND)
     for _ in range(8):
@@ -249,12 +249,12 @@
 def test_full_answers_count_as_overload_and_not_as_quick_answers() -> None:
     """Guards against a storm of full answers: a request spills once, to an idle server, or is rejected."""
     router = Router()
-    home = router.balancer.servers.servers[router.fetch_and_store("k")]
+    owner = router.balancer.servers.servers[router.fetch_and_store("k")]
     for _ in range(12):
-        home.record_answer(router.now, SECOND, int(router.balancer.context.shortest_objective_ns), 1, 1)
-    home.in_flight, home.last_sent_at_ns = 1, router.now
+        owner.record_answer(router.now, SECOND, int(router.balancer.context.shortest_objective_ns), 1, 1)
+    owner.in_flight, owner.last_sent_at_ns = 1, router.now
     _, actions = router.request("k")
-    assert sends(actions) and sends(actions) != [home.endpoint.server]
+    assert sends(actions) and sends(actions) != [owner.endpoint.server]
     for one in router.balancer.servers.servers.values():
         one.latency.average_ns, one.in_flight, one.last_sent_at_ns = float(5 * SECOND), 1, router.now
     _, actions = router.request("k")
@@ -289,7 +289,7 @@
 
     After two fast answers of a server, a router timed out on the third and read the key elsewhere.
     """
-    waits = []
+    waiting_id = []
     for usual in (SECOND // 100, SECOND // 10):
         router = Router()
         for server in router.balancer.servers.servers.values():
@@ -297,8 +297,8 @@
         router.balancer.servers.attempts.mean_cache_latency_ns = usual
         (first,) = router.request("k")[1]
         assert isinstance(first, api.StartAttempt)
-        waits.append(first.timeout_ns)
-    assert waits == [SECOND // 4, 8 * SECOND // 10]
+        waiting_id.append(first.timeout_ns)
+    assert waiting_id == [SECOND // 4, 8 * SECOND // 10]
 
 
 def test_reports_show_what_other_routers_send() -> None:
@@ -542,9 +542,9 @@
     router = Router()
     owner = router.candidates("k")[0]
     owner.latency.average_ns, owner.latency.uncrowded_ns = 4.0 * SECOND, SECOND / 10
-    _, (trial,) = router.request("k")
-    assert sends([trial]) == [owner.endpoint.server] and owner.is_probing
-    router.end_attempt(trial, S.MISS)
+    _, (probe,) = router.request("k")
+    assert sends([probe]) == [owner.endpoint.server] and owner.is_probing
+    router.end_attempt(probe, S.MISS)
     assert owner.latency.average_ns < 2.1 * SECOND
 
 
@@ -567,16 +567,16 @@
     router = Router()
     _, (first,) = router.request("k")
     router.end_attempt(first, S.MISS)  # starts the origin read
-    waits, none = router.request("k")  # waits for that read
+    waiting_id, none = router.request("k")  # waiting_id for that read
     assert none == []
     when, token = router.timers.pop()
     router.now = when - 300
     router.handle(api.TimerFired(token))
     answers = router.wait(SECOND)
-    assert [one.id for one in answers if isinstance(one, api.Reject)] == [waits]
+    assert [one.id for one in answers if isinstance(one, api.Reject)] == [waiting_id]
 
 
-def test_a_timer_that_never_fired_is_set_anew() -> None:
+def test_a_timer_that_never_fired_is_set_again() -> None:
     router = Router()
     router.request("k")
     router.timers.clear()
@@ -612,7 +612,7 @@
     assert sends(actions)
 
 
-def test_where_caches_read_the_origin_a_key_not_sent_lately_is_a_likely_miss() -> None:
+def test_where_caches_read_the_origin_a_key_without_recent_requests_is_a_likely_miss() -> None:
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     assert router.balancer.key_memory.likely_miss("k", router.now)
     _, (first,) = router.request("k")
@@ -636,12 +636,12 @@
 
 def test_a_polled_list_is_asked_for_again_after_a_failure() -> None:
     router = Router(settings(endpoints_polled=True))
-    asked = 0
+    request_ids = 0
     for _ in range(4):
         router.handle(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
         actions = router.wait(10 * SECOND)
-        asked += sum(isinstance(action, api.WatchEndpoints) for action in actions)
-    assert asked == 4
+        request_ids += sum(isinstance(action, api.WatchEndpoints) for action in actions)
+    assert request_ids == 4
     router.handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, []))
     assert router.wait(60 * SECOND) == []
 
@@ -673,7 +673,7 @@
     assert server.connection.consecutive_failures > 0  # the second in a row
 
 
-def test_a_server_that_has_not_answered_lately_is_ejected_by_the_first_break() -> None:
+def test_a_server_without_a_recent_answer_is_ejected_by_the_first_broken_connection() -> None:
     router = Router()
     owner = router.fetch_and_store("k")
     router.wait(SECOND)
