--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -289,7 +289,7 @@
 
     After two fast answers of a server, a router timed out on the third and read the key elsewhere.
     """
-    waiting_id = []
+    timeouts_ns = []
     for usual in (SECOND // 100, SECOND // 10):
         router = Router()
         for server in router.balancer.servers.servers.values():
@@ -297,8 +297,8 @@
         router.balancer.servers.attempts.mean_cache_latency_ns = usual
         (first,) = router.request("k")[1]
         assert isinstance(first, api.StartAttempt)
-        waiting_id.append(first.timeout_ns)
-    assert waiting_id == [SECOND // 4, 8 * SECOND // 10]
+        timeouts_ns.append(first.timeout_ns)
+    assert timeouts_ns == [SECOND // 4, 8 * SECOND // 10]
 
 
 def test_reports_show_what_other_routers_send() -> None:
@@ -567,8 +567,8 @@
     router = Router()
     _, (first,) = router.request("k")
     router.end_attempt(first, S.MISS)  # starts the origin read
-    waiting_id, none = router.request("k")  # waiting_id for that read
-    assert none == []
+    waiting_id, no_actions = router.request("k")  # waits for that read
+    assert no_actions == []
     when, token = router.timers.pop()
     router.now = when - 300
     router.handle(api.TimerFired(token))
@@ -636,12 +636,12 @@
 
 def test_a_polled_list_is_asked_for_again_after_a_failure() -> None:
     router = Router(settings(endpoints_polled=True))
-    request_ids = 0
+    poll_count = 0
     for _ in range(4):
         router.handle(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, []))
         actions = router.wait(10 * SECOND)
-        request_ids += sum(isinstance(action, api.WatchEndpoints) for action in actions)
-    assert request_ids == 4
+        poll_count += sum(isinstance(action, api.WatchEndpoints) for action in actions)
+    assert poll_count == 4
     router.handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, []))
     assert router.wait(60 * SECOND) == []
 
