--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -9,7 +9,7 @@
 from rainhitch.policy.origin_monitor import OriginMonitor
 
 
-def test_an_answer_that_is_worth_something_late_is_waited_for() -> None:
+def test_an_attempt_whose_late_answer_has_value_runs_until_the_deadline() -> None:
     """Guards against repeats that double the load of an overloaded fleet.
 
     In a retry storm, reads were repeated half-way to their deadline.
@@ -22,7 +22,7 @@
     assert send.timeout_ns == 2 * SECOND
 
 
-def quick(router: Router) -> list[str]:
+def keys_of_one_fast_server(router: Router) -> list[str]:
     """Returns keys that are held by the same fast server as "q0", their owner."""
     held = {f"q{n}": router.fetch_and_store(f"q{n}") for n in range(24)}
     for one in router.balancer.servers.servers.values():
@@ -30,13 +30,13 @@
     return [key for key in held if held[key] == held["q0"] == router.candidates(key)[0].endpoint.server]
 
 
-def test_a_first_attempt_waits_for_some_answer_times_and_the_next_for_as_long_as_it_may() -> None:
+def test_a_first_attempt_has_a_short_timeout_and_the_next_one_runs_until_the_deadline() -> None:
     """Guards against silent connections that delay a request until its deadline.
 
     Such a request took 660 ms where 13 ms were usual.
     """
     router = Router()
-    _, (send,) = router.request(quick(router)[0])
+    _, (send,) = router.request(keys_of_one_fast_server(router)[0])
     assert isinstance(send, api.StartAttempt)
     assert send.timeout_ns == SECOND // 4
     router.now += send.timeout_ns
@@ -52,7 +52,7 @@
     probes had corrected the latency.
     """
     router = Router()
-    first, second, third = quick(router)[:3]
+    first, second, third = keys_of_one_fast_server(router)[:3]
     _, (lost,) = router.request(first)
     router.now += 10 * MILLI
     _, (later,) = router.request(second)
@@ -75,7 +75,7 @@
     assert server.latency.average_ns > 2 * before  # no attempt sent later was answered
 
 
-def test_no_attempt_starts_that_no_server_could_answer_in_time() -> None:
+def test_no_attempt_starts_too_late_to_be_answered() -> None:
     """Guards against an attempt that starts just before the deadline.
 
     After a timeout close to the deadline another attempt was started, and its end after 0.2 ms was recorded.
@@ -90,7 +90,7 @@
     assert isinstance(answer, api.Reject)
 
 
-def test_a_hot_key_takes_as_many_ranges_as_it_fills() -> None:
+def test_a_hot_key_is_spread_over_as_many_servers_as_its_load_needs() -> None:
     """Guards against a hot key that overloads its owner.
 
     In a large fleet one key made up 7% of all requests, the fair share of five servers, on one server.
@@ -102,7 +102,7 @@
     assert max(fills for n, fills in enumerate(wide) if n % 5) == 0
 
 
-def test_popularity_is_bounded_and_forgets() -> None:
+def test_popularity_counts_are_bounded_and_decay() -> None:
     popularity = KeyPopularity()
     for _ in range(100):
         popularity.count_and_spread("hot", 4)
@@ -182,12 +182,12 @@
     """
     router = Router(endpoints=[*fleet(7), api.Endpoint("c7", started_at_ns=START - SECOND)])
     router.wait(8 * SECOND)
-    mine = [key for key in map(str, range(900)) if router.candidates(key)[0].endpoint.server == "c7"]
+    owned = [key for key in map(str, range(900)) if router.candidates(key)[0].endpoint.server == "c7"]
     # Keys that the server takes at this point of its slow start.
-    mine = [key for key in mine if router.balancer.placement.ranges.locate(key)[1] < 0.8][:4]
+    owned = [key for key in owned if router.balancer.placement.ranges.locate(key)[1] < 0.8][:4]
     sent = 0
     for n in range(400):
-        _, (send,) = router.request(mine[n % 4] if n % 2 else f"other{n}")
+        _, (send,) = router.request(owned[n % 4] if n % 2 else f"other{n}")
         assert isinstance(send, api.StartAttempt)
         sent += send.server == "c7"
         router.end_attempt(send, api.AttemptStatus.OK)
@@ -312,8 +312,8 @@
 
     Among a router's first requests, each key that came twice was spread over a dozen servers.
     """
-    popular = KeyPopularity()
-    assert [popular.count_and_spread("k", 60) for _ in range(3)] == [0, 0, 0]
-    assert max(popular.count_and_spread("k", 60) for _ in range(30)) > 2, (
+    popularity = KeyPopularity()
+    assert [popularity.count_and_spread("k", 60) for _ in range(3)] == [0, 0, 0]
+    assert max(popularity.count_and_spread("k", 60) for _ in range(30)) > 2, (
         "a key that all requests ask for must be hot"
     )
