--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -58,22 +58,22 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 5), st.integers(0, 2)), max_size=200))
 def test_a_zone_gets_an_attempt_within_sixteen_seconds_and_is_unreachable_on_enough_failures_only(
-    course: list[tuple[bool, int, int]],
+    events: list[tuple[bool, int, int]],
 ) -> None:
-    zones, now, row = ZoneReachability(SECOND), START, {zone: set[int]() for zone in range(3)}
-    zones.set_zones(set(row))
-    for failed, server, zone in course:
+    zones, now, failed_servers = ZoneReachability(SECOND), START, {zone: set[int]() for zone in range(3)}
+    zones.set_zones(set(failed_servers))
+    for failed, server, zone in events:
         now += SECOND // 10
         if zones.may_be_tried(zone, now):
             zones.attempt_started(zone, now)
         if failed:
             zones.record_failure(zone, str(server), now)
-            row[zone].add(server)
+            failed_servers[zone].add(server)
         else:
             zones.record_answer(zone)
-            row[zone].clear()
-        assert zones.is_unreachable(zone) == (len(row[zone]) >= FAILED_SERVERS_TO_EJECT_ZONE)
-        assert all(zones.may_be_tried(one, now + 16 * SECOND) for one in row)
+            failed_servers[zone].clear()
+        assert zones.is_unreachable(zone) == (len(failed_servers[zone]) >= FAILED_SERVERS_TO_EJECT_ZONE)
+        assert all(zones.may_be_tried(one, now + 16 * SECOND) for one in failed_servers)
 
 
 def cut_off(router: Router) -> int:
@@ -111,9 +111,9 @@
     for n in range(99):
         _, (send, *_) = router.request(f"after{n}")
         assert isinstance(send, api.StartAttempt)
-        home = router.balancer.servers.servers[send.server].endpoint.zone
+        zone = router.balancer.servers.servers[send.server].endpoint.zone
         router.end_attempt(send, S.OK, 0, 10 * MILLI, reused=reused)
-        if home == 1:
+        if zone == 1:
             return send
     raise AssertionError("the zone was never tried again")
 
