--- a/tests/policy/test_latency_estimator.py
+++ b/tests/policy/test_latency_estimator.py
@@ -13,7 +13,7 @@
     return Server(api.Endpoint("c"), latency, in_flight=in_flight, last_sent_at_ns=START)
 
 
-def test_a_queue_is_forgotten_in_the_time_in_which_it_drains() -> None:
+def test_a_queue_is_forgotten_as_it_drains() -> None:
     """Guards against an idle server that counts as slow.
 
     A fleet collapsed while it was idle: each server's last answer was slow, so it got no more requests and
@@ -24,17 +24,17 @@
     assert not queueing().is_probing, "a server with capacity must not be probed"
 
 
-def test_a_queue_is_forgotten_more_slowly_where_routers_that_are_not_heard_of_may_add_to_it() -> None:
+def test_a_queue_is_forgotten_more_slowly_while_the_load_of_other_routers_is_unknown() -> None:
     assert not queueing(in_flight=1).admits_or_starts_probe(START + SECOND, SECOND, 4, 60, 60)
     assert queueing(in_flight=1).admits_or_starts_probe(START + 60 * SECOND, SECOND, 4, 60, 60)
 
 
-def test_a_server_whose_uncrowded_answer_time_is_unknown_keeps_its_average() -> None:
+def test_a_server_whose_unloaded_latency_is_unknown_keeps_its_average() -> None:
     one = Server(api.Endpoint("c"), LatencyEstimator(0.7 * SECOND, updated_at_ns=START))
     assert one.expected_latency_ns(START + 60 * SECOND, 1) == 0.7 * SECOND
 
 
-def test_a_quick_answer_after_a_long_silence_is_added_to_what_is_left_of_the_queue() -> None:
+def test_a_fast_answer_after_a_long_silence_is_added_to_the_rest_of_the_queue() -> None:
     """Guards against an average that includes a queue that has drained.
 
     A fast answer after a long time without answers changed the average only a little, although the queue had
