--- a/rainhitch/policy/origin_admission.py
+++ b/rainhitch/policy/origin_admission.py
@@ -114,7 +114,7 @@
     def withdraw(self, pending: PendingRequest) -> None:
         """Removes a request from the throttle's buffer, if it is there."""
         if self.monitor.throttle is not None:
-            self.monitor.throttle.leave(pending)
+            self.monitor.throttle.remove(pending)
 
     def waiting_for(self, key: str) -> list[PendingRequest]:
         """Returns the requests in the throttle's buffer that read this key."""
--- a/rainhitch/policy/origin_monitor.py
+++ b/rainhitch/policy/origin_monitor.py
@@ -95,7 +95,7 @@
         used_per_s = min(throttle.rate_per_s, self.recent_rate_per_s(now_ns))
         min_per_s = SECOND / self.admitted_rate.span_ns / 2
         throttle.rate_per_s = max(used_per_s * (1 - unhealthy_fraction / 2), min_per_s)
-        throttle.shift(max(1, (throttle.bank + throttle.buffer) // 4))
+        throttle.move_to_bank(max(1, (throttle.bank + throttle.buffer) // 4))
 
     def _after_healthy_period(self, throttle: Throttle, now_ns: int, is_silent: bool) -> str:
         # r does not rise while reads hang, which would add to the congestion, nor beyond twice the rate in
--- a/rainhitch/policy/throttle.py
+++ b/rainhitch/policy/throttle.py
@@ -60,7 +60,7 @@
         self.queue[pending.request.id] = pending
         return TokenOffer.QUEUED
 
-    def leave(self, pending: PendingRequest) -> bool:
+    def remove(self, pending: PendingRequest) -> bool:
         """Removes a waiting request from the buffer; returns whether it was there."""
         if self.queue.pop(pending.request.id, None) is None:
             return False
@@ -71,7 +71,7 @@
         """Returns the time until the request at this place in the buffer gets a token; 0 for place 0."""
         return max(0, math.ceil(place * SECOND / self.rate_per_s))
 
-    def shift(self, places: int) -> None:
+    def move_to_bank(self, places: int) -> None:
         """Moves capacity for `places` requests from the buffer to the bank; waiting requests stay queued."""
         self.bank += min(places, self.buffer)
         self.buffer = max(0, self.buffer - places)
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -47,7 +47,7 @@
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     for n in range(6):
         throttle.offer(pending_request(str(n)))
-    throttle.shift(MIN_TOTAL_CAPACITY)
+    throttle.move_to_bank(MIN_TOTAL_CAPACITY)
     assert (throttle.bank, throttle.buffer) == (MIN_TOTAL_CAPACITY, 0)
     assert throttle.offer(pending_request("late")) is TokenOffer.REJECTED
     assert len(throttle.refill(SECOND)) == 4
@@ -59,8 +59,8 @@
     requests = [pending_request(str(n)) for n in range(4)]
     for one in requests:
         throttle.offer(one)
-    assert throttle.leave(requests[2])
-    assert not throttle.leave(requests[2])
+    assert throttle.remove(requests[2])
+    assert not throttle.remove(requests[2])
     assert throttle.level == -1
     assert throttle.refill(SECOND // 10) == [requests[3]]
 
