--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -103,9 +103,9 @@
     def _previous_holder(self, pending: PendingRequest, path: list[str]) -> tuple[Server | None, bool]:
         """Returns the server that holds a key until it migrates, and whether this router has seen the key.
 
-        That is the server of the key's last hit. A key that was not seen can only be at its owner before the
-        list changed. The server is None if it is on the key's `path` of owners, was tried already, cannot be
-        used, is in slow start, or was restarted and lost the key.
+        That is the server last seen to hold the key. A key that was not seen can only be at its owner before
+        the list changed. The server is None if it is on the key's `path` of owners, was tried already, cannot
+        be used, is in slow start, or was restarted and lost the key.
         """
         key = pending.request.key or ""
         seen = self.key_memory.seen.get(key)
