--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -110,8 +110,8 @@
     unreachable and not overloaded. It must not have answered an attempt sent later, or only this answer is
     lost.
     """
-    answers_earlier_ones = server.answered_at_ns > sent_at_ns > server.last_answered_sent_at_ns
-    return answers_earlier_ones and age_ns > OVERDUE_FACTOR * expected_ns
+    answers_earlier_attempts = server.answered_at_ns > sent_at_ns > server.last_answered_sent_at_ns
+    return answers_earlier_attempts and age_ns > OVERDUE_FACTOR * expected_ns
 
 
 def is_answer_lost(server: Server, sent_at_ns: int, expected_ns: float) -> bool:
