--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -68,7 +68,7 @@
     assert memory.likely_miss("0", MAX_KEYS) and not memory.likely_miss(str(MAX_KEYS), MAX_KEYS)
 
 
-def test_an_age_at_which_hits_turned_to_misses_is_learned() -> None:
+def test_the_age_at_which_reads_start_to_miss_is_learned() -> None:
     memory = KeyMemory()
     for n in range(10):
         memory.remember(str(n), 0, "s")
@@ -80,7 +80,7 @@
 # Throttle and monitor on the request path
 
 
-def test_unthrottled_misses_go_on_to_the_origin_and_are_remembered() -> None:
+def test_unthrottled_misses_are_read_from_the_origin_and_remembered() -> None:
     router = Router()
     name = router.fetch_and_store("k")
     _, actions = router.request("k")
@@ -137,7 +137,7 @@
     assert router.log[0].startswith("throttle on likely_misses_per_s=") and router.log[-1] == "throttle off"
 
 
-def test_work_over_quota_does_not_wait_for_tokens() -> None:
+def test_requests_over_quota_do_not_wait_for_tokens() -> None:
     router = Router(settings(tenants=[api.Tenant(3.0), api.Tenant(3.0)]))
     router.throttle_on()
     for n in range(40):
@@ -228,7 +228,7 @@
     assert (served.id, served.server) == (name, first.server)
 
 
-def test_a_read_that_waits_for_a_failed_one_reads_itself_and_none_waits_past_its_objective() -> None:
+def test_after_a_failed_read_one_waiting_read_goes_to_the_origin_and_none_waits_past_its_objective() -> None:
     router = Router()
     _, (first,) = router.request("hot")
     (read,) = router.end_attempt(first, S.MISS)
@@ -269,7 +269,7 @@
     assert [type(action) for action in router.end_attempt(second, S.FULL, 1)] == [api.Reject]
 
 
-def test_an_overloaded_server_gets_one_probe_per_answer_time() -> None:
+def test_an_overloaded_server_gets_one_probe_per_latency() -> None:
     one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND)))
     assert not one.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
     assert one.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
@@ -301,7 +301,7 @@
     assert timeouts_ns == [SECOND // 4, 8 * SECOND // 10]
 
 
-def test_reports_show_what_other_routers_send() -> None:
+def test_load_reports_include_the_load_of_other_routers() -> None:
     router = Router()
     router.fetch_and_store("k")
     _, (send,) = router.request("k")
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 40])
-def test_a_starting_server_gets_its_part_evenly_however_many_routers(routers: int) -> None:
+def test_a_starting_server_gets_its_load_evenly_from_any_number_of_routers(routers: int) -> None:
     """Guards against a first token at each router, which overloaded cold servers in a large fleet."""
     fresh = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [api.Endpoint("c1", started_at_ns=START)])
     several = [Router() for _ in range(routers)]
@@ -548,7 +548,7 @@
     assert owner.latency.average_ns < 2.1 * SECOND
 
 
-def test_the_estimate_of_what_was_in_flight_decays_slowly() -> None:
+def test_the_average_of_attempts_in_flight_decays_slowly() -> None:
     """Guards against a busy server that looks slow as soon as it gets one request at a time."""
     one = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
     one.record_answer(START, 2 * SECOND, SECOND, 1, 1)
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -193,7 +193,7 @@
     assert len(new_server_reads) > 400  # three of twelve servers are new
 
 
-def test_until_it_moves_a_key_is_read_where_it_is_held() -> None:
+def test_until_it_migrates_a_key_is_read_from_its_holder() -> None:
     fleet = SimulatedFleet(share=0.0, routers=1)
     for key in ("k1", "k2", "k3"):
         fleet.read(0, key)
@@ -208,7 +208,7 @@
     assert len(fleet.origin) == 3
 
 
-def test_a_key_moves_by_one_origin_read_and_later_reads_find_it_moved() -> None:
+def test_a_key_migrates_by_one_origin_read_and_later_reads_hit_at_its_owner() -> None:
     fleet = SimulatedFleet(routers=3)
     for number in range(3):
         fleet.read(number, "k1")
@@ -263,7 +263,7 @@
         assert len(sent) == sent_count and sent[0] == holder and sent[-1] == "origin"
 
 
-def test_a_key_whose_holder_left_the_list_is_not_asked_for_there() -> None:
+def test_a_key_is_not_read_from_a_holder_that_left_the_list() -> None:
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
     holder = change_owner(fleet, "k1")
@@ -292,7 +292,7 @@
     assert fleet.read(0, "k1")[0] == fleet.owner("k1")
 
 
-def test_a_write_in_transition_leaves_no_old_value_to_be_read() -> None:
+def test_a_write_during_a_migration_leaves_no_stale_value() -> None:
     """The origin invalidates both copies; SimulatedFleet fails if a stale value is read."""
     fleet = SimulatedFleet(routers=2)
     for number in range(2):
@@ -305,7 +305,7 @@
     assert holder in fleet.caches
 
 
-def test_no_key_moves_while_the_throttle_is_short_and_they_go_on_afterwards() -> None:
+def test_no_key_migrates_while_the_throttle_is_short_of_tokens() -> None:
     context = DecisionContext(router_settings(), 1)
     admission = OriginAdmission(context, lambda pending: None, lambda pending: None)
     migration = KeyMigration(context, admission)
@@ -376,7 +376,7 @@
     assert moved <= 2 * sum(len(one) for one in owners.values())
 
 
-def test_what_is_remembered_of_keys_is_bounded_whatever_the_churn() -> None:
+def test_the_state_kept_for_keys_is_bounded_under_churn() -> None:
     fleet = SimulatedFleet(nodes=4, routers=1)
     memory = fleet.routers[0].balancer.key_memory
     for n in range(MAX_KEYS + 100):
--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -154,7 +154,7 @@
     assert slow.range_share == 1
 
 
-def test_a_server_in_slow_start_takes_no_work_of_others() -> None:
+def test_a_server_in_slow_start_takes_no_requests_of_other_ranges() -> None:
     """Guards against a cold server that gets requests of other servers on top of its own range.
 
     That happened during deploys, when requests left other servers.
@@ -195,7 +195,7 @@
     assert 0 < sent < 400 / 8
 
 
-def test_a_read_that_a_cache_could_not_read_from_the_origin_is_not_sent_to_another() -> None:
+def test_a_read_that_failed_at_the_origin_is_not_sent_to_another_cache() -> None:
     """Guards against repeated origin reads while the origin is slow.
 
     Each read that one cache could not get from the origin was tried again at a second cache.
@@ -232,7 +232,7 @@
         router.end_attempt(send, api.AttemptStatus.OK)
 
 
-def test_while_most_connects_are_refused_a_router_uses_the_connections_it_has() -> None:
+def test_while_most_connects_are_refused_a_router_uses_its_open_connections() -> None:
     """Guards against attempts at servers whose connection tables are full.
 
     With 417 routers and servers that accept 105 connections each, 66% of the attempts got no connection.
--- a/tests/policy/test_server.py
+++ b/tests/policy/test_server.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 60])
-def test_all_routers_together_probe_an_overloaded_server_once_in_an_answer_time(
+def test_all_routers_together_send_an_overloaded_server_one_probe_per_latency(
     routers: int,
 ) -> None:
     """Guards against probes that keep a server overloaded.
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -83,7 +83,7 @@
     assert blocked[0] == blocked[1]
 
 
-def test_a_read_that_was_answered_in_time_while_the_router_was_away_is_no_bad_one() -> None:
+def test_a_read_answered_in_time_while_the_router_was_paused_counts_as_healthy() -> None:
     """Guards against a paused router that takes answers handled late for slow ones.
 
     One of three processes was stopped for 4 s, and two such reads turned on its throttle at its recent rate.
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -93,7 +93,7 @@
     return failed
 
 
-def test_a_zone_cut_off_costs_a_few_attempts_and_not_some_at_each_server() -> None:
+def test_an_unreachable_zone_costs_a_few_attempts_in_all() -> None:
     """Guards against requests that spend all their attempts in an unreachable zone.
 
     The network link to a zone was broken. After failures at a few of its servers the zone must be skipped.
@@ -135,7 +135,7 @@
     )
 
 
-def test_a_zone_whose_connections_outlived_the_cut_needs_no_slow_start() -> None:
+def test_a_zone_whose_connections_survived_needs_no_slow_start() -> None:
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=True)
     assert router.balancer.servers.servers[first.server].slow_start.started_at_ns == 0
