--- a/rainhitch/policy/key_popularity.py
+++ b/rainhitch/policy/key_popularity.py
@@ -13,22 +13,22 @@
         self.requests: dict[str, int] = {}
         self.total = 0
 
-    def count_and_spread(self, key: str, servers: int) -> int:
+    def count_and_spread(self, key: str, server_count: int) -> int:
         """Counts a request for a key; returns over how many servers besides its owner the key is spread.
 
-        The result is 0 for a key that is not hot. `servers` is the number of cache servers.
+        The result is 0 for a key that is not hot. `server_count` is the number of cache servers.
         """
-        if self.total >= MAX_COUNTED_PER_SERVER * max(1, servers):
+        if self.total >= MAX_COUNTED_PER_SERVER * max(1, server_count):
             self.requests = {name: count // 2 for name, count in self.requests.items() if count > 1}
             self.total //= 2
         self.total += 1
         # A minimum total keeps a router with few requests from taking every key that is requested twice for
         # a hot key.
-        min_total = MAX_COUNTED_PER_SERVER * servers // 2
-        fair_shares = self.fair_shares(key, servers) * self.total / max(self.total, min_total)
+        min_total = MAX_COUNTED_PER_SERVER * server_count // 2
+        fair_shares = self.fair_shares(key, server_count) * self.total / max(self.total, min_total)
         self.requests[key] = self.requests.get(key, 0) + 1
         return int(SERVERS_PER_FAIR_SHARE * fair_shares) if fair_shares >= 1 else 0
 
-    def fair_shares(self, key: str, servers: int) -> float:
+    def fair_shares(self, key: str, server_count: int) -> float:
         """Returns a key's part of the counted requests, as a multiple of a server's fair share."""
-        return self.requests.get(key, 0) * servers / max(1, self.total)
+        return self.requests.get(key, 0) * server_count / max(1, self.total)
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -59,8 +59,8 @@
         self.arrival_rate.add(self.context.now_ns)
         if request.key is None:
             return 0
-        servers = len(self.ranges.names)
-        spread = min(servers, self.popularity.count_and_spread(request.key, servers))
+        server_count = len(self.ranges.names)
+        spread = min(server_count, self.popularity.count_and_spread(request.key, server_count))
         return self.context.random.randrange(1 + spread)
 
     def choose(self, pending: PendingRequest) -> Server | None:
@@ -192,14 +192,14 @@
         return candidates
 
     def _admits_in_slow_start(
-        self, server: Server, pending: PendingRequest, min_fraction: float, servers: int
+        self, server: Server, pending: PendingRequest, min_fraction: float, server_count: int
     ) -> bool:
         """Returns whether a server, which may be in slow start, admits this request.
 
         Enforces rule 4: no server in slow start gets more load than it can handle.
 
         A server in slow start spends a token of its budget on the request. `min_fraction` is the fraction of
-        its capacity from which on it takes the key; `servers` is the number of servers.
+        its capacity from which on it takes the key; `server_count` is the number of servers.
         """
         now_ns = self.context.now_ns
         fraction = server.slow_start.slow_start_fraction(now_ns, self.context.settings)
@@ -208,6 +208,6 @@
         if fraction >= 1:
             return True
         # Without this, all routers would send a hot key to a starting server at the same time.
-        fair_shares = self.popularity.fair_shares(pending.request.key or "", servers)
-        arrivals_per_s = self.arrival_rate.per_second(now_ns) / servers
+        fair_shares = self.popularity.fair_shares(pending.request.key or "", server_count)
+        arrivals_per_s = self.arrival_rate.per_second(now_ns) / server_count
         return self.servers.admits_in_slow_start(server, fraction, fair_shares, arrivals_per_s)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -27,7 +27,7 @@
 
     Hot keys are tested in test_regressions.py.
     """
-    monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
+    monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, server_count: 0)
 
 
 # Placement
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -28,7 +28,7 @@
 
     Hot keys are tested in test_regressions.py.
     """
-    monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
+    monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, server_count: 0)
 
 
 class SimulatedFleet:
