--- a/rainhitch/policy/attempt_admission.py
+++ b/rainhitch/policy/attempt_admission.py
@@ -51,7 +51,7 @@
         Without this check, new requests would keep an overloaded origin overloaded.
         """
         limit_ns = pending.request_class.latency_objective_ns * SLOW_ANSWER_FRACTION
-        routers = self.context.settings.router_count
+        router_count = self.context.settings.router_count
         return origin.admits_or_starts_probe(
-            self.context.now_ns, limit_ns, UNLIMITED_OVERLOAD_FACTOR, routers, routers
+            self.context.now_ns, limit_ns, UNLIMITED_OVERLOAD_FACTOR, router_count, router_count
         )
--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -146,8 +146,8 @@
         is_probe_miss = status is api.AttemptStatus.MISS and server.is_probing
         if is_overloaded or is_hit or is_probe_miss:
             in_flight = server.in_flight + 1
-            routers = self.gossip.routers_to_account_for()
-            server.record_answer(now_ns, self.span_ns, elapsed_ns, in_flight, routers)
+            routers_to_account_for = self.gossip.routers_to_account_for()
+            server.record_answer(now_ns, self.span_ns, elapsed_ns, in_flight, routers_to_account_for)
             self.gossip.observe(server, elapsed_ns)
         if is_overloaded or is_answered:
             is_slow = elapsed_ns > objective_ns // RANGE_CUT_LATENCY_DIVISOR
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -44,9 +44,9 @@
         """Returns whether the server serves a position in its key range, from 0 to 1 at the far end."""
         return range_position < self.range_share * self.relative_weight
 
-    def expected_latency_ns(self, now_ns: int, routers: int) -> float:
+    def expected_latency_ns(self, now_ns: int, routers_to_account_for: int) -> float:
         """Returns the expected latency of one more request; see `LatencyEstimator.expected_ns`."""
-        return self.latency.expected_ns(now_ns, self.in_flight, routers)
+        return self.latency.expected_ns(now_ns, self.in_flight, routers_to_account_for)
 
     def has_capacity(
         self, expected_ns: float, reported_ns: float, limit_ns: float, overload_factor: int
@@ -64,35 +64,42 @@
         overloaded_ns = overload_factor * max(uncrowded_ns, limit_ns / MIN_UNCROWDED_DIVISOR)
         return expected_ns <= min(limit_ns, overloaded_ns) and reported_ns <= limit_ns * overload_factor / 2
 
-    def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, routers: int) -> bool:
+    def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, router_count: int) -> bool:
         """Returns whether a request may probe if this overloaded server has recovered.
 
-        Each router sends one probe at a time, and all `routers` together one probe per latency, which is the
+        Each router sends one probe at a time, and all routers together one probe per latency, which is the
         load of one core. More probes would keep the server overloaded.
         """
         report = self.load.report
         service_ns = self.latency.uncrowded_ns if report is None else report.latency_ms * NS_PER_MS
-        interval_ns = max(expected_ns, reported_ns, service_ns * routers)
+        interval_ns = max(expected_ns, reported_ns, service_ns * router_count)
         return not self.in_flight and now_ns - self.last_sent_at_ns >= interval_ns
 
     def admits_or_starts_probe(
-        self, now_ns: int, limit_ns: float, overload_factor: int, routers_to_account_for: int, routers: int
+        self,
+        now_ns: int,
+        limit_ns: float,
+        overload_factor: int,
+        routers_to_account_for: int,
+        router_count: int,
     ) -> bool:
         """Returns whether the server has capacity for one more request, or a probe is due and starts with it.
 
         `limit_ns` and `overload_factor`: see `has_capacity`. `routers_to_account_for` is the number of
-        routers whose load is unknown, plus one for this router; `routers` is the number of all routers.
+        routers whose load is unknown, plus one for this router; `router_count` is the number of all routers.
         """
         expected_ns = self.latency.expected_ns(now_ns, self.in_flight, routers_to_account_for)
         reported_ns = self.load.expected_ns(now_ns)
         if self.has_capacity(expected_ns, reported_ns, limit_ns, overload_factor):
             return True
-        if not self.may_probe(now_ns, expected_ns, reported_ns, routers):
+        if not self.may_probe(now_ns, expected_ns, reported_ns, router_count):
             return False
         self.is_probing = True
         return True
 
-    def record_answer(self, now_ns: int, span_ns: int, elapsed_ns: int, in_flight: int, routers: int) -> None:
+    def record_answer(
+        self, now_ns: int, span_ns: int, elapsed_ns: int, in_flight: int, routers_to_account_for: int
+    ) -> None:
         """Records the latency of an attempt of this router.
 
         `in_flight` is the number of this router's attempts in flight at the server, including this one. The
@@ -101,7 +108,7 @@
         latency = self.latency
         latency.mean_in_flight += (in_flight - latency.mean_in_flight) * SMOOTHING
         min_weight = PROBE_SAMPLE_WEIGHT if self.is_probing else SMOOTHING
-        latency.record_latency(now_ns, span_ns, elapsed_ns, routers, min_weight)
+        latency.record_latency(now_ns, span_ns, elapsed_ns, routers_to_account_for, min_weight)
         self.is_probing = False
 
     def record_answered_attempt(self, now_ns: int, sent_at_ns: int) -> None:
