--- a/rainhitch/policy/latency_estimator.py
+++ b/rainhitch/policy/latency_estimator.py
@@ -13,7 +13,7 @@
 
 MAX_SAMPLE_WEIGHT = 1 / 2  # of one sample in the moving average
 # The unloaded latency grows by this factor with each sample, so that an outdated minimum is forgotten slowly.
-UNCROWDED_GROWTH_FACTOR = 1 + SMOOTHING / 16
+UNLOADED_GROWTH_FACTOR = 1 + SMOOTHING / 16
 # Multiple of the expected latency after which an answer counts as lost. Of exponentially distributed
 # latencies with this mean, a fraction of e^-8 is longer.
 LOST_ANSWER_FACTOR = 8
@@ -70,7 +70,7 @@
             self.average_ns = self.idle_adjusted_ns(now_ns, routers_to_account_for)
         self.updated_at_ns = now_ns
         self.average_ns += (elapsed_ns - self.average_ns) * weight
-        uncrowded_ns = self.uncrowded_ns * UNCROWDED_GROWTH_FACTOR
+        uncrowded_ns = self.uncrowded_ns * UNLOADED_GROWTH_FACTOR
         if uncrowded_ns == 0:
             uncrowded_ns = self.average_ns
         self.uncrowded_ns = min(uncrowded_ns, self.average_ns)
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -10,7 +10,7 @@
 from rainhitch.policy.slow_start import SlowStart
 
 INITIAL_LATENCY_DIVISOR = 8  # initial latency estimate: the shortest latency objective divided by this
-MIN_UNCROWDED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
+MIN_UNLOADED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
 PROBE_SAMPLE_WEIGHT = 1 / 2  # of a probe's latency in the moving average
 
 
@@ -61,7 +61,7 @@
         uncrowded_ns = self.latency.uncrowded_ns
         if uncrowded_ns == 0:
             uncrowded_ns = limit_ns
-        overloaded_ns = overload_factor * max(uncrowded_ns, limit_ns / MIN_UNCROWDED_DIVISOR)
+        overloaded_ns = overload_factor * max(uncrowded_ns, limit_ns / MIN_UNLOADED_DIVISOR)
         return expected_ns <= min(limit_ns, overloaded_ns) and reported_ns <= limit_ns * overload_factor / 2
 
     def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, router_count: int) -> bool:
