--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -35,11 +35,11 @@
         self.span_ns = span_ns
         # Moving average of latencies over all cache servers.
         self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCY_DIVISOR
-        self.refused_connects = 0.0  # moving average: fraction of new connects that were refused at once
+        self.refused_connects_fraction = 0.0  # moving average: fraction of new connects that were refused at once
 
     def are_connection_tables_full(self) -> bool:
         """Returns whether most new connects are refused at once, as with full connection tables."""
-        return self.refused_connects > MAX_REFUSED_CONNECTS_FRACTION
+        return self.refused_connects_fraction > MAX_REFUSED_CONNECTS_FRACTION
 
     def attempt_finished(self, event: api.AttemptFinished) -> None:
         """Records the outcome of an attempt."""
@@ -90,7 +90,7 @@
         is_new_connect = not health.accepts_connections and not health.consecutive_failures
         if is_new_connect and event.elapsed_ns < connect_timeout_ns:
             refused = 1.0 if has_failed or is_table_full else 0.0
-            self.refused_connects += (refused - self.refused_connects) * SMOOTHING
+            self.refused_connects_fraction += (refused - self.refused_connects_fraction) * SMOOTHING
         health.accepts_connections = not has_failed and not is_table_full
         answered_recently = self.context.now_ns - server.answered_at_ns < connect_timeout_ns
         is_tolerated = has_failed and health.is_tolerated(answered_recently)
--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -267,7 +267,7 @@
             send, api.AttemptStatus.CONNECT_FAILED if dead else api.AttemptStatus.OK, 0, MILLI
         ):
             router.end_attempt(again, api.AttemptStatus.OK, 1)
-        assert router.balancer.servers.attempts.refused_connects <= 1 / 2
+        assert router.balancer.servers.attempts.refused_connects_fraction <= 1 / 2
         router.wait(SECOND // 10)
 
 
