--- a/rainhitch/policy/latency_estimator.py
+++ b/rainhitch/policy/latency_estimator.py
@@ -24,7 +24,7 @@
     """Latency estimate of one server."""
 
     average_ns: float  # moving average
-    uncrowded_ns: float = 0.0  # unloaded latency: the lowest average, forgotten slowly; 0: not known yet
+    unloaded_ns: float = 0.0  # unloaded latency: the lowest average, forgotten slowly; 0: not known yet
     updated_at_ns: int = 0
     mean_in_flight: float = 1.0  # moving average of this router's attempts in flight, at each answer
 
@@ -36,11 +36,11 @@
         caused, unless other routers add to it. `routers_to_account_for` is the number of routers whose load
         is unknown, plus one for this router; the queue is taken to drain slower by that factor.
         """
-        queueing_ns = self.average_ns - self.uncrowded_ns
-        if not self.uncrowded_ns or queueing_ns <= 0:
+        queueing_ns = self.average_ns - self.unloaded_ns
+        if not self.unloaded_ns or queueing_ns <= 0:
             return self.average_ns
         age_ns = min(0, self.updated_at_ns - now_ns)  # as a negative number
-        return self.uncrowded_ns + queueing_ns * math.exp(age_ns / (self.average_ns * routers_to_account_for))
+        return self.unloaded_ns + queueing_ns * math.exp(age_ns / (self.average_ns * routers_to_account_for))
 
     def expected_ns(self, now_ns: int, in_flight: int, routers_to_account_for: int) -> float:
         """Returns the expected latency of one more request.
@@ -70,7 +70,7 @@
             self.average_ns = self.idle_adjusted_ns(now_ns, routers_to_account_for)
         self.updated_at_ns = now_ns
         self.average_ns += (elapsed_ns - self.average_ns) * weight
-        uncrowded_ns = self.uncrowded_ns * UNLOADED_GROWTH_FACTOR
-        if uncrowded_ns == 0:
-            uncrowded_ns = self.average_ns
-        self.uncrowded_ns = min(uncrowded_ns, self.average_ns)
+        unloaded_ns = self.unloaded_ns * UNLOADED_GROWTH_FACTOR
+        if unloaded_ns == 0:
+            unloaded_ns = self.average_ns
+        self.unloaded_ns = min(unloaded_ns, self.average_ns)
--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -28,7 +28,7 @@
         return False
     # An attempt that no server could answer in time would be useless, and its timeout would not say anything
     # about the server.
-    if now_ns + server.latency.uncrowded_ns / 2 >= pending.request.deadline_ns:
+    if now_ns + server.latency.unloaded_ns / 2 >= pending.request.deadline_ns:
         return False
     return may_retry_at(pending, server.endpoint, now_ns)
 
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -58,10 +58,10 @@
         no report). The report is delayed and noisy, so its limit is wider. The unloaded latency has a lower
         bound, because a small multiple of a very low latency is no sign of overload.
         """
-        uncrowded_ns = self.latency.uncrowded_ns
-        if uncrowded_ns == 0:
-            uncrowded_ns = limit_ns
-        overloaded_ns = overload_factor * max(uncrowded_ns, limit_ns / MIN_UNLOADED_DIVISOR)
+        unloaded_ns = self.latency.unloaded_ns
+        if unloaded_ns == 0:
+            unloaded_ns = limit_ns
+        overloaded_ns = overload_factor * max(unloaded_ns, limit_ns / MIN_UNLOADED_DIVISOR)
         return expected_ns <= min(limit_ns, overloaded_ns) and reported_ns <= limit_ns * overload_factor / 2
 
     def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, router_count: int) -> bool:
@@ -71,7 +71,7 @@
         load of one core. More probes would keep the server overloaded.
         """
         report = self.load.report
-        service_ns = self.latency.uncrowded_ns if report is None else report.latency_ms * NS_PER_MS
+        service_ns = self.latency.unloaded_ns if report is None else report.latency_ms * NS_PER_MS
         interval_ns = max(expected_ns, reported_ns, service_ns * router_count)
         return not self.in_flight and now_ns - self.last_sent_at_ns >= interval_ns
 
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -145,7 +145,7 @@
 
     async with router(lambda asked, line: None, entries=entries) as bench:
         for one in bench.driver.balancer.servers.servers.values():
-            one.latency.average_ns = one.latency.uncrowded_ns = 1e7
+            one.latency.average_ns = one.latency.unloaded_ns = 1e7
         caller = await bench.caller()
         names = [b"k%d" % n for n in range(40)]
         key_of_c0 = next(
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -279,7 +279,7 @@
 
 def test_probes_of_an_overloaded_server_are_shared_by_all_routers() -> None:
     """Guards against probes from forty routers, one per latency each, that exceed a server's capacity."""
-    one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), uncrowded_ns=SECOND / 10))
+    one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), unloaded_ns=SECOND / 10))
     assert not one.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
     assert one.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
 
@@ -432,7 +432,7 @@
     router = Router()
     origin = router.balancer.servers.origin
     assert origin is not None
-    origin.latency.average_ns, origin.latency.uncrowded_ns, origin.last_sent_at_ns = (
+    origin.latency.average_ns, origin.latency.unloaded_ns, origin.last_sent_at_ns = (
         SECOND / 4,
         SECOND / 4,
         router.now,
@@ -513,7 +513,7 @@
     router = Router(endpoints=fleet(6))
     owner, *rest = router.candidates("k")
     for one in [owner, *rest[:2]]:  # slow without load from this router, with a probe in flight at each
-        one.latency.average_ns, one.latency.uncrowded_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
+        one.latency.average_ns, one.latency.unloaded_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
     assert sends(router.request("k")[1]) == [rest[2].endpoint.server]
 
 
@@ -541,7 +541,7 @@
     """Guards against an overloaded server whose keys moved elsewhere and whose recovery goes unnoticed."""
     router = Router()
     owner = router.candidates("k")[0]
-    owner.latency.average_ns, owner.latency.uncrowded_ns = 4.0 * SECOND, SECOND / 10
+    owner.latency.average_ns, owner.latency.unloaded_ns = 4.0 * SECOND, SECOND / 10
     _, (probe,) = router.request("k")
     assert sends([probe]) == [owner.endpoint.server] and owner.is_probing
     router.end_attempt(probe, S.MISS)
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -80,7 +80,7 @@
 
 def test_an_attempt_that_is_not_overdue_is_not_published() -> None:
     router, send, server = router_with_late_attempt()
-    server.latency.average_ns = server.latency.uncrowded_ns = float(SECOND)
+    server.latency.average_ns = server.latency.unloaded_ns = float(SECOND)
     assert ages_published(router.wait(1500 * MILLI), send.server) == []
 
 
@@ -151,7 +151,7 @@
     """
     router, send, server = router_with_late_attempt()
     router.wait(600 * MILLI)
-    server.latency.average_ns, server.latency.uncrowded_ns = SECOND / 10, SECOND / 10
+    server.latency.average_ns, server.latency.unloaded_ns = SECOND / 10, SECOND / 10
     for _ in range(6):
         router.handle(api.GossipReceived([api.LatencyObservation(send.server, SECOND // 10, is_in_flight)]))
         router.wait(200 * MILLI)
--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -26,7 +26,7 @@
     """Returns keys that are held by the same fast server as "q0", their owner."""
     held = {f"q{n}": router.fetch_and_store(f"q{n}") for n in range(24)}
     for one in router.balancer.servers.servers.values():
-        one.latency.average_ns, one.latency.uncrowded_ns, one.range_share = 20.0 * MILLI, 20.0 * MILLI, 1.0
+        one.latency.average_ns, one.latency.unloaded_ns, one.range_share = 20.0 * MILLI, 20.0 * MILLI, 1.0
     return [key for key in held if held[key] == held["q0"] == router.candidates(key)[0].endpoint.server]
 
 
@@ -83,7 +83,7 @@
     router = Router()
     router.fetch_and_store("k")
     for one in router.balancer.servers.servers.values():
-        one.latency.uncrowded_ns = 20.0 * MILLI
+        one.latency.unloaded_ns = 20.0 * MILLI
     _, (send,) = router.request("k")
     router.now += 2 * SECOND - MILLI
     (answer,) = router.end_attempt(send, api.AttemptStatus.TIMEOUT, elapsed=2 * SECOND - MILLI)
--- a/tests/policy/test_server.py
+++ b/tests/policy/test_server.py
@@ -20,7 +20,7 @@
     """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=routers), fleet(1))
     server = router.balancer.servers.servers["c0"]
-    server.latency.uncrowded_ns, server.latency.average_ns, server.latency.updated_at_ns = (
+    server.latency.unloaded_ns, server.latency.average_ns, server.latency.updated_at_ns = (
         SECOND / 10,
         2 * SECOND,
         router.now,
