--- a/rainhitch/policy/key_ranges.py
+++ b/rainhitch/policy/key_ranges.py
@@ -14,14 +14,14 @@
     def __init__(self) -> None:
         self.names: list[str] = []
         # All servers in range order, by the index of the range with which the list begins.
-        self.chains: dict[int, list[str]] = {}
+        self.preference_lists: dict[int, list[str]] = {}
 
     def set_servers(self, names: list[str]) -> bool:
         """Sets the servers, given as sorted ids; returns whether they differ from those before."""
         if names == self.names:
             return False
         self.names = names
-        self.chains = {}
+        self.preference_lists = {}
         return True
 
     def owner(self, key: str) -> str:
@@ -43,8 +43,8 @@
         """
         hash_value = crc32(key.encode())
         first, position = divmod(hash_value * len(self.names), HASH_SPACE_SIZE)
-        preference_list = self.chains.get(first)
+        preference_list = self.preference_lists.get(first)
         if preference_list is None:
             preference_list = self.names[first:] + self.names[:first]
-            self.chains[first] = preference_list
+            self.preference_lists[first] = preference_list
         return position / HASH_SPACE_SIZE, hash_value % SLOW_START_STEPS / SLOW_START_STEPS, preference_list
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -94,7 +94,7 @@
             and not balancer.origin_admission.reads_in_flight
             and not balancer.coalesced_reads
         )
-        assert len(balancer.placement.ranges.chains) <= 2
+        assert len(balancer.placement.ranges.preference_lists) <= 2
         assert len(bench.pools.draining_pools) <= 1 and bench.driver.request_bytes == 0
         assert (
             not clients.activity.awaited
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -385,5 +385,5 @@
         fleet.join(f"d{n:02}")
         fleet.leave(f"d{n:02}")
     assert len(memory.seen) == MAX_KEYS
-    assert len(fleet.routers[0].balancer.placement.ranges.chains) <= 5
+    assert len(fleet.routers[0].balancer.placement.ranges.preference_lists) <= 5
     assert len(fleet.routers[0].balancer.context.timers) < 10
