--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -61,25 +61,32 @@
     for.
     """
 
-    # Decided on arrival.
+    # Decided on arrival:
+
     # Rejected during a retry storm, as excess load or as too late; or, at any time, the limit of idempotency
     # keys is reached.
     OVERLOAD_CONTROL = "storm"
     # An earlier request with the same idempotency key did not end in time, or may have been executed.
     IDEMPOTENCY_KEY = "order"
-    # Decided at admission to the origin.
+
+    # Decided at admission to the origin:
+
     # The origin's throttle is on, and no token comes within the latency objective, or the request is over its
     # tenant's quota.
     NO_TOKEN = "throttle"
     WAIT_FOR_TOKEN = "buffer"  # waited for a token until the end of the latency objective
     READ_OF_ANOTHER_REQUEST = "fetch"  # waited that long for another request's read of the same key
-    # Decided before an attempt.
+
+    # Decided before an attempt:
+
     NO_SERVER_WITH_CAPACITY = "placement"  # no cache server that may hold the key has capacity
     ORIGIN_UNAVAILABLE = "origin"  # the origin is not listed, has no capacity, or failed the request
     NO_MORE_ATTEMPTS = "attempts"  # max_attempts reached, too little time left, or a repeat might do harm
     FLEET_READ_ALLOWANCE = "total"  # all routers together have used up their allowance of origin reads
     RETRY_BUDGET = "budget"  # the retry budget is used up
-    # Decided after a failed attempt.
+
+    # Decided after a failed attempt:
+
     OBJECTIVE_PASSED = "late"  # the latency objective has passed, and a later answer is worth nothing
     CACHE_FAILED = "error"  # a cache that reads the origin itself failed to read it
     SERVER_FULL = "full"  # a second server was full, or the first one for a request over its tenant's quota
