--- a/rainhitch/policy/origin_monitor.py
+++ b/rainhitch/policy/origin_monitor.py
@@ -79,7 +79,7 @@
     def _is_overloaded(self, ended: int) -> bool:
         """Returns whether there are more unhealthy outcomes than the slow tail of a healthy origin explains.
 
-        The limit is two standard deviations above the expected number, to avoid false alarms.
+        The limit is two standard deviations above the expected number, and at least 1, to avoid false alarms.
         """
         expected = ended * SLOW_TAIL_FRACTION
         return self.unhealthy > max(1.0, expected + 2 * math.sqrt(expected))
