--- a/rainhitch/policy/attempt_admission.py
+++ b/rainhitch/policy/attempt_admission.py
@@ -46,9 +46,10 @@
         return None
 
     def _origin_has_capacity(self, pending: PendingRequest, origin: Server) -> bool:
-        """Returns whether the origin is not overloaded for this request, by the rule for cache servers.
+        """Returns whether the origin is not overloaded for this request, or a probe of it is due.
 
-        Without this check, new requests would keep an overloaded origin overloaded.
+        The rule is that for cache servers, without the limit relative to the unloaded latency. Without this
+        check, new requests would keep an overloaded origin overloaded.
         """
         limit_ns = pending.request_class.latency_objective_ns * SLOW_ANSWER_FRACTION
         router_count = self.context.settings.router_count
