--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -41,7 +41,7 @@
         self.previous_ranges = KeyRanges()  # before the migration
         # Counted since the migration began.
         self.moved_keys = 0
-        self.reads_at_previous_holder = 0
+        self.total_hits_at_previous_holder = 0
         # Counted since the latest check of whether the migration is over.
         self.reads = 0
         self.hits_at_previous_holder = 0
@@ -54,7 +54,7 @@
         if self.began_at_ns < 0:
             self.context.schedule(SETTLED_CHECK_INTERVAL_NS, self._check_settled)
             self.moved_keys = 0
-            self.reads_at_previous_holder = 0
+            self.total_hits_at_previous_holder = 0
             self.previous_ranges.set_servers(before)
         self.began_at_ns = self.context.now_ns
         self._reset_interval()
@@ -75,7 +75,7 @@
         self.context.actions.append(
             api.LogLine(
                 f"key migration finished moved_keys={self.moved_keys} duration_s={age_ns / SECOND:.0f} "
-                f"reads_at_previous_owner={self.reads_at_previous_holder}"
+                f"reads_at_previous_owner={self.total_hits_at_previous_holder}"
             )
         )
 
@@ -89,7 +89,7 @@
     def hit_at_previous_holder(self) -> None:
         """Counts a hit at a key's previous holder."""
         self.hits_at_previous_holder += 1
-        self.reads_at_previous_holder += 1
+        self.total_hits_at_previous_holder += 1
 
     def take_token(self) -> bool:
         """Takes a token for the migration of one key; returns whether there was one.
