--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -17,30 +17,30 @@
 def test_other_routers_are_silent_after_many_intervals_without_gossip(
     intervals: int, routers_to_account_for: int
 ) -> None:
-    every = 200 * MILLI
-    router = Router(settings(gossip_interval_ns=every, router_count=60))
+    interval_ns = 200 * MILLI
+    router = Router(settings(gossip_interval_ns=interval_ns, router_count=60))
     assert router.balancer.servers.routers_to_account_for() == 60
     router.handle(api.GossipReceived([api.LatencyObservation("c0", 10 * MILLI)]))
-    router.balancer.context.now_ns = router.now + intervals * every
+    router.balancer.context.now_ns = router.now + intervals * interval_ns
     assert router.balancer.servers.routers_to_account_for() == routers_to_account_for
 
 
-def router_with_late_attempt(goes_on: bool = True) -> tuple[Router, api.StartAttempt, Server]:
+def router_with_late_attempt(keeps_answering: bool = True) -> tuple[Router, api.StartAttempt, Server]:
     """Returns a router that gossips, its one attempt in flight, and the attempt's server.
 
-    The server is known to answer in 100 ms. With `goes_on` it has answered an attempt that was sent earlier.
+    The server is known to answer in 100 ms. With `keeps_answering` it has answered an attempt that was sent earlier.
     """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=60), fleet(2))
     router.handle(api.GossipReceived([api.LatencyObservation(f"c{n}", SECOND // 10) for n in (0, 1)]))
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     router.wait(50 * MILLI)
-    if goes_on:
+    if keeps_answering:
         router.handle(api.AttemptFinished("before", 0, send.server, S.OK, True, 110 * MILLI))
     return router, send, router.balancer.servers.servers[send.server]
 
 
-def ages_published(actions: list[api.Action], name: str) -> list[int]:
+def published_ages(actions: list[api.Action], name: str) -> list[int]:
     """Returns the published ages of attempts in flight at this server."""
     observations = [
         seen for one in actions if isinstance(one, api.PublishGossip) for seen in one.observations
@@ -57,11 +57,11 @@
     """
     router, send, server = router_with_late_attempt()
     before = server.latency.average_ns
-    assert ages_published(router.wait(100 * MILLI), send.server) == [] and server.latency.average_ns == before
-    ages_ns = ages_published(router.wait(1500 * MILLI), send.server)
+    assert published_ages(router.wait(100 * MILLI), send.server) == [] and server.latency.average_ns == before
+    ages_ns = published_ages(router.wait(1500 * MILLI), send.server)
     assert ages_ns and max(ages_ns) > SECOND and server.latency.average_ns > 2 * before
     router.end_attempt(send, S.OK, 0, 1650 * MILLI)
-    assert ages_published(router.wait(3 * SECOND), send.server) == []
+    assert published_ages(router.wait(3 * SECOND), send.server) == []
     assert not router.balancer.servers.gossip.in_flight
 
 
@@ -71,17 +71,17 @@
     A zone was cut off, and its servers counted as overloaded long after that. Attempts at a server that does
     not answer any router must not raise its latency.
     """
-    router, send, server = router_with_late_attempt(goes_on=False)
+    router, send, server = router_with_late_attempt(keeps_answering=False)
     before = server.latency.average_ns
     assert (
-        ages_published(router.wait(1500 * MILLI), send.server) == [] and server.latency.average_ns == before
+        published_ages(router.wait(1500 * MILLI), send.server) == [] and server.latency.average_ns == before
     )
 
 
 def test_an_attempt_that_is_not_overdue_is_not_published() -> None:
     router, send, server = router_with_late_attempt()
     server.latency.average_ns = server.latency.unloaded_ns = float(SECOND)
-    assert ages_published(router.wait(1500 * MILLI), send.server) == []
+    assert published_ages(router.wait(1500 * MILLI), send.server) == []
 
 
 def test_a_silent_connection_to_a_server_that_answers_later_attempts_is_not_published() -> None:
@@ -94,7 +94,7 @@
     router.handle(api.AttemptFinished("x", 0, send.server, S.OK, True, 20 * MILLI))
     router.wait(400 * MILLI)
     assert (
-        ages_published(router.wait(1500 * MILLI), send.server) == []
+        published_ages(router.wait(1500 * MILLI), send.server) == []
         and server.latency.average_ns < SECOND / 8
     )
 
@@ -109,13 +109,13 @@
     router.balancer.servers.gossip.received_at_ns = -SECOND * 1000
     before = server.latency.average_ns
     assert (
-        ages_published(router.wait(1500 * MILLI), send.server) == [] and server.latency.average_ns == before
+        published_ages(router.wait(1500 * MILLI), send.server) == [] and server.latency.average_ns == before
     )
 
 
-@pytest.mark.parametrize(("cls", "write", "ends"), [(0, False, True), (1, True, False), (2, True, False)])
+@pytest.mark.parametrize(("cls", "write", "is_cancelled"), [(0, False, True), (1, True, False), (2, True, False)])
 def test_a_read_whose_answer_is_lost_is_cancelled_and_sent_elsewhere(
-    cls: int, write: bool, ends: bool
+    cls: int, write: bool, is_cancelled: bool
 ) -> None:
     """Guards against reads that wait for a lost answer until their clients disconnect, seven seconds later.
 
@@ -130,14 +130,14 @@
     router.handle(gossip)
     name, (send,) = router.request("k", cls, write)
     assert isinstance(send, api.StartAttempt)
-    stops = []
+    cancellations = []
     for _ in range(6):
-        stops += [one for one in router.wait(200 * MILLI) if isinstance(one, api.CancelAttempt)]
-        assert not stops, "cancelled before its server answered an attempt that was sent much later"
+        cancellations += [one for one in router.wait(200 * MILLI) if isinstance(one, api.CancelAttempt)]
+        assert not cancellations, "cancelled before its server answered an attempt that was sent much later"
     router.handle(gossip)
-    stops += [one for one in router.wait(300 * MILLI) if isinstance(one, api.CancelAttempt)]
-    assert bool(stops) is ends and all(one == api.CancelAttempt(name, 0) for one in stops)
-    if ends:
+    cancellations += [one for one in router.wait(300 * MILLI) if isinstance(one, api.CancelAttempt)]
+    assert bool(cancellations) is is_cancelled and all(one == api.CancelAttempt(name, 0) for one in cancellations)
+    if is_cancelled:
         (again,) = router.end_attempt(send, S.TIMEOUT, 0, 1500 * MILLI)
         assert isinstance(again, api.StartAttempt) and again.server != send.server
 
