--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -28,7 +28,8 @@
 def router_with_late_attempt(keeps_answering: bool = True) -> tuple[Router, api.StartAttempt, Server]:
     """Returns a router that gossips, its one attempt in flight, and the attempt's server.
 
-    The server is known to answer in 100 ms. With `keeps_answering` it has answered an attempt that was sent earlier.
+    The server is known to answer in 100 ms. With `keeps_answering` it has answered an attempt that was sent
+    earlier.
     """
     router = Router(settings(gossip_interval_ns=200 * MILLI, router_count=60), fleet(2))
     router.handle(api.GossipReceived([api.LatencyObservation(f"c{n}", SECOND // 10) for n in (0, 1)]))
@@ -113,7 +114,9 @@
     )
 
 
-@pytest.mark.parametrize(("cls", "write", "is_cancelled"), [(0, False, True), (1, True, False), (2, True, False)])
+@pytest.mark.parametrize(
+    ("cls", "write", "is_cancelled"), [(0, False, True), (1, True, False), (2, True, False)]
+)
 def test_a_read_whose_answer_is_lost_is_cancelled_and_sent_elsewhere(
     cls: int, write: bool, is_cancelled: bool
 ) -> None:
@@ -136,7 +139,9 @@
         assert not cancellations, "cancelled before its server answered an attempt that was sent much later"
     router.handle(gossip)
     cancellations += [one for one in router.wait(300 * MILLI) if isinstance(one, api.CancelAttempt)]
-    assert bool(cancellations) is is_cancelled and all(one == api.CancelAttempt(name, 0) for one in cancellations)
+    assert bool(cancellations) is is_cancelled and all(
+        one == api.CancelAttempt(name, 0) for one in cancellations
+    )
     if is_cancelled:
         (again,) = router.end_attempt(send, S.TIMEOUT, 0, 1500 * MILLI)
         assert isinstance(again, api.StartAttempt) and again.server != send.server
