--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -1,4 +1,4 @@
-"""Keys that move when the list changes: several routers' decisions over a simulated fleet."""
+"""Key migration after changes of the server list, by several routers over a simulated fleet."""
 
 import math
 from collections import OrderedDict
@@ -13,8 +13,8 @@
 
 from rainhitch import interface as api
 from rainhitch.policy.decision_context import DecisionContext
-from rainhitch.policy.key_memory import KEYS_KEPT
-from rainhitch.policy.key_migration import MAX_MOVE_BURST, KeyMigration
+from rainhitch.policy.key_memory import MAX_KEYS
+from rainhitch.policy.key_migration import MAX_MIGRATION_BURST, KeyMigration
 from rainhitch.policy.key_popularity import KeyPopularity
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.throttle import Throttle
@@ -24,20 +24,23 @@
 
 @pytest.fixture(autouse=True)
 def no_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A key that a few requests repeat would count as hot; test_regressions.py has those."""
-    monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, servers: 0)
+    """Turns off hot keys: a key that a few requests repeat would count as hot.
+
+    Hot keys are tested in test_regressions.py.
+    """
+    monkeypatch.setattr(KeyPopularity, "count_and_spread", lambda self, key, server_count: 0)
 
 
 class SimulatedFleet:
-    """Caches that hold the latest keys, an origin that counts, and routers that read through them."""
+    """Caches with LRU eviction, an origin that counts its requests, and routers that read from both."""
 
     def __init__(self, nodes: int = 9, routers: int = 3, share: float = 0.5, memory: int = 200) -> None:
         self.memory = memory
         self.listed = {f"c{n:02}": api.Endpoint(f"c{n:02}") for n in range(nodes)}
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
-        self.origin: list[int] = []  # when it was asked
-        self.asked: list[tuple[int, str, str]] = []  # when, which server, and "hit" or "miss"
+        self.origin: list[int] = []  # times of the origin's requests
+        self.cache_reads: list[tuple[int, str, str]] = []  # time, server, "hit" or "miss"
         options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
@@ -46,16 +49,16 @@
 
     @property
     def now(self) -> int:
-        """The routers' time, ns."""
+        """The time of the routers, ns."""
         return self.routers[0].now
 
     def wait(self, delay: int) -> None:
-        """Lets so many ns pass at all routers."""
+        """Advances the time of all routers by `delay` ns."""
         for router in self.routers:
             router.wait(delay)
 
     def update_list(self, *members: api.Endpoint, to: Iterable[int] | None = None) -> None:
-        """Changes the endpoint list, at all routers or at those named."""
+        """Changes the endpoint list, at all routers or at those in `to`."""
         for member in members:
             self.listed[member.server] = member
             if member.state is api.EndpointState.GONE:
@@ -67,21 +70,21 @@
             self.routers[number].handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, list(members)))
 
     def join(self, name: str, to: Iterable[int] | None = None) -> None:
-        """Lists a new server."""
+        """Adds a server to the list."""
         self.update_list(api.Endpoint(name), to=to)
 
     def leave(self, name: str) -> None:
-        """Takes a server off the list."""
+        """Removes a server from the list."""
         self.update_list(api.Endpoint(name, api.EndpointState.GONE))
 
-    def order(self, key: str) -> None:
-        """A write is carried out: the origin drops the copies."""
+    def execute_write(self, key: str) -> None:
+        """Executes a write: the origin invalidates all cached copies."""
         self.versions[key] = self.versions.get(key, 0) + 1
         for cache in self.caches.values():
             cache.pop(key, None)
 
     def read(self, number: int, key: str) -> list[str]:
-        """Plays one read to its end; gives whom it was sent to."""
+        """Runs one read to its end; returns the servers of its attempts."""
         router = self.routers[number]
         name, actions = router.request(key)
         sent: list[str] = []
@@ -96,15 +99,15 @@
                 for one in missed[:2]:
                     self._store(one, key)
             else:
-                assert server in self.listed, "nothing goes to a server that is off the list"
+                assert server in self.listed, "attempt at a server that is not on the list"
                 held = self.caches[server].get(key)
                 status = S.OK if held is not None else S.MISS
-                assert held is None or held == self.versions.get(key, 0), "an old value was read"
+                assert held is None or held == self.versions.get(key, 0), "stale value read"
                 if held is None:
                     missed.append(server)
                 else:
                     self.caches[server].move_to_end(key)
-                self.asked.append((router.now, server, "hit" if held is not None else "miss"))
+                self.cache_reads.append((router.now, server, "hit" if held is not None else "miss"))
             closed = status is S.OK
             actions = router.handle(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
         return sent
@@ -117,17 +120,17 @@
             cache.popitem(last=False)
 
     def owner(self, key: str) -> str:
-        """The owner of a key, as the first router has it."""
+        """Returns the owner of a key at the first router."""
         return self.routers[0].balancer.placement.ranges.owner(key)
 
     def run(self, seconds: float, rate: int, keys: "Zipf") -> None:
-        """Reads at a rate, by the routers in turn."""
+        """Reads random keys at a rate, with the routers in turn."""
         for n in range(int(seconds * rate)):
             self.wait(SECOND // rate)
-            self.read(n % len(self.routers), keys.pick())
+            self.read(n % len(self.routers), keys.next_key())
 
     def load(self, begin: int, end: int) -> list[int]:
-        """Origin requests in each second between two instants."""
+        """Returns the origin requests in each second between two times."""
         counts = [0] * max(1, (end - begin) // SECOND)
         for at in self.origin:
             if begin <= at < begin + len(counts) * SECOND:
@@ -136,15 +139,15 @@
 
 
 class Zipf:
-    """Keys by popularity, and some that are wanted once."""
+    """Random keys with a Zipf distribution, and some that are read only once."""
 
     def __init__(self, keys: int, once: float = 0.05, seed: int = 1) -> None:
         self.random, self.keys, self.once, self.count = Random(seed), keys, once, 0
         self.weights = [1 / (rank + 5) for rank in range(keys)]
         self.drawn: list[int] = []
 
-    def pick(self) -> str:
-        """Draws a key."""
+    def next_key(self) -> str:
+        """Returns a random key."""
         if self.random.random() < self.once:
             self.count += 1
             return f"once{self.count}"
@@ -153,16 +156,19 @@
         return f"k{self.drawn.pop()}"
 
 
-def no_tokens(fleet: SimulatedFleet) -> None:
-    """Takes all routers' migration tokens."""
+def remove_tokens(fleet: SimulatedFleet) -> None:
+    """Removes the migration tokens of all routers."""
     for router in fleet.routers:
         bucket = router.balancer.migration.bucket
         bucket.tokens = 0.0
         bucket.refilled_at_ns = router.now
 
 
-def grown(share: float) -> tuple[float, int, SimulatedFleet]:
-    """A third more nodes in a warm fleet; the steady origin load, and the most in a second afterwards."""
+def grow_fleet(share: float) -> tuple[float, int, SimulatedFleet]:
+    """Adds a third more nodes to a warm fleet.
+
+    Returns the origin's steady load before, its highest load in a second after, and the fleet.
+    """
     fleet, keys = SimulatedFleet(share=share), Zipf(800)
     fleet.run(30, 200, keys)
     steady = sum(fleet.load(fleet.now - 10 * SECOND, fleet.now)) / 10
@@ -174,20 +180,20 @@
 
 
 def test_a_third_more_nodes_keep_the_origin_below_twice_its_steady_load() -> None:
-    steady, most, fleet = grown(0.5)
+    steady, most, fleet = grow_fleet(0.5)
     assert most < 2 * steady
-    assert grown(-1.0)[1] > 3 * steady  # all at once: what it guards against
-    # And the fleet ends on the new ranges.
+    assert grow_fleet(-1.0)[1] > 3 * steady  # without a limit, all keys migrate at once
+    # After the migration, keys are read at their new owners.
     assert all(router.balancer.migration.began_at_ns < 0 for router in fleet.routers)
     assert any("key migration finished" in line for line in fleet.routers[0].log)
     for n in range(100):
         for number in range(3):
             assert fleet.read(number, f"k{n}")[-1] == fleet.owner(f"k{n}")
-    fresh = [one for one in fleet.asked[-4000:] if one[1] in ("a00", "c04x", "d00")]
-    assert len(fresh) > 400  # three of twelve
+    new_server_reads = [one for one in fleet.cache_reads[-4000:] if one[1] in ("a00", "c04x", "d00")]
+    assert len(new_server_reads) > 400  # three of twelve servers are new
 
 
-def test_until_it_moves_a_key_is_read_where_it_is_held() -> None:
+def test_until_it_migrates_a_key_is_read_from_its_holder() -> None:
     fleet = SimulatedFleet(share=0.0, routers=1)
     for key in ("k1", "k2", "k3"):
         fleet.read(0, key)
@@ -196,13 +202,13 @@
         fleet.join(f"a{n:02}")
     away = [key for key in held if fleet.owner(key) != held[key]]
     assert away
-    no_tokens(fleet)
+    remove_tokens(fleet)
     for key in away:
         assert fleet.read(0, key) == [held[key]]
     assert len(fleet.origin) == 3
 
 
-def test_a_key_moves_by_one_origin_read_and_later_reads_find_it_moved() -> None:
+def test_a_key_migrates_by_one_origin_read_and_later_reads_hit_at_its_owner() -> None:
     fleet = SimulatedFleet(routers=3)
     for number in range(3):
         fleet.read(number, "k1")
@@ -218,17 +224,17 @@
     assert fleet.read(0, "k1") == [after, "origin"]
     assert fleet.read(1, "k1") == [after] and fleet.read(2, "k1") == [after]
     assert len(fleet.origin) == 2
-    assert fleet.routers[1].balancer.migration.bucket.tokens >= 1  # it cost the origin nothing
+    assert fleet.routers[1].balancer.migration.bucket.tokens >= 1  # put back, as the origin was not read
 
 
-def moved_away(fleet: SimulatedFleet, key: str) -> str:
-    """Lists servers until the key has another owner; gives who holds it."""
+def change_owner(fleet: SimulatedFleet, key: str) -> str:
+    """Adds servers until the key has another owner; returns the previous owner, which holds the key."""
     before = fleet.owner(key)
     for n in range(40):
         fleet.join(f"a{n:02}")
         if fleet.owner(key) != before:
             break
-    no_tokens(fleet)
+    remove_tokens(fleet)
     assert fleet.owner(key) != before
     return before
 
@@ -237,30 +243,30 @@
     fleet = SimulatedFleet(routers=2)
     for number in range(2):
         fleet.read(number, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet.caches[holder].clear()
-    fleet._store(fleet.owner("k1"), "k1")  # another router has moved it
+    fleet._store(fleet.owner("k1"), "k1")  # migrated by another router
     assert fleet.read(0, "k1") == [holder, fleet.owner("k1")]
     fleet.caches[fleet.owner("k1")].clear()
-    assert fleet.read(1, "k1") == [holder, fleet.owner("k1"), "origin"]  # and stored at both
+    assert fleet.read(1, "k1") == [holder, fleet.owner("k1"), "origin"]  # the value is stored at both
     assert "k1" in fleet.caches[fleet.owner("k1")]
 
 
 def test_the_last_attempt_is_left_for_the_origin() -> None:
-    for attempts, asked in ((2, 2), (3, 3)):
+    for attempts, sent_count in ((2, 2), (3, 3)):
         fleet = SimulatedFleet(routers=1)
         fleet.routers[0].balancer.settings.max_attempts = attempts
         fleet.read(0, "k1")
-        holder = moved_away(fleet, "k1")
+        holder = change_owner(fleet, "k1")
         fleet.caches[holder].clear()
         sent = fleet.read(0, "k1")
-        assert len(sent) == asked and sent[0] == holder and sent[-1] == "origin"
+        assert len(sent) == sent_count and sent[0] == holder and sent[-1] == "origin"
 
 
-def test_a_key_whose_holder_left_the_list_is_not_asked_for_there() -> None:
+def test_a_key_is_not_read_from_a_holder_that_left_the_list() -> None:
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet.leave(holder)
     assert holder not in fleet.read(0, "k1")
 
@@ -269,7 +275,7 @@
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
     holder = fleet.owner("k1")
-    no_tokens(fleet)
+    remove_tokens(fleet)
     fleet.update_list(api.Endpoint(holder, api.EndpointState.RETIRING))
     assert fleet.owner("k1") != holder and fleet.read(0, "k1") == [holder]
     assert holder not in fleet.read(0, "never seen")
@@ -280,36 +286,36 @@
 def test_a_holder_that_was_restarted_holds_nothing() -> None:
     fleet = SimulatedFleet(routers=1)
     fleet.read(0, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet.wait(MILLI)
     fleet.update_list(api.Endpoint(holder, started_at_ns=fleet.now))
     assert fleet.read(0, "k1")[0] == fleet.owner("k1")
 
 
-def test_a_write_in_transition_leaves_no_old_value_to_be_read() -> None:
-    """The origin drops the copies at both; SimulatedFleet fails on an old value."""
+def test_a_write_during_a_migration_leaves_no_stale_value() -> None:
+    """The origin invalidates both copies; SimulatedFleet fails if a stale value is read."""
     fleet = SimulatedFleet(routers=2)
     for number in range(2):
         fleet.read(number, "k1")
-    holder = moved_away(fleet, "k1")
+    holder = change_owner(fleet, "k1")
     fleet._store(fleet.owner("k1"), "k1")
-    fleet.order("k1")
+    fleet.execute_write("k1")
     for number in (0, 1, 0, 1):
         assert fleet.read(number, "k1")
     assert holder in fleet.caches
 
 
-def test_no_key_moves_while_the_throttle_is_short_and_they_go_on_afterwards() -> None:
+def test_no_key_migrates_while_the_throttle_is_short_of_tokens() -> None:
     context = DecisionContext(router_settings(), 1)
     admission = OriginAdmission(context, lambda pending: None, lambda pending: None)
     migration = KeyMigration(context, admission)
     context.now_ns = START
-    migration.bucket.tokens, migration.bucket.refilled_at_ns = MAX_MOVE_BURST, START
+    migration.bucket.tokens, migration.bucket.refilled_at_ns = MAX_MIGRATION_BURST, START
     throttle = admission.monitor.throttle = Throttle(START, 10.0, 10)
     throttle.level = throttle.bank - 1
-    assert not migration.take_move_token()
+    assert not migration.take_token()
     throttle.level = throttle.bank
-    assert migration.take_move_token()
+    assert migration.take_token()
 
 
 @given(
@@ -322,20 +328,20 @@
     context = DecisionContext(router_settings(migration_fraction=share), 1)
     migration = KeyMigration(context, OriginAdmission(context, lambda pending: None, lambda pending: None))
     context.now_ns = START
-    besides, taken = [], []
+    other_requests, taken = [], []
     for step, asks in steps:
         context.now_ns += step
-        if asks and migration.take_move_token():
+        if asks and migration.take_token():
             taken.append(context.now_ns)
         elif not asks:
             migration.origin_request_sent(False)
-            besides.append(context.now_ns)
+            other_requests.append(context.now_ns)
     for n, begin in enumerate(taken):
         for m, end in enumerate(taken[n:], 1):
-            # What was sent besides long before still counts a little: e^-4 after 32 s.
-            near = sum(math.exp(min(0.0, (at - begin) / (8 * SECOND))) for at in besides if at <= end)
+            # Earlier requests still have a small weight: e^-4 after 32 s.
+            near = sum(math.exp(min(0.0, (at - begin) / (8 * SECOND))) for at in other_requests if at <= end)
             span = (end - begin) / SECOND
-            assert m <= MAX_MOVE_BURST + 1 + 0.2 * span + share * near * (1 + span / 8)
+            assert m <= MAX_MIGRATION_BURST + 1 + 0.2 * span + share * near * (1 + span / 8)
 
 
 @settings(max_examples=25)
@@ -370,14 +376,14 @@
     assert moved <= 2 * sum(len(one) for one in owners.values())
 
 
-def test_what_is_remembered_of_keys_is_bounded_whatever_the_churn() -> None:
+def test_the_state_kept_for_keys_is_bounded_under_churn() -> None:
     fleet = SimulatedFleet(nodes=4, routers=1)
     memory = fleet.routers[0].balancer.key_memory
-    for n in range(KEYS_KEPT + 100):
+    for n in range(MAX_KEYS + 100):
         memory.remember(f"k{n}", n, "c00")
     for n in range(50):
         fleet.join(f"d{n:02}")
         fleet.leave(f"d{n:02}")
-    assert len(memory.seen) == KEYS_KEPT
-    assert len(fleet.routers[0].balancer.placement.ranges.chains) <= 5
+    assert len(memory.seen) == MAX_KEYS
+    assert len(fleet.routers[0].balancer.placement.ranges.preference_lists) <= 5
     assert len(fleet.routers[0].balancer.context.timers) < 10
--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -1,6 +1,6 @@
-"""What is shared by all routers, as the decisions heed it.
+"""Limits of the decisions: quotas and allowances shared by all routers, and this router's own connections.
 
-Parts of a customer's share, totals, and this router's own connections, of which no other server has more.
+A router without a free local connection has none for any other server either.
 """
 
 import pytest
@@ -12,49 +12,52 @@
 QUOTA = 40.0
 
 
-def of_two(**changes: object) -> Router:
-    """A router of ten, and two customers."""
+def two_tenant_router(**changes: object) -> Router:
+    """Returns one of ten routers, with two tenants."""
     return Router(settings(router_count=10, tenants=[api.Tenant(QUOTA), api.Tenant(QUOTA)], **changes))
 
 
-def marked(router: Router, rate: int, seconds: int, fractions: list[float] | None) -> float:
-    """Which part of the second customer's requests is taken to be beyond its share."""
-    beyond = 0
+def over_quota_fraction(router: Router, rate: int, seconds: int, fractions: list[float] | None) -> float:
+    """Returns the fraction of the second tenant's requests that count as over its quota."""
+    over_quota_count = 0
     for n in range(rate * seconds):
         router.wait(SECOND // rate)
         if fractions is not None:
             router.handle(api.TrafficFractions(fractions, SECOND))
-        beyond += router.balancer.tenant_quotas.count_and_check_quota(
+        over_quota_count += router.balancer.tenant_quotas.count_and_check_quota(
             api.Request(str(n), 0, 0, "k", tenant=1)
         )
-    return beyond / (rate * seconds)
+    return over_quota_count / (rate * seconds)
 
 
 def test_a_tenant_within_its_quota_is_never_over_quota_however_unevenly_its_traffic_comes() -> None:
-    """Guards small customers.
+    """Guards against requests within the quota that count as over it.
 
-    Nearly all of one's requests come to this router, which took a tenth of its share for its part of it, or
-    the median customer's for all.
+    Nearly all requests of a small tenant came to one router, which enforced a tenth of its quota, or the
+    fraction of the median tenant.
     """
-    assert marked(of_two(), 30, 20, [0.0, 0.9]) == 0
-    assert marked(of_two(), 30, 20, None) > 0.5, "what it reckons alone"
+    assert over_quota_fraction(two_tenant_router(), 30, 20, [0.0, 0.9]) == 0
+    assert over_quota_fraction(two_tenant_router(), 30, 20, None) > 0.5, "the estimate must be lower"
 
 
 @pytest.mark.parametrize(("part", "wanted"), [(0.5, 0.5), (1.0, 0.0), (0.25, 0.75), (0.0, 0.9)])
 def test_requests_beyond_the_routers_fraction_of_the_quota_are_over_quota(part: float, wanted: float) -> None:
-    assert marked(of_two(), int(QUOTA), 30, [0.0, part]) == pytest.approx(wanted, abs=0.05)
+    assert over_quota_fraction(two_tenant_router(), int(QUOTA), 30, [0.0, part]) == pytest.approx(
+        wanted, abs=0.05
+    )
 
 
 def test_a_single_fraction_holds_for_all_tenants() -> None:
-    assert marked(of_two(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
+    assert over_quota_fraction(two_tenant_router(), int(QUOTA), 30, [0.5]) == pytest.approx(0.5, abs=0.05)
 
 
 def test_a_surge_of_all_tenants_gives_no_router_more_than_the_whole_quota() -> None:
-    """Guards a router that hears nobody.
+    """Guards against an estimated traffic fraction above 1 at a router without counts from the others.
 
-    Ten times the load of all customers was taken for ten times its part, and nothing was marked for seconds.
+    Ten times the load of all tenants was taken for ten times the router's fraction, and no request counted as
+    over quota for seconds.
     """
-    router = of_two()
+    router = two_tenant_router()
     for n in range(4000):
         router.wait(SECOND // 800)
         router.balancer.tenant_quotas.count_and_check_quota(api.Request(f"a{n}", 0, 0, "k", tenant=0))
@@ -63,17 +66,17 @@
 
 
 def test_a_traffic_fraction_expires() -> None:
-    router = of_two()
+    router = two_tenant_router()
     router.handle(api.TrafficFractions([1.0, 1.0], SECOND))
     router.wait(2 * SECOND)
-    assert marked(router, int(QUOTA), 10, None) > 0.5
+    assert over_quota_fraction(router, int(QUOTA), 10, None) > 0.5
 
 
 def test_a_request_without_a_local_connection_is_rejected_at_once() -> None:
-    """Guards the budget for retries.
+    """Guards against retries for lack of local connections, which use up the retry budget.
 
-    A full table of its own was tried five times a request at as many servers, and nothing was left for those
-    whose server had failed.
+    A router at its own connection limit tried five servers per request, and nothing of the budget was left
+    for requests whose server had failed.
     """
     router = Router(settings(), fleet(6))
     before = {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()}
@@ -105,11 +108,11 @@
         return left[0] >= 0
 
     router.balancer.attempt_admission.fleet_read_allowance = allowance
-    how = []
+    outcomes = []
     for n in range(3):
         _, (send,) = router.request(f"k{n}")
-        how.append(router.end_attempt(send, S.MISS)[0])
-    assert isinstance(how[0], api.StartAttempt)
-    assert [one.reason for one in how[1:] if isinstance(one, api.Reject)] == ["total", "total"]
+        outcomes.append(router.end_attempt(send, S.MISS)[0])
+    assert isinstance(outcomes[0], api.StartAttempt)
+    assert [one.reason for one in outcomes[1:] if isinstance(one, api.Reject)] == ["total", "total"]
     name, (send,) = router.request("w", 1, write=True)
-    assert isinstance(send, api.StartAttempt) and send.id == name, "orders are not in it"
+    assert isinstance(send, api.StartAttempt) and send.id == name, "writes must not need the allowance"
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -1,4 +1,4 @@
-"""A zone that can't be reached is known as such after a few failures, and not by chance."""
+"""Detection of unreachable zones after a few failures, without false positives by chance."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -58,26 +58,26 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 5), st.integers(0, 2)), max_size=200))
 def test_a_zone_gets_an_attempt_within_sixteen_seconds_and_is_unreachable_on_enough_failures_only(
-    course: list[tuple[bool, int, int]],
+    events: list[tuple[bool, int, int]],
 ) -> None:
-    zones, now, row = ZoneReachability(SECOND), START, {zone: set[int]() for zone in range(3)}
-    zones.set_zones(set(row))
-    for failed, server, zone in course:
+    zones, now, failed_servers = ZoneReachability(SECOND), START, {zone: set[int]() for zone in range(3)}
+    zones.set_zones(set(failed_servers))
+    for failed, server, zone in events:
         now += SECOND // 10
         if zones.may_be_tried(zone, now):
             zones.attempt_started(zone, now)
         if failed:
             zones.record_failure(zone, str(server), now)
-            row[zone].add(server)
+            failed_servers[zone].add(server)
         else:
             zones.record_answer(zone)
-            row[zone].clear()
-        assert zones.is_unreachable(zone) == (len(row[zone]) >= FAILED_SERVERS_TO_EJECT_ZONE)
-        assert all(zones.may_be_tried(one, now + 16 * SECOND) for one in row)
+            failed_servers[zone].clear()
+        assert zones.is_unreachable(zone) == (len(failed_servers[zone]) >= FAILED_SERVERS_TO_EJECT_ZONE)
+        assert all(zones.may_be_tried(one, now + 16 * SECOND) for one in failed_servers)
 
 
 def cut_off(router: Router) -> int:
-    """Fails what goes to zone 1, as a link that is cut does; gives how many attempts it took."""
+    """Fails all attempts in zone 1, like a broken network link; returns the number of failed attempts."""
     failed = 0
     for n in range(200):
         _, actions = router.request(f"key{n}")
@@ -93,10 +93,10 @@
     return failed
 
 
-def test_a_zone_cut_off_costs_a_few_attempts_and_not_some_at_each_server() -> None:
-    """A link to a zone was cut, and requests spent all their attempts on servers behind it.
+def test_an_unreachable_zone_costs_a_few_attempts_in_all() -> None:
+    """Guards against requests that spend all their attempts in an unreachable zone.
 
-    After failures at a few of its servers the zone has to be passed over.
+    The network link to a zone was broken. After failures at a few of its servers the zone must be skipped.
     """
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     assert cut_off(router) <= FAILED_SERVERS_TO_EJECT_ZONE + 1
@@ -105,23 +105,24 @@
 
 
 def zone_comes_back(router: Router, reused: bool) -> api.StartAttempt:
-    """Cuts zone 1 off for two seconds, and has its trial answered."""
+    """Makes zone 1 unreachable for two seconds; returns the attempt there that is then answered."""
     cut_off(router)
     router.wait(2 * SECOND)
     for n in range(99):
         _, (send, *_) = router.request(f"after{n}")
         assert isinstance(send, api.StartAttempt)
-        home = router.balancer.servers.servers[send.server].endpoint.zone
+        zone = router.balancer.servers.servers[send.server].endpoint.zone
         router.end_attempt(send, S.OK, 0, 10 * MILLI, reused=reused)
-        if home == 1:
+        if zone == 1:
             return send
     raise AssertionError("the zone was never tried again")
 
 
 def test_a_zone_that_comes_back_is_in_slow_start_until_a_server_proves_otherwise() -> None:
-    """A zone that was lost came back with cold caches at all its servers, before the list said so.
+    """Guards against full load on cold servers when a lost zone returns.
 
-    Each of them has to be taken as started anew (rule 4).
+    All its servers had cold caches, and the endpoint list reported their restart later. Each of them must
+    count as restarted (rule 4).
     """
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=False)
@@ -134,7 +135,7 @@
     )
 
 
-def test_a_zone_whose_connections_outlived_the_cut_needs_no_slow_start() -> None:
+def test_a_zone_whose_connections_survived_needs_no_slow_start() -> None:
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=True)
     assert router.balancer.servers.servers[first.server].slow_start.started_at_ns == 0
