--- a/rainhitch/overload/__init__.py
+++ b/rainhitch/overload/__init__.py
@@ -1,5 +1,5 @@
-"""Overload control: storms of retries and reconnects are detected, limited, and paced out.
+"""Overload control: detects storms of retries and reconnects and limits the load they cause.
 
-`OverloadController` in `controller.py` is the entry point of the router's host and of its decisions. No
-module here does I/O or reads a clock: the time is passed in, in ns.
+`OverloadController` in `controller.py` is the entry point for the router's host and for its decisions. No
+module in this package does I/O or reads a clock: callers pass the time in, in ns.
 """
--- a/rainhitch/overload/accept_pacer.py
+++ b/rainhitch/overload/accept_pacer.py
@@ -1,17 +1,17 @@
-"""Pacing of accepted connections, so that new connections leave CPU time to requests in flight.
+"""Paces accepted connections so that new connections leave CPU time to requests in flight.
 
-A token bucket of accepts. Its fill rate follows the router's own timer delay: a delayed timer cuts the rate
-by `CUT_FACTOR`, each period without one raises it by `RAISE_FACTOR`. A connection that is not accepted stays
-in the kernel's backlog until the bucket has filled again. The rate never falls below its minimum, so that the
-backlog is not starved; without delays it stands at its maximum, and no connection waits.
+A token bucket limits accepts. Its fill rate follows the delay of the router's own timers: an interval with a
+delayed timer multiplies the rate by `CUT_FACTOR`, an interval without one by `RAISE_FACTOR`. A connection
+that is not accepted waits in the kernel's backlog until the bucket has refilled. The rate never falls below
+its minimum, so the backlog is never starved. Without timer delays it is at its maximum and accepts do not wait.
 """
 
 NS_PER_S = 1_000_000_000
-DELAY_LIMIT_NS = NS_PER_S // 50  # a timer later than this cuts the rate
-ADJUST_INTERVAL_NS = NS_PER_S // 20  # between two changes of the rate
+DELAY_LIMIT_NS = NS_PER_S // 50  # a timer delay above this cuts the rate
+ADJUST_INTERVAL_NS = NS_PER_S // 20  # least time between two changes of the rate
 CUT_FACTOR = 0.6
 RAISE_FACTOR = 1.15
-BURST_S = 0.05  # the bucket holds what the rate gives in this time, and one connection at least
+BURST_S = 0.05  # the bucket holds the tokens of this time, and at least one
 
 
 class AcceptPacer:
@@ -27,11 +27,11 @@
         self.max_delay_ns = 0  # largest timer delay since the last adjustment
 
     def record_delay(self, delay_ns: int) -> None:
-        """Records how late a timer of the router fired, ns."""
+        """Records by how many ns a timer of the router fired late."""
         self.max_delay_ns = max(self.max_delay_ns, delay_ns)
 
     def pause_after_accept_ns(self, now_ns: int) -> int:
-        """Counts one accepted connection; returns for how long no further one should be accepted, ns."""
+        """Counts one accepted connection and returns the pause before the next accept, ns."""
         self._adjust_rate(now_ns)
         gained = (now_ns - self.filled_at_ns) * self.rate_per_s / NS_PER_S
         capacity = max(1.0, self.rate_per_s * BURST_S)
