--- a/rainhitch/overload/accept_pacer.py
+++ b/rainhitch/overload/accept_pacer.py
@@ -3,7 +3,7 @@
 A token bucket limits accepts. Its fill rate follows the delay of the router's own timers: an interval with a
 delayed timer multiplies the rate by `CUT_FACTOR`, an interval without one by `RAISE_FACTOR`. A connection
 that is not accepted waits in the kernel's backlog until the bucket has refilled. The rate never falls below
-its minimum, so the backlog is never starved. Without timer delays it is at its maximum and accepts do not wait.
+its minimum, so the backlog is never starved. Without timer delays it is at its maximum: no accept waits.
 """
 
 NS_PER_S = 1_000_000_000
--- a/rainhitch/overload/concurrency_limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -1,13 +1,16 @@
-"""Adaptive concurrency limit: how many requests are in flight at the cache servers at once during a storm.
-
-AIMD on late answers. In each period the good ends (answers within their time) are compared with the bad ones
-(later answers, time-outs, full servers). A bad fraction over `TOLERATED_BAD_FRACTION` cuts the limit, once
-for all that started before the last cut; a good period in which a request was rejected raises it.
-docs/design/storms.md tells why neither a gradient, nor CoDel, nor the age of a queue alone is used.
-
-Priorities share the limit as in DAGOR (Zhou and others, "Overload Control for Scaling WeChat Microservices",
-2018): each may fill a fraction of it, so that the lowest is rejected first. Apart from them, while both first
-attempts and retries arrive, each kind keeps `reserved_fraction` of the limit that the other cannot fill.
+"""Adaptive concurrency limit: the number of requests in flight at the cache servers at once during a storm.
+
+The limit is adjusted by the outcomes of attempts: it is cut by a multiplicative decrease, and raised by a
+fraction of itself. An answer in time is a good outcome; a late answer, a time-out or a full server is a bad
+one. A period whose fraction of bad outcomes exceeds `TOLERATED_BAD_FRACTION` cuts the limit. Attempts that
+started before the last cut are not counted, so that one overload causes one cut. A good period in which a
+request was rejected raises the limit. docs/design/storms.md explains why neither a gradient, nor CoDel, nor
+the age of a queue alone is used.
+
+Priorities share the limit as in DAGOR (Zhou et al., "Overload Control for Scaling WeChat Microservices",
+2018): each priority may fill a fraction of the limit, so the lowest is rejected first. Independently of
+priorities, `reserved_fraction` of the limit is reserved for first attempts, and as much for retries, while
+both arrive.
 """
 
 from collections import deque
@@ -15,14 +18,14 @@
 from enum import IntEnum
 
 NS_PER_S = 1_000_000_000
-TOLERATED_BAD_FRACTION = 0.1  # of a period's ends
-MIN_ENDS_TO_JUDGE = 4  # in a period; with fewer the limit stays
-RAISE_FRACTION = 1 / 8  # of the limit, in a good period that used it
-# The same between a storm's start and its first cut, when the capacity is not known yet and is searched for.
+TOLERATED_BAD_FRACTION = 0.1  # fraction of a period's outcomes that may be bad without a cut
+MIN_ENDS_TO_JUDGE = 4  # a period with fewer outcomes does not change the limit
+RAISE_FRACTION = 1 / 8  # increase of the limit, as a fraction of it, after a good period that used it up
+# RAISE_FRACTION from a storm's start to its first cut, while the capacity is unknown and searched for.
 SEARCH_FRACTION = 1 / 2
-INITIAL_FACTOR = 4.0  # a storm starts with this times the peak in flight of normal periods
-NORMAL_PERIODS_REMEMBERED = 32  # peaks of these set the limit that a storm starts with
-DEMAND_WINDOW_NS = NS_PER_S  # a kind of attempt counts as arriving for so long after its last arrival
+INITIAL_FACTOR = 4.0  # a storm starts with a limit of this times the normal peak of requests in flight
+NORMAL_PERIODS_REMEMBERED = 32  # number of normal periods whose peaks set the limit at a storm's start
+DEMAND_WINDOW_NS = NS_PER_S  # a kind of attempt counts as arriving for this time after its last arrival
 
 
 class Priority(IntEnum):
@@ -44,17 +47,17 @@
 
 @dataclass(slots=True)
 class AttemptKind:
-    """First attempts, or retries, under the limit."""
+    """State of one kind of attempt under the limit: first attempts or retries."""
 
     in_flight: int = 0
     last_arrival_ns: int = -DEMAND_WINDOW_NS
 
 
 class AdaptiveConcurrencyLimit:
-    """The limit and what is in flight under it, in requests.
+    """The concurrency limit and the number of requests in flight under it.
 
-    `period_ns` is the time between two adjustments, `min_limit` the least limit, `reserved_fraction` the part
-    of the limit that first attempts and retries each keep.
+    `period_ns` is the time between two adjustments, `min_limit` the lower bound of the limit, and
+    `reserved_fraction` the fraction of the limit that is reserved for first attempts and for retries each.
     """
 
     def __init__(self, period_ns: int, min_limit: int, reserved_fraction: float) -> None:
@@ -64,24 +67,24 @@
         self.limit = float(min_limit)
         self.first_attempts = AttemptKind()
         self.retries = AttemptKind()
-        self.peak_in_flight = 0  # in this period
+        self.peak_in_flight = 0  # most requests in flight in the current period
         self.normal_peaks: deque[int] = deque(maxlen=NORMAL_PERIODS_REMEMBERED)
-        self.good_ends = 0  # in this period, as `bad_ends`
-        self.bad_ends = 0
-        self.rejected = 0  # since the last judged period: above 0, the limit is in use
+        self.good_ends = 0  # good outcomes in the current period
+        self.bad_ends = 0  # bad outcomes in the current period
+        self.rejected = 0  # rejections since the last judged period; above 0, the limit was used up
         self.cut_at_ns = 0
         self.adjusted_at_ns = 0
-        self.is_searching = True  # no cut yet in this storm
+        self.is_searching = True  # there was no cut yet in this storm
 
     @property
     def in_flight(self) -> int:
-        """Requests in flight, first attempts and retries."""
+        """Number of requests in flight, first attempts and retries together."""
         return self.first_attempts.in_flight + self.retries.in_flight
 
     def try_admit(self, now_ns: int, priority: Priority, is_retry: bool) -> bool:
-        """Returns whether one more request of this priority fits under the limit.
+        """Returns whether one more request of this priority and kind of attempt fits under the limit.
 
-        Counts the arrival of its kind, and the rejection where it does not fit.
+        Records the arrival of the kind of attempt, and counts a rejection if the request does not fit.
         """
         admitted = self._fits(now_ns, priority, is_retry)
         if not admitted:
@@ -93,9 +96,8 @@
         other = self._kind(not is_retry)
         kind.last_arrival_ns = now_ns
         if now_ns - other.last_arrival_ns < DEMAND_WINDOW_NS:
-            # Guards first attempts against a flood of retries, and retries against a flood of first attempts:
-            # the kind that came first, and in numbers, filled the limit and the other was rejected
-            # throughout.
+            # Guards first attempts against a flood of retries, and retries against a flood of first attempts.
+            # Without it the kind that arrives first in large numbers fills the limit and the other starves.
             in_flight_of_kind = kind.in_flight + 1
             if in_flight_of_kind > self.limit * (1 - self.reserved_fraction):
                 return False
@@ -107,18 +109,18 @@
         return self.retries if is_retry else self.first_attempts
 
     def attempt_started(self, is_retry: bool) -> None:
-        """Counts an attempt as in flight."""
+        """Counts an attempt that is now in flight."""
         self._kind(is_retry).in_flight += 1
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def attempt_ended(self, is_retry: bool) -> None:
-        """Counts an attempt as no longer in flight."""
+        """Removes an attempt that has ended from the number in flight."""
         self._kind(is_retry).in_flight -= 1
 
     def record_end(self, is_good: bool, started_at_ns: int) -> None:
-        """Records how an attempt ended.
+        """Records the outcome of an attempt.
 
-        One that started before the last cut is left out: it does not show what the cut brought.
+        An attempt that started before the last cut is ignored: its outcome does not show the cut's effect.
         """
         if started_at_ns < self.cut_at_ns:
             return
@@ -128,9 +130,9 @@
             self.bad_ends += 1
 
     def step(self, now_ns: int, is_limiting: bool) -> None:
-        """Adjusts the limit once a period.
+        """Adjusts the limit once per period.
 
-        `is_limiting`: a storm is on, and requests that do not fit under the limit are rejected.
+        `is_limiting` is true during a storm in which requests that do not fit under the limit are rejected.
         """
         if now_ns - self.adjusted_at_ns < self.period_ns:
             return
@@ -142,7 +144,7 @@
         self.peak_in_flight = self.in_flight
 
     def _follow_normal_load(self) -> None:
-        """Sets the limit that a storm would start with, from the peaks of periods without late answers."""
+        """Sets the limit that a storm would start with from the peaks of normal periods without overload."""
         ends = self.good_ends + self.bad_ends
         if self.bad_ends <= TOLERATED_BAD_FRACTION * max(ends, MIN_ENDS_TO_JUDGE):
             self.normal_peaks.append(self.peak_in_flight)
@@ -152,7 +154,7 @@
         self.is_searching = True
 
     def _adjust_in_storm(self, now_ns: int) -> None:
-        """Cuts the limit by half the bad fraction (multiplicative decrease), or raises it."""
+        """Cuts the limit by half the fraction of bad outcomes, or raises it if it was used up."""
         ends = self.good_ends + self.bad_ends
         if ends < MIN_ENDS_TO_JUDGE:
             return
