--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -1,9 +1,9 @@
-"""Entry point of overload control: what the decisions and the clients' side ask, and what they report.
+"""Entry point of overload control for the decision module and for the side that serves clients.
 
-The controller sees arrivals, connects, client retries, outcomes, and the delay of the router's timers. It
-decides whether a request is admitted, queued or rejected, when a rejected client should come back, whether
-one more retry of the router's own may be sent, and for how long accepting pauses. The decision module
-(`policy/`) chooses the server and gives each answer. Times are ns.
+The controller is told of arrivals, connects, client retries, outcomes of attempts and the delay of the
+router's timers. It decides whether a request is admitted, queued or rejected, when a rejected client should
+retry, whether the router may send one more retry of its own, and for how long accepting pauses. The decision
+module (`policy/`) chooses the server and produces each answer. Times are in ns.
 """
 
 from dataclasses import dataclass
@@ -19,49 +19,50 @@
 from rainhitch.overload.storm_detector import PERIOD_NS, RetryStormDetector
 
 NS_PER_S = 1_000_000_000
-HURRIED_FRACTION = 0.4  # of its latency objective: with less time left a request counts as hurried
-GOOD_END_FRACTION = 0.5  # of its latency objective, within which an answer is a good end for the limit
-LIMIT_PERIODS_PER_OBJECTIVE = 8  # the limit is adjusted so often within the shortest latency objective
-UPGRADE_GRACE_NS = 2 * NS_PER_S  # after the last sign of another process of this router
+HURRIED_FRACTION = 0.4  # a request with a smaller fraction of its latency objective left is hurried
+GOOD_END_FRACTION = 0.5  # an answer within this fraction of the latency objective is a good outcome
+LIMIT_PERIODS_PER_OBJECTIVE = 8  # adjustments of the limit within the shortest latency objective
+UPGRADE_GRACE_NS = 2 * NS_PER_S  # grace period after another process of this router was last seen
 
 
 @dataclass
 class OverloadOptions:
-    """What an operator may set; see docs/operate/storms.md. The names are those of the operator's file."""
+    """Options of overload control, under the names of the operator's file; see docs/operate/storms.md."""
 
-    damping: bool = True  # false: storms are detected and logged, and nothing is done about them
-    retry_share: float = 0.2  # retries of the router's own for each first attempt
-    retries_least: float = 10.0  # retries a second that are always allowed
-    least_in_work: int = 32  # least concurrency limit, requests
-    floor: float = 0.2  # fraction of the limit that first attempts and retries each keep
-    accepts_least: float = 100.0  # connections a second
-    accepts_most: float = 4000.0  # connections a second
-    orders: int = 4096  # idempotency keys remembered at once
+    damping: bool = True  # false: storms are detected and logged, but not acted on
+    retry_share: float = 0.2  # the router's own retries allowed per first attempt
+    retries_least: float = 10.0  # the router's own retries a second that are always allowed
+    least_in_work: int = 32  # lower bound of the concurrency limit, requests
+    floor: float = 0.2  # fraction of the limit reserved for first attempts and for retries each
+    accepts_least: float = 100.0  # lower bound of the accept rate, connections a second
+    accepts_most: float = 4000.0  # upper bound of the accept rate, connections a second
+    orders: int = 4096  # maximum number of idempotency keys remembered
 
 
 class RejectionCause(Enum):
-    """Why overload control did not let a request or a retry through."""
+    """Reason for which overload control rejected a request or a retry."""
 
     CONCURRENCY_LIMIT = "concurrency_limit"
-    TOO_LATE = "too_late"  # it would not be answered in the time that it has left
-    IDEMPOTENCY_KEY = "idempotency_key"  # no room for its key, or too many wait for it
-    RETRY_BUDGET = "retry_budget"  # a retry of the router's own
+    TOO_LATE = "too_late"  # the request would not be answered by its deadline
+    IDEMPOTENCY_KEY = "idempotency_key"  # no room for the key, or its queue is full
+    RETRY_BUDGET = "retry_budget"  # no budget for a retry of the router's own
 
 
 @dataclass(slots=True)
 class TrackedRequest:
-    """A request that has come and has no final answer yet."""
+    """A request that has arrived and has no final answer yet."""
 
     arrived_at_ns: int
     latency_objective_ns: int
-    is_retry: bool  # of the client's, as far as is known
-    over_quota: bool  # beyond its tenant's quota
+    is_retry: bool  # the request is a client's retry, as far as is known
+    over_quota: bool  # the request exceeds its tenant's quota
 
 
 def priority_of(request: api.Request, over_quota: bool, timing: ReturnTiming) -> Priority:
     """Returns a request's priority under the concurrency limit.
 
-    Over the tenant's quota it is low for any request; before the Retry-After time only for reads.
+    Any request over its tenant's quota has low priority, and so has a read that returns before its
+    Retry-After time. A write within the quota keeps its priority whenever it returns.
     """
     if over_quota:
         return Priority.LOW
@@ -73,9 +74,9 @@
 
 
 class OverloadController:
-    """Overload control of one router; see `interface.OverloadControl` for the part that the decisions use."""
+    """Overload control of one router; `interface.OverloadControl` is the part that the decisions use."""
 
-    period_ns = PERIOD_NS  # between two calls of `step`
+    period_ns = PERIOD_NS  # time between two calls of `step`
 
     def __init__(self, settings: api.Settings, seed: int, options: OverloadOptions | None = None) -> None:
         self.settings = settings
@@ -95,55 +96,56 @@
         self.detector = RetryStormDetector()
         self.accept_pacer = AcceptPacer(self.options.accepts_least, self.options.accepts_most)
         self.origin_kind = settings.origin_kind if settings.cache_aside else -1
-        self.requests: dict[str, TrackedRequest] = {}  # by id
-        self.cache_attempts: dict[tuple[str, int], TrackedRequest] = {}  # in flight, by id and number
+        self.requests: dict[str, TrackedRequest] = {}  # unanswered requests by id
+        # Attempts in flight at cache servers, by the request's id and the attempt's number.
+        self.cache_attempts: dict[tuple[str, int], TrackedRequest] = {}
         self.service = ServiceEstimate(self.options.floor)
-        self.rejections = dict.fromkeys(RejectionCause, 0)  # since the start, or since the last storm ended
+        self.rejections = dict.fromkeys(RejectionCause, 0)  # counted since the start or the last storm's end
 
     @property
     def storm_active(self) -> bool:
-        """Whether a storm is on."""
+        """Whether a storm is in progress."""
         return self.detector.storm_active
 
     @property
     def is_limiting(self) -> bool:
-        """Whether requests are rejected to end a storm."""
+        """Whether requests over the limit are rejected, which they are only during a storm."""
         return self.options.damping and self.detector.storm_active
 
     def connection_accepted(self, now_ns: int, open_connections: int) -> int:
-        """Counts an accepted connection; returns for how long no further one should be accepted, ns."""
+        """Counts an accepted connection and returns the pause before the next accept, ns."""
         self.detector.current.connects += 1
         self.detector.open_connections = open_connections
         return self.accept_pacer.pause_after_accept_ns(now_ns) if self.options.damping else 0
 
     def connection_rejected(self, now_ns: int) -> int:
-        """Counts a connection for which there was no room.
+        """Counts a connection rejected because the router has too many.
 
-        Returns after how long its client should come back, ns; 0 where no time may be given.
+        Returns the client's Retry-After time, ns; 0 if none may be given.
         """
         self.detector.current.connections_rejected += 1
         return self.retry_after.assign_ns(now_ns, self.service.returns_per_s()) if self.options.damping else 0
 
     def upgrade_peer_seen(self, now_ns: int) -> None:
-        """Notes that another process of this router runs, as in an upgrade.
+        """Records that another process of this router is running, as during an upgrade.
 
-        Its clients move to this process and the two share a core, so that for `UPGRADE_GRACE_NS` neither
-        connects nor timer delay are signs of a storm.
+        The other process's clients move to this one and the two share a core, so neither connects nor timer
+        delay count as signs of a storm for `UPGRADE_GRACE_NS`.
         """
         self.detector.upgrade_until_ns = now_ns + UPGRADE_GRACE_NS
 
     def timer_delayed(self, delay_ns: int) -> None:
-        """Records how late a timer of the router fired, ns."""
+        """Records by how many ns a timer of the router fired late."""
         counts = self.detector.current
         counts.max_timer_delay_ns = max(counts.max_timer_delay_ns, delay_ns)
         self.accept_pacer.record_delay(delay_ns)
 
     def admit(self, now_ns: int, request: api.Request, over_quota: bool) -> api.AdmissionDecision:
-        """Decides on a request that has come: admitted, queued behind its idempotency key, or rejected.
+        """Decides whether an arriving request is admitted, queued behind its idempotency key, or rejected.
 
-        `over_quota`: beyond its tenant's quota. Outside a storm only the idempotency key may hold it up. In
-        one, a request that is too late to be answered is rejected, and so is one that does not fit under the
-        limit.
+        `over_quota` is true for a request that exceeds its tenant's quota. Outside a storm only the
+        idempotency key may delay or reject a request. During a storm a request that is too late to be
+        answered is rejected, and so is one that does not fit under the limit.
         """
         key = request.idempotency_key
         key_is_known = bool(key) and self.idempotency_keys.is_known(now_ns, key)
@@ -172,7 +174,7 @@
     def _storm_rejection(
         self, now_ns: int, request: api.Request, priority: Priority, is_retry: bool
     ) -> RejectionCause | None:
-        """Returns why a request is rejected during a storm; None: it is not."""
+        """Returns the cause for which a request is rejected during a storm, or None if it is not rejected."""
         if request.deadline_ns - now_ns < self.service.answer_time_ns / 2:
             return RejectionCause.TOO_LATE
         if not self.concurrency_limit.try_admit(now_ns, priority, is_retry):
@@ -180,13 +182,13 @@
         return None
 
     def earlier_attempts(self, request: api.Request) -> list[tuple[int, api.Endpoint]]:
-        """Returns when and where other requests' attempts at this request's key may have been executed."""
+        """Returns start time and server of other requests' attempts with this key that may have executed."""
         return self.idempotency_keys.earlier_executions(request.idempotency_key, request.id)
 
     def take_retry_budget(self, now_ns: int, is_retry: bool) -> bool:
-        """Returns whether an attempt may be sent, and counts it if so.
+        """Returns whether an attempt may be sent, and counts the attempt if so.
 
-        `is_retry`: an earlier attempt of the same request failed; then the retry budget decides.
+        `is_retry` is true if an earlier attempt of the same request failed; then the retry budget decides.
         """
         if not is_retry:
             self.retry_budget.record_first_attempt(now_ns)
@@ -199,20 +201,20 @@
     def attempt_started(
         self, now_ns: int, request_id: str, number: int, endpoint: api.Endpoint, dedup_window_ns: int
     ) -> None:
-        """Records that an attempt is in flight.
+        """Records that an attempt is now in flight.
 
-        Its repeats are dropped at the endpoint for `dedup_window_ns`.
+        The endpoint drops repeats of the attempt for `dedup_window_ns`.
         """
         self.idempotency_keys.attempt_started(now_ns, request_id, number, endpoint, dedup_window_ns)
         tracked = self.requests.get(request_id)
         if tracked is not None and endpoint.kind != self.origin_kind:
-            # Guards cache hits against a slow origin: misses that waited for it filled the limit and hits
-            # were rejected. What waits for the origin is limited by the origin's own admission.
+            # Guards cache hits against a slow origin: if misses that wait for it counted, they would fill the
+            # limit and hits would be rejected. The origin's own admission limits what waits for the origin.
             self.cache_attempts[request_id, number] = tracked
             self.concurrency_limit.attempt_started(tracked.is_retry)
 
     def attempt_finished(self, now_ns: int, event: api.AttemptFinished) -> str:
-        """Records an attempt's end; returns the request that now holds its key, "" for none new."""
+        """Records an attempt's end; returns the id of the request to which its key has passed, or ""."""
         tracked = self.cache_attempts.pop((event.id, event.attempt), None)
         if tracked is not None:
             self.concurrency_limit.attempt_ended(tracked.is_retry)
@@ -225,9 +227,9 @@
         return self.idempotency_keys.attempt_finished(event.id, event.attempt, event.status)
 
     def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
-        """Records a request's final answer, or that its client has left.
+        """Records a request's final answer, or that its client has disconnected.
 
-        Returns the request that now holds its idempotency key, "" for none new.
+        Returns the id of the request to which its idempotency key has passed, or "".
         """
         tracked = self.requests.pop(request_id, None)
         if tracked is not None:
@@ -239,11 +241,11 @@
         return self.idempotency_keys.request_finished(request_id)
 
     def retry_after_ns(self, now_ns: int, request: api.Request) -> int:
-        """Returns after how long a rejected request should come again, ns; 0 where no time may be given.
+        """Returns the Retry-After time of a rejected request, ns; 0 if none may be given.
 
-        A first attempt within its quota is given a time that lets it be answered within its latency
-        objective, since a later answer is worth little; any other, one that lets it be answered by its
-        deadline.
+        A first attempt within its tenant's quota is given a time after which it can still be answered within
+        its latency objective, since a later answer is worth little. Any other request is given a time after
+        which it can still be answered by its deadline.
         """
         tracked = self.requests.get(request.id)
         answer_by_ns = request.deadline_ns
@@ -256,7 +258,7 @@
         )
 
     def step(self, now_ns: int) -> str:
-        """Ends a period: detects storms and adjusts the limit; returns a log line, "" for none."""
+        """Detects storms and adjusts the limit at the end of a period; returns a log line or ""."""
         counts = self.detector.current
         span_ns = now_ns - self.detector.period_began_at_ns
         line = self.detector.step(now_ns)
