--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -1,19 +1,21 @@
-"""Idempotency keys: at this router, one attempt of a key is in flight at a time.
+"""Idempotency keys: at most one request per key may have attempts in flight at this router.
 
-A client's retry of a keyed write is a request of its own: a new id, the same key. To the rules on requests
-the two are unrelated, and yet what the first may have executed, the second would execute again. So a key has
-one holder, the request that may start attempts, and a queue of requests that wait for it. The holder is done
-when it has its final answer and all its attempts have ended: an attempt whose client has left runs on. What
-may have been executed is remembered longer. The next holder inherits it, and goes on as if these were
-attempts of its own: within the scope that drops repeats, and while repeats are dropped there.
+A client's retry of a keyed write is a request of its own, with a new id and the same key. The rules on single
+requests treat the two as unrelated, yet the second could repeat a write that the first has executed. So a key
+has one holder, which is the only request that may start attempts, and a queue of requests that wait for the
+key. The holder releases the key when it has its final answer and all its attempts have ended: an attempt
+continues after its client has disconnected. Attempts that may have executed are remembered for longer. The
+next holder inherits them as if they were its own: it may retry only within the scope that drops repeats, and
+only while repeats are dropped there.
 
     unknown --admit--> HELD --admit of another request--> HELD, with a queue
-    HELD --holder finished, no attempt in flight--> HELD by the next of the queue, or IDLE
-    IDLE --admit--> HELD, with what it inherits
-    IDLE --remembered until--> unknown
+    HELD --holder finished, no attempt in flight--> HELD by the first request in the queue; without a queue
+        IDLE, or unknown if no attempt may have executed
+    IDLE --admit--> HELD, with the inherited attempts
+    IDLE --expiry--> unknown
 
-The number of keys and the length of a queue are bounded; beyond them a request is rejected before anything
-ran.
+The number of keys and the length of each queue are bounded. A request beyond these bounds is rejected before
+any of its attempts has started.
 """
 
 from collections import deque
@@ -22,54 +24,54 @@
 
 from rainhitch import interface as api
 
-MAX_KEYS = 4096  # remembered at once
-MAX_QUEUED = 8  # requests that wait for one key
+MAX_KEYS = 4096  # keys remembered at once
+MAX_QUEUED = 8  # requests waiting for one key
 
 AttemptId = tuple[str, int]  # the request's id and the attempt's number
-PossibleExecution = tuple[int, api.Endpoint]  # when an attempt started, ns, and at which server
+PossibleExecution = tuple[int, api.Endpoint]  # start time, ns, and server of an attempt
 
 
 class KeyAdmission(Enum):
-    """What a request may do about its idempotency key."""
+    """Result of a request's admission to its idempotency key."""
 
-    HELD = "held"  # it holds the key and may start attempts
-    QUEUED = "queued"  # it waits until it holds the key
-    REJECTED = "rejected"  # no room; nothing ran
+    HELD = "held"  # the request holds the key and may start attempts
+    QUEUED = "queued"  # the request waits until it holds the key
+    REJECTED = "rejected"  # too many keys or waiting requests; no attempt was started
 
 
 class KeyState(Enum):
     """State of a key that is remembered."""
 
     HELD = "held"
-    IDLE = "idle"  # no request holds it; what may have been executed is remembered
+    IDLE = "idle"  # no request holds the key; its attempts that may have executed are remembered
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """What is known of one idempotency key."""
+    """Holder, queue and attempts of one idempotency key."""
 
-    holder: str = ""  # id of the request that holds it, or held it last
+    holder: str = ""  # id of the request that holds the key, or held it last
     holder_unfinished: bool = False  # the holder has no final answer yet
     in_flight: set[AttemptId] = field(default_factory=set)
-    executed: dict[AttemptId, PossibleExecution] = field(default_factory=dict)  # what may have been executed
-    queue: deque[str] = field(default_factory=deque)  # ids of the requests that wait, the first come first
-    remembered_until_ns: int = 0  # an idle key is forgotten then
+    executed: dict[AttemptId, PossibleExecution] = field(default_factory=dict)
+    queue: deque[str] = field(default_factory=deque)  # ids of the waiting requests in order of arrival
+    remembered_until_ns: int = 0  # time at which an idle key expires
 
     @property
     def state(self) -> KeyState:
-        """The key's state: held while its holder is unfinished or an attempt is in flight."""
+        """State of the key: held while its holder is unfinished or an attempt is in flight."""
         return KeyState.HELD if self.holder_unfinished or self.in_flight else KeyState.IDLE
 
     def has_expired(self, now_ns: int) -> bool:
-        """Returns whether nothing of the key needs to be remembered any more."""
+        """Returns whether the key is idle and no longer needs to be remembered."""
         return self.state is KeyState.IDLE and now_ns >= self.remembered_until_ns
 
 
 class IdempotencyKeyGuard:
-    """The idempotency keys that this router knows.
+    """Guard against concurrent attempts with the same idempotency key at this router.
 
-    `client_patience_ns` is how long a client may take to come again: the longest deadline of a class.
-    `max_keys` and `max_queued` bound what is remembered and what waits for one key.
+    `client_patience_ns` is the time within which a client may retry: the longest deadline of a class.
+    `max_keys` bounds the number of keys remembered, `max_queued` the number of requests waiting for one key.
     """
 
     def __init__(
@@ -78,16 +80,15 @@
         self.client_patience_ns = client_patience_ns
         self.max_keys = max_keys
         self.max_queued = max_queued
-        self.records: dict[str, KeyRecord] = {}  # by key; the longest untouched first
-        self.key_of: dict[
-            str, str
-        ] = {}  # by id, of requests that hold a key, wait, or have an attempt in flight
+        self.records: dict[str, KeyRecord] = {}  # by key, in the order in which they were last held
+        # Key by request id, of requests that hold a key, wait for one, or have an attempt in flight.
+        self.key_of: dict[str, str] = {}
 
     def __len__(self) -> int:
         return len(self.records)
 
     def admit(self, now_ns: int, key: str, request_id: str) -> KeyAdmission:
-        """Returns what a request that has come may do about its key, and enters it there."""
+        """Makes an arriving request its key's holder, or queues or rejects it; returns which was done."""
         record = self.records.get(key)
         if record is not None and record.has_expired(now_ns):
             del self.records[key]
@@ -106,12 +107,12 @@
         return KeyAdmission.HELD
 
     def is_known(self, now_ns: int, key: str) -> bool:
-        """Returns whether a request with this key has come before and is remembered."""
+        """Returns whether an earlier request with this key is remembered."""
         record = self.records.get(key)
         return record is not None and not record.has_expired(now_ns)
 
     def earlier_executions(self, key: str, request_id: str) -> list[PossibleExecution]:
-        """Returns when and where other requests' attempts at this key may have been executed."""
+        """Returns start time and server of other requests' attempts with this key that may have executed."""
         record = self.records.get(key)
         if record is None:
             return []
@@ -120,7 +121,7 @@
     def attempt_started(
         self, now_ns: int, request_id: str, number: int, endpoint: api.Endpoint, dedup_window_ns: int
     ) -> None:
-        """Records the holder's attempt; repeats of it are dropped for `dedup_window_ns` at the endpoint."""
+        """Records the holder's attempt, whose repeats the endpoint drops for `dedup_window_ns`."""
         key = self.key_of.get(request_id)
         if key is None:
             return
@@ -132,7 +133,7 @@
         )
 
     def attempt_finished(self, request_id: str, number: int, status: api.AttemptStatus) -> str:
-        """Records an attempt's end; returns the request that holds the key from now on, "" for none new."""
+        """Records an attempt's end; returns the id of the request to which its key has passed, or ""."""
         key = self.key_of.get(request_id)
         if key is None:
             return ""
@@ -143,9 +144,9 @@
         return self._pass_on(key, record)
 
     def request_finished(self, request_id: str) -> str:
-        """Records a request's final answer, or that its client has left.
+        """Records a request's final answer, or that its client has disconnected.
 
-        Returns the request that holds the key from now on, "" for none new.
+        Returns the id of the request to which the key has passed, or "".
         """
         key = self.key_of.get(request_id)
         if key is None:
@@ -163,10 +164,10 @@
         record.holder = request_id
         record.holder_unfinished = True
         self.key_of[request_id] = key
-        self.records[key] = self.records.pop(key)  # the latest touched goes last
+        self.records[key] = self.records.pop(key)  # moves the key to the end of the order of last use
 
     def _pass_on(self, key: str, record: KeyRecord) -> str:
-        """Gives a key that is no longer held to the next of its queue; returns that request, "" for none."""
+        """Passes a released key to the first request in its queue; returns that request's id, or ""."""
         if record.state is KeyState.HELD:
             return ""
         self.key_of.pop(record.holder, None)
@@ -174,11 +175,11 @@
             self._hold(key, record, record.queue.popleft())
             return record.holder
         if not record.executed:
-            del self.records[key]  # nothing to be remembered
+            del self.records[key]  # no attempt may have executed, so nothing has to be remembered
         return ""
 
     def _make_room(self, now_ns: int) -> bool:
-        """Forgets the expired keys, or else the idle one untouched for longest; returns whether any was."""
+        """Evicts the expired keys, or else the least recently held idle key; returns whether it could."""
         idle = [key for key, record in self.records.items() if record.state is KeyState.IDLE]
         if not idle:
             return False
