--- a/rainhitch/overload/storm_detector.py
+++ b/rainhitch/overload/storm_detector.py
@@ -1,69 +1,69 @@
-"""Detection of storms of retries and reconnects, as distinct from ordinary peaks of load.
+"""Detects storms of retries and reconnects and distinguishes them from ordinary peaks of load.
 
-A peak is more of the usual: more first attempts on the connections that are there. A storm feeds on itself:
-clients that were just connected connect anew, requests that were just rejected come again, and what arrives
-has little time left. Each sign is the ratio of what was seen to what a storm shows in that sign alone, cut at
-a weight, and the sum of the signs decides, so that no sign alone makes a storm:
+In a peak the usual traffic grows: there are more first attempts on the existing connections. A storm sustains
+itself: clients that were connected reconnect, rejected requests are retried, and requests arrive with little
+time left. For each sign of a storm the observed value is divided by its typical value in a storm, and the
+quotient is capped at the sign's weight. The sum of the signs decides, so that no single sign makes a storm:
 
-    connects   connections a second, against a fraction of those usually open and a multiple of the usual rate
+    connects   connections a second, relative to a fraction of those usually open and to the usual rate
     retries    fraction of the requests that are retries
-    hurried    fraction of the requests with little of their time left
-    arrivals   requests a second, against a multiple of the usual rate: a peak shows this one too
+    hurried    fraction of the requests with little time left until their deadline
+    arrivals   requests a second, relative to the usual rate; also high in a peak
     lateness   delay of the router's own timers
 
     normal --sum >= STORM_BEGINS_AT--> storm --sum < STORM_ENDS_BELOW for CALM_PERIODS in a row--> normal
 
-What is usual is learned in normal periods. A router that has just started knows no usual rate of requests:
-then the arrivals are no sign, and the sum of the others decides.
+The usual values are learned in normal periods. A router that has just started has no usual rate of requests
+yet, so arrivals do not count as a sign and the sum of the other signs decides.
 """
 
 from dataclasses import dataclass
 
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-PERIOD_NS = NS_PER_S // 4  # between two judgements
+PERIOD_NS = NS_PER_S // 4  # length of the period over which the signs are computed
 
-STORM_BEGINS_AT = 2.25  # sum of the signs
-STORM_ENDS_BELOW = 1.0  # sum of the signs
-CALM_PERIODS = 4  # in a row below it, until a storm is over
+STORM_BEGINS_AT = 2.25  # sum of the signs at which a storm begins
+STORM_ENDS_BELOW = 1.0  # sum of the signs below which a period of a storm is calm
+CALM_PERIODS = 4  # consecutive calm periods that end a storm
 
-# What each sign counts for at most: none makes a storm alone, and the one that a peak shows too counts least.
+# Maximum value of each sign: none makes a storm alone, and the one that is also high in a peak has the least.
 MAX_CONNECTS_SIGN = 2.0
 MAX_RETRIES_SIGN = 1.5
 MAX_HURRIED_SIGN = 1.0
 MAX_ARRIVALS_SIGN = 0.5
 MAX_LATENESS_SIGN = 1.0
 
-# What a storm shows in each sign: the sign is 1 there.
-STORM_CONNECTS_PER_S = 50.0  # at least
-STORM_CONNECTS_FRACTION_PER_S = 0.25  # of the connections usually open
-STORM_CONNECTS_FACTOR = 3.0  # of the usual connects a second
-STORM_RETRIES_FRACTION = 0.5  # of the requests
-STORM_HURRIED_FRACTION = 0.3  # of the requests
-STORM_ARRIVALS_PER_S = 40.0  # at least
-STORM_ARRIVALS_FACTOR = 3.0  # of the usual requests a second
-STORM_TIMER_DELAY_NS = NS_PER_S // 20
+# Typical values in a storm, at which a sign is 1. Of several values for one sign the largest is used.
+STORM_CONNECTS_PER_S = 50.0  # lower bound for a router with few connections
+STORM_CONNECTS_FRACTION_PER_S = 0.25  # connects a second as a fraction of the connections usually open
+STORM_CONNECTS_FACTOR = 3.0  # multiple of the usual connects a second
+STORM_RETRIES_FRACTION = 0.5  # fraction of the requests that are retries
+STORM_HURRIED_FRACTION = 0.3  # fraction of the requests that are hurried
+STORM_ARRIVALS_PER_S = 40.0  # lower bound for a router with few requests
+STORM_ARRIVALS_FACTOR = 3.0  # multiple of the usual requests a second
+STORM_TIMER_DELAY_NS = NS_PER_S // 20  # delay of the router's timers
 
-MIN_ARRIVALS_TO_JUDGE = 5  # in a period; fractions of fewer requests tell nothing
-LEARNING_WEIGHT = 1 / 40  # of a normal period in what is usual: a time constant of 10 s
-MIN_LEARNED_PERIODS = 8  # normal periods, after which the usual rate of requests is known
+MIN_ARRIVALS_TO_JUDGE = 5  # in a period with fewer requests their fractions are not significant
+LEARNING_WEIGHT = 1 / 40  # weight of one normal period in the usual values: a time constant of 10 s
+MIN_LEARNED_PERIODS = 8  # normal periods after which the usual rate of requests is known
 
 
 @dataclass(slots=True)
 class TrafficCounts:
-    """What arrived and was answered in a span of time."""
+    """Counts of connects, requests and answers in a span of time, and the largest timer delay in it."""
 
     connects: int = 0
     arrivals: int = 0  # requests
-    retries: int = 0  # of the arrivals
-    hurried: int = 0  # of the arrivals, those with little time left
+    retries: int = 0  # arrivals that are retries
+    hurried: int = 0  # arrivals with little time left until their deadline
     rejected: int = 0
     served: int = 0
     connections_rejected: int = 0
     max_timer_delay_ns: int = 0
 
     def add_arrival(self, is_retry: bool, is_hurried: bool) -> None:
-        """Counts a request; `is_hurried`: little of its time is left."""
+        """Counts an arriving request; one with little time left until its deadline is hurried."""
         self.arrivals += 1
         if is_retry:
             self.retries += 1
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class StormSigns:
-    """The signs of one period; 1 is what a storm shows in one alone."""
+    """Signs of a storm in one period; each is 1 at its typical value in a storm."""
 
     connects: float = 0.0
     retries: float = 0.0
@@ -102,7 +102,7 @@
     lateness: float = 0.0
 
     def total(self) -> float:
-        """Returns the sum that decides."""
+        """Returns the sum of the signs, which decides whether there is a storm."""
         return sum((self.connects, self.retries, self.hurried, self.arrivals, self.lateness))
 
     def log_fields(self) -> str:
@@ -115,27 +115,27 @@
 
 
 class RetryStormDetector:
-    """Judges each period's counts; its host adds to `current` and calls `step`."""
+    """Detector that decides by each period's counts; its owner adds to `current` and calls `step`."""
 
     def __init__(self) -> None:
         self.storm_active = False
-        self.current = TrafficCounts()  # of the period that runs
+        self.current = TrafficCounts()  # counts of the current period
         self.open_connections = 0
-        self.signs = StormSigns()  # of the last period
-        self.period_began_at_ns = 0  # 0: no step yet
+        self.signs = StormSigns()  # signs of the last complete period
+        self.period_began_at_ns = 0  # 0 before the first step
         self.storm_began_at_ns = 0
-        self.storm_counts = TrafficCounts()  # of the whole storm
-        self.calm_periods = 0  # in a row within a storm
+        self.storm_counts = TrafficCounts()  # counts since the storm began
+        self.calm_periods = 0  # latest consecutive calm periods in the storm
         self.learned_periods = 0
         self.usual_open_connections = 0.0
         self.usual_connects_per_s = 0.0
         self.usual_arrivals_per_s = 0.0
-        self.upgrade_until_ns = 0  # until then connects and lateness are no signs
+        self.upgrade_until_ns = 0  # connects and lateness do not count as signs before this time
 
     def step(self, now_ns: int) -> str:
-        """Judges the period that ends now; returns a log line where a storm begins or ends, else "".
+        """Evaluates the period that ends now; returns a log line if a storm begins or ends, else "".
 
-        Nothing is judged before `PERIOD_NS` are over.
+        Does nothing until `PERIOD_NS` have passed since the last evaluation.
         """
         if not self.period_began_at_ns:
             self.period_began_at_ns = now_ns
@@ -194,7 +194,7 @@
         return signs
 
     def _learn_usual(self, counts: TrafficCounts, span_s: float) -> None:
-        """Moves what is usual towards a normal period's counts; the first periods count evenly."""
+        """Updates the moving averages of the usual values; the first periods have equal weights."""
         self.learned_periods += 1
         weight = max(LEARNING_WEIGHT, 1 / self.learned_periods)
         self.usual_open_connections += (self.open_connections - self.usual_open_connections) * weight
