--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -1,24 +1,26 @@
-"""A quota that all routers share, split among them so that the sum is never over it. No sockets, no clock.
-
-Escrow (O'Neil 1986): each router owns an equal part of the quota for good, and may spend it without asking.
-What one does not need it lends to another by a lease: from the moment at which it lends it counts that part
-as spent, until the lease is over at the borrower, whatever became of the datagram. No clocks are compared:
-the borrower's request carries a nonce, and the lease ends `LEASE_NS` after the *request was sent*, by the
-borrower's clock; the lender, which got the request later than that, holds the part back for `LEASE_NS` and
-the clock drift from when it *answered*. So a lease that is lost, late or doubled ends at the borrower before
-the lender spends that part again, and a router that hears nothing falls back to its own part once its leases
-have ended.
-
-The sum of what all may spend at any instant is at most the quota: each unit is its owner's, or is lent to one
-other. Over a window of w seconds all together spend at most `quota * w` and what their buckets held at its
-beginning (what the quota gives in `burst_s`, and a unit of each).
-
-A router that starts knows nothing of what its earlier process lent. So only `LENDABLE_FRACTION` of a part is
-ever lent, and that much is left alone for the first lease time and drift after a start. A router that was
-paused finds its leases ended: time is looked at with each unit spent, on a clock that goes on during the
-pause, and its bucket is cut to what it gains in `burst_s`.
-
-    request:  kind | nonce (4) | wanted (4)    grant:  kind | nonce (4) | lent (4)    milli-units a second
+"""Splits a quota among all routers so that their sum never exceeds it. No sockets, no clock.
+
+The method is escrow (O'Neil 1986): each router permanently owns an equal share of the quota, which it may use
+without asking. It lends the rate that it does not need to other routers by leases. The lender holds the lent
+rate back from the moment of the grant until the lease has expired at the borrower, whether or not the grant
+arrived. Clocks are not compared: the borrower's request carries a nonce, and the lease ends `LEASE_NS` after
+arrived. Clocks are not compared: the borrower's request carries a nonce, and the lease ends `LEASE_NS` after
+the *request was sent*, by the borrower's clock. The lender answers later than that, and holds the rate back
+ends at the borrower before the lender uses that rate again, and a router that receives nothing is back at its
+own share once its leases have expired.
+
+At any instant the rates available to all routers add up to at most the quota: each part of it is available to
+its owner or lent to one other router. In a window of w seconds all routers together take at most `quota * w`
+units, plus the contents of their buckets at its beginning (the units of the quota in `burst_s`, and one unit
+for each router).
+
+A router that starts does not know what its earlier process lent. So at most `LENDABLE_FRACTION` of a share is
+ever lent, and a router that starts holds that much back for the first `LENDER_HOLD_NS`. A router that resumes
+from a pause finds its leases expired: the time is checked for each unit taken, by a clock that continues
+during the pause, and its bucket holds no more than it gains in `burst_s`.
+
+    request:  kind (1) | nonce (4) | wanted rate (4)
+    grant:    kind (1) | nonce (4) | lent rate (4)      sizes in bytes, rates in milli-units a second
 """
 
 import math
@@ -30,20 +32,20 @@
 from rainhitch.fleet.datagram import Datagram, FleetError
 
 NS_PER_S = 1_000_000_000
-LEASE_NS = 4 * NS_PER_S  # from the borrower's request
-CLOCK_DRIFT_FRACTION = 1 / 16  # by which two routers' clocks may differ in speed
-LENDER_HOLD_NS = int(LEASE_NS * (1 + CLOCK_DRIFT_FRACTION))  # for which a lender leaves alone what it lent
-LENDABLE_FRACTION = 3 / 4  # of what a router owns
-ROUND_INTERVAL_NS = NS_PER_S // 2  # between two rounds of requests
-ROUND_JITTER = (0.75, 1.25)  # factors of the interval, least and most
-MAX_ASKED = 16  # routers asked in a round
-HEADROOM_FRACTION = 1 / 8  # of its demand, that a router keeps or asks for beyond it
-MIN_REQUEST_FRACTION = 1 / 8  # of its own part; a router that lacks no more asks for no lease
-MIN_LEASE_FRACTION = 1 / 32  # of its own part; a router lends no less
-MAX_LEASES = 128  # at a router, given or taken: bounded whatever arrives
+LEASE_NS = 4 * NS_PER_S  # duration of a lease, from when the borrower sent its request
+CLOCK_DRIFT_FRACTION = 1 / 16  # largest difference in speed of two routers' clocks
+LENDER_HOLD_NS = int(LEASE_NS * (1 + CLOCK_DRIFT_FRACTION))  # time for which a lender holds a lent rate back
+LENDABLE_FRACTION = 3 / 4  # fraction of its own share that a router may lend
+ROUND_INTERVAL_NS = NS_PER_S // 2  # mean time between two rounds of requests
+ROUND_JITTER = (0.75, 1.25)  # smallest and largest random factor of the interval
+MAX_ASKED = 16  # routers that are sent a request in one round
+HEADROOM_FRACTION = 1 / 8  # part of its demand that a router keeps or requests in addition to the demand
+MIN_REQUEST_FRACTION = 1 / 8  # a router that lacks at most this fraction of its share requests no lease
+MIN_LEASE_FRACTION = 1 / 32  # a router lends at least this fraction of its share, or nothing
+MAX_LEASES = 128  # maximum number of borrowed leases at a router, and of lent leases
 MESSAGE = struct.Struct(">BII")  # kind, nonce, milli-units a second
 MILLI_UNITS = 1000
-MAX_AMOUNT = 0xFFFFFFFF  # in a message
+MAX_AMOUNT = 0xFFFFFFFF  # largest rate in a message, milli-units a second
 MAX_NONCE = 0xFFFFFFFF
 
 
@@ -55,22 +57,22 @@
 
 
 class QuotaEscrowError(FleetError):
-    """A message that can't be read."""
+    """Error for a quota message that cannot be read."""
 
 
 @dataclass(slots=True)
 class Lease:
-    """A part of the quota that one router lends to another."""
+    """Rate that one router lends to another."""
 
     lender: int
     borrower: int
     rate_per_s: float
-    expires_at_ns: int  # by the clock of the router that holds this record
+    expires_at_ns: int  # time by the clock of the router that holds this record
 
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """A request that has not been granted yet."""
+    """Request for a lease that has not been granted yet."""
 
     lender: int
     sent_at_ns: int
@@ -80,8 +82,8 @@
 class QuotaEscrow:
     """One router's side of the shared quota.
 
-    `quota_per_s` is in units a second over all `routers`, of which this one is number `me`. `burst_s`: its
-    bucket holds at most what it gains in this time. Times are ns of a monotonic clock.
+    `quota_per_s` is the quota of all `routers`, in units a second; `me` is the number of this one. The bucket
+    holds at most the units that it gains in `burst_s`. Times are ns of a monotonic clock.
     """
 
     def __init__(
@@ -91,27 +93,27 @@
         self.routers = routers
         self.own_per_s = quota_per_s / routers
         self.burst_s = burst_s
-        # The seed's text is not renamed: it fixes the sequence that recorded runs are replayed with.
+        # The text of the seed must not change: recorded runs are replayed with the sequence that it gives.
         self.random = Random(f"{seed}/holdings")
         self.filled_at_ns = now_ns
         self.stepped_at_ns = now_ns
         self.next_round_at_ns = now_ns
-        self.tokens = 0.0  # units that may be spent now
-        self.demand_per_s = 0.0  # moving average of the units asked for
-        self.demanded = 0  # units asked for since the last step
-        self.no_lending_until_ns = now_ns + LENDER_HOLD_NS  # what an earlier process lent has ended by then
+        self.tokens = 0.0  # units that may be taken now
+        self.demand_per_s = 0.0  # moving average of the demand, granted or denied
+        self.demanded = 0  # units demanded since the last round
+        self.no_lending_until_ns = now_ns + LENDER_HOLD_NS  # when an earlier process's leases have expired
         self.lent: list[Lease] = []
         self.borrowed: list[Lease] = []
         self.requests: dict[int, LeaseRequest] = {}  # by nonce
         self.nonce = self.random.getrandbits(32)
-        self.denied = 0  # units that were asked for and not given, since the start
+        self.denied = 0  # units denied since the start
 
     def available_per_s(self, now_ns: int) -> float:
-        """Returns how many units a second may be spent now."""
+        """Returns the rate available to this router now, units a second."""
         return self._least_available_per_s(now_ns, now_ns)
 
     def _least_available_per_s(self, begin_ns: int, end_ns: int) -> float:
-        """Returns the least that was available at any time from begin to end."""
+        """Returns the lowest rate that was available at any time from begin to end."""
         if begin_ns < self.no_lending_until_ns:
             lent_per_s = self.own_per_s * LENDABLE_FRACTION
         else:
@@ -120,17 +122,17 @@
         return max(0.0, self.own_per_s - lent_per_s) + borrowed_per_s
 
     def bucket_capacity(self, now_ns: int) -> float:
-        """Returns how many units the bucket holds at most.
+        """Returns the maximum number of units in the bucket.
 
-        All routers' buckets together hold what the quota gives in `burst_s`, and a unit of each router.
+        All routers' buckets together hold at most the units of the quota in `burst_s`, plus one per router.
         """
         return max(1.0, self.available_per_s(now_ns) * self.burst_s)
 
     def _fill(self, now_ns: int) -> None:
-        """Adds to the bucket what was gained since the last time, and drops the leases that have ended.
+        """Adds to the bucket the units gained since the last call, and removes the leases that have expired.
 
-        Guards the sum against leases that ended meanwhile, here or at a borrower: the time counts for the
-        least that was available in it, and a long one for no more than the bucket holds.
+        Leases may have expired since the last call, here or at a borrower. So that the sum stays within the
+        quota, the whole time counts at the lowest rate available in it, up to the bucket's capacity.
         """
         passed_ns = max(0, now_ns - self.filled_at_ns)
         gained = self._least_available_per_s(self.filled_at_ns, now_ns) * passed_ns / NS_PER_S
@@ -140,7 +142,7 @@
         self.borrowed = [one for one in self.borrowed if one.expires_at_ns > now_ns]
 
     def take(self, now_ns: int) -> bool:
-        """Returns whether one more unit may be spent now; it is counted if so."""
+        """Takes one unit if the quota allows it; returns whether it did."""
         self.demanded += 1
         self._fill(now_ns)
         if self.tokens < 1:
@@ -150,7 +152,7 @@
         return True
 
     def step(self, now_ns: int) -> list[Datagram]:
-        """Returns the requests for leases that are to be sent now; to be called a few times a second."""
+        """Returns the requests for leases to send now; must be called a few times a second."""
         if now_ns < self.next_round_at_ns:
             return []
         self.next_round_at_ns = now_ns + int(ROUND_INTERVAL_NS * self.random.uniform(*ROUND_JITTER))
@@ -164,7 +166,7 @@
         if missing_per_s <= self.own_per_s * MIN_REQUEST_FRACTION or self.routers < 2 or room <= 0:
             return []
         others = [router for router in range(self.routers) if router != self.me]
-        # One more than would do, since some have nothing to lend.
+        # One lender more than would suffice, since some have nothing to lend.
         wanted_lenders = math.ceil(missing_per_s / (self.own_per_s * LENDABLE_FRACTION)) + 1
         lenders = self.random.sample(others, min(wanted_lenders, MAX_ASKED, room, len(others)))
         return [
@@ -179,7 +181,7 @@
         self.stepped_at_ns = now_ns
 
     def _lasting_per_s(self, now_ns: int) -> float:
-        """Returns what is available but for leases that end within two rounds: those are asked for anew."""
+        """Returns the available rate without leases that expire within two rounds, which need renewal."""
         soon_ns = now_ns + 2 * ROUND_INTERVAL_NS
         ending_per_s = sum(one.rate_per_s for one in self.borrowed if now_ns < one.expires_at_ns <= soon_ns)
         return self.available_per_s(now_ns) - ending_per_s
@@ -191,30 +193,30 @@
         return MESSAGE.pack(QuotaMessageKind.REQUEST, self.nonce, amount)
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
-        """Reads another router's message; returns the answer to it, if one is due.
+        """Handles another router's message; returns the grant to send in answer, if any.
 
-        Raises QuotaEscrowError where it can't be read.
+        Raises QuotaEscrowError if the message cannot be read.
         """
         if len(data) != MESSAGE.size:
-            raise QuotaEscrowError(f"expected {MESSAGE.size} bytes, got {len(data)}")
+            raise QuotaEscrowError(f"expected a quota message of {MESSAGE.size} bytes, got {len(data)}")
         if not 0 <= sender < self.routers or sender == self.me:
-            raise QuotaEscrowError(f"a message of no other router: {sender}")
+            raise QuotaEscrowError(f"expected a message from another of {self.routers} routers, got {sender}")
         kind, nonce, amount = MESSAGE.unpack(data)
         if kind == QuotaMessageKind.REQUEST:
             lent = self._lend(now_ns, sender, amount / MILLI_UNITS)
             return [Datagram(sender, MESSAGE.pack(QuotaMessageKind.GRANT, nonce, lent))] if lent else []
         if kind != QuotaMessageKind.GRANT:
-            raise QuotaEscrowError(f"kind {kind:#x} is not known")
+            raise QuotaEscrowError(f"expected a quota request (0x51) or grant (0x41), got kind {kind:#x}")
         self._borrow(now_ns, sender, nonce, amount)
         return []
 
     def _borrow(self, now_ns: int, lender: int, nonce: int, amount: int) -> None:
-        """Takes a grant of `amount` milli-units a second, if it answers a request of this router in time."""
+        """Accepts a grant of `amount` milli-units a second if it answers a request of this router in time."""
         request = self.requests.get(nonce)
         if request is None or request.lender != lender:
-            return  # for an earlier process, doubled, or never asked for
+            return  # a grant to an earlier process, a duplicate, or a grant that was not requested
         del self.requests[nonce]
-        # Guards against a grant that is larger than the request: no router lends that.
+        # Rejects a grant that is larger than the request, which no lender sends.
         is_in_bounds = amount <= math.ceil(request.wanted_per_s * MILLI_UNITS)
         expires_at_ns = request.sent_at_ns + LEASE_NS
         if now_ns < expires_at_ns and is_in_bounds:
@@ -222,7 +224,7 @@
             self.borrowed.append(Lease(lender, self.me, amount / MILLI_UNITS, expires_at_ns))
 
     def _lend(self, now_ns: int, borrower: int, wanted_per_s: float) -> int:
-        """Lends what can be spared and holds it back from now on; returns it in milli-units a second."""
+        """Lends the spare rate and holds it back from now on; returns it in milli-units a second."""
         self._fill(now_ns)
         if now_ns < self.no_lending_until_ns or len(self.lent) >= MAX_LEASES:
             return 0
