--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -1,25 +1,28 @@
-"""Which of the other routers are alive: SWIM, with the local health of Lifeguard. No sockets, no clock.
-
-SWIM (Das, Gupta, Motivala 2002): each router pings one other a period, in an order drawn anew each round, so
-that all are pinged within a round. A router that does not acknowledge is pinged through `INDIRECT_PINGS`
-others (ping-req). One that stays silent is suspected and, if it does not refute that in time, dead.
-Membership updates ride on these messages, `MAX_UPDATES` each, the least sent first; each is sent
-`RETRANSMIT_FACTOR` times the logarithm of the fleet's size. A router refutes what is said against it by a
-higher incarnation.
-
-Lifeguard (Dadgar, Phillips, Currey 2018): a router that is late itself, or gets no answers at all, distrusts
-itself before others: its local health score, 0 (healthy) to `MAX_HEALTH_SCORE`, prolongs its time-outs.
-
-A router sends one ping a period, its ping-reqs at most, and an answer to each ping that it gets; it is pinged
-once a period in the mean. So the messages a second do not grow with the fleet.
-
-A router that was paused has missed the others' answers, not they its: the pings that it had in flight are
-given up without a verdict. One that restarts has a higher generation, by which those that hold the earlier
-one as dead know it for new. Should its wall clock have gone back meanwhile, it hears of its earlier
-generation, and takes a higher one.
-
-    kind (1) | sequence (2) | subject (2) | updates: router (2), generation (4), state and incarnation (1),
-    ...
+"""Detects which of the other routers are alive by SWIM with Lifeguard's local health. No sockets, no clock.
+
+SWIM (Das, Gupta, Motivala 2002): each router pings one other router per period, in an order that is shuffled
+for each round, so that every router is pinged once per round. A router that does not acknowledge is pinged
+through `INDIRECT_PINGS` other routers (ping-req). One that still does not acknowledge is suspected, and is
+declared dead if it does not refute the suspicion in time. Membership updates are piggybacked on these
+messages, at most `MAX_UPDATES` per message and the least sent first; each is sent `RETRANSMIT_FACTOR` times
+the logarithm of the fleet's size. A router refutes an update that calls it suspect or dead by a higher
+incarnation.
+
+Lifeguard (Dadgar, Phillips, Currey 2018): a router that was paused, or whose pings are not acknowledged,
+assumes a fault of its own first: its local health score, 0 (healthy) to `MAX_HEALTH_SCORE`, prolongs its
+time-outs.
+
+In a period a router sends one ping of its own, at most `INDIRECT_PINGS` ping-reqs, and an answer to each ping
+it receives, of which there is one per period on average. So the messages per second of a router do not grow
+with the fleet.
+
+A router that was paused may have missed acknowledgements, so its pings in flight are dropped and suspect
+nobody. A router that restarts has a higher generation, by which routers that hold the earlier process as dead
+recognize the new one. If its wall clock was set back in between, it receives its earlier generation in an
+update and takes a higher one.
+
+    kind (1) | sequence (2) | subject (2) | for each update: router (2), generation (4),
+                                            state and incarnation (1)      sizes in bytes
 """
 
 import math
@@ -31,15 +34,15 @@
 from rainhitch.fleet.datagram import Datagram, FleetError
 
 NS_PER_S = 1_000_000_000
-PERIOD_NS = NS_PER_S  # between two pings
-PING_TIMEOUT_NS = NS_PER_S // 5  # of a direct ping; a datagram takes less than a tenth of a second
-INDIRECT_TIMEOUT_FACTOR = 2  # of the same, where others were asked to ping
-INDIRECT_PINGS = 2
-SUSPICION_PERIODS = 3  # times the logarithm of the fleet's size, in which a suspect may refute
-RETRANSMIT_FACTOR = 3  # times the logarithm of the fleet's size, that an update is sent
-MAX_UPDATES = 6  # in a message
+PERIOD_NS = NS_PER_S  # time between two pings
+PING_TIMEOUT_NS = NS_PER_S // 5  # timeout of a direct ping; a datagram takes less than a tenth of a second
+INDIRECT_TIMEOUT_FACTOR = 2  # timeout of an indirect ping as a multiple of the direct ping's
+INDIRECT_PINGS = 2  # routers that are asked to ping a router that did not acknowledge
+SUSPICION_PERIODS = 3  # suspicion timeout, in half periods times the logarithm of the fleet's size
+RETRANSMIT_FACTOR = 3  # transmissions of an update, as a multiple of the logarithm of the fleet's size
+MAX_UPDATES = 6  # maximum number of updates in a message
 MAX_HEALTH_SCORE = 8
-PAUSE_NS = NS_PER_S // 2  # a step later than this and a ping's time-out shows that this router was paused
+PAUSE_NS = NS_PER_S // 2  # a gap between steps that exceeds PING_TIMEOUT_NS by more than this is a pause
 
 HEADER = struct.Struct(">BHH")  # kind, sequence, subject
 UPDATE = struct.Struct(">HIB")  # router, generation, state (2 bits) and incarnation (6 bits)
@@ -47,7 +50,7 @@
 MAX_INCARNATION = 63
 MAX_SEQUENCE = 0xFFFF
 MAX_GENERATION = 0xFFFFFFFF
-UNKNOWN_GENERATION = 0  # of a router that has not been heard
+UNKNOWN_GENERATION = 0  # generation of a router about which no update was received
 
 
 class MessageKind(IntEnum):
@@ -59,7 +62,7 @@
 
 
 class RouterState(IntEnum):
-    """State of a router; of two updates of one generation and incarnation the higher state wins."""
+    """State of a router; of two updates with equal generation and incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -67,12 +70,12 @@
 
 
 class FailureDetectorError(FleetError):
-    """A message that can't be read."""
+    """Error for a failure detection message that cannot be read."""
 
 
 @dataclass(slots=True)
 class RouterRecord:
-    """What is known of one router."""
+    """Latest update on one router, and when it was applied here."""
 
     generation: int = UNKNOWN_GENERATION
     incarnation: int = 0  # 0 to MAX_INCARNATION, within its generation
@@ -81,17 +84,17 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Rank of an update: the highest holds.
+        """Precedence of an update: the update with the highest rank is kept.
 
-        The order is total, so that all that have heard the same updates hold the same, however often and in
-        whatever order they came.
+        The order is total, so all routers that have received the same updates keep the same one, whatever
+        their order and however often they were received.
         """
         return self.generation, self.incarnation, self.state
 
 
 @dataclass(slots=True)
 class PingRequester:
-    """The router for which an indirect ping is sent, and the sequence number of its ping-req."""
+    """Router for which an indirect ping is sent, and the sequence number of its ping-req."""
 
     router: int
     sequence: int
@@ -99,29 +102,29 @@
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping that has not been acknowledged."""
+    """Ping that has not been acknowledged yet."""
 
     target: int
     deadline_ns: int
-    indirect_requested: bool = False  # others were asked to ping the target
-    requester: PingRequester | None = None  # None: this router's own ping
+    indirect_requested: bool = False  # other routers were asked to ping the target
+    requester: PingRequester | None = None  # None for this router's own ping
 
 
 class UpdateQueue:
-    """Routers whose record is to be sent to others; each is sent `max_transmissions` times."""
+    """Queue of routers whose records are to be sent to others, `max_transmissions` times each."""
 
     def __init__(self, max_transmissions: int) -> None:
         self.max_transmissions = max_transmissions
-        self.transmissions: dict[int, int] = {}  # by router, how often its record was sent
+        self.transmissions: dict[int, int] = {}  # number of times that a record was sent, by router
 
     def enqueue(self, router: int) -> None:
-        """Has a router's record sent anew, since it has changed."""
+        """Queues a router's changed record for all its transmissions."""
         self.transmissions[router] = 0
 
     def take(self, first: int | None) -> list[int]:
-        """Returns whose records go with one message, and counts them as sent.
+        """Returns the routers whose records are sent with one message, and counts these transmissions.
 
-        They are the least sent ones, `MAX_UPDATES` at most; `first` goes before them, queued or not.
+        They are at most `MAX_UPDATES`, the least sent first. `first` precedes them, whether queued or not.
         """
         chosen = sorted(self.transmissions, key=lambda router: (self.transmissions[router], router))
         if first is not None:
@@ -136,27 +139,27 @@
 
 
 class FailureDetector:
-    """One router's view of the others.
+    """Failure detector of one router, with its view of the others.
 
-    `me` is this router's number of `routers`; `generation` is 1 to `MAX_GENERATION`, more with each start.
-    Times are ns.
+    `me` is the number of this router among `routers`. `generation` is 1 to `MAX_GENERATION` and higher after
+    each start. Times are in ns.
     """
 
     def __init__(self, me: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
         self.me = me
         self.routers = routers
-        # The seed's text is not renamed: it fixes the sequence that recorded runs are replayed with.
+        # The text of the seed must not change: recorded runs are replayed with the sequence that it gives.
         self.random = Random(f"{seed}/alive")
         self.records = [RouterRecord(since_ns=now_ns) for _ in range(routers)]
         self.records[me] = RouterRecord(generation, since_ns=now_ns)
-        self.round: list[int] = []  # routers that are still to be pinged in this round, the last one first
+        self.round: list[int] = []  # routers not yet pinged in this round; the last one is pinged next
         self.pings: dict[int, PendingPing] = {}  # by sequence number
         self.sequence = 0
         self.local_health_score = 0
         self.next_ping_at_ns = now_ns
         self.stepped_at_ns = now_ns
-        self.changes = 0  # verdicts that changed between dead and not dead, since the start
-        # SWIM's logarithm of the fleet's size, by which updates and suspicions last longer in a larger fleet.
+        self.changes = 0  # changes of any router between dead and not dead, since the start
+        # SWIM's logarithm of the fleet's size: updates and suspicions last longer in a larger fleet.
         self.size_factor = max(1, math.ceil(math.log2(routers + 1)))
         self.update_queue = UpdateQueue(RETRANSMIT_FACTOR * self.size_factor)
         self.update_queue.enqueue(me)
@@ -167,15 +170,15 @@
         return self.records[self.me].generation
 
     def is_alive(self, router: int) -> bool:
-        """Returns whether a router counts as alive; a suspect does."""
+        """Returns whether a router counts as alive, as a suspected one does."""
         return self.records[router].state is not RouterState.DEAD
 
     def live_routers(self) -> list[int]:
-        """Returns all routers that count as alive, this one among them."""
+        """Returns all routers that count as alive, including this one."""
         return [router for router in range(self.routers) if self.is_alive(router)]
 
     def step(self, now_ns: int) -> list[Datagram]:
-        """Returns what is to be sent now; to be called some times a second."""
+        """Returns the messages to send now; must be called several times a second."""
         gap_ns = now_ns - self.stepped_at_ns
         self.stepped_at_ns = now_ns
         if gap_ns > PAUSE_NS + PING_TIMEOUT_NS:
@@ -191,7 +194,7 @@
         return sent
 
     def _resume_after_pause(self, now_ns: int, gap_ns: int) -> None:
-        """Guards the others against the verdicts of a router that was paused: it has heard nobody."""
+        """Drops pings and extends suspicions after a pause, in which this router received no messages."""
         self.pings.clear()
         self.next_ping_at_ns = now_ns + PERIOD_NS
         self._change_health_score(1)
@@ -213,7 +216,7 @@
 
     def _ping_next(self, now_ns: int) -> list[Datagram]:
         if not self.round:
-            # Dead routers are pinged too, once a round: after a network cut nobody else would tell of them.
+            # Dead routers are pinged too, once per round: after a network cut no other router reports them.
             self.round = [router for router in range(self.routers) if router != self.me]
             self.random.shuffle(self.round)
         if not self.round:
@@ -227,7 +230,10 @@
         return Datagram(target, self._encode(MessageKind.PING, self.sequence, target, receiver=target))
 
     def _ping_timed_out(self, now_ns: int, sequence: int, ping: PendingPing) -> list[Datagram]:
-        """Asks others to ping the target; where that was done, or the ping was for another, gives it up."""
+        """Requests indirect pings; once those have timed out, drops the ping and suspects its target.
+
+        A ping that was sent for another router is dropped at its first time-out.
+        """
         if ping.indirect_requested or ping.requester is not None:
             del self.pings[sequence]
             record = self.records[ping.target]
@@ -246,21 +252,31 @@
         ]
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
-        """Reads another router's message; returns what is to be sent for it.
+        """Handles another router's message; returns the messages to send in answer.
 
-        Raises FailureDetectorError where it can't be read; updates before the faulty one are taken.
+        Raises FailureDetectorError if the message cannot be read; updates before the faulty one are applied.
         """
         if len(data) < HEADER.size or (len(data) - HEADER.size) % UPDATE.size:
-            raise FailureDetectorError(f"no whole number of updates in {len(data)} bytes")
+            raise FailureDetectorError(
+                f"expected {HEADER.size} bytes and {UPDATE.size} for each update, got {len(data)} bytes"
+            )
         if not 0 <= sender < self.routers or sender == self.me:
-            raise FailureDetectorError(f"a message of no other router: {sender}")
+            raise FailureDetectorError(
+                f"expected a message from another of {self.routers} routers, got router {sender}"
+            )
         kind, sequence, subject = HEADER.unpack_from(data)
         if kind not in (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ) or subject >= self.routers:
-            raise FailureDetectorError(f"kind {kind:#x} on router {subject} is not known")
+            raise FailureDetectorError(
+                f"expected a ping, ack or ping-req with a subject below {self.routers}, "
+                f"got kind {kind:#x} with subject {subject}"
+            )
         for router, generation, state_and_incarnation in UPDATE.iter_unpack(data[HEADER.size :]):
             state = state_and_incarnation >> INCARNATION_BITS
             if router >= self.routers or state > RouterState.DEAD:
-                raise FailureDetectorError(f"update to state {state} of router {router} is not known")
+                raise FailureDetectorError(
+                    f"expected an update with a state of 0 to {RouterState.DEAD:d} of a router below {self.routers}, "
+                    f"got state {state} of router {router}"
+                )
             incarnation = state_and_incarnation & MAX_INCARNATION
             self._apply_update(now_ns, router, generation, incarnation, RouterState(state))
         if kind == MessageKind.PING:
@@ -274,9 +290,9 @@
     def _acknowledged(self, sequence: int, sender: int, subject: int) -> list[Datagram]:
         ping = self.pings.get(sequence)
         if ping is None or subject != ping.target:
-            return []  # late, doubled, or for no ping of this router
+            return []  # a late or duplicate acknowledgement, or one of no ping of this router
         if sender != subject and not ping.indirect_requested:
-            return []  # others answer for the target only once they were asked to ping it
+            return []  # another router may acknowledge for the target only if it was asked to ping it
         del self.pings[sequence]
         if ping.requester is not None:
             ack = self._encode(MessageKind.ACK, ping.requester.sequence, subject)
@@ -296,12 +312,12 @@
             self._refute(generation, incarnation)
             return
         if rank < self.records[self.me].rank:
-            self.update_queue.enqueue(self.me)  # the sender missed the last update on this router
+            self.update_queue.enqueue(self.me)  # the sender has not received the last update on this router
 
     def _refute(self, generation: int, incarnation: int) -> None:
-        """Takes a higher incarnation than an update on this router has, or else a higher generation.
+        """Takes a higher incarnation than an update on this router has, or a higher generation.
 
-        Guards a running router against the update that it is dead, or on its earlier generation.
+        Refutes updates that call this running router suspect or dead, and updates on its earlier generation.
         """
         record = self.records[self.me]
         incarnations_spent = incarnation == MAX_INCARNATION
@@ -325,7 +341,7 @@
         self.update_queue.enqueue(router)
 
     def _encode(self, kind: MessageKind, sequence: int, subject: int, receiver: int | None = None) -> bytes:
-        """Returns a message with updates; a receiver that is not alive gets its own first, to refute it."""
+        """Returns a message with updates, the first on the receiver if it is not alive, to be refuted."""
         first = None
         if receiver is not None and self.records[receiver].state is not RouterState.ALIVE:
             first = receiver
