--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -274,8 +274,8 @@
             state = state_and_incarnation >> INCARNATION_BITS
             if router >= self.routers or state > RouterState.DEAD:
                 raise FailureDetectorError(
-                    f"expected an update with a state of 0 to {RouterState.DEAD:d} of a router below {self.routers}, "
-                    f"got state {state} of router {router}"
+                    f"expected an update with a state of 0 to {RouterState.DEAD:d} of a router below "
+                    f"{self.routers}, got state {state} of router {router}"
                 )
             incarnation = state_and_incarnation & MAX_INCARNATION
             self._apply_update(now_ns, router, generation, incarnation, RouterState(state))
--- a/rainhitch/fleet/tenant_usage.py
+++ b/rainhitch/fleet/tenant_usage.py
@@ -1,19 +1,19 @@
-"""How many requests each router takes of each tenant, and this router's fraction. No sockets, no clock.
-
-Each router publishes, for its latest window, how many requests it took of each tenant, with its generation
-and a sequence number that grows with each report: a counter by author and incarnation (Shapiro and others,
-"Conflict-free replicated data types", 2011), in windows, so that what is over is forgotten. Of two reports of
-a router the one of the higher generation, then sequence, holds, however often and in whatever order they
-came. So a router that restarted, whose datagrams were doubled, or that comes back from a pause counts once,
-and its earlier generation not at all.
-
-    generation (4) | sequence (4) | requests of each tenant (2 each), or their sum beyond MAX_TENANTS
-
-Error: a report is one interval old at most while reports arrive, and a router that is not heard for
-`EXPIRY_INTERVALS` of them is left out: a fraction is off by what traffic moved between routers meanwhile.
-Routers that are not heard count as busy as the mean of those that are, so that a sample is enough; from too
-small a sample no fraction is known. The reports that a router receives are bounded by
-`MAX_REPORTS_HEARD_PER_S`.
+"""Computes this router's fraction of all routers' requests of each tenant. No sockets, no clock.
+
+Each router publishes the number of requests it received of each tenant in its latest window, with its
+generation and a sequence number that grows with each report. This is a counter per replica and incarnation
+(Shapiro et al., "Conflict-free replicated data types", 2011), over windows, so that old requests are dropped.
+Of two reports of a router the one with the higher generation, then sequence, is kept, whatever their order
+and however often they were received. So a router that restarted, whose datagrams were duplicated, or that
+resumed from a pause counts once, and its earlier generation does not count.
+
+    generation (4) | sequence (4) | requests of each tenant (2 each), or of all if there are over MAX_TENANTS
+
+Error of a fraction: while reports arrive they are at most one interval old, and a router without a report
+for `EXPIRY_INTERVALS` intervals is left out, so a fraction is off by the traffic that has moved between
+routers in that time. Routers without a report are assumed to have the mean traffic of those with one, so a
+sample of the routers suffices; from too small a sample no fraction is given. `MAX_REPORTS_HEARD_PER_S` bounds
+the reports that a router receives.
 """
 
 import struct
@@ -24,86 +24,86 @@
 
 HEADER = struct.Struct(">II")  # generation, sequence
 NS_PER_S = 1_000_000_000
-WINDOW_NS = 4 * NS_PER_S
-MIN_INTERVAL_NS = NS_PER_S  # between two reports of a router, where the fleet is small
-MAX_REPORTS_HEARD_PER_S = 20  # of all other routers together
-EXPIRY_INTERVALS = 4  # without a report, after which a router counts as not heard
-MIN_HEARD_FRACTION = 1 / 4  # of the other routers, that must be heard; with fewer no fraction is known
-ENOUGH_HEARD = 16  # routers heard that are enough in a fleet of any size
-MAX_TENANTS = 16  # counted one by one
-MAX_COUNT = 0xFFFF  # of one tenant in a report
+WINDOW_NS = 4 * NS_PER_S  # time over which requests are counted
+MIN_INTERVAL_NS = NS_PER_S  # time between two reports of a router in a small fleet
+MAX_REPORTS_HEARD_PER_S = 20  # reports received from all other routers together
+EXPIRY_INTERVALS = 4  # intervals after which a report expires
+MIN_HEARD_FRACTION = 1 / 4  # fraction of the other routers whose reports are needed for a result
+ENOUGH_HEARD = 16  # number of routers whose reports suffice in a fleet of any size
+MAX_TENANTS = 16  # maximum number of tenants that are counted separately
+MAX_COUNT = 0xFFFF  # maximum count of one tenant in a report
 
 
 class TenantUsageError(FleetError):
-    """A usage report that can't be read."""
+    """Error for a usage report that cannot be read."""
 
 
 @dataclass(slots=True)
 class UsageReport:
-    """The latest report of one router."""
+    """Latest report of one router."""
 
     generation: int
     sequence: int
-    requests: tuple[int, ...]  # in its window, by tenant
+    requests: tuple[int, ...]  # requests in the router's window, by tenant
     heard_at_ns: int
 
 
 @dataclass(slots=True)
 class UsageMark:
-    """This router's totals at one time."""
+    """This router's totals at one time, by tenant."""
 
     at_ns: int
     totals: tuple[int, ...]
 
 
 class TenantUsage:
-    """All routers' usage as one of them knows it.
+    """One router's view of the usage of all routers.
 
-    `me` is this router's number of `routers`, `tenants` how many there are, `generation` 32 bits, more with
-    each start of this router. Times are ns.
+    `me` is the number of this router among `routers`, `tenants` the number of tenants. `generation` has 32
+    bits and is higher after each start of this router. Times are in ns.
     """
 
     def __init__(self, me: int, routers: int, tenants: int, generation: int, now_ns: int) -> None:
         self.me = me
         self.routers = routers
         self.generation = generation
-        self.counted = tenants if tenants <= MAX_TENANTS else 1  # counts in a report
+        self.counted = tenants if tenants <= MAX_TENANTS else 1  # number of counts in a report
         self.sequence = 0
-        self.totals = [0] * self.counted  # since the start
-        self.marks = deque([UsageMark(now_ns, tuple(self.totals))])  # the first is where the window begins
+        self.totals = [0] * self.counted  # requests received since the start, by tenant
+        self.marks = deque([UsageMark(now_ns, tuple(self.totals))])  # the first is the window's beginning
         self.reports: dict[int, UsageReport] = {}  # by router
         self.interval_ns = max(MIN_INTERVAL_NS, routers * NS_PER_S // MAX_REPORTS_HEARD_PER_S)
 
     def add(self, tenant: int) -> None:
-        """Counts a request that this router has taken."""
+        """Counts a request that this router has received."""
         self.totals[tenant if tenant < self.counted else 0] += 1
 
     def mark(self, now_ns: int) -> None:
-        """Moves the window on; to be called a few times a second."""
+        """Moves the window to the current time; must be called a few times a second."""
         self.marks.append(UsageMark(now_ns, tuple(self.totals)))
         while len(self.marks) > 1 and now_ns - self.marks[1].at_ns >= WINDOW_NS:
             self.marks.popleft()
 
     def taken(self) -> list[int]:
-        """Returns the requests that this router took in its window, by tenant."""
+        """Returns the numbers of requests that this router received in its window, by tenant."""
         return [total - before for total, before in zip(self.totals, self.marks[0].totals, strict=True)]
 
     def encode(self) -> bytes:
-        """Returns the report that is to be published now."""
+        """Returns a new report to publish now."""
         self.sequence += 1
         requests = [min(MAX_COUNT, one) for one in self.taken()]
         return HEADER.pack(self.generation, self.sequence) + struct.pack(f">{self.counted}H", *requests)
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> bool:
-        """Reads another router's report; returns whether it is newer than what is known.
+        """Reads another router's report; returns whether it is newer than the one kept.
 
-        Raises TenantUsageError where its length is wrong, or its sender is no other router.
+        Raises TenantUsageError if its length is wrong or its sender is not one of the other routers.
         """
         expected_bytes = HEADER.size + 2 * self.counted
         if len(data) != expected_bytes:
             raise TenantUsageError(f"expected a report of {expected_bytes} bytes, got {len(data)}")
         if not 0 <= sender < self.routers or sender == self.me:
-            raise TenantUsageError(f"a report of no other router: {sender}")
+            raise TenantUsageError(f"expected a report from another of {self.routers} routers, got {sender}")
         generation, sequence = HEADER.unpack_from(data)
         known = self.reports.get(sender)
         if known is not None and (generation, sequence) <= (known.generation, known.sequence):
@@ -120,14 +120,14 @@
     def fractions(self, now_ns: int) -> list[float]:
         """Returns this router's fraction of all routers' requests of each tenant, 0 to 1.
 
-        The result is in the tenants' order, one for all beyond `MAX_TENANTS`; empty where too few routers are
-        heard.
+        The result is in the order of the tenants, a single fraction if there are over `MAX_TENANTS`, or empty
+        if there are too few reports.
         """
         reports = self.fresh_reports(now_ns)
         if not reports or len(reports) < min(ENOUGH_HEARD, (self.routers - 1) * MIN_HEARD_FRACTION):
             return []
-        # A router that is not heard counts as busy as the mean of those that are. Guards the sum against two
-        # halves of a cut fleet that would each take the whole.
+        # Routers without a report are assumed to have the mean traffic of those with one. Otherwise each half
+        # of a partitioned fleet would take its own traffic for the whole.
         factor = (self.routers - 1) / len(reports)
         by_tenant = zip(*(one.requests for one in reports), strict=True)
         others = [sum(requests) * factor for requests in by_tenant]
