--- a/rainhitch/fleet/peer_judgements.py
+++ b/rainhitch/fleet/peer_judgements.py
@@ -1,12 +1,13 @@
-"""How far other routers' latencies of the cache servers are believed. No sockets, no clock.
-
-A router with a bad link, a slow core or a fault sees all servers slow, and what it publishes is used by all.
-So no router alone may shut a server for the others: a latency from one author counts for at most `MAX_FACTOR`
-times what a second, independent author has lately published or observed of that server; where there is none,
-of what is usual in the fleet. Two authors that agree are believed in full, a quorum of two: one faulty router
-costs at most a doubled estimate, which the next latency from another ends. What this router has observed
-itself counts as one of the authors. Each judgement expires after `EXPIRY_NS`, so that nobody's silence keeps
-one alive. What is kept is bounded by the endpoint list, with `MAX_AUTHORS` a server.
+"""Bounds the latencies of cache servers that other routers publish. No sockets, no clock.
+
+To a router with a bad link, a slow core or a fault all servers look slow, and all routers use the latencies
+that it publishes. No single router may stop the others from using a server by that. So a latency from one
+author counts for at most `MAX_FACTOR` times the highest latency that another author has recently published or
+observed for that server; without another author, for at most `MAX_FACTOR` times the mean latency in the fleet.
+Two authors that agree form a quorum and count in full. One faulty router thus at most doubles an estimate,
+until the next latency from another author. This router's own observations count as those of one author. A
+latency expires after `EXPIRY_NS`, so that an author that falls silent has no lasting effect. The memory is
+bounded by the endpoint list and `MAX_AUTHORS` authors per server.
 """
 
 from collections.abc import Iterable
@@ -14,36 +15,36 @@
 
 from rainhitch.interface import LatencyObservation
 
-MAX_FACTOR = 2  # of a second author's latency, for which a latency counts at most
-EXPIRY_NS = 4_000_000_000  # at 200 routers one server is published about twice in it
-MAX_AUTHORS = 4  # kept of a server, the latest
-USUAL_WEIGHT = 1 / 64  # of a latency in the moving average of all
+MAX_FACTOR = 2  # a latency counts for at most this multiple of a second author's
+EXPIRY_NS = 4_000_000_000  # in this time 200 routers publish each server about twice
+MAX_AUTHORS = 4  # number of authors kept per server, the latest ones
+USUAL_WEIGHT = 1 / 64  # weight of one latency in the moving average of all
 
 
 @dataclass(slots=True)
 class Judgement:
-    """The latest latency that one author gave of one server."""
+    """Latest latency of one server according to one author."""
 
     at_ns: int
     elapsed_ns: int
 
 
 class PeerJudgements:
-    """The latest latencies of each server, by author; `me` is the number of this router."""
+    """Latest latencies of each server by author; `me` is the number of this router."""
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self.judgements: dict[str, dict[int, Judgement]] = {}  # by server and author, the latest author last
-        self.usual_ns = 0.0  # moving average of all latencies, published or observed
-        self.bounded = 0  # latencies that were not believed in full, since the start
+        self.judgements: dict[str, dict[int, Judgement]] = {}  # by server, then author; the latest is last
+        self.usual_ns = 0.0  # moving average of all latencies that were accepted or observed
+        self.bounded = 0  # latencies that were reduced to their bound, since the start
 
     def set_servers(self, names: Iterable[str]) -> None:
-        """Forgets the servers that are not on the endpoint list any more."""
+        """Forgets the servers that are no longer on the endpoint list."""
         kept = set(names)
         self.judgements = {name: authors for name, authors in self.judgements.items() if name in kept}
 
     def record_own(self, now_ns: int, observations: Iterable[LatencyObservation]) -> None:
-        """Records what this router has observed itself."""
+        """Records this router's own observations."""
         for one in observations:
             self._record(now_ns, self.me, one.server, one.elapsed_ns)
             self._update_usual(one.elapsed_ns)
@@ -51,7 +52,7 @@
     def bound(
         self, now_ns: int, author: int, observations: Iterable[LatencyObservation]
     ) -> list[LatencyObservation]:
-        """Returns another router's observations with the latencies that are believed, and records them."""
+        """Records another router's observations and returns them with bounded latencies."""
         believed = []
         for one in observations:
             elapsed_ns = one.elapsed_ns
@@ -60,15 +61,15 @@
                 elapsed_ns = int(max_ns)
                 self.bounded += 1
             believed.append(LatencyObservation(one.server, elapsed_ns, one.is_in_flight))
-            # What was published is recorded, not what was believed: a second author confirms the published
-            # latency. What is usual follows what was believed.
+            # The published latency is recorded, not the bounded one, so that a second author can confirm it.
+            # The moving average uses the bounded one.
             self._record(now_ns, author, one.server, one.elapsed_ns)
             self._update_usual(elapsed_ns)
         return believed
 
     def _max_believed_ns(self, now_ns: int, author: int, server: str) -> float:
-        """Returns for how much an author's latency counts at most; 0: nothing is known that bounds it."""
-        slowest_ns = -1  # below 0: no second author
+        """Returns the bound of an author's latency of a server, or 0 if no latency bounds it."""
+        slowest_ns = -1  # below 0 without a second author
         for other, judgement in self.judgements.get(server, {}).items():
             is_fresh = now_ns - judgement.at_ns <= EXPIRY_NS
             if is_fresh and other != author and judgement.elapsed_ns > slowest_ns:
