--- a/rainhitch/fleet/__init__.py
+++ b/rainhitch/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""What routers tell one another and share: advice that no router depends on.
+"""Communication among routers: gossip, failure detection, shared quotas. A router runs without it too.
 
-`GossipExchange` decides, without sockets and clocks; `GossipTransport` carries its datagrams.
+`GossipExchange` is the protocol logic, without sockets and clocks. `GossipTransport` sends and receives its
+datagrams.
 """
--- a/rainhitch/fleet/datagram.py
+++ b/rainhitch/fleet/datagram.py
@@ -1,18 +1,18 @@
-"""A datagram that is to be sent to another router, and the root of this package's errors."""
+"""Datagrams to other routers, and the base class of this package's errors."""
 
 from typing import NamedTuple
 
 from rainhitch.errors import RainhitchError
 
-EVERYONE = -1  # as the receiver: all routers, by broadcast
+EVERYONE = -1  # receiver of a datagram that is broadcast to all routers
 
 
 class FleetError(RainhitchError):
-    """A datagram of another router that can't be read; it is counted and dropped."""
+    """Error for a datagram from another router that cannot be read; it is counted and dropped."""
 
 
 class Datagram(NamedTuple):
-    """A datagram to send: the receiver's number among the routers, or `EVERYONE`, and its bytes."""
+    """Datagram to send; the receiver is a router's number or `EVERYONE`."""
 
     receiver: int
     payload: bytes
--- a/rainhitch/fleet/novelty_filter.py
+++ b/rainhitch/fleet/novelty_filter.py
@@ -1,8 +1,8 @@
-"""Which of a router's observations are worth publishing. No sockets, no clock.
+"""Selects the observations that a router publishes. No sockets, no clock.
 
-A datagram costs CPU at every router that receives it, and in one interval several routers observe the same
-server. Once another router has published that server, all know of it, and to publish it again brings nothing.
-So what all receive of one server hardly grows with the number of routers.
+A datagram costs CPU at every router that receives it, and several routers observe the same server within one
+interval. Once another router has published an observation of that server, all routers have it, and a second
+one adds nothing. So the number of observations received per server hardly grows with the number of routers.
 """
 
 from collections.abc import Iterable
@@ -17,11 +17,11 @@
         self.published: set[str] = set()
 
     def record_published(self, observations: Iterable[LatencyObservation]) -> None:
-        """Records what another router has published."""
+        """Records the observations that another router has published."""
         self.published.update(one.server for one in observations)
 
     def select_new(self, observations: Iterable[LatencyObservation]) -> list[LatencyObservation]:
-        """Returns which of an interval's observations are to be published, and begins the next interval."""
+        """Returns the observations of an interval that are to be published, and begins the next interval."""
         new = [one for one in observations if one.server not in self.published]
         self.published.clear()
         return new
--- a/rainhitch/fleet/options.py
+++ b/rainhitch/fleet/options.py
@@ -1,13 +1,13 @@
-"""What an operator may set of what routers share; see docs/operate/fleet.md."""
+"""Operator's options of the communication among routers; see docs/operate/fleet.md."""
 
 from dataclasses import dataclass
 
 
 @dataclass
 class FleetOptions:
-    """[routers] of the operator's file; the names are those of its keys."""
+    """Options of the table [routers] of the operator's file, under the names of its keys."""
 
-    counts: bool = False  # tenants' usage is published and added up
-    bounded: bool = False  # a latency counts no more than a second router confirms
-    members: bool = False  # failed routers are detected
-    database_rps: float = 0.0  # reads a second that all routers together may send the database; 0: no limit
+    counts: bool = False  # routers publish the tenants' usage and add it up
+    bounded: bool = False  # latencies from other routers are bounded by those of a second router
+    members: bool = False  # routers detect the failure of others
+    database_rps: float = 0.0  # limit of all routers' reads of the database a second; 0 for no limit
--- a/rainhitch/fleet/pause_detector.py
+++ b/rainhitch/fleet/pause_detector.py
@@ -1,33 +1,33 @@
-"""Detects that this router itself was paused: stopped, swapped out, or without a core. No clock of its own.
-
-A process that is stopped does not notice it. Afterwards all it holds is older by the pause, its timers fire
-all at once and before its sockets are read, and what waits in the sockets looks as if it had just come. So
-there is a heartbeat every `HEARTBEAT_NS` at the latest, and one that is later than that by more than
-`MAX_DELAY_NS` shows a pause since the one before. Then nothing is acted on before the sockets have been read
-once, within `SETTLE_NS`: what clients have left meanwhile is known by then. And what is read in the first
-`HEARTBEAT_NS` may be as old as the pause. The clock has to be one that goes on while the process is stopped
-(CLOCK_MONOTONIC).
+"""Detects that this router was paused: stopped, swapped out, or without a CPU core. Reads no clock.
+
+A process cannot notice that it is stopped. After a pause all its state is older by the length of the pause,
+its timers fire at once and before its sockets are read, and data waiting in the sockets looks as if it had
+just arrived. So a heartbeat is due at least every `HEARTBEAT_NS`; one that is late by more than
+`MAX_DELAY_NS` indicates a pause since the one before. After a pause the router takes no action until the
+sockets have been read once, within `SETTLE_NS`, by when it knows which clients have disconnected. Data that
+is read in the first `HEARTBEAT_NS` after a pause may be as old as the pause. The clock must continue while
+the process is stopped, as CLOCK_MONOTONIC does.
 """
 
 NS_PER_S = 1_000_000_000
-HEARTBEAT_NS = NS_PER_S // 10  # between two heartbeats
-MAX_DELAY_NS = NS_PER_S // 2  # of a heartbeat; a busy core explains no longer one
-SETTLE_NS = NS_PER_S // 200  # in which the sockets are read after a pause
+HEARTBEAT_NS = NS_PER_S // 10  # longest time between two heartbeats
+MAX_DELAY_NS = NS_PER_S // 2  # largest delay of a heartbeat that a busy CPU core can cause
+SETTLE_NS = NS_PER_S // 200  # time in which the sockets are read after a pause
 
 
 class PauseDetector:
-    """Pauses of one router. Times are ns."""
+    """Detector of the pauses of one router. Times are in ns."""
 
     def __init__(self, now_ns: int) -> None:
         self.last_heartbeat_ns = now_ns
         self.pause_ns = 0  # length of the last pause
-        self.resuming_until_ns = now_ns - 1  # until then what is read may be as old as the pause
+        self.resuming_until_ns = now_ns - 1  # time until which data read may be as old as the pause
         self.pauses = 0
 
     def note_running(self, now_ns: int) -> int:
-        """Records that the router runs; called at each heartbeat, and before anything is acted on.
+        """Records a heartbeat; must also be called before any action.
 
-        Returns for how long it was paused where that is detected by this call, else 0.
+        Returns the length of the pause that this call detects, or 0.
         """
         gap_ns = now_ns - self.last_heartbeat_ns
         self.last_heartbeat_ns = now_ns
@@ -39,13 +39,13 @@
         return gap_ns
 
     def just_resumed(self, now_ns: int) -> bool:
-        """Returns whether a pause has just ended, so that what is read now may be as old as the pause."""
+        """Returns whether a pause has just ended, so that data read now may be as old as the pause."""
         return now_ns <= self.resuming_until_ns
 
     def running_time_ns(self, now_ns: int, since_ns: int) -> int:
-        """Returns how much of the time since `since_ns` this router was running; 1 at least.
+        """Returns the time since `since_ns` in which this router was running; at least 1.
 
-        A pause is left out only where it has just ended, and where `since_ns` lies before it or within
+        A pause is subtracted only if it has just ended, and if `since_ns` is before it or within
         `MAX_DELAY_NS` of its start.
         """
         paused_ns = 0
