--- a/rainhitch/fleet/peer_judgements.py
+++ b/rainhitch/fleet/peer_judgements.py
@@ -3,7 +3,7 @@
 To a router with a bad link, a slow core or a fault all servers look slow, and all routers use the latencies
 that it publishes. No single router may stop the others from using a server by that. So a latency from one
 author counts for at most `MAX_FACTOR` times the highest latency that another author has recently published or
-observed for that server; without another author, at most `MAX_FACTOR` times the mean latency in the fleet. Two
+observed for that server; without another author, at most `MAX_FACTOR` times the fleet's mean latency. Two
 authors that agree form a quorum and count in full. One faulty router thus at most doubles an estimate, until
 the next latency from another author. This router's own observations count as those of one author. A
 latency expires after `EXPIRY_NS`, so that an author that falls silent has no lasting effect. The memory is
