--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -1,13 +1,13 @@
-"""Everything that routers tell one another, by the kind of datagram. No sockets, no clock.
+"""Protocol logic of all datagrams among routers, by kind of datagram. No sockets, no clock.
 
-    first byte   what                               to                      module
-    0xA2         answer times of cache servers      all, once an interval   gossip_codec, novelty_filter,
-                                                                            peer_judgements
-    0xC1         requests taken, by tenant          all, once an interval   tenant_usage
-    0x51, 0x41   leases of a shared quota           one                     quota_escrow
-    0x61 - 0x63  pings and membership updates       one                     failure_detector
+    first byte   content                            sent to                  module
+    0xA2         latencies of cache servers         all, once per interval   gossip_codec, novelty_filter,
+                                                                             peer_judgements
+    0xC1         requests received, by tenant       all, once per interval   tenant_usage
+    0x51, 0x41   leases of a shared quota           one                      quota_escrow
+    0x61 - 0x63  pings and membership updates       one                      failure_detector
 
-A router of another version drops kinds that it does not know, and goes on without them.
+A router of another version drops datagrams of kinds that it does not know.
 """
 
 from collections.abc import Callable
@@ -27,20 +27,20 @@
 
 USAGE_KIND = 0xC1
 NS_PER_S = 1_000_000_000
-STEP_NS = 100_000_000  # between two steps
-STEPS_PER_FRACTIONS = 5  # steps between two results of `traffic_fractions`
-USAGE_JITTER = (0.75, 1.25)  # factors of the interval between usage reports, least and most
-MAX_READ_PER_S = 100  # datagrams that are read of one router in a second; a flood costs no more
+STEP_NS = 100_000_000  # time between two calls of `GossipExchange.step`
+STEPS_PER_FRACTIONS = 5  # number of steps between two results of `traffic_fractions`
+USAGE_JITTER = (0.75, 1.25)  # smallest and largest random factor of the interval between usage reports
+MAX_READ_PER_S = 100  # datagrams read from one router per second, which bounds the cost of a flood
 Json = dict[str, Any]
 
 
 class DatagramError(FleetError):
-    """A datagram that is not read: too many, of this router itself, or of no known kind."""
+    """Error for a datagram that is over the rate limit, from this router itself, or of an unknown kind."""
 
 
 @dataclass(slots=True)
 class ReceivedDatagram:
-    """What a datagram brought: what is believed of servers, and what is to be sent for it."""
+    """Result of a received datagram: observations for the decisions, and datagrams to send in answer."""
 
     observations: list[LatencyObservation] = field(default_factory=list)
     replies: list[Datagram] = field(default_factory=list)
@@ -50,10 +50,10 @@
 
 
 class GossipExchange:
-    """One router's side of everything that routers tell one another.
+    """One router's side of the communication among routers.
 
-    `me` is its number of `routers`; below 0 where it does not know it: then it exchanges answer times only.
-    `generation` is 1 to 2**32 - 1, more with each start. Times are ns.
+    `me` is the number of this router among `routers`, or below 0 if it is unknown; then only latencies are
+    exchanged. `generation` is 1 to 2**32 - 1 and higher after each start. Times are in ns.
     """
 
     def __init__(
@@ -83,13 +83,13 @@
         if 0 <= me < routers:
             self._join_numbered(tenants, generation, now_ns, seed, options)
         self.steps = 0
-        self.read_by_sender: dict[int, int] = {}  # datagrams in the current second
+        self.read_by_sender: dict[int, int] = {}  # number of datagrams read in the current second
         self.second = 0
 
     def _join_numbered(
         self, tenants: int, generation: int, now_ns: int, seed: int, options: FleetOptions
     ) -> None:
-        """Takes part in what needs a number of one's own, as far as the operator has turned it on."""
+        """Enables the protocols that need this router's number and that the operator has turned on."""
         if options.counts:
             self.tenant_usage = TenantUsage(self.me, self.routers, tenants, generation, now_ns)
             self.next_report_at_ns += self.random.randrange(self.tenant_usage.interval_ns)
@@ -102,20 +102,20 @@
             self.handlers |= dict.fromkeys(QuotaMessageKind, self._receive_quota)
 
     def set_servers(self, names: list[str]) -> None:
-        """Takes a changed list of servers."""
+        """Replaces the list of servers."""
         self.servers_by_hash = names_by_hash(names)
         if self.peer_judgements is not None:
             self.peer_judgements.set_servers(names)
 
     def encode_observations(self, now_ns: int, observations: list[LatencyObservation]) -> bytes:
-        """Returns the datagram on what was observed in an interval, empty for nothing new."""
+        """Returns the datagram of an interval's observations, empty if none of them is to be published."""
         if self.peer_judgements is not None:
             self.peer_judgements.record_own(now_ns, observations)
         new = self.novelty_filter.select_new(observations)
         return encode(new) if new else b""
 
     def step(self, now_ns: int) -> list[Datagram]:
-        """Returns what is to be sent now; to be called every `STEP_NS`."""
+        """Returns the datagrams to send now; must be called every `STEP_NS`."""
         sent: list[Datagram] = []
         if self.tenant_usage is not None:
             self.tenant_usage.mark(now_ns)
@@ -132,7 +132,7 @@
     def traffic_fractions(self, now_ns: int) -> TrafficFractions | None:
         """Returns this router's fraction of each tenant's requests, once in `STEPS_PER_FRACTIONS` calls.
 
-        None in between, and where the usage reports do not tell it. To be called once a step.
+        Returns None in between, and if there are too few usage reports. Must be called once per step.
         """
         self.steps += 1
         if self.tenant_usage is None or self.steps % STEPS_PER_FRACTIONS:
@@ -143,20 +143,20 @@
         return TrafficFractions(fractions, 2 * STEPS_PER_FRACTIONS * STEP_NS)
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
-        """Reads a datagram of another router.
+        """Handles a datagram from another router.
 
-        Raises a FleetError where it can't be read, or is one too many of its sender.
+        Raises a FleetError if it cannot be read or its sender exceeds the rate limit.
         """
         self._count_read(now_ns, sender)
         if sender == self.me or not data:
-            raise DatagramError(f"an empty datagram, or one of this router itself: {sender}")
+            raise DatagramError(f"expected data from another router, got {len(data)} bytes from {sender}")
         handler = self.handlers.get(data[0])
         if handler is None:
-            raise DatagramError(f"kind {data[0]:#x} is not known here, or turned off")
+            raise DatagramError(f"expected an enabled kind of datagram, got {data[0]:#x} from {sender}")
         return handler(now_ns, sender, data)
 
     def _count_read(self, now_ns: int, sender: int) -> None:
-        """Guards the router's CPU against a flood of datagrams from one other."""
+        """Counts a datagram; raises DatagramError over the limit, which guards the CPU against a flood."""
         second = now_ns // NS_PER_S
         if second != self.second:
             self.second = second
@@ -164,7 +164,7 @@
         count = self.read_by_sender.get(sender, 0) + 1
         self.read_by_sender[sender] = count
         if count > MAX_READ_PER_S:
-            raise DatagramError(f"more than {MAX_READ_PER_S} datagrams a second from router {sender}")
+            raise DatagramError(f"expected up to {MAX_READ_PER_S} datagrams/s from {sender}, got {count}")
 
     def _receive_latencies(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
         observations = decode(data, self.servers_by_hash)
@@ -187,9 +187,9 @@
         return ReceivedDatagram(replies=self.failure_detector.receive(now_ns, sender, data))
 
     def describe(self, now_ns: int) -> Json:
-        """Returns what this router believes, as the JSON object of `rainhitch fleet status`.
+        """Returns this router's view of the fleet as the JSON object of `rainhitch fleet status`.
 
-        Its keys are the operators' and stay: tools of theirs read them.
+        Its keys must not change: operators' tools read them.
         """
         described: Json = {"me": self.me, "routers": self.routers}
         if self.peer_judgements is not None:
--- a/rainhitch/fleet/gossip_transport.py
+++ b/rainhitch/fleet/gossip_transport.py
@@ -1,6 +1,6 @@
-"""The socket of the datagrams between routers: out to all or to one, in from those that are configured.
+"""UDP socket for datagrams among routers: broadcast or to one router, received from configured peers only.
 
-It only carries them: what is published and believed is decided in `gossip_exchange.py`.
+The content of the datagrams is decided in `gossip_exchange.py`.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """This router's socket.
+    """Socket of this router for datagrams among routers.
 
-    `peers` are the routers' addresses in the order of their numbers; `deliver` takes what is believed of
-    servers and of traffic.
+    `peers` are the routers' addresses in the order of their numbers. `deliver` is called with observations of
+    servers and with traffic fractions.
     """
 
     def __init__(
@@ -46,20 +46,20 @@
         self.counts = Counts()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to send, once the socket is open."""
+        """Starts sending when the socket is open."""
         self.transport = cast(asyncio.DatagramTransport, transport)
         self._step()
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Reads a datagram and sends what is due for it.
+        """Handles a datagram and sends the answers to it.
 
-        Guards the decisions against senders that are no peers and against what can't be read: these are
-        counted as unread, no more.
+        A datagram that is from no peer or that cannot be read is counted as unread and dropped, so that it
+        does not affect the decisions.
         """
         sender = self.router_numbers.get((addr[0], addr[1]))
         try:
             if sender is None:
-                raise DatagramError(f"from no peer: {addr[0]}:{addr[1]}")
+                raise DatagramError(f"expected a datagram from a peer, got one from {addr[0]}:{addr[1]}")
             received = self.exchange.receive(self.now(), sender, data)
         except FleetError:
             self.counts.add("words", "unread")
@@ -70,16 +70,16 @@
             self.deliver(api.GossipReceived(received.observations))
 
     def set_servers(self, names: list[str]) -> None:
-        """Takes a changed list of servers."""
+        """Replaces the list of servers."""
         self.exchange.set_servers(names)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores that a peer which is down refuses a datagram."""
+        """Ignores errors, which are reported for datagrams to a peer that is down."""
 
     def publish(self, observations: list[api.LatencyObservation]) -> None:
-        """Publishes what the others have not published.
+        """Publishes the observations of servers that no other router has published.
 
-        To be called once an interval, also where nothing was observed.
+        Must be called once per interval, even without observations.
         """
         data = self.exchange.encode_observations(self.now(), observations)
         if data:
@@ -105,21 +105,21 @@
             self.transport.sendto(payload, address)
 
     def describe(self) -> Json:
-        """Returns what this router believes of the others now; see `GossipExchange.describe`."""
+        """Returns this router's current view of the fleet; see `GossipExchange.describe`."""
         return self.exchange.describe(self.now())
 
     def close(self) -> None:
-        """Closes the socket; nothing is sent or read from now on."""
+        """Closes the socket; nothing is sent or received after this."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
 async def join(local_address: Address, transport: GossipTransport) -> bool:
-    """Opens the socket; returns whether that was possible. Where it is not, the router goes on alone."""
+    """Opens the socket and returns whether this succeeded; if it failed, the router runs without gossip."""
     try:
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: transport, local_addr=local_address)
-    except (OSError, NotImplementedError) as error:  # NotImplementedError: a simulated loop without datagrams
+    except (OSError, NotImplementedError) as error:  # the latter on a simulated loop without datagrams
         host, port = local_address
         log.warning("gossip socket not opened address=%s:%d error=%s", host, port, error)
         return False
