--- a/tests/overload/test_accept_pacer.py
+++ b/tests/overload/test_accept_pacer.py
@@ -1,4 +1,4 @@
-"""Pacing of accepts: it follows the delay of timers, between its bounds."""
+"""The accept rate follows the delay of timers and stays within its bounds."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -1,4 +1,4 @@
-"""The closed loop of rejections, retries and returns, with thousands of clients in virtual time."""
+"""Closed loop of rejections, retries and returns with thousands of clients in virtual time."""
 
 import pytest
 from closed_loop_simulation import ClientLoad, ClosedLoopSimulation, SimulationResult
@@ -20,7 +20,7 @@
 
 
 def play(seed: int = 1, **changes: object) -> SimulationResult:
-    """Plays a storm of 3000 clients from second 6 on against a router with overload control."""
+    """Simulates a storm of 3000 clients from second 6 on against a router with overload control."""
     values: dict[str, object] = {
         "rate_per_s": 150.0,
         "storm_clients": 3000,
@@ -30,7 +30,7 @@
     load = ClientLoad(**{**values, **changes})  # type: ignore[arg-type]
 
     def make_router(settings: api.Settings) -> Balancer:
-        """The router under test."""
+        """Returns the router under test."""
         return Balancer(settings, 7, OverloadController(settings, 7))
 
     return ClosedLoopSimulation(load, SETTINGS, make_router, seed).play()
@@ -42,17 +42,17 @@
 def test_service_comes_back_by_itself_when_the_storm_is_over(
     honour_fraction: float, retries: int, backoff_s: float
 ) -> None:
-    """A storm whose retries keep it going would outlast its trigger: a metastable failure."""
+    """Guards against a metastable failure: a storm that is sustained by its own retries after its trigger."""
     result = play(honour_fraction=honour_fraction, retries=retries, backoff_s=backoff_s)
     before = result.service(2, 6)
     assert before > 0.97
-    assert 0 <= result.recovery_s(7, before, 18, within=0.05) <= 5  # clients of the storm come for 3 s more
+    assert 0 <= result.recovery_s(7, before, 18, within=0.05) <= 5  # the storm's clients arrive for 3 s more
     assert result.late_answers == 0 and result.simultaneous_writes == 0
     assert set(result.answers.values()) == {1}
 
 
 def test_clients_that_honour_retry_after_come_back_spread_out() -> None:
-    """All that are rejected in a second come back over the time that Retry-After may give, not at once."""
+    """Clients rejected in the same second return over the range of Retry-After times, not all at once."""
     waits_ms = sorted(play(honour_fraction=1.0).retry_after_ms)
     assert len(waits_ms) > 500 and waits_ms[0] > 0 and waits_ms[-1] <= 2000
     tenth = len(waits_ms) // 10
@@ -60,7 +60,7 @@
 
 
 def test_the_fleets_load_is_not_multiplied_by_the_routers_own_attempts() -> None:
-    """Clients that never honour Retry-After and retry at once: attempts stay near the requests that ended."""
+    """With clients that ignore Retry-After and retry at once, attempts stay near the number of requests."""
     result = play(honour_fraction=0.0, retries=4)
     ended = sum(result.tries_by_end.values())
     assert sum(result.attempts.values()) <= 1.2 * ended + 10 * 18
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit: cut by late answers, raised in use, shared by priorities and kinds of attempt."""
+"""The concurrency limit: cut by late answers, raised when used up, shared by priorities and attempt kinds."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
 
 
 def pressed(limit: AdaptiveConcurrencyLimit, now: int, bad: float, ends: int = 20) -> None:
-    """A period with the limit in use and this part of its ends bad."""
+    """Runs a period in which the limit is used up and the fraction `bad` of the outcomes is bad."""
     limit.peak_in_flight = int(limit.limit)
     limit.rejected = 1
     for n in range(ends):
@@ -24,7 +24,7 @@
     for _ in range(30):
         now += limit.period_ns
         pressed(limit, now, 0.6)
-    assert limit.limit == 8  # its least
+    assert limit.limit == 8  # the limit's lower bound
     for _ in range(60):
         now += limit.period_ns
         pressed(limit, now, 0.0)
@@ -38,7 +38,7 @@
     cut = limit.limit
     assert cut == 50
     for _ in range(50):
-        limit.record_end(False, START)  # admitted before the cut
+        limit.record_end(False, START)  # the attempt started before the cut
     limit.step(START + 2 * limit.period_ns, True)
     assert limit.limit == cut
 
@@ -56,7 +56,7 @@
 def filled(
     limit: AdaptiveConcurrencyLimit, offers: list[tuple[Priority, bool]], rounds: int
 ) -> dict[tuple[Priority, bool], int]:
-    """What is admitted while all are offered in turn and nothing ends."""
+    """Returns how many attempts of each offer are admitted when they arrive in turn and none ends."""
     taken = dict.fromkeys(offers, 0)
     for _ in range(rounds):
         for priority, retry in offers:
@@ -82,10 +82,10 @@
 def test_neither_first_attempts_nor_retries_starve_the_other(
     reserved_fraction: float, size: int, flood: bool
 ) -> None:
-    """Retries that came first, and many, took every place; or the other way round."""
+    """Guards against a kind of attempt that arrives first, in large numbers, and fills the whole limit."""
     limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, reserved_fraction)
     limit.limit = float(size)
-    limit.try_admit(START, Priority.READ, not flood)  # the other kind is wanted
+    limit.try_admit(START, Priority.READ, not flood)  # the other kind arrives too
     filled(limit, [(Priority.WRITE, flood)], 3 * size)
     assert (limit.retries if flood else limit.first_attempts).in_flight <= size * (1 - reserved_fraction)
     taken = filled(limit, [(Priority.READ, not flood)], 3 * size)[Priority.READ, not flood]
--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -1,4 +1,4 @@
-"""Overload control as decisions and clients meet it."""
+"""The overload controller together with the decisions of a router."""
 
 import pytest
 from support import MILLI, SECOND, Router, settings
@@ -11,14 +11,14 @@
 
 
 def router_with_overload_control(**changes: object) -> tuple[Router, OverloadController]:
-    """A balancer, and its overload control."""
+    """Returns a router and its overload controller."""
     options = settings(**changes)
     overload = OverloadController(options, 7)
     return Router(options, overload_control=overload), overload
 
 
 def storm(router: Router, overload: OverloadController) -> None:
-    """Connects by the hundred, until overload control has seen them for what they are."""
+    """Simulates a storm of reconnects and retries until it is detected."""
     for _ in range(4):
         for _ in range(200):
             overload.connection_accepted(router.now, 200)
@@ -32,7 +32,7 @@
 
 
 def rejections(actions: list[api.Action]) -> list[api.Reject]:
-    """The rejections among actions."""
+    """Returns the rejections among the actions."""
     return [one for one in actions if isinstance(one, api.Reject)]
 
 
@@ -72,7 +72,7 @@
 
 
 def test_attempts_at_the_origin_do_not_count_towards_the_limit() -> None:
-    """Misses that waited for a slow database filled the limit, and hits were refused."""
+    """Guards against rejected hits: misses waiting for a slow origin must not fill the limit."""
     router, overload = router_with_overload_control()
     for n in range(3):
         _, (first,) = router.request(f"m{n}")
@@ -83,7 +83,7 @@
 
 
 def finish(router: Router, actions: list[api.Action], status: api.AttemptStatus) -> list[api.Action]:
-    """Ends every attempt of a request so, until it has its answer."""
+    """Ends each attempt of a request with `status`; returns the actions that answer the request."""
     number = 0
     while actions and isinstance(actions[0], api.StartAttempt):
         actions = router.end_attempt(actions[0], status, number)
