--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: never two attempts of one order out at a router, and nothing forgotten too soon."""
+"""Idempotency keys: one request per key has attempts in flight, and no key is forgotten too early."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 def storming(**changes: object) -> Router:
-    """A balancer with overload control; class 1 is keyed and its repeats are dropped for WINDOW."""
+    """Returns a router with overload control; class 1 has keys and its repeats are dropped for WINDOW."""
     options = settings(**changes)
     return Router(options, overload_control=OverloadController(options, 7))
 
@@ -23,17 +23,17 @@
 def order(
     router: Router, name: str, key: str = "o1", cls: int = 1, live: int = 2 * SECOND
 ) -> list[api.Action]:
-    """A write with this idempotency key arrives, and waits for `live` ns."""
+    """Handles the arrival of a write with this idempotency key and a deadline in `live` ns."""
     return router.handle(api.Request(name, cls, router.now + live, "k", True, 0, False, key))
 
 
 def kinds(actions: list[api.Action]) -> list[str]:
-    """Each action's type and request."""
+    """Returns the type and the request's id of each action."""
     return [f"{type(one).__name__} {getattr(one, 'id', '')}" for one in actions]
 
 
 def test_a_retry_waits_for_the_first_attempts_end_and_then_goes() -> None:
-    """The client gave up and came again while its order was still out: the database had it twice at once."""
+    """Guards against a write that is twice at the database because its client retried during an attempt."""
     router = storming()
     (first,) = order(router, "a")
     assert kinds([first]) == ["StartAttempt a"]
@@ -57,11 +57,11 @@
     router = storming()
     order(router, "a", live=2 * SECOND)
     assert order(router, "b", live=SECOND) == []
-    assert kinds(router.wait(SECOND + MILLI)) == ["Reject b"]  # repeats are still dropped, so it is harmless
+    assert kinds(router.wait(SECOND + MILLI)) == ["Reject b"]  # harmless, since repeats are still dropped
 
 
 def test_what_may_have_run_longer_ago_than_it_is_remembered_fails_and_is_not_sent() -> None:
-    """The first attempt ran into its time-out; by the retry's turn a repeat would be carried out again."""
+    """The first attempt times out; when the retry gets the key, a repeat would be executed a second time."""
     router = storming()
     (first,) = order(router, "a", live=2 * SECOND)
     router.handle(api.ClientGone("a"))
@@ -90,7 +90,7 @@
 
 
 def test_a_retry_stays_within_the_scope_that_drops_its_repeats() -> None:
-    """Class 3 drops repeats within a zone only; elsewhere the order would be placed again."""
+    """Repeats of class 3 are dropped within a zone only; another zone would execute the write again."""
     router = storming(cache_aside=False, origin_kind=-1)
     (first,) = order(router, "a", cls=3)
     assert isinstance(first, api.StartAttempt)
@@ -118,7 +118,7 @@
     assert guard.admit(9, "o9", "r9") is KeyAdmission.REJECTED
     guard.attempt_finished("r3", 0, S.OK)
     guard.request_finished("r3")
-    assert guard.admit(10, "o9", "r9") is KeyAdmission.HELD  # in place of the one that is over
+    assert guard.admit(10, "o9", "r9") is KeyAdmission.HELD  # the idle key o3 was evicted for it
     assert len(guard) == 8 and not guard.is_known(11, "o3") and guard.is_known(11, "o0")
     assert [guard.admit(12, "o0", name) for name in "xyz"] == [
         KeyAdmission.QUEUED,
@@ -128,14 +128,14 @@
 
 
 class OneAtATime(RuleBasedStateMachine):
-    """Any course of three orders' requests: at most one holder, one holder's attempts out, nothing kept."""
+    """Random requests of three keys: at most one holder and one attempt per key, no state left over."""
 
     def __init__(self) -> None:
         super().__init__()
         self.guard = IdempotencyKeyGuard(client_patience_ns=SECOND, max_keys=64, max_queued=4)
         self.now = START
         self.count = 0
-        self.open: dict[str, str] = {}  # holders and waiters that have no answer: id -> order
+        self.open: dict[str, str] = {}  # key by request id, of holders and queued requests without an answer
         self.may_send: set[str] = set()
         self.out: dict[tuple[str, int], str] = {}
 
@@ -162,7 +162,7 @@
         name = data.draw(st.sampled_from(sorted(self.may_send)))
         if any(whose == name for whose, _ in self.out):
             return
-        assert self.open[name] not in self.out.values()  # never two of one order
+        assert self.open[name] not in self.out.values()  # never two attempts of one key
         self.count += 1
         self.out[name, self.count] = self.open[name]
         self.guard.attempt_started(self.now, name, self.count, SERVER, WINDOW)
@@ -178,7 +178,7 @@
     @precondition(lambda self: self.open)
     @rule(data=st.data())
     def answer(self, data: st.DataObject) -> None:
-        """A request gets its final answer, or its client leaves."""
+        """A request gets its final answer, or its client disconnects."""
         name = data.draw(st.sampled_from(sorted(self.open)))
         del self.open[name]
         self.may_send.discard(name)
@@ -191,7 +191,7 @@
 
     @invariant()
     def one_holder_each_and_nobody_stuck(self) -> None:
-        """At most one request of a key may have attempts; none waits for nothing."""
+        """At most one request of a key may start attempts; others wait for it or for an attempt to end."""
         for key in "abc":
             holders = [name for name in self.may_send if self.open[name] == key]
             waiting = [name for name, of in self.open.items() if of == key and name not in self.may_send]
@@ -200,7 +200,7 @@
                 assert holders or key in self.out.values()
 
     def teardown(self) -> None:
-        """Ends all that is open: nothing may be left."""
+        """Ends all attempts and requests; no state may be left over."""
         for name, number in list(self.out):
             self.guard.attempt_finished(name, number, S.OK)
         for name in list(self.open):
--- a/tests/overload/test_retry_after.py
+++ b/tests/overload/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After times: spread, bounded, and recognized when their clients return."""
+"""Retry-After times: they are spread and bounded, and a client that returns is recognized."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,13 +14,13 @@
 
 
 def asked(number: int = 0, key: str = "k") -> api.Request:
-    """A request by its number."""
+    """Returns a request with an id of its own, which has no part in its fingerprint."""
     return api.Request(f"r{number}", 0, START + SECOND, key)
 
 
 @given(st.integers(1, 400), st.sampled_from([5.0, 50.0, 500.0]), st.integers(0, 99))
 def test_times_are_within_bounds_spread_and_grow_with_the_storm(many: int, pace: float, seed: int) -> None:
-    """Clients refused together and told the same came back together."""
+    """Guards against clients that are rejected together, given the same time, and return together."""
     scheduler = RetryAfterScheduler(2 * SECOND, seed)
     waits = [scheduler.assign_ns(START, pace, fingerprint_of(asked(n, f"k{n}"))) for n in range(many)]
     assert all(MIN_RETRY_AFTER_NS <= wait <= 2 * SECOND for wait in waits)
@@ -30,7 +30,7 @@
         inside = sum(at * slot_ns <= wait < (at + 1) * slot_ns for wait in fits)
         assert inside <= pace / 4 + 2
     if many > 2 * pace + 2:
-        assert max(waits) >= SECOND  # the later half, once no place is free
+        assert max(waits) >= SECOND  # a time in the later half once no slot is free
 
 
 def test_two_routers_that_reject_at_once_give_different_times() -> None:
@@ -45,11 +45,11 @@
     wait = scheduler.assign_ns(START, 2.0, what)
     assert (
         scheduler.classify_return(START + wait // 2, what, False) is ReturnTiming.NEW
-    )  # another client's first try
-    assert scheduler.classify_return(START + wait, what, False) is ReturnTiming.ON_TIME  # marked or not
+    )  # another client's first attempt
+    assert scheduler.classify_return(START + wait, what, False) is ReturnTiming.ON_TIME  # without the mark
     scheduler.assign_ns(START, 0.6, what)
     assert scheduler.classify_return(START + 1, what, True) is ReturnTiming.EARLY
-    assert scheduler.classify_return(START + 2 * SECOND, what, True) is ReturnTiming.NEW  # each counts once
+    assert scheduler.classify_return(START + 2 * SECOND, what, True) is ReturnTiming.NEW  # its slot is used up
 
 
 def test_no_time_is_given_where_the_settings_allow_none() -> None:
--- a/tests/overload/test_retry_budget.py
+++ b/tests/overload/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: retries stay a fraction of first attempts in every span of time."""
+"""The retry budget: in every span of time, retries are at most a fraction of the first attempts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 def test_in_any_window_retries_are_a_fraction_of_first_attempts(
     events: list[tuple[bool, int]], retry_fraction: float, min_per_s: float
 ) -> None:
-    """A fleet in trouble had its load multiplied by its routers' own retries."""
+    """Guards against an overloaded fleet whose load is multiplied by the routers' own retries."""
     budget, now, first_attempts, retries = RetryBudget(retry_fraction, min_per_s), START, [], []
     for retry, step in events:
         now += step
--- a/tests/overload/test_storm_detector.py
+++ b/tests/overload/test_storm_detector.py
@@ -1,4 +1,4 @@
-"""Storms are told from ordinary peaks, and their end is seen when it lasts."""
+"""Storms are distinguished from ordinary peaks, and end only after several calm periods."""
 
 from support import MILLI, SECOND, START
 
@@ -6,7 +6,7 @@
 
 
 def period(detector: RetryStormDetector, now: int, **counts: int) -> str:
-    """Ends a period with these counts; gives the detector's log line."""
+    """Ends a period with these counts; returns the detector's log line."""
     for name, value in counts.items():
         setattr(detector.current, name, value)
     detector.open_connections = counts.get("connects", 0) + 200
@@ -14,7 +14,7 @@
 
 
 def storm_period(detector: RetryStormDetector) -> None:
-    """Counts what a period in a storm has."""
+    """Sets the counts of a period in a storm."""
     counts = detector.current
     counts.connects = 200
     counts.arrivals = 200
@@ -23,7 +23,7 @@
 
 
 def usual(detector: RetryStormDetector, seconds: int = 30) -> int:
-    """Plays so many seconds of normal periods; gives the time, ns."""
+    """Simulates `seconds` of normal periods; returns the time at their end, ns."""
     now = START
     detector.step(now)
     for _ in range(4 * seconds):
@@ -35,7 +35,7 @@
 def test_an_ordinary_peak_is_no_storm_and_one_made_of_reconnects_is() -> None:
     detector = RetryStormDetector()
     now = usual(detector)
-    for _ in range(40):  # 2.5 times the load, much of it refused and tried once more
+    for _ in range(40):  # 2.5 times the load, of which much is rejected and retried once
         now += PERIOD_NS
         assert (
             period(
@@ -79,14 +79,14 @@
 
 
 def test_the_first_clients_of_a_router_that_has_just_started_are_no_storm() -> None:
-    """It knows of no usual number, and everybody connects to it."""
+    """After a start no usual rate is known yet, and all clients connect."""
     detector = RetryStormDetector()
     detector.step(START)
     assert period(detector, START + PERIOD_NS, arrivals=200, connects=40, retries=2) == ""
 
 
 def test_two_processes_of_one_router_are_no_storm() -> None:
-    """In an upgrade all clients came over at once, and the new process refused work for it."""
+    """Guards against an upgrade, in which all clients move at once, being taken for a storm."""
     for excused in (False, True):
         detector, lines = RetryStormDetector(), []
         for n in range(40):
@@ -99,4 +99,4 @@
         assert any(lines) is not excused
         storm_period(detector)
         line = detector.step(now + 9 * PERIOD_NS)
-        assert line.startswith("storm began") or detector.storm_active  # the grace time is over
+        assert line.startswith("storm began") or detector.storm_active  # the grace period is over
--- a/tests/overload/test_storms_on_sockets.py
+++ b/tests/overload/test_storms_on_sockets.py
@@ -1,4 +1,4 @@
-"""Storms as clients meet them, over loopback sockets."""
+"""Storms over loopback sockets, from the clients' side."""
 
 import asyncio
 import socket
@@ -14,7 +14,7 @@
 
 
 async def test_a_retry_over_another_connection_waits_for_the_first_attempt() -> None:
-    """Two connections, two ids, one order key: the database had both at once."""
+    """Guards against two concurrent writes with one key that arrive on two connections with two ids."""
     async with router(origin=lambda asked, line: None) as bench:
         first, second = await bench.caller(), await bench.caller()
         first.send(b"C.SET", b"k", b"i1", PUT, b"v")
@@ -45,7 +45,7 @@
 
 
 async def test_a_new_client_is_charged_with_its_time_in_the_backlog() -> None:
-    """A request that had waited there was answered after its client had left."""
+    """Guards against an answer after the client has left: time in the backlog must count as waiting time."""
     async with router(lambda asked, line: None) as bench:
         assert bench.clients.listener is not None
         bench.clients.listener.pause(0.5)
@@ -60,8 +60,8 @@
             second_sent = time.monotonic()
             late.sendall(resp.command(b"C.GET", b"k", b"i2", b"c=read,t=acme,d=1500"))
             again = await wait_until(lambda: bench.driver.requests.get("i2"))
-            # What lay in the backlog was the first command alone: the second is charged with no more than the
-            # time that has passed since it was sent, which on a busy machine is some milliseconds.
+            # Only the first command was in the backlog. The second is charged with at most the time since it
+            # was sent, which is some milliseconds on a busy machine.
             since_sent_ms = (time.monotonic() - second_sent) * 1000
             assert again.client_request.unread_ms <= since_sent_ms + 1
             assert again.client_request.wait_ms == 1500 - again.client_request.unread_ms
@@ -84,9 +84,9 @@
 async def test_a_new_client_past_half_of_the_cap_closes_the_longest_idle_connection(
     monkeypatch: pytest.MonkeyPatch, asked: int, go: int
 ) -> None:
-    """Clients that keep what they open ran out of connections of their own, long before the cap here.
+    """Guards against clients that keep all connections open and run out of them long before the cap.
 
-    Those that ask once and stay never grew fewer, with one closed for each that came.
+    With only one closed per new connection, connections that had sent a single request would never get fewer.
     """
     monkeypatch.setattr(client_connections, "IDLE_GRACE_NEAR_CAP_S", 0.05)
     async with router(sockets=8) as bench:
@@ -109,7 +109,7 @@
         pacer = bench.clients.overload.accept_pacer
         pacer.rate_per_s = pacer.min_per_s
         pacer.tokens = 0.0
-        pacer.adjusted_at_ns = time.monotonic_ns() + 60_000_000_000  # the rate stays
+        pacer.adjusted_at_ns = time.monotonic_ns() + 60_000_000_000  # keeps the rate from being adjusted
         for _ in range(12):
             await (await bench.caller()).answer_to_ping()
         assert bench.clients.listener is not None and bench.clients.listener.pauses > 0
