--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: in time, agreed on after the last fault, and not misled by a router that was paused."""
+"""Failure detection: timely, consistent after the last fault, and robust against a paused router."""
 
 import contextlib
 from itertools import permutations
@@ -21,7 +21,7 @@
 
 
 def fleet(routers: int, seed: int) -> LossyNetwork:
-    """Routers with a failure detector each."""
+    """Returns a network of routers with a failure detector each."""
     return LossyNetwork(
         routers,
         lambda me, generation, now: FailureDetector(me, routers, generation, now, seed * 100 + me),
@@ -30,7 +30,7 @@
 
 
 def agreed(network: LossyNetwork) -> bool:
-    """Whether all that run hold the same, and it is true."""
+    """Returns whether all running routers have the correct view of which routers are alive."""
     truth = list(network.up)
     return all(
         [part.is_alive(n) for n in range(len(truth))] == truth
@@ -85,7 +85,7 @@
 
 
 def test_a_paused_router_distrusts_itself_before_the_others() -> None:
-    """A router that was stopped had heard nobody, and told all others that all were dead."""
+    """Guards against a paused router that received nothing and then declares all others dead."""
     network = fleet(6, 5)
     network.go(5 * SECOND)
     network.stopped[0] = True
@@ -97,7 +97,7 @@
     assert network.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and network.parts[0].local_health_score > 0
     network.go(20 * SECOND)
     assert agreed(network)
-    assert sum(part.changes for part in network.parts) - sum(before) <= 12, "it alone was gone, and is back"
+    assert sum(part.changes for part in network.parts) - sum(before) <= 12, "only the paused router changes"
 
 
 def test_a_router_that_restarts_with_a_clock_gone_back_takes_a_higher_generation() -> None:
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("routers", [3, 5, 9])
 def test_after_the_last_fault_all_agree(routers: int) -> None:
-    """Schedules at random: loss, cuts both ways and one way, doubling, delay, stops, deaths, starts."""
+    """Random schedules of loss, one-way and two-way cuts, duplicates, delays, pauses, deaths and starts."""
     for seed in range(8):
         network = fleet(routers, seed)
         for _ in range(40):
--- a/tests/fleet/test_gossip_codec.py
+++ b/tests/fleet/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The datagram of answer times."""
+"""Datagrams of latency observations."""
 
 import pytest
 from gossip import near
@@ -29,7 +29,7 @@
     ]
     data = encode(seen)
     assert near(decode(data, names_by_hash(NAMES)), seen) and len(data) == 1 + 3 * len(seen)
-    assert near(decode(data, names_by_hash(["s-2"])), seen[1:2]), "who is not listed here is left out"
+    assert near(decode(data, names_by_hash(["s-2"])), seen[1:2]), "a server that is not listed is left out"
 
 
 @given(st.integers(0, 10**15))
@@ -37,7 +37,7 @@
     (told,) = decode(encode([api.LatencyObservation("s-1", elapsed)]), names_by_hash(NAMES))
     assert told.elapsed_ns == pytest.approx(min(max(elapsed, TIMES_NS[0]), TIMES_NS[-1]), rel=0.051)
     assert encode([told]) == encode([api.LatencyObservation("s-1", elapsed)]), (
-        "what was told is told on the same"
+        "a decoded time is encoded as it was received"
     )
 
 
@@ -49,7 +49,7 @@
 
 
 def test_servers_that_share_a_hash_are_left_out() -> None:
-    """One server's answer times were taken for another's."""
+    """Guards against one server's latencies being attributed to another."""
     first: dict[int, str] = {}
     for number in range(100_000):
         name = f"s-{number}"
--- a/tests/fleet/test_gossip_in_decisions.py
+++ b/tests/fleet/test_gossip_in_decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions do with other routers' observations, and what they publish."""
+"""Effect of other routers' observations on the decisions, and the observations that are published."""
 
 from support import MILLI, SECOND, START, Router, settings
 
@@ -6,7 +6,7 @@
 
 
 def test_another_routers_slow_answers_cut_a_servers_range_and_quick_ones_restore_it() -> None:
-    """Each router saw a hot server every few seconds and went on filling it for tens of seconds."""
+    """Guards against a router that meets an overloaded server seldom and loads it for tens of seconds."""
     router = Router(settings(router_count=40))
     server = router.balancer.servers.servers["c0"]
     for _ in range(4):
@@ -49,5 +49,5 @@
         assert [one.observations for one in told if one.observations] == (
             [[api.LatencyObservation(server, 80 * MILLI)]] if every else []
         )
-        assert bool(told) is (every > 0), "once a period, whether or not anything was seen"
+        assert bool(told) is (every > 0), "published once per interval, with or without observations"
     assert router.now > START
--- a/tests/fleet/test_gossip_transport.py
+++ b/tests/fleet/test_gossip_transport.py
@@ -1,4 +1,4 @@
-"""The socket between routers: it reads peers and nobody else, and a router without it runs on."""
+"""The socket between routers: it accepts datagrams from peers only, and a router without it keeps running."""
 
 import asyncio
 import socket
@@ -43,9 +43,9 @@
         names.append("s-2")
         peers.set_servers(names)
         friend.sendto(word, here)
-        assert len((await asyncio.wait_for(heard.get(), 20)).observations) == 2, "the list has changed"
+        assert len((await asyncio.wait_for(heard.get(), 20)).observations) == 2, "both servers are listed now"
         assert peers.counts.counters["words"]["unread"] == 2 and heard.empty()
-        for elapsed in (8 * SECOND, SECOND):  # the first is left out: another has just told of this server
+        for elapsed in (8 * SECOND, SECOND):  # the first is left out: the peer has just published s-1
             peers.publish([api.LatencyObservation("s-1", elapsed)])
         assert near(decode(friend.recv(512), names_by_hash(names)), [api.LatencyObservation("s-1", SECOND)])
         peers.close()
--- a/tests/fleet/test_many_routers.py
+++ b/tests/fleet/test_many_routers.py
@@ -1,4 +1,4 @@
-"""Sixty routers in virtual time: what is harmless in one and was not in all of them."""
+"""Sixty routers in virtual time: failures that occur in a fleet only, and not with a single router."""
 
 from benchmarks.fleet import Case, rejected_within_quota, run_case
 
@@ -6,8 +6,8 @@
 def test_gossip_among_sixty_routers_keeps_none_from_idle_servers() -> None:
     """Guards against a collapse with no fault at all.
 
-    Each full connection table was told to all as a slow server, who is slow was asked no more, and so all
-    stayed slow while they idled. Service was 0.80.
+    Each full connection table was published as a slow server. Slow servers got no requests, so nothing showed
+    that they were idle, and they continued to count as slow. The service was 0.80.
     """
     service, broken, whole = run_case(Case("calm", 0.0, 60), seed=1, length_s=4.0)
     assert service > 0.92 and not broken
--- a/tests/fleet/test_novelty_filter.py
+++ b/tests/fleet/test_novelty_filter.py
@@ -1,4 +1,4 @@
-"""What other routers have published is not published again."""
+"""Observations of a server that another router has published are not published again."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 def test_what_another_has_published_since_this_one_did_is_not_published_again(
     steps: list[tuple[str, str]],
 ) -> None:
-    """Two hundred routers published the same, and each datagram is paid for at all of them."""
+    """Guards against two hundred routers that publish the same; each datagram costs CPU at all of them."""
     novelty_filter, known = NoveltyFilter(), set()
     for step, name in steps:
         seen = [api.LatencyObservation(name, 80 * MILLI)]
--- a/tests/fleet/test_peer_judgements.py
+++ b/tests/fleet/test_peer_judgements.py
@@ -1,4 +1,4 @@
-"""How far other routers' latencies are believed: one faulty one is bounded, two that agree are believed."""
+"""Bounds on other routers' latencies: one router's latency is bounded, two that agree count in full."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
 def test_one_author_alone_is_bounded_by_another_author_or_by_own_observations() -> None:
     judgements = PeerJudgements(ME)
     judgements.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
-    for _ in range(20):  # however often it says so
+    for _ in range(20):  # repetition by one author does not lift the bound
         assert believed_ns(judgements, 1, 9 * SECOND) == MAX_FACTOR * 100 * MILLI
     assert judgements.bounded == 20
 
@@ -62,9 +62,9 @@
 
 
 def latency(believed: bool) -> float:
-    """The latency, ns, that a router expects of a server that answers it in 100 ms.
+    """Returns the average latency, ns, that a router has for a server that answers it in 100 ms.
 
-    One other router says 20 s in each period.
+    Another router publishes 20 s for that server in each interval.
     """
     router = Router(settings(router_count=40, gossip_interval_ns=200 * MILLI))
     judgements = PeerJudgements(ME)
@@ -81,7 +81,7 @@
 
 
 def test_one_faulty_router_makes_no_server_overloaded_for_the_others() -> None:
-    """One router with a bad link or a slow core shut a server for all: its latencies counted in full."""
+    """Guards against one router with a bad link or a slow core that keeps all others from using a server."""
     assert latency(believed=False) > 5 * SECOND
     assert latency(believed=True) <= MAX_FACTOR * 110 * MILLI
 
--- a/tests/fleet/test_router_gossip.py
+++ b/tests/fleet/test_router_gossip.py
@@ -1,4 +1,4 @@
-"""A router put together as the program does it, with another router's socket beside it."""
+"""A router with all its modules, and the gossip socket of another router."""
 
 import socket
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 
 def configuration(friend: socket.socket, **changes: Any) -> dict[str, Any]:
-    """A router's configuration with `friend` as the first of its peers, and fields changed."""
+    """Returns a router's configuration with `friend` as its first peer and with `changes` to its fields."""
     host, port = friend.getsockname()
     address = f"{host}:{port}"
     return {
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def friend() -> Iterator[socket.socket]:
-    """Another router's socket."""
+    """Socket of another router."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
         one.bind(("127.0.0.1", 0))
         one.settimeout(20)
@@ -42,7 +42,7 @@
 
 
 def slower(server: Server, before: float) -> bool:
-    """Whether a server's latency is above what it was."""
+    """Returns whether a server's average latency has risen above `before`."""
     return server.latency.average_ns > before
 
 
--- a/tests/overload/test_retry_after.py
+++ b/tests/overload/test_retry_after.py
@@ -49,7 +49,7 @@
     assert scheduler.classify_return(START + wait, what, False) is ReturnTiming.ON_TIME  # without the mark
     scheduler.assign_ns(START, 0.6, what)
     assert scheduler.classify_return(START + 1, what, True) is ReturnTiming.EARLY
-    assert scheduler.classify_return(START + 2 * SECOND, what, True) is ReturnTiming.NEW  # its slot is used up
+    assert scheduler.classify_return(START + 2 * SECOND, what, True) is ReturnTiming.NEW  # no slot left
 
 
 def test_no_time_is_given_where_the_settings_allow_none() -> None:
