--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -1,4 +1,4 @@
-"""A quota that all routers share: never over it, whatever is lost, late, doubled, paused or restarted."""
+"""The shared quota is never exceeded, whatever is lost, delayed, duplicated, paused or restarted."""
 
 import contextlib
 import copy
@@ -26,7 +26,7 @@
 
 
 class Meter:
-    """What all have spent, against the total: a bucket that leaks at the total's rate."""
+    """Leaky bucket that compares the units taken by all routers with the quota."""
 
     def __init__(self, network: LossyNetwork, total: float, drift: float) -> None:
         self.network, self.total, self.drift = network, total * (1 + drift), drift
@@ -35,7 +35,7 @@
         self.spent = 0
 
     def spend(self, router: int) -> bool:
-        """A router spends a unit, if it may; gives whether it did."""
+        """Takes a unit at a router if its quota allows it; returns whether it did."""
         network = self.network
         self.level = max(0.0, self.level - self.total * (network.now - self.at) / SECOND)
         self.at = network.now
@@ -47,12 +47,12 @@
         return True
 
     def bound(self) -> float:
-        """What their buckets held: a second of the total, a unit of each router, and the rest of a unit."""
+        """Returns what the buckets hold: a second of the quota, and per router a unit and a partial one."""
         return self.total + 2 * len(self.network.parts)
 
 
 def fleet(routers: int, seed: int, drift: float = 0.0, every: int = ROUND_INTERVAL_NS // 4) -> LossyNetwork:
-    """Routers with a part of the quota each."""
+    """Returns a network of routers with an equal share of the quota each."""
     return LossyNetwork(
         routers,
         lambda me, generation, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + generation),
@@ -63,7 +63,7 @@
 
 
 def chaos(seed: int, steps: int, routers: int) -> tuple[Meter, LossyNetwork]:
-    """Faults at random, with demand that is now here and now there."""
+    """Runs random faults with a demand that moves at random between the routers."""
     network = fleet(routers, seed, CLOCK_DRIFT_FRACTION)
     meter = Meter(network, TOTAL, CLOCK_DRIFT_FRACTION)
     wants = [0.0] * routers
@@ -92,9 +92,9 @@
     ("routers", "seeds", "least"), [(2, 10, 100_000), (3, 10, 150_000), (12, 3, 150_000)]
 )
 def test_the_sum_stays_within_the_quota_through_any_faults(routers: int, seeds: int, least: int) -> None:
-    """Half a million units are asked for, over schedules of faults.
+    """Half a million units are demanded under random schedules of faults.
 
-    These are loss, delay, doubling, cuts, stops, deaths and starts.
+    The faults are loss, delay, duplication, cuts, pauses, deaths and starts.
     """
     asked = 0
     for seed in range(seeds):
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("mutant", ["lends what it spends", "own clock ends it", "doubled answer"])
 def test_each_part_of_the_rule_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same schedules with one guard taken out go over the bound, so the test above can fail."""
+    """The same schedules exceed the bound without one of the guards, so the test above can fail."""
     if mutant == "lends what it spends":
         held = QuotaEscrow._least_available_per_s
         monkeypatch.setattr(
@@ -161,9 +161,9 @@
     network.go(8 * SECOND, all_at_first)
     before = meter.spent
     network.go(8 * SECOND, all_at_first)
-    reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # a few are asked in a round, and each lends for a time
+    reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # few routers get a request per round, and leases expire
     assert (meter.spent - before) / 8 > reached * TOTAL
-    network.go(2 * LEASE_NS + 4 * SECOND)  # the last questions are asked while the need fades
+    network.go(2 * LEASE_NS + 4 * SECOND)  # the last requests are sent while the average demand decays
     assert all(not one.borrowed and not one.lent for one in network.parts if one._fill(network.now) is None)
     assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(TOTAL)
 
@@ -183,7 +183,7 @@
 
 
 def test_a_router_paused_past_its_leases_resumes_with_its_own_part_and_one_bucket() -> None:
-    """A late waker does no harm: what it held is looked at with each unit, not when it was lent."""
+    """Expiry is checked for each unit taken, so a resumed router does not use its expired leases."""
     one = QuotaEscrow(0, 3, TOTAL, 0, 7)
     one.borrowed.append(Lease(1, 0, 80.0, 4 * SECOND))
     one._fill(3 * SECOND)
@@ -203,7 +203,7 @@
     new = QuotaEscrow(0, 3, TOTAL, now, 2)
     assert new.available_per_s(now) + lent / 1000 <= old.own_per_s
     assert new.receive(now, 2, MESSAGE.pack(QuotaMessageKind.REQUEST, 6, 1_000_000)) == [], (
-        "nor does it lend meanwhile"
+        "a router that has just started does not lend"
     )
     assert new.available_per_s(now + int(LEASE_NS * (1 + CLOCK_DRIFT_FRACTION))) == new.own_per_s
 
@@ -219,10 +219,10 @@
 
 
 def test_every_order_of_messages_failures_and_time_keeps_the_sum() -> None:
-    """All interleavings to a depth.
+    """Explores all interleavings up to a depth.
 
-    Three routers, each may ask for all, answers come, are lost, or come again after any of it, routers die
-    and start anew, and half a term passes.
+    Two of three routers may request the whole quota; messages arrive, are lost, or arrive again; routers
+    restart; and half the duration of a lease passes.
     """
     depth, start = 5, 10 * SECOND
     first = tuple(QuotaEscrow(n, 3, 12.0, 0, n) for n in range(3))
@@ -270,7 +270,7 @@
             more = tuple((to, whom, one) for whom, one in answers)
             rest = tuple(one for one in words if one is not word)
             explore(mine, rest + more, now, left - 1)
-            explore(mine, words + more, now, left - 1)  # and once more later
+            explore(mine, words + more, now, left - 1)  # the message may arrive again later
         for n in range(3):
             mine = twin(parts)
             fresh = QuotaEscrow(n, 3, 12.0, now, n + 100)
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -1,4 +1,4 @@
-"""Usage of tenants, added up by all: within its error, whatever is lost, late, doubled or restarted."""
+"""Tenants' usage over all routers is within its error, whatever is lost, late, duplicated or restarted."""
 
 import pytest
 from hypothesis import given
@@ -20,7 +20,7 @@
 
 
 class Publisher:
-    """Usage that is published to all as the exchange does it, with a rate of requests for each tenant."""
+    """Router with a rate of requests per tenant that publishes its usage as GossipExchange does."""
 
     def __init__(self, me: int, routers: int, rates: list[float], generation: int, now: int) -> None:
         self.usage = TenantUsage(me, routers, len(rates), generation, now)
@@ -33,7 +33,7 @@
         self.usage.receive(now, sender, data)
 
     def step(self, now: int) -> list[tuple[int, bytes]]:
-        """Counts the requests since the last step; gives the reports that are due."""
+        """Counts the requests since the last step; returns the reports that are due."""
         passed, self.at = now - self.at, now
         for tenant, rate in enumerate(self.rates):
             self.owed[tenant] += rate * passed / SECOND
@@ -49,7 +49,7 @@
 
 
 def fleet(rates: list[list[float]], seed: int = 1, drift: float = 0.0) -> LossyNetwork:
-    """Routers with such rates of requests, by tenant."""
+    """Returns a network of routers with these rates of requests, by router and tenant."""
     return LossyNetwork(
         len(rates),
         lambda me, generation, now: Publisher(me, len(rates), rates[me], generation, now),
@@ -59,13 +59,13 @@
 
 
 def parts(network: LossyNetwork, router: int) -> list[float]:
-    """A router's fraction of each tenant's requests."""
+    """Returns a router's fraction of each tenant's requests."""
     made: list[float] = network.parts[router].usage.fractions(network.clock(router))
     return made
 
 
 def test_fractions_follow_each_tenants_traffic_and_add_up_to_one() -> None:
-    """Eighty percent of a tenant's requests come to one router, and half of another's to each of two."""
+    """One router gets eighty percent of a tenant's requests; two share those of another tenant equally."""
     network = fleet([[80.0, 20.0], [10.0, 0.0], [10.0, 20.0]])
     network.go(3 * WINDOW_NS)
     for tenant, wanted in enumerate([[0.8, 0.1, 0.1], [0.5, 0.0, 0.5]]):
@@ -100,14 +100,14 @@
 
 @pytest.mark.parametrize("heard_half", [False, True])
 def test_half_of_a_fleet_takes_the_other_half_for_still_running(heard_half: bool) -> None:
-    """Two halves of a cut fleet each took the whole: routers that are not heard count as busy as the mean."""
+    """Guards against two halves of a partitioned fleet that each take their traffic for the whole."""
     network = fleet([[20.0]] * 8)
     network.go(3 * WINDOW_NS)
     network.cut = lambda source, to: (source < 4) != (to < 4) or not heard_half
     network.go((EXPIRY_INTERVALS + 2) * MIN_INTERVAL_NS)
     for router in range(8):
         found = parts(network, router)
-        assert found == (pytest.approx([1 / 8], abs=0.02) if heard_half else []), "alone it tells no fraction"
+        assert found == (pytest.approx([1 / 8], abs=0.02) if heard_half else []), "none without reports"
 
 
 def test_a_router_that_restarts_or_resumes_counts_once_and_its_earlier_generation_not_at_all() -> None:
@@ -134,10 +134,10 @@
 def test_reports_merge_to_the_same_in_every_order_and_however_often(
     words: list[tuple[int, int, int]], random: object
 ) -> None:
-    """Commutative, associative, idempotent: an author's highest generation, then sequence, holds."""
+    """Merging is commutative, associative and idempotent: the highest generation, then sequence, is kept."""
     told = {}
     for generation, number, taken in words:
-        told[generation, number] = taken  # an author tells one thing under one generation and number
+        told[generation, number] = taken  # a router sends one report per generation and sequence number
 
     def report(generation: int, number: int) -> bytes:
         one = TenantUsage(1, 2, 1, generation, 0)
@@ -179,7 +179,7 @@
 
 
 def test_reports_heard_a_second_do_not_grow_with_the_fleet() -> None:
-    """Three hundred routers: what one sends, and so what it hears, is bounded."""
+    """Up to three hundred routers: the reports that a router sends, and so those it receives, are bounded."""
     for routers in (3, 60, 300):
         exchange = GossipExchange(0, routers, 5, 1, 0, seed=7, options=FleetOptions(counts=True))
         sent = 0
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -1,7 +1,7 @@
-"""Bytes between routers, against a recording of an earlier version: a fleet is upgraded router by router.
+"""Wire compatibility with an earlier version, since a fleet is upgraded router by router.
 
-`recorded_datagrams.json` holds what that version sent, believed and described in the runs below. Each run is
-deterministic: its times, its seeds and its lost datagrams are fixed. Datagrams are hexadecimal text.
+`recorded_datagrams.json` has the datagrams that the earlier version sent in the runs below, and its resulting
+state. Each run is deterministic: times, seeds and lost datagrams are fixed. Datagrams are hexadecimal.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 def observations(number: int) -> list[LatencyObservation]:
-    """Answer times of some servers; they differ with `number`."""
+    """Returns latencies of four servers, which depend on `number`."""
     return [
         LatencyObservation(
             f"cache-{(number * 7 + index) % 9}", (number + 1) * (index + 1) * 3 * MILLI, index == 2
@@ -39,12 +39,12 @@
 
 
 def rows(seen: list[LatencyObservation]) -> list[Any]:
-    """Observations as the recording has them."""
+    """Returns observations in the form of the recording."""
     return [[one.server, one.elapsed_ns, one.is_in_flight] for one in seen]
 
 
 def latency_observations() -> Run:
-    """Answer times (0xA2): what is encoded and what is read of it, with one server that is not listed."""
+    """Encodes and decodes latencies (0xA2), with one server that is not listed."""
     names = names_by_hash([f"cache-{number}" for number in range(8)])
     run: Run = []
     for number in range(12):
@@ -56,7 +56,7 @@
 
 
 def tenant_usage() -> Run:
-    """Usage counts (0xC1 is put before them by the exchange), with a router that starts anew."""
+    """Exchanges usage reports (GossipExchange puts 0xC1 before them), with a router that restarts."""
     parts = [TenantUsage(me, ROUTERS, 3, 10 + me, START) for me in range(ROUTERS)]
     run: Run = []
     for step in range(1, 80):
@@ -81,7 +81,7 @@
     before_step: Callable[[int, int, list[Any]], None],
     state: Callable[[Any, int], Any],
 ) -> Run:
-    """Steps all parts, and delivers a datagram in the step after it was sent; each eleventh is lost."""
+    """Steps all routers and delivers each datagram one step after it was sent; each eleventh is lost."""
     run: Run = []
     waiting: list[tuple[int, int, bytes]] = []
     sent = 0
@@ -109,7 +109,7 @@
 
 
 def quota_escrow() -> Run:
-    """Questions and answers for leases of a quota (0x51, 0x41), with a need that moves."""
+    """Exchanges requests and grants of leases (0x51, 0x41), with a demand that moves between routers."""
 
     def before_step(step: int, now: int, parts: list[Any]) -> None:
         if step == 160:
@@ -126,7 +126,7 @@
 
 
 def failure_detector() -> Run:
-    """Pings, answers and indirect pings (0x61 to 0x63), with a router that is gone and comes back."""
+    """Exchanges pings, acks and ping-reqs (0x61 to 0x63), with a router that fails and restarts."""
 
     def before_step(step: int, now: int, parts: list[Any]) -> None:
         if step == 40:
@@ -134,7 +134,7 @@
         if step == 220:
             parts[3] = FailureDetector(3, ROUTERS, 9, now, 33)
         if step == 300:
-            parts[0].step(now + 3 * SECOND)  # it was stopped, and finds time gone on
+            parts[0].step(now + 3 * SECOND)  # the router resumes from a pause
 
     def state(part: FailureDetector, now: int) -> Any:
         return [part.live_routers(), part.generation, part.local_health_score, part.changes]
@@ -144,7 +144,7 @@
 
 
 def gossip_exchange() -> Run:
-    """All kinds by the one entry point, with what is believed of them, and the object of `fleet status`."""
+    """Exchanges all kinds of datagrams by GossipExchange; includes the object of `fleet status`."""
     options = FleetOptions(counts=True, bounded=True, members=True, database_rps=40.0)
     exchanges = [
         GossipExchange(me, ROUTERS, 2, 5 + me, START, seed=me, options=options) for me in range(ROUTERS)
@@ -167,7 +167,7 @@
                 sent += [(me, EVERYONE, data)] if data else []
             for number in range((step + me) % 5):
                 exchange.tenant_usage.add(number % 2)  # type: ignore[union-attr]
-                if me == 0 or step % 10 == 0:  # one router needs more than its part, the others lend
+                if me == 0 or step % 10 == 0:  # one router needs more than its share and the others lend
                     exchange.quota_escrow.take(now)  # type: ignore[union-attr]
             sent += [(me, to, payload) for to, payload in exchange.step(now)]
             told = exchange.traffic_fractions(now)
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("name", RUNS)
 def test_datagrams_and_what_is_read_of_them_are_as_recorded(name: str) -> None:
-    """A router of a new version must send the bytes that the routers of the old one read, and read theirs."""
+    """Guards against a version that sends bytes an earlier one does not read, or does not read its bytes."""
     recorded = json.loads(RECORDING.read_text())[name]
     made = json.loads(json.dumps(RUNS[name]()))
     for number, (mine, theirs) in enumerate(zip(made, recorded, strict=True)):
