--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,7 +1,7 @@
-"""Several processes of the program, in a world of stand-ins, with faults between them.
+"""Several router processes in a simulated environment, with faults between them.
 
-What they share stays within its bounds. Counted where it counts: at the stand-in database, at the stand-in
-nodes, and in what each router believes.
+The tests check the bounds of what routers share by the records of the fake database and the fake nodes, and
+by each router's view of the fleet.
 """
 
 import asyncio
@@ -20,18 +20,18 @@
 from rainhitch.rehearsal.scenario import scenario_of
 
 Json = dict[str, Any]
-TOTAL = 24.0  # reads of the database a second that all routers may send
-AT_ONCE = 4  # days side by side
+TOTAL = 24.0  # quota of all routers together, reads of the database a second
+AT_ONCE = 4  # maximum number of days that are played concurrently
 
 
 class Watched(Environment):
-    """A day that keeps what its routers wrote, and asks them now and then what they believe."""
+    """Environment of a day that keeps its routers' logs and regularly requests their views of the fleet."""
 
     def make_router(self, number: int, config: Json) -> RouterProcess:
-        """Makes a router's process, with an operators' endpoint that is asked later."""
+        """Makes a router process with an admin endpoint."""
         if not hasattr(self, "admins"):
             self.admins: list[tuple[str, int]] = []
-            self.views: list[tuple[float, list[Json]]] = []  # seconds from the first scored one; by router
+            self.views: list[tuple[float, list[Json]]] = []  # seconds since scoring began, views by router
         self.admins.append(("127.0.0.1", self.free_port()))
         config["admin_addr"] = "{}:{}".format(*self.admins[-1])
         return super().make_router(number, config)
@@ -64,7 +64,7 @@
     change: Callable[[list[PlannedRequest]], None] = lambda asks: None,
     **traffic: Any,
 ) -> Watched:
-    """A day of so many processes."""
+    """Returns a day with `routers` router processes and these faults."""
     scenario = scenario_of(
         {
             "about": "what routers share",
@@ -88,13 +88,13 @@
 
 
 def reads(ledgers: Json) -> list[tuple[float, int]]:
-    """When the database got each read, in seconds from the first scored one, and from which router."""
+    """Returns the time, s since scoring began, and the router of each read that the database received."""
     rows = [one for one in ledgers["parts"]["centre"]["fetches"] if not one["write"]]
     return sorted(((one["last"] - ledgers["zero"]) / SECOND, one["router"]) for one in rows)
 
 
 def most_within(times: list[float], span: float) -> int:
-    """The most events in any stretch of that length."""
+    """Returns the largest number of events within any `span` seconds."""
     most = first = 0
     for last, at in enumerate(times):
         while times[first] < at - span:
@@ -104,7 +104,7 @@
 
 
 def to_one(router: int, part: float) -> Callable[[list[PlannedRequest]], None]:
-    """Sends so much of the load to one router."""
+    """Returns a change of the plan that sends the fraction `part` of the requests to one router."""
 
     def change(asks: list[PlannedRequest]) -> None:
         for number, ask in enumerate(asks):
@@ -142,7 +142,7 @@
 
 
 def small_at_one(asks: list[PlannedRequest]) -> None:
-    """All of a small customer's load comes to router 0."""
+    """Sends all requests of a small tenant to router 0 and all others to the other routers."""
     for ask in asks:
         if ask.at >= 0:
             ask.customer = min(ask.customer, 1)
@@ -150,13 +150,13 @@
 
 
 def often_anew(asks: list[PlannedRequest]) -> None:
-    """Clients keep what answers: who was stopped gets new connections, or nothing for seconds."""
+    """Opens a new connection for a third of the requests, as clients reuse only connections that answer."""
     for ask in asks[::3]:
         ask.fresh = True
 
 
 def soon_gone(asks: list[PlannedRequest]) -> None:
-    """Half of the clients leave after 30 to 230 ms."""
+    """Has half of the clients disconnect after 30 to 230 ms."""
     for number, ask in enumerate(asks[::2]):
         for one in ask.tries:
             one.leaves_us = 30_000 + number * 7919 % 200_000
@@ -164,7 +164,7 @@
 
 
 def days() -> dict[str, Watched]:
-    """All days of this file."""
+    """Returns all days of this file by name."""
     mostly = to_one(0, 0.9)
     return {
         "total": stage(4, [], HELD, 9.0, mostly),
@@ -194,43 +194,43 @@
 
 @pytest.fixture(scope="module")
 def ledgers() -> dict[str, Json]:
-    """The days, played some at a time: their ledgers by name."""
+    """Records of all days by name; `AT_ONCE` days are played at a time."""
     return asyncio.run(play_all())
 
 
 @pytest.mark.parametrize("name", ["total", "total, faults"])
 def test_processes_reads_of_the_database_stay_within_the_total(ledgers: dict[str, Json], name: str) -> None:
-    """Four processes, nine tenths of the load at one of them.
+    """Four router processes share a quota, and nine tenths of the requests go to one of them.
 
-    Loans move the total there, and through words that come twice and late, cuts both ways and one way, a
-    process that is stopped past its loans' end and one that is killed and started anew, the database gets no
-    more in any stretch than the total and what the banks hold.
+    Leases move the quota to that router. Despite duplicated and delayed datagrams, cuts in both directions
+    and in one, a process that is paused beyond the end of its leases and one that is killed and restarted,
+    the database receives no more reads in any span of time than the quota and the contents of the buckets.
     """
     times = [at for at, _ in reads(ledgers[name]) if at >= 0]
     for span in (0.5, 1.0, 2.0, 4.0, 8.0):
         assert most_within(times, span) <= TOTAL * span + TOTAL + 2 * 4, f"in {span} s"
-    assert ledgers[name]["asks"] > 2 * TOTAL * 9, "far more was asked for"
+    assert ledgers[name]["asks"] > 2 * TOTAL * 9, "the demand is far above the quota"
     for _, views in ledgers[name]["views"]:
         held = [one["holds"]["now"] for one in views if "holds" in one]
-        assert sum(held) <= TOTAL * 4 / 3, "asked one after the other: a loan may end in between"
+        assert sum(held) <= TOTAL * 4 / 3, "views are taken one by one, so a lease may end in between"
 
 
 def test_processes_lend_their_quota_to_the_one_that_needs_it(ledgers: dict[str, Json]) -> None:
     own = TOTAL / 4
     late = [router for at, router in reads(ledgers["total"]) if 5 <= at < 9]
-    assert late.count(0) > 1.5 * (4 * own + own), "its own part and a full bank give 4 s and 1 s of it"
+    assert late.count(0) > 1.5 * (4 * own + own), "its own share and a full bucket give 4 s and 1 s of it"
     held = [one["holds"]["now"] for at, told in ledgers["total"]["views"] if at >= 5 for one in told[:1]]
-    assert max(held) > 2 * own and min(held) >= own, "the rest was lent to it"
+    assert max(held) > 2 * own and min(held) >= own, "the other routers lend to it"
 
 
 def test_processes_without_a_total_send_the_database_all_reads(ledgers: dict[str, Json]) -> None:
-    """The bound above is the mechanism's: without it the same load goes over it."""
+    """Without the quota the same load exceeds the bound of the test above."""
     times = [at for at, _ in reads(ledgers["no total"]) if at >= 0]
     assert most_within(times, 4.0) > TOTAL * 4.0 + TOTAL + 2 * 4
 
 
 def beyond(told: Json, customer: str, after: float = 6.0) -> float:
-    """Which part of a customer's requests routers took to be beyond its share from then on."""
+    """Returns the fraction of a tenant's requests marked over quota, from `after` s after the first on."""
     marked = of = 0
     for log in told["logs"]:
         seconds = [
@@ -249,19 +249,19 @@
 def test_processes_a_tenant_within_its_quota_is_not_over_quota_where_its_load_comes_to_one_router(
     ledgers: dict[str, Json],
 ) -> None:
-    """Three processes; all of a small tenant's load comes to one of them.
+    """Three router processes, one of which receives all requests of a small tenant.
 
-    Datagrams are lost at times, doubled and late. With the counts next to nothing of it is taken to be beyond
-    its share; without them much is.
+    Datagrams are lost, duplicated and delayed. With usage reports hardly any of the tenant's requests count as
+    over its quota; without them many do.
     """
     assert beyond(ledgers["counted"], "xinzhu-textile") <= 0.05
     assert beyond(ledgers["not counted"], "xinzhu-textile") > 0.2
 
 
 def sent_for_nobody(told: Json, router: int) -> tuple[int, int]:
-    """Of a router's attempts in the second after it was let go on.
+    """Counts the attempts of a router in the second after it resumed from a pause.
 
-    Those for tries whose client had given up before, and all.
+    Returns the number of those whose client had disconnected or timed out, and the number of all.
     """
     clients = [one for part, rows in told["parts"].items() if part[:7] == "clients" for one in rows["sent"]]
     over = {one["id"]: one["left"] or one["sent"] + one["wait"] for one in clients if one["sent"]}
@@ -278,10 +278,11 @@
 def test_processes_a_router_that_was_stopped_starts_no_attempt_for_clients_that_left(
     ledgers: dict[str, Json],
 ) -> None:
-    """Three processes, one stopped for four seconds under load.
+    """Three router processes, one of which is paused for four seconds under load.
 
-    Nothing goes out for clients that have given up meanwhile, though its timers come before its sockets are
-    read, and what waits there looks new. The program without its sense of absence does send for them.
+    After the pause its timers fire before its sockets are read, and the requests waiting there look new.
+    Without pause detection it would start attempts for clients that have left in the meantime; with it there
+    are none.
     """
     late, sent = sent_for_nobody(ledgers["stopped"], 0)
     assert late == 0 and sent > 0
@@ -289,11 +290,11 @@
 
 
 def test_processes_start_no_attempt_for_clients_that_left(ledgers: dict[str, Json]) -> None:
-    """Half of the clients leave early: no attempt starts for one that has been gone for long.
+    """No attempt starts for a client that left long ago, while half of the clients leave early.
 
-    Meanwhile a server is silent, a link slow, the database congested and a router is shut down. No attempt,
-    first or later, comes to any server for a client that has been gone for so long that a slow machine can't
-    explain it. On an idle machine none comes after its client has left.
+    During the test a server is silent, a link is slow, the database is slow and a router restarts. The margin
+    of half a second allows for a slow machine; on an idle machine no attempt arrives after its client has
+    left.
     """
     parts = ledgers["left"]["parts"]
     clients = [one for name, rows in parts.items() if name[:7] == "clients" for one in rows["sent"]]
@@ -307,9 +308,10 @@
 def test_processes_detect_a_dead_router_and_one_resumed_late_declares_nobody_dead(
     ledgers: dict[str, Json],
 ) -> None:
-    """Five processes: one is killed for good, one is stopped and comes back.
+    """Five router processes: one is killed permanently, one is paused and resumes.
 
-    All others find out; who was stopped doubts itself, not them; and it is held as there again soon after.
+    The others detect both failures. The resumed router declares none of the others dead, and they soon count
+    it as alive again.
     """
     views = ledgers["gone"]["views"]
     away = [told for at, told in views if 11 <= at < 12.5]
@@ -317,4 +319,4 @@
     assert [one.get("gone") for one in views[-1][1][:4]] == [[4]] * 4, views[-1]
     for at, told in views:
         if at > 13.2:
-            assert told[3].get("gone", [4]) in ([], [4]), "it never told that those are gone who are not"
+            assert told[3].get("gone", [4]) in ([], [4]), "the resumed router declared a live router dead"
