--- a/rainhitch/overload/concurrency_limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -19,7 +19,7 @@
 
 NS_PER_S = 1_000_000_000
 TOLERATED_BAD_FRACTION = 0.1  # fraction of a period's outcomes that may be bad without a cut
-MIN_ENDS_TO_JUDGE = 4  # a period with fewer outcomes does not change the limit
+MIN_OUTCOMES_TO_ADJUST = 4  # a period with fewer outcomes does not change the limit
 RAISE_FRACTION = 1 / 8  # increase of the limit, as a fraction of it, after a good period that used it up
 # RAISE_FRACTION from a storm's start to its first cut, while the capacity is unknown and searched for.
 SEARCH_FRACTION = 1 / 2
@@ -69,8 +69,8 @@
         self.retries = AttemptKind()
         self.peak_in_flight = 0  # most requests in flight in the current period
         self.normal_peaks: deque[int] = deque(maxlen=NORMAL_PERIODS_REMEMBERED)
-        self.good_ends = 0  # good outcomes in the current period
-        self.bad_ends = 0  # bad outcomes in the current period
+        self.good_outcomes = 0  # good outcomes in the current period
+        self.bad_outcomes = 0  # bad outcomes in the current period
         self.rejected = 0  # rejections since the last judged period; above 0, the limit was used up
         self.cut_at_ns = 0
         self.adjusted_at_ns = 0
@@ -117,7 +117,7 @@
         """Removes an attempt that has ended from the number in flight."""
         self._kind(is_retry).in_flight -= 1
 
-    def record_end(self, is_good: bool, started_at_ns: int) -> None:
+    def record_outcome(self, is_good: bool, started_at_ns: int) -> None:
         """Records the outcome of an attempt.
 
         An attempt that started before the last cut is ignored: its outcome does not show the cut's effect.
@@ -125,9 +125,9 @@
         if started_at_ns < self.cut_at_ns:
             return
         if is_good:
-            self.good_ends += 1
+            self.good_outcomes += 1
         else:
-            self.bad_ends += 1
+            self.bad_outcomes += 1
 
     def step(self, now_ns: int, is_limiting: bool) -> None:
         """Adjusts the limit once per period.
@@ -145,20 +145,20 @@
 
     def _follow_normal_load(self) -> None:
         """Sets the limit that a storm would start with from the peaks of normal periods without overload."""
-        ends = self.good_ends + self.bad_ends
-        if self.bad_ends <= TOLERATED_BAD_FRACTION * max(ends, MIN_ENDS_TO_JUDGE):
+        outcomes = self.good_outcomes + self.bad_outcomes
+        if self.bad_outcomes <= TOLERATED_BAD_FRACTION * max(outcomes, MIN_OUTCOMES_TO_ADJUST):
             self.normal_peaks.append(self.peak_in_flight)
         self.limit = max(self.min_limit, INITIAL_FACTOR * max(self.normal_peaks, default=0))
-        self.good_ends = 0
-        self.bad_ends = 0
+        self.good_outcomes = 0
+        self.bad_outcomes = 0
         self.is_searching = True
 
     def _adjust_in_storm(self, now_ns: int) -> None:
         """Cuts the limit by half the fraction of bad outcomes, or raises it if it was used up."""
-        ends = self.good_ends + self.bad_ends
-        if ends < MIN_ENDS_TO_JUDGE:
+        outcomes = self.good_outcomes + self.bad_outcomes
+        if outcomes < MIN_OUTCOMES_TO_ADJUST:
             return
-        bad_fraction = self.bad_ends / ends
+        bad_fraction = self.bad_outcomes / outcomes
         if bad_fraction > TOLERATED_BAD_FRACTION:
             in_use = min(self.limit, float(self.peak_in_flight))
             self.limit = max(self.min_limit, in_use * (1 - bad_fraction / 2))
@@ -167,6 +167,6 @@
         elif self.rejected:
             fraction = SEARCH_FRACTION if self.is_searching else RAISE_FRACTION
             self.limit += max(1.0, self.limit * fraction)
-        self.good_ends = 0
-        self.bad_ends = 0
+        self.good_outcomes = 0
+        self.bad_outcomes = 0
         self.rejected = 0
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -20,7 +20,7 @@
 
 NS_PER_S = 1_000_000_000
 HURRIED_FRACTION = 0.4  # a request with a smaller fraction of its latency objective left is hurried
-GOOD_END_FRACTION = 0.5  # an answer within this fraction of the latency objective is a good outcome
+GOOD_OUTCOME_FRACTION = 0.5  # an answer within this fraction of the latency objective is a good outcome
 LIMIT_PERIODS_PER_OBJECTIVE = 8  # adjustments of the limit within the shortest latency objective
 UPGRADE_GRACE_NS = 2 * NS_PER_S  # grace period after another process of this router was last seen
 
@@ -220,10 +220,10 @@
             self.concurrency_limit.attempt_ended(tracked.is_retry)
             started_at_ns = now_ns - event.elapsed_ns
             if event.status in (api.AttemptStatus.OK, api.AttemptStatus.MISS):
-                is_good = event.elapsed_ns <= tracked.latency_objective_ns * GOOD_END_FRACTION
-                self.concurrency_limit.record_end(is_good, started_at_ns)
+                is_good = event.elapsed_ns <= tracked.latency_objective_ns * GOOD_OUTCOME_FRACTION
+                self.concurrency_limit.record_outcome(is_good, started_at_ns)
             elif event.status in (api.AttemptStatus.TIMEOUT, api.AttemptStatus.FULL):
-                self.concurrency_limit.record_end(False, started_at_ns)
+                self.concurrency_limit.record_outcome(False, started_at_ns)
         return self.idempotency_keys.attempt_finished(event.id, event.attempt, event.status)
 
     def request_finished(self, now_ns: int, request_id: str, served: bool, rejected: bool) -> str:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -251,7 +251,7 @@
 ) -> None:
     """Three router processes, one of which receives all requests of a small tenant.
 
-    Datagrams are lost, duplicated and delayed. With usage reports hardly any of the tenant's requests is
+    Datagrams are lost, duplicated and delayed. With usage reports hardly any of the tenant's requests are
     counted as over its quota; without them many are.
     """
     assert beyond(ledgers["counted"], "xinzhu-textile") <= 0.05
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -7,12 +7,12 @@
 from rainhitch.overload.concurrency_limit import AdaptiveConcurrencyLimit, Priority
 
 
-def pressed(limit: AdaptiveConcurrencyLimit, now: int, bad: float, ends: int = 20) -> None:
-    """Runs a period in which the limit is used up and the fraction `bad` of the outcomes is bad."""
+def run_loaded_period(limit: AdaptiveConcurrencyLimit, now: int, bad_fraction: float, outcomes: int = 20) -> None:
+    """Runs a period in which the limit is used up and `bad_fraction` of the outcomes are bad."""
     limit.peak_in_flight = int(limit.limit)
     limit.rejected = 1
-    for n in range(ends):
-        limit.record_end(n >= bad * ends, now)
+    for n in range(outcomes):
+        limit.record_outcome(n >= bad_fraction * outcomes, now)
     limit.step(now + limit.period_ns, True)
 
 
@@ -23,22 +23,22 @@
     assert limit.limit == 400
     for _ in range(30):
         now += limit.period_ns
-        pressed(limit, now, 0.6)
+        run_loaded_period(limit, now, 0.6)
     assert limit.limit == 8  # the limit's lower bound
     for _ in range(60):
         now += limit.period_ns
-        pressed(limit, now, 0.0)
+        run_loaded_period(limit, now, 0.0)
     assert limit.limit > 400
 
 
 def test_one_overload_cuts_the_limit_once() -> None:
     limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
     limit.limit = 100.0
-    pressed(limit, START, 1.0)
+    run_loaded_period(limit, START, 1.0)
     cut = limit.limit
     assert cut == 50
     for _ in range(50):
-        limit.record_end(False, START)  # the attempt started before the cut
+        limit.record_outcome(False, START)  # the attempt started before the cut
     limit.step(START + 2 * limit.period_ns, True)
     assert limit.limit == cut
 
@@ -48,22 +48,22 @@
     limit.limit = 100.0
     limit.peak_in_flight = 10
     for _ in range(20):
-        limit.record_end(True, START)
+        limit.record_outcome(True, START)
     limit.step(START + limit.period_ns, True)
     assert limit.limit == 100
 
 
-def filled(
+def admitted_counts(
     limit: AdaptiveConcurrencyLimit, offers: list[tuple[Priority, bool]], rounds: int
 ) -> dict[tuple[Priority, bool], int]:
     """Returns how many attempts of each offer are admitted when they arrive in turn and none ends."""
-    taken = dict.fromkeys(offers, 0)
+    admitted = dict.fromkeys(offers, 0)
     for _ in range(rounds):
         for priority, retry in offers:
             if limit.try_admit(START, priority, retry):
                 limit.attempt_started(retry)
-                taken[priority, retry] += 1
-    return taken
+                admitted[priority, retry] += 1
+    return admitted
 
 
 def test_priorities_are_rejected_in_their_order() -> None:
@@ -75,7 +75,7 @@
     ):
         limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, 0.2)
         limit.limit = 100.0
-        assert filled(limit, [(priority, False)], 200) == {(priority, False): most}
+        assert admitted_counts(limit, [(priority, False)], 200) == {(priority, False): most}
 
 
 @given(st.sampled_from([0.1, 0.2, 0.4]), st.integers(10, 400), st.booleans())
@@ -86,7 +86,7 @@
     limit = AdaptiveConcurrencyLimit(100 * MILLI, 8, reserved_fraction)
     limit.limit = float(size)
     limit.try_admit(START, Priority.READ, not flood)  # the other kind arrives too
-    filled(limit, [(Priority.WRITE, flood)], 3 * size)
+    admitted_counts(limit, [(Priority.WRITE, flood)], 3 * size)
     assert (limit.retries if flood else limit.first_attempts).in_flight <= size * (1 - reserved_fraction)
-    taken = filled(limit, [(Priority.READ, not flood)], 3 * size)[Priority.READ, not flood]
-    assert taken >= int(size * reserved_fraction)
+    admitted = admitted_counts(limit, [(Priority.READ, not flood)], 3 * size)[Priority.READ, not flood]
+    assert admitted >= int(size * reserved_fraction)
