--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -53,7 +53,7 @@
     holder: str = ""  # id of the request that holds the key, or held it last
     holder_unfinished: bool = False  # the holder has no final answer yet
     in_flight: set[AttemptId] = field(default_factory=set)
-    executed: dict[AttemptId, PossibleExecution] = field(default_factory=dict)
+    possible_executions: dict[AttemptId, PossibleExecution] = field(default_factory=dict)
     queue: deque[str] = field(default_factory=deque)  # ids of the waiting requests in order of arrival
     remembered_until_ns: int = 0  # time at which an idle key expires
 
@@ -70,19 +70,19 @@
 class IdempotencyKeyGuard:
     """Guard against concurrent attempts with the same idempotency key at this router.
 
-    `client_patience_ns` is the time within which a client may retry: the longest deadline of a class.
+    `client_retry_window_ns` is the time within which a client may retry: the longest deadline of a class.
     `max_keys` bounds the number of keys remembered, `max_queued` the number of requests waiting for one key.
     """
 
     def __init__(
-        self, client_patience_ns: int, max_keys: int = MAX_KEYS, max_queued: int = MAX_QUEUED
+        self, client_retry_window_ns: int, max_keys: int = MAX_KEYS, max_queued: int = MAX_QUEUED
     ) -> None:
-        self.client_patience_ns = client_patience_ns
+        self.client_retry_window_ns = client_retry_window_ns
         self.max_keys = max_keys
         self.max_queued = max_queued
         self.records: dict[str, KeyRecord] = {}  # by key, in the order in which they were last held
         # Key by request id, of requests that hold a key, wait for one, or have an attempt in flight.
-        self.key_of: dict[str, str] = {}
+        self.key_by_request: dict[str, str] = {}
 
     def __len__(self) -> int:
         return len(self.records)
@@ -94,16 +94,16 @@
             del self.records[key]
             record = None
         if record is None:
-            if len(self.records) >= self.max_keys and not self._make_room(now_ns):
+            if len(self.records) >= self.max_keys and not self._evict(now_ns):
                 return KeyAdmission.REJECTED
             record = self.records[key] = KeyRecord()
         if record.state is KeyState.HELD:
             if len(record.queue) >= self.max_queued:
                 return KeyAdmission.REJECTED
             record.queue.append(request_id)
-            self.key_of[request_id] = key
+            self.key_by_request[request_id] = key
             return KeyAdmission.QUEUED
-        self._hold(key, record, request_id)
+        self._set_holder(key, record, request_id)
         return KeyAdmission.HELD
 
     def is_known(self, now_ns: int, key: str) -> bool:
@@ -116,69 +116,73 @@
         record = self.records.get(key)
         if record is None:
             return []
-        return [execution for (owner, _), execution in record.executed.items() if owner != request_id]
+        return [
+            execution
+            for (owner, _), execution in record.possible_executions.items()
+            if owner != request_id
+        ]
 
     def attempt_started(
         self, now_ns: int, request_id: str, number: int, endpoint: api.Endpoint, dedup_window_ns: int
     ) -> None:
         """Records the holder's attempt, whose repeats the endpoint drops for `dedup_window_ns`."""
-        key = self.key_of.get(request_id)
+        key = self.key_by_request.get(request_id)
         if key is None:
             return
         record = self.records[key]
         record.in_flight.add((request_id, number))
-        record.executed[request_id, number] = (now_ns, endpoint)
+        record.possible_executions[request_id, number] = (now_ns, endpoint)
         record.remembered_until_ns = max(
-            record.remembered_until_ns, now_ns + dedup_window_ns + self.client_patience_ns
+            record.remembered_until_ns, now_ns + dedup_window_ns + self.client_retry_window_ns
         )
 
     def attempt_finished(self, request_id: str, number: int, status: api.AttemptStatus) -> str:
         """Records an attempt's end; returns the id of the request to which its key has passed, or ""."""
-        key = self.key_of.get(request_id)
+        key = self.key_by_request.get(request_id)
         if key is None:
             return ""
         record = self.records[key]
         record.in_flight.discard((request_id, number))
         if status in api.NEVER_EXECUTED:
-            record.executed.pop((request_id, number), None)
-        return self._pass_on(key, record)
+            record.possible_executions.pop((request_id, number), None)
+        return self._grant_to_next(key, record)
 
     def request_finished(self, request_id: str) -> str:
         """Records a request's final answer, or that its client has disconnected.
 
         Returns the id of the request to which the key has passed, or "".
         """
-        key = self.key_of.get(request_id)
+        key = self.key_by_request.get(request_id)
         if key is None:
             return ""
         record = self.records[key]
         if record.holder == request_id:
             record.holder_unfinished = False
-            return self._pass_on(key, record)
+            return self._grant_to_next(key, record)
         if request_id in record.queue:
             record.queue.remove(request_id)
-            del self.key_of[request_id]
+            del self.key_by_request[request_id]
         return ""
 
-    def _hold(self, key: str, record: KeyRecord, request_id: str) -> None:
+    def _set_holder(self, key: str, record: KeyRecord, request_id: str) -> None:
         record.holder = request_id
         record.holder_unfinished = True
-        self.key_of[request_id] = key
+        self.key_by_request[request_id] = key
         self.records[key] = self.records.pop(key)  # moves the key to the end of the order of last use
 
-    def _pass_on(self, key: str, record: KeyRecord) -> str:
+    def _grant_to_next(self, key: str, record: KeyRecord) -> str:
         """Passes a released key to the first request in its queue; returns that request's id, or ""."""
         if record.state is KeyState.HELD:
             return ""
-        self.key_of.pop(record.holder, None)
+        self.key_by_request.pop(record.holder, None)
         if record.queue:
-            self._hold(key, record, record.queue.popleft())
+            self._set_holder(key, record, record.queue.popleft())
             return record.holder
-        if not record.executed:
+        if not record.possible_executions:
             del self.records[key]  # no attempt may have executed, so nothing has to be remembered
         return ""
 
-    def _make_room(self, now_ns: int) -> bool:
+    def _evict(self, now_ns: int) -> bool:
         """Evicts the expired keys, or else the least recently held idle key; returns whether it could."""
         idle = [key for key, record in self.records.items() if record.state is KeyState.IDLE]
         if not idle:
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -7,7 +7,9 @@
 from rainhitch.overload.concurrency_limit import AdaptiveConcurrencyLimit, Priority
 
 
-def run_loaded_period(limit: AdaptiveConcurrencyLimit, now: int, bad_fraction: float, outcomes: int = 20) -> None:
+def run_loaded_period(
+    limit: AdaptiveConcurrencyLimit, now: int, bad_fraction: float, outcomes: int = 20
+) -> None:
     """Runs a period in which the limit is used up and `bad_fraction` of the outcomes are bad."""
     limit.peak_in_flight = int(limit.limit)
     limit.rejected = 1
--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -14,104 +14,104 @@
 WINDOW = 3 * SECOND // 2
 
 
-def storming(**changes: object) -> Router:
+def router_with_overload_control(**changes: object) -> Router:
     """Returns a router with overload control; class 1 has keys and its repeats are dropped for WINDOW."""
     options = settings(**changes)
     return Router(options, overload_control=OverloadController(options, 7))
 
 
-def order(
-    router: Router, name: str, key: str = "o1", cls: int = 1, live: int = 2 * SECOND
+def write(
+    router: Router, name: str, key: str = "o1", cls: int = 1, time_left_ns: int = 2 * SECOND
 ) -> list[api.Action]:
-    """Handles the arrival of a write with this idempotency key and a deadline in `live` ns."""
-    return router.handle(api.Request(name, cls, router.now + live, "k", True, 0, False, key))
+    """Handles the arrival of a write with this idempotency key and a deadline in `time_left_ns` ns."""
+    return router.handle(api.Request(name, cls, router.now + time_left_ns, "k", True, 0, False, key))
 
 
-def kinds(actions: list[api.Action]) -> list[str]:
+def summaries(actions: list[api.Action]) -> list[str]:
     """Returns the type and the request's id of each action."""
     return [f"{type(one).__name__} {getattr(one, 'id', '')}" for one in actions]
 
 
 def test_a_retry_waits_for_the_first_attempts_end_and_then_goes() -> None:
     """Guards against a write that is twice at the database because its client retried during an attempt."""
-    router = storming()
-    (first,) = order(router, "a")
-    assert kinds([first]) == ["StartAttempt a"]
+    router = router_with_overload_control()
+    (first,) = write(router, "a")
+    assert summaries([first]) == ["StartAttempt a"]
     router.handle(api.ClientGone("a"))
-    assert order(router, "b") == []
+    assert write(router, "b") == []
     router.wait(300 * MILLI)
-    assert kinds(router.end_attempt(first, S.OK)) == ["StartAttempt b"]
+    assert summaries(router.end_attempt(first, S.OK)) == ["StartAttempt b"]
 
 
 def test_only_one_of_several_retries_goes_at_a_time_in_the_order_they_came() -> None:
-    router = storming()
-    (send,) = order(router, "a")
+    router = router_with_overload_control()
+    (send,) = write(router, "a")
     for name in ("b", "c", "d"):
-        assert order(router, name) == []
+        assert write(router, name) == []
     for name in ("b", "c", "d"):
         (send,) = router.end_attempt(send, S.OK)
-        assert kinds([send]) == [f"StartAttempt {name}"]
+        assert summaries([send]) == [f"StartAttempt {name}"]
 
 
 def test_a_retry_whose_own_time_ends_while_it_waits_gets_its_one_answer() -> None:
-    router = storming()
-    order(router, "a", live=2 * SECOND)
-    assert order(router, "b", live=SECOND) == []
-    assert kinds(router.wait(SECOND + MILLI)) == ["Reject b"]  # harmless, since repeats are still dropped
+    router = router_with_overload_control()
+    write(router, "a", time_left_ns=2 * SECOND)
+    assert write(router, "b", time_left_ns=SECOND) == []
+    assert summaries(router.wait(SECOND + MILLI)) == ["Reject b"]  # harmless, since repeats are still dropped
 
 
 def test_what_may_have_run_longer_ago_than_it_is_remembered_fails_and_is_not_sent() -> None:
     """The first attempt times out; when the retry gets the key, a repeat would be executed a second time."""
-    router = storming()
-    (first,) = order(router, "a", live=2 * SECOND)
+    router = router_with_overload_control()
+    (first,) = write(router, "a", time_left_ns=2 * SECOND)
     router.handle(api.ClientGone("a"))
-    assert order(router, "b") == []
+    assert write(router, "b") == []
     router.wait(WINDOW + MILLI)
-    assert kinds(router.end_attempt(first, S.TIMEOUT)) == ["Fail b"]
+    assert summaries(router.end_attempt(first, S.TIMEOUT)) == ["Fail b"]
 
 
 def test_a_later_retry_fails_as_long_as_a_client_may_still_come_again() -> None:
-    router = storming()
-    (first,) = order(router, "a")
+    router = router_with_overload_control()
+    (first,) = write(router, "a")
     router.end_attempt(first, S.OK)
     router.wait(WINDOW + MILLI)
-    assert kinds(order(router, "b")) == ["Fail b"]
+    assert summaries(write(router, "b")) == ["Fail b"]
     router.wait(2 * SECOND)
-    assert kinds(order(router, "c")) == ["StartAttempt c"]
+    assert summaries(write(router, "c")) == ["StartAttempt c"]
 
 
 def test_an_attempt_that_never_ran_does_not_restrict_a_retry() -> None:
-    router = storming()
-    (first,) = order(router, "a")
+    router = router_with_overload_control()
+    (first,) = write(router, "a")
     router.handle(api.ClientGone("a"))
     router.end_attempt(first, S.FULL)
     router.wait(WINDOW + MILLI)
-    assert kinds(order(router, "b")) == ["StartAttempt b"]
+    assert summaries(write(router, "b")) == ["StartAttempt b"]
 
 
 def test_a_retry_stays_within_the_scope_that_drops_its_repeats() -> None:
     """Repeats of class 3 are dropped within a zone only; another zone would execute the write again."""
-    router = storming(cache_aside=False, origin_kind=-1)
-    (first,) = order(router, "a", cls=3)
+    router = router_with_overload_control(cache_aside=False, origin_kind=-1)
+    (first,) = write(router, "a", cls=3)
     assert isinstance(first, api.StartAttempt)
     zone = router.balancer.servers.servers[first.server].endpoint.zone
     router.handle(api.ClientGone("a"))
-    order(router, "b", cls=3)
+    write(router, "b", cls=3)
     sent = router.end_attempt(first, S.RESET)
     while sent and isinstance(sent[0], api.StartAttempt):
         assert router.balancer.servers.servers[sent[0].server].endpoint.zone == zone
         sent = router.end_attempt(sent[0], S.FULL, router.balancer.requests["b"].attempts_started - 1)
-    assert kinds(sent) == ["Fail b"]
+    assert summaries(sent) == ["Fail b"]
 
 
 def test_requests_with_other_keys_are_not_held_up() -> None:
-    router = storming()
-    order(router, "a")
-    assert kinds(order(router, "b", key="o2")) == ["StartAttempt b"]
+    router = router_with_overload_control()
+    write(router, "a")
+    assert summaries(write(router, "b", key="o2")) == ["StartAttempt b"]
 
 
 def test_memory_is_bounded_and_keys_with_attempts_in_flight_are_never_forgotten() -> None:
-    guard = IdempotencyKeyGuard(client_patience_ns=SECOND, max_keys=8, max_queued=2)
+    guard = IdempotencyKeyGuard(client_retry_window_ns=SECOND, max_keys=8, max_queued=2)
     for n in range(8):
         assert guard.admit(n, f"o{n}", f"r{n}") is KeyAdmission.HELD
         guard.attempt_started(n, f"r{n}", 0, SERVER, WINDOW)
@@ -127,53 +127,53 @@
     ]
 
 
-class OneAtATime(RuleBasedStateMachine):
+class IdempotencyKeyMachine(RuleBasedStateMachine):
     """Random requests of three keys: at most one holder and one attempt per key, no state left over."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.guard = IdempotencyKeyGuard(client_patience_ns=SECOND, max_keys=64, max_queued=4)
+        self.guard = IdempotencyKeyGuard(client_retry_window_ns=SECOND, max_keys=64, max_queued=4)
         self.now = START
         self.count = 0
         self.open: dict[str, str] = {}  # key by request id, of holders and queued requests without an answer
-        self.may_send: set[str] = set()
-        self.out: dict[tuple[str, int], str] = {}
+        self.holders: set[str] = set()
+        self.in_flight: dict[tuple[str, int], str] = {}
 
-    def _turn(self, name: str) -> None:
+    def _key_passed_to(self, name: str) -> None:
         if name:
             assert name in self.open
-            self.may_send.add(name)
+            self.holders.add(name)
 
     @rule(key=st.sampled_from("abc"))
-    def come(self, key: str) -> None:
+    def arrive(self, key: str) -> None:
         """A request arrives."""
         self.count += 1
         name = f"r{self.count}"
-        entry = self.guard.admit(self.now, key, name)
-        if entry is not KeyAdmission.REJECTED:
+        admission = self.guard.admit(self.now, key, name)
+        if admission is not KeyAdmission.REJECTED:
             self.open[name] = key
-            if entry is KeyAdmission.HELD:
-                self.may_send.add(name)
+            if admission is KeyAdmission.HELD:
+                self.holders.add(name)
 
-    @precondition(lambda self: self.may_send)
+    @precondition(lambda self: self.holders)
     @rule(data=st.data())
     def send(self, data: st.DataObject) -> None:
         """An attempt starts for a request that may have one."""
-        name = data.draw(st.sampled_from(sorted(self.may_send)))
-        if any(whose == name for whose, _ in self.out):
+        name = data.draw(st.sampled_from(sorted(self.holders)))
+        if any(whose == name for whose, _ in self.in_flight):
             return
-        assert self.open[name] not in self.out.values()  # never two attempts of one key
+        assert self.open[name] not in self.in_flight.values()  # never two attempts of one key
         self.count += 1
-        self.out[name, self.count] = self.open[name]
+        self.in_flight[name, self.count] = self.open[name]
         self.guard.attempt_started(self.now, name, self.count, SERVER, WINDOW)
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.in_flight)
     @rule(data=st.data(), status=st.sampled_from([S.OK, S.TIMEOUT, S.FULL, S.RESET]))
     def finish(self, data: st.DataObject, status: S) -> None:
         """An attempt ends."""
-        name, number = data.draw(st.sampled_from(sorted(self.out)))
-        del self.out[name, number]
-        self._turn(self.guard.attempt_finished(name, number, status))
+        name, number = data.draw(st.sampled_from(sorted(self.in_flight)))
+        del self.in_flight[name, number]
+        self._key_passed_to(self.guard.attempt_finished(name, number, status))
 
     @precondition(lambda self: self.open)
     @rule(data=st.data())
@@ -181,8 +181,8 @@
         """A request gets its final answer, or its client disconnects."""
         name = data.draw(st.sampled_from(sorted(self.open)))
         del self.open[name]
-        self.may_send.discard(name)
-        self._turn(self.guard.request_finished(name))
+        self.holders.discard(name)
+        self._key_passed_to(self.guard.request_finished(name))
 
     @rule(seconds=st.sampled_from([0.01, 1.0, 4.0]))
     def wait(self, seconds: float) -> None:
@@ -193,22 +193,22 @@
     def one_holder_each_and_nobody_stuck(self) -> None:
         """At most one request of a key may start attempts; others wait for it or for an attempt to end."""
         for key in "abc":
-            holders = [name for name in self.may_send if self.open[name] == key]
-            waiting = [name for name, of in self.open.items() if of == key and name not in self.may_send]
+            holders = [name for name in self.holders if self.open[name] == key]
+            waiting = [name for name, of in self.open.items() if of == key and name not in self.holders]
             assert len(holders) <= 1
             if waiting:
-                assert holders or key in self.out.values()
+                assert holders or key in self.in_flight.values()
 
     def teardown(self) -> None:
         """Ends all attempts and requests; no state may be left over."""
-        for name, number in list(self.out):
+        for name, number in list(self.in_flight):
             self.guard.attempt_finished(name, number, S.OK)
         for name in list(self.open):
             self.guard.request_finished(name)
-        assert not self.guard.key_of
+        assert not self.guard.key_by_request
 
 
-TestOneAtATime = OneAtATime.TestCase
+TestIdempotencyKeyMachine = IdempotencyKeyMachine.TestCase
 
 
 @given(st.lists(st.integers(0, 3), max_size=30))
@@ -218,4 +218,4 @@
         guard.admit(n, str(which), f"r{n}")
     for n in range(len(order_of)):
         guard.request_finished(f"r{n}")
-    assert not guard.key_of and not guard.records
+    assert not guard.key_by_request and not guard.records
