--- a/rainhitch/overload/storm_detector.py
+++ b/rainhitch/overload/storm_detector.py
@@ -1,19 +1,20 @@
 """Detects storms of retries and reconnects and distinguishes them from ordinary peaks of load.
 
-In a peak the usual traffic grows: there are more first attempts on the existing connections. A storm sustains
+In a peak normal traffic grows: there are more first attempts on the existing connections. A storm sustains
 itself: clients that were connected reconnect, rejected requests are retried, and requests arrive with little
 time left. For each sign of a storm the observed value is divided by its typical value in a storm, and the
 quotient is capped at the sign's weight. The sum of the signs decides, so that no single sign makes a storm:
 
-    connects   connections a second, relative to a fraction of those usually open and to the usual rate
+    connects   connections a second, relative to the open connections and to the rate of the baseline
     retries    fraction of the requests that are retries
     hurried    fraction of the requests with little time left until their deadline
-    arrivals   requests a second, relative to the usual rate; also high in a peak
+    arrivals   requests a second, relative to the rate of the baseline; also high in a peak
     lateness   delay of the router's own timers
 
-    normal --sum >= STORM_BEGINS_AT--> storm --sum < STORM_ENDS_BELOW for CALM_PERIODS in a row--> normal
+    normal --sum >= STORM_START_THRESHOLD--> storm
+    storm --sum < STORM_END_THRESHOLD for CALM_PERIODS in a row--> normal
 
-The usual values are learned in normal periods. A router that has just started has no usual rate of requests
+The baseline is learned in normal periods. A router that has just started has no baseline of the request rate
 yet, so arrivals do not count as a sign and the sum of the other signs decides.
 """
 
@@ -23,8 +24,8 @@
 NS_PER_MS = 1_000_000
 PERIOD_NS = NS_PER_S // 4  # length of the period over which the signs are computed
 
-STORM_BEGINS_AT = 2.25  # sum of the signs at which a storm begins
-STORM_ENDS_BELOW = 1.0  # sum of the signs below which a period of a storm is calm
+STORM_START_THRESHOLD = 2.25  # sum of the signs at which a storm begins
+STORM_END_THRESHOLD = 1.0  # sum of the signs below which a period of a storm is calm
 CALM_PERIODS = 4  # consecutive calm periods that end a storm
 
 # Maximum value of each sign: none makes a storm alone, and the one that is also high in a peak has the least.
@@ -36,17 +37,17 @@
 
 # Typical values in a storm, at which a sign is 1. Of several values for one sign the largest is used.
 STORM_CONNECTS_PER_S = 50.0  # lower bound for a router with few connections
-STORM_CONNECTS_FRACTION_PER_S = 0.25  # connects a second as a fraction of the connections usually open
-STORM_CONNECTS_FACTOR = 3.0  # multiple of the usual connects a second
+STORM_CONNECTS_FRACTION_PER_S = 0.25  # connects a second as a fraction of the baseline of open connections
+STORM_CONNECTS_FACTOR = 3.0  # multiple of the baseline of connects a second
 STORM_RETRIES_FRACTION = 0.5  # fraction of the requests that are retries
 STORM_HURRIED_FRACTION = 0.3  # fraction of the requests that are hurried
 STORM_ARRIVALS_PER_S = 40.0  # lower bound for a router with few requests
-STORM_ARRIVALS_FACTOR = 3.0  # multiple of the usual requests a second
+STORM_ARRIVALS_FACTOR = 3.0  # multiple of the baseline of requests a second
 STORM_TIMER_DELAY_NS = NS_PER_S // 20  # delay of the router's timers
 
-MIN_ARRIVALS_TO_JUDGE = 5  # in a period with fewer requests their fractions are not significant
-LEARNING_WEIGHT = 1 / 40  # weight of one normal period in the usual values: a time constant of 10 s
-MIN_LEARNED_PERIODS = 8  # normal periods after which the usual rate of requests is known
+MIN_ARRIVALS_FOR_FRACTIONS = 5  # in a period with fewer requests their fractions are not significant
+BASELINE_WEIGHT = 1 / 40  # weight of one normal period in the baseline: a time constant of 10 s
+MIN_BASELINE_PERIODS = 8  # normal periods after which the baseline of the request rate is known
 
 
 @dataclass(slots=True)
@@ -126,10 +127,10 @@
         self.storm_began_at_ns = 0
         self.storm_counts = TrafficCounts()  # counts since the storm began
         self.calm_periods = 0  # latest consecutive calm periods in the storm
-        self.learned_periods = 0
-        self.usual_open_connections = 0.0
-        self.usual_connects_per_s = 0.0
-        self.usual_arrivals_per_s = 0.0
+        self.baseline_periods = 0
+        self.baseline_open_connections = 0.0
+        self.baseline_connects_per_s = 0.0
+        self.baseline_arrivals_per_s = 0.0
         self.upgrade_until_ns = 0  # connects and lateness do not count as signs before this time
 
     def step(self, now_ns: int) -> str:
@@ -148,9 +149,9 @@
         span_s = span_ns / NS_PER_S
         self.signs = self._signs_of(now_ns, counts, span_s)
         if self.storm_active:
-            return self._judge_end(now_ns, counts)
-        if self.signs.total() < STORM_BEGINS_AT:
-            self._learn_usual(counts, span_s)
+            return self._check_end(now_ns, counts)
+        if self.signs.total() < STORM_START_THRESHOLD:
+            self._update_baseline(counts, span_s)
             return ""
         self.storm_active = True
         self.storm_began_at_ns = now_ns
@@ -158,9 +159,9 @@
         self.storm_counts = counts
         return f"storm began {self.signs.log_fields()} {counts.log_fields()}"
 
-    def _judge_end(self, now_ns: int, counts: TrafficCounts) -> str:
+    def _check_end(self, now_ns: int, counts: TrafficCounts) -> str:
         self.storm_counts.add(counts)
-        if self.signs.total() < STORM_ENDS_BELOW:
+        if self.signs.total() < STORM_END_THRESHOLD:
             self.calm_periods += 1
         else:
             self.calm_periods = 0
@@ -176,27 +177,27 @@
         if now_ns >= self.upgrade_until_ns:
             storm_connects_per_s = max(
                 STORM_CONNECTS_PER_S,
-                self.usual_open_connections * STORM_CONNECTS_FRACTION_PER_S,
-                self.usual_connects_per_s * STORM_CONNECTS_FACTOR,
+                self.baseline_open_connections * STORM_CONNECTS_FRACTION_PER_S,
+                self.baseline_connects_per_s * STORM_CONNECTS_FACTOR,
             )
             signs.connects = min(MAX_CONNECTS_SIGN, counts.connects / span_s / storm_connects_per_s)
             signs.lateness = min(MAX_LATENESS_SIGN, counts.max_timer_delay_ns / STORM_TIMER_DELAY_NS)
-        if counts.arrivals >= MIN_ARRIVALS_TO_JUDGE:
+        if counts.arrivals >= MIN_ARRIVALS_FOR_FRACTIONS:
             retries_fraction = counts.retries / counts.arrivals
             hurried_fraction = counts.hurried / counts.arrivals
             signs.retries = min(MAX_RETRIES_SIGN, retries_fraction / STORM_RETRIES_FRACTION)
             signs.hurried = min(MAX_HURRIED_SIGN, hurried_fraction / STORM_HURRIED_FRACTION)
-        if self.learned_periods >= MIN_LEARNED_PERIODS:
+        if self.baseline_periods >= MIN_BASELINE_PERIODS:
             storm_arrivals_per_s = max(
-                STORM_ARRIVALS_PER_S, self.usual_arrivals_per_s * STORM_ARRIVALS_FACTOR
+                STORM_ARRIVALS_PER_S, self.baseline_arrivals_per_s * STORM_ARRIVALS_FACTOR
             )
             signs.arrivals = min(MAX_ARRIVALS_SIGN, counts.arrivals / span_s / storm_arrivals_per_s)
         return signs
 
-    def _learn_usual(self, counts: TrafficCounts, span_s: float) -> None:
-        """Updates the moving averages of the usual values; the first periods have equal weights."""
-        self.learned_periods += 1
-        weight = max(LEARNING_WEIGHT, 1 / self.learned_periods)
-        self.usual_open_connections += (self.open_connections - self.usual_open_connections) * weight
-        self.usual_connects_per_s += (counts.connects / span_s - self.usual_connects_per_s) * weight
-        self.usual_arrivals_per_s += (counts.arrivals / span_s - self.usual_arrivals_per_s) * weight
+    def _update_baseline(self, counts: TrafficCounts, span_s: float) -> None:
+        """Updates the moving averages of the baseline; the first periods have equal weights."""
+        self.baseline_periods += 1
+        weight = max(BASELINE_WEIGHT, 1 / self.baseline_periods)
+        self.baseline_open_connections += (self.open_connections - self.baseline_open_connections) * weight
+        self.baseline_connects_per_s += (counts.connects / span_s - self.baseline_connects_per_s) * weight
+        self.baseline_arrivals_per_s += (counts.arrivals / span_s - self.baseline_arrivals_per_s) * weight
--- a/tests/overload/test_storm_detector.py
+++ b/tests/overload/test_storm_detector.py
@@ -5,7 +5,7 @@
 from rainhitch.overload.storm_detector import PERIOD_NS, RetryStormDetector
 
 
-def period(detector: RetryStormDetector, now: int, **counts: int) -> str:
+def end_period(detector: RetryStormDetector, now: int, **counts: int) -> str:
     """Ends a period with these counts; returns the detector's log line."""
     for name, value in counts.items():
         setattr(detector.current, name, value)
@@ -13,7 +13,7 @@
     return detector.step(now)
 
 
-def storm_period(detector: RetryStormDetector) -> None:
+def set_storm_counts(detector: RetryStormDetector) -> None:
     """Sets the counts of a period in a storm."""
     counts = detector.current
     counts.connects = 200
@@ -22,81 +22,81 @@
     counts.max_timer_delay_ns = SECOND // 10
 
 
-def usual(detector: RetryStormDetector, seconds: int = 30) -> int:
+def run_normal_periods(detector: RetryStormDetector, seconds: int = 30) -> int:
     """Simulates `seconds` of normal periods; returns the time at their end, ns."""
     now = START
     detector.step(now)
     for _ in range(4 * seconds):
         now += PERIOD_NS
-        assert period(detector, now, arrivals=40, connects=2, retries=4, hurried=1) == ""
+        assert end_period(detector, now, arrivals=40, connects=2, retries=4, hurried=1) == ""
     return now
 
 
 def test_an_ordinary_peak_is_no_storm_and_one_made_of_reconnects_is() -> None:
     detector = RetryStormDetector()
-    now = usual(detector)
+    now = run_normal_periods(detector)
     for _ in range(40):  # 2.5 times the load, of which much is rejected and retried once
         now += PERIOD_NS
         assert (
-            period(
+            end_period(
                 detector, now, arrivals=100, connects=6, retries=30, hurried=10, max_timer_delay_ns=5 * MILLI
             )
             == ""
         )
-    line = period(detector, now + PERIOD_NS, arrivals=200, connects=190, retries=60, hurried=20)
+    line = end_period(detector, now + PERIOD_NS, arrivals=200, connects=190, retries=60, hurried=20)
     assert line.startswith("storm began connects_sign=2.0 ") and " connects=190 requests=200 " in line
 
 
 def test_retries_that_feed_on_themselves_are_a_storm() -> None:
     detector = RetryStormDetector()
-    now = usual(detector)
-    assert period(detector, now + PERIOD_NS, arrivals=130, connects=5, retries=90, hurried=30).startswith(
+    now = run_normal_periods(detector)
+    assert end_period(detector, now + PERIOD_NS, arrivals=130, connects=5, retries=90, hurried=30).startswith(
         "storm"
     )
 
 
 def test_the_end_is_seen_only_when_it_lasts() -> None:
     detector = RetryStormDetector()
-    now = usual(detector) + PERIOD_NS
-    assert period(detector, now, arrivals=200, connects=190, retries=60, hurried=20)
+    now = run_normal_periods(detector) + PERIOD_NS
+    assert end_period(detector, now, arrivals=200, connects=190, retries=60, hurried=20)
     lines = []
     for n in range(8):
         now += PERIOD_NS
         worse = n == 2
-        lines.append(period(detector, now, arrivals=200 if worse else 40, connects=190 if worse else 2))
+        lines.append(end_period(detector, now, arrivals=200 if worse else 40, connects=190 if worse else 2))
     assert lines[:6] == [""] * 6 and lines[6].startswith("storm ended duration_s=1.8 connects=392 ")
     assert not detector.storm_active
 
 
-def test_a_storm_does_not_become_what_is_usual() -> None:
+def test_a_storm_does_not_change_the_baseline() -> None:
     detector = RetryStormDetector()
-    now = usual(detector)
-    before = detector.usual_connects_per_s
+    now = run_normal_periods(detector)
+    before = detector.baseline_connects_per_s
     for _ in range(400):
         now += PERIOD_NS
-        period(detector, now, arrivals=200, connects=190, retries=100, hurried=50)
-    assert detector.storm_active and detector.usual_connects_per_s == before
+        end_period(detector, now, arrivals=200, connects=190, retries=100, hurried=50)
+    assert detector.storm_active and detector.baseline_connects_per_s == before
 
 
 def test_the_first_clients_of_a_router_that_has_just_started_are_no_storm() -> None:
-    """After a start no usual rate is known yet, and all clients connect."""
+    """After a start no baseline is known yet, and all clients connect."""
     detector = RetryStormDetector()
     detector.step(START)
-    assert period(detector, START + PERIOD_NS, arrivals=200, connects=40, retries=2) == ""
+    assert end_period(detector, START + PERIOD_NS, arrivals=200, connects=40, retries=2) == ""
 
 
 def test_two_processes_of_one_router_are_no_storm() -> None:
     """Guards against an upgrade, in which all clients move at once, being taken for a storm."""
-    for excused in (False, True):
+    for within_grace_period in (False, True):
         detector, lines = RetryStormDetector(), []
         for n in range(40):
             detector.step(START + n * PERIOD_NS)
         now = START + 40 * PERIOD_NS
-        detector.upgrade_until_ns = now + 8 * PERIOD_NS if excused else 0
+        detector.upgrade_until_ns = now + 8 * PERIOD_NS if within_grace_period else 0
         for n in range(8):
-            storm_period(detector)
+            set_storm_counts(detector)
             lines.append(detector.step(now + n * PERIOD_NS))
-        assert any(lines) is not excused
-        storm_period(detector)
+        assert any(lines) is not within_grace_period
+        set_storm_counts(detector)
         line = detector.step(now + 9 * PERIOD_NS)
         assert line.startswith("storm began") or detector.storm_active  # the grace period is over
