--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -19,7 +19,7 @@
 )
 
 
-def play(seed: int = 1, **changes: object) -> SimulationResult:
+def simulate(seed: int = 1, **changes: object) -> SimulationResult:
     """Simulates a storm of 3000 clients from second 6 on against a router with overload control."""
     values: dict[str, object] = {
         "rate_per_s": 150.0,
@@ -43,7 +43,7 @@
     honour_fraction: float, retries: int, backoff_s: float
 ) -> None:
     """Guards against a metastable failure: a storm that is sustained by its own retries after its trigger."""
-    result = play(honour_fraction=honour_fraction, retries=retries, backoff_s=backoff_s)
+    result = simulate(honour_fraction=honour_fraction, retries=retries, backoff_s=backoff_s)
     before = result.service(2, 6)
     assert before > 0.97
     assert 0 <= result.recovery_s(7, before, 18, within=0.05) <= 5  # the storm's clients arrive for 3 s more
@@ -53,7 +53,7 @@
 
 def test_clients_that_honour_retry_after_come_back_spread_out() -> None:
     """Clients rejected in the same second return over the range of Retry-After times, not all at once."""
-    waits_ms = sorted(play(honour_fraction=1.0).retry_after_ms)
+    waits_ms = sorted(simulate(honour_fraction=1.0).retry_after_ms)
     assert len(waits_ms) > 500 and waits_ms[0] > 0 and waits_ms[-1] <= 2000
     tenth = len(waits_ms) // 10
     assert waits_ms[-tenth] - waits_ms[tenth] > 400
@@ -61,6 +61,6 @@
 
 def test_the_fleets_load_is_not_multiplied_by_the_routers_own_attempts() -> None:
     """With clients that ignore Retry-After and retry at once, attempts stay near the number of requests."""
-    result = play(honour_fraction=0.0, retries=4)
+    result = simulate(honour_fraction=0.0, retries=4)
     ended = sum(result.tries_by_end.values())
     assert sum(result.attempts.values()) <= 1.2 * ended + 10 * 18
--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -17,7 +17,7 @@
     return Router(options, overload_control=overload), overload
 
 
-def storm(router: Router, overload: OverloadController) -> None:
+def simulate_storm(router: Router, overload: OverloadController) -> None:
     """Simulates a storm of reconnects and retries until it is detected."""
     for _ in range(4):
         for _ in range(200):
@@ -38,7 +38,7 @@
 
 def test_a_storm_is_logged_in_one_line_at_its_start_and_one_at_its_end() -> None:
     router, overload = router_with_overload_control()
-    storm(router, overload)
+    simulate_storm(router, overload)
     for _ in range(40):
         router.wait(PERIOD_NS)
     lines = [line for line in router.log if line.startswith("storm")]
@@ -48,7 +48,7 @@
 
 def test_in_a_storm_requests_over_the_limit_are_rejected_at_once_with_a_retry_after() -> None:
     router, overload = router_with_overload_control(retry_after_allowed=True, max_retry_after_ns=2 * SECOND)
-    storm(router, overload)
+    simulate_storm(router, overload)
     overload.concurrency_limit.limit = 3.0
     assert not rejections(router.request("a")[1]) and not rejections(router.request("b")[1])
     retry_after_ns = [rejections(router.request(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
@@ -63,7 +63,7 @@
 
 def test_in_a_storm_requests_too_late_to_be_answered_are_rejected_first() -> None:
     router, overload = router_with_overload_control()
-    storm(router, overload)
+    simulate_storm(router, overload)
     overload.service.answer_time_ns = 400.0 * MILLI
     overload.concurrency_limit.limit = 100.0
     late = router.handle(api.Request("late", 0, router.now + 150 * MILLI, "k"))
@@ -82,7 +82,7 @@
     assert overload.concurrency_limit.in_flight == 0
 
 
-def finish(router: Router, actions: list[api.Action], status: api.AttemptStatus) -> list[api.Action]:
+def end_attempts(router: Router, actions: list[api.Action], status: api.AttemptStatus) -> list[api.Action]:
     """Ends each attempt of a request with `status`; returns the actions that answer the request."""
     number = 0
     while actions and isinstance(actions[0], api.StartAttempt):
@@ -97,7 +97,7 @@
     overload.retry_budget.min_retries_per_s = 0.0
     answers = []
     for n in range(20):
-        answers += finish(router, router.request(f"k{n}")[1], S.ERROR)
+        answers += end_attempts(router, router.request(f"k{n}")[1], S.ERROR)
     assert len(answers) == 20 and overload.rejections[RejectionCause.RETRY_BUDGET] >= 15
 
 
@@ -106,7 +106,7 @@
     options = settings()
     overload = OverloadController(options, 7, OverloadOptions(damping=damping))
     router = Router(options, overload_control=overload)
-    storm(router, overload)
+    simulate_storm(router, overload)
     overload.concurrency_limit.limit = 0.0
     assert bool(rejections(router.request("k")[1])) is damping
 
@@ -117,7 +117,7 @@
         name, actions = router.request(f"k{n}", class_index=n % 2, write=bool(n % 2))
         if n % 3:
             router.handle(api.ClientGone(name))
-        finish(router, actions, S.ERROR)
+        end_attempts(router, actions, S.ERROR)
     for action in router.wait(20 * SECOND):
         if isinstance(action, api.StartAttempt):
             router.end_attempt(action, S.OK, router.balancer.requests[action.id].attempts_started - 1)
