--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -118,7 +118,7 @@
         """Returns the datagrams to send now; must be called every `STEP_NS`."""
         sent: list[Datagram] = []
         if self.tenant_usage is not None:
-            self.tenant_usage.mark(now_ns)
+            self.tenant_usage.advance_window(now_ns)
             if now_ns >= self.next_report_at_ns:
                 jitter = self.random.uniform(*USAGE_JITTER)
                 self.next_report_at_ns = now_ns + int(self.tenant_usage.interval_ns * jitter)
@@ -197,7 +197,7 @@
         if self.tenant_usage is not None:
             described["heard"] = len(self.tenant_usage.fresh_reports(now_ns))
             described["parts"] = [round(one, 4) for one in self.tenant_usage.fractions(now_ns)]
-            described["taken"] = self.tenant_usage.taken()
+            described["taken"] = self.tenant_usage.requests_in_window()
         if self.failure_detector is not None:
             detector = self.failure_detector
             described["life"] = detector.generation
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -26,7 +26,7 @@
         self.usage = TenantUsage(me, routers, len(rates), generation, now)
         self.me, self.routers, self.rates = me, routers, rates
         self.at = self.reported_at = now
-        self.owed = [0.0] * len(rates)
+        self.pending = [0.0] * len(rates)
 
     def receive(self, now: int, sender: int, data: bytes) -> None:
         """Reads another router's report."""
@@ -36,11 +36,11 @@
         """Counts the requests since the last step; returns the reports that are due."""
         passed, self.at = now - self.at, now
         for tenant, rate in enumerate(self.rates):
-            self.owed[tenant] += rate * passed / SECOND
-            for _ in range(int(self.owed[tenant])):
+            self.pending[tenant] += rate * passed / SECOND
+            for _ in range(int(self.pending[tenant])):
                 self.usage.add(tenant)
-            self.owed[tenant] %= 1
-        self.usage.mark(now)
+            self.pending[tenant] %= 1
+        self.usage.advance_window(now)
         if now - self.reported_at < self.usage.interval_ns:
             return []
         self.reported_at = now
@@ -58,10 +58,10 @@
     )
 
 
-def parts(network: LossyNetwork, router: int) -> list[float]:
+def fractions(network: LossyNetwork, router: int) -> list[float]:
     """Returns a router's fraction of each tenant's requests."""
-    made: list[float] = network.parts[router].usage.fractions(network.clock(router))
-    return made
+    result: list[float] = network.parts[router].usage.fractions(network.clock(router))
+    return result
 
 
 def test_fractions_follow_each_tenants_traffic_and_add_up_to_one() -> None:
@@ -69,7 +69,7 @@
     network = fleet([[80.0, 20.0], [10.0, 0.0], [10.0, 20.0]])
     network.go(3 * WINDOW_NS)
     for tenant, wanted in enumerate([[0.8, 0.1, 0.1], [0.5, 0.0, 0.5]]):
-        found = [parts(network, router)[tenant] for router in range(3)]
+        found = [fractions(network, router)[tenant] for router in range(3)]
         assert found == pytest.approx(wanted, abs=0.03)
         assert sum(found) == pytest.approx(1, abs=0.03)
 
@@ -80,7 +80,7 @@
     for publisher, rate in zip(network.parts, (0.0, 10.0, 90.0), strict=True):
         publisher.rates = [rate]
     network.go(WINDOW_NS + 2 * MIN_INTERVAL_NS)
-    assert [parts(network, router)[0] for router in range(3)] == pytest.approx([0.0, 0.1, 0.9], abs=0.03)
+    assert [fractions(network, router)[0] for router in range(3)] == pytest.approx([0.0, 0.1, 0.9], abs=0.03)
 
 
 @pytest.mark.parametrize("fault", ["loss", "doubled", "late", "all"])
@@ -93,78 +93,81 @@
     network.go(5 * WINDOW_NS)
     for _ in range(20):
         network.go(SECOND)
-        assert [parts(network, router)[0] for router in range(4)] == pytest.approx(
+        assert [fractions(network, router)[0] for router in range(4)] == pytest.approx(
             [0.4, 0.2, 0.2, 0.2], abs=0.08
         )
 
 
-@pytest.mark.parametrize("heard_half", [False, True])
-def test_half_of_a_fleet_takes_the_other_half_for_still_running(heard_half: bool) -> None:
+@pytest.mark.parametrize("hears_own_half", [False, True])
+def test_half_of_a_fleet_takes_the_other_half_for_still_running(hears_own_half: bool) -> None:
     """Guards against two halves of a partitioned fleet that each take their traffic for the whole."""
     network = fleet([[20.0]] * 8)
     network.go(3 * WINDOW_NS)
-    network.cut = lambda source, to: (source < 4) != (to < 4) or not heard_half
+    network.cut = lambda source, to: (source < 4) != (to < 4) or not hears_own_half
     network.go((EXPIRY_INTERVALS + 2) * MIN_INTERVAL_NS)
     for router in range(8):
-        found = parts(network, router)
-        assert found == (pytest.approx([1 / 8], abs=0.02) if heard_half else []), "none without reports"
+        found = fractions(network, router)
+        assert found == (pytest.approx([1 / 8], abs=0.02) if hears_own_half else []), "no fraction without reports"
 
 
 def test_a_router_that_restarts_or_resumes_counts_once_and_its_earlier_generation_not_at_all() -> None:
     network = fleet([[30.0], [30.0], [30.0]])
     network.go(2 * WINDOW_NS)
-    old = network.parts[1].usage.encode()
+    earlier = network.parts[1].usage.encode()
     network.kill(1)
     network.go(2 * SECOND)
     network.start(1)
     network.go(2 * WINDOW_NS)
-    listener = network.parts[0].usage
-    assert not listener.receive(network.clock(0), 1, old), "a report from an earlier generation"
-    again = network.parts[1].usage.encode()
-    assert listener.receive(network.clock(0), 1, again) and not listener.receive(network.clock(0), 1, again)
+    receiver = network.parts[0].usage
+    assert not receiver.receive(network.clock(0), 1, earlier), "a report from an earlier generation"
+    latest = network.parts[1].usage.encode()
+    assert receiver.receive(network.clock(0), 1, latest) and not receiver.receive(network.clock(0), 1, latest)
     network.stopped[2] = True
     network.go((EXPIRY_INTERVALS + 1) * MIN_INTERVAL_NS)
     network.stopped[2] = False
     network.go(2 * WINDOW_NS)
-    assert [parts(network, router)[0] for router in range(3)] == pytest.approx([1 / 3] * 3, abs=0.04)
+    assert [fractions(network, router)[0] for router in range(3)] == pytest.approx([1 / 3] * 3, abs=0.04)
 
 
 @budget(max_examples=300)
 @given(st.lists(st.tuples(st.integers(1, 2), st.integers(1, 3), st.integers(0, 9)), max_size=8), st.randoms())
 def test_reports_merge_to_the_same_in_every_order_and_however_often(
-    words: list[tuple[int, int, int]], random: object
+    versions: list[tuple[int, int, int]], random: object
 ) -> None:
     """Merging is commutative, associative and idempotent: the highest generation, then sequence, is kept."""
-    told = {}
-    for generation, number, taken in words:
-        told[generation, number] = taken  # a router sends one report per generation and sequence number
+    requests_by_version = {}
+    for generation, sequence, requests in versions:
+        requests_by_version[generation, sequence] = requests  # a router sends one report per generation and sequence number
 
-    def report(generation: int, number: int) -> bytes:
+    def report(generation: int, sequence: int) -> bytes:
         one = TenantUsage(1, 2, 1, generation, 0)
-        one.sequence = number - 1
-        for _ in range(told[generation, number]):
+        one.sequence = sequence - 1
+        for _ in range(requests_by_version[generation, sequence]):
             one.add(0)
         return one.encode()
 
-    made = [report(generation, number) for generation, number in told]
-    shuffled = made * 2
+    reports = [report(generation, sequence) for generation, sequence in requests_by_version]
+    shuffled = reports * 2
     random.shuffle(shuffled)  # type: ignore[attr-defined]
-    here, there = TenantUsage(0, 2, 1, 1, 0), TenantUsage(0, 2, 1, 1, 0)
-    for data in made:
-        here.receive(0, 1, data)
+    once, repeated = TenantUsage(0, 2, 1, 1, 0), TenantUsage(0, 2, 1, 1, 0)
+    for data in reports:
+        once.receive(0, 1, data)
     for data in shuffled:
-        there.receive(0, 1, data)
-    assert here.reports == there.reports
-    if told:
-        assert here.reports[1].requests == (told[max(told)],)
+        repeated.receive(0, 1, data)
+    assert once.reports == repeated.reports
+    if requests_by_version:
+        assert once.reports[1].requests == (requests_by_version[max(requests_by_version)],)
 
 
 def test_many_tenants_are_reported_as_one_and_a_report_is_bounded() -> None:
-    for customers in (1, MAX_TENANTS, MAX_TENANTS + 1, 500):
-        one = TenantUsage(0, 200, customers, 1, 0)
-        one.add(customers - 1)
+    for tenants in (1, MAX_TENANTS, MAX_TENANTS + 1, 500):
+        one = TenantUsage(0, 200, tenants, 1, 0)
+        one.add(tenants - 1)
         assert len(one.encode()) <= 8 + 2 * MAX_TENANTS
-        assert len(one.taken()) == (customers if customers <= MAX_TENANTS else 1) and sum(one.taken()) == 1
+        assert (
+            len(one.requests_in_window()) == (tenants if tenants <= MAX_TENANTS else 1)
+            and sum(one.requests_in_window()) == 1
+        )
 
 
 @given(st.binary(max_size=40), st.integers(-1, 3))
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -67,11 +67,11 @@
             for tenant in range(3):
                 for _ in range((step * (me + 1) + tenant) % 4):
                     part.add(tenant)
-            part.mark(now)
+            part.advance_window(now)
             if step % 10 == me:
                 data = part.encode()
                 heard = [other.receive(now, me, data) for other in parts if other is not part]
-                run.append([step, me, data.hex(), heard, part.taken(), part.fractions(now)])
+                run.append([step, me, data.hex(), heard, part.requests_in_window(), part.fractions(now)])
     return run
 
 
