--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -107,7 +107,7 @@
     network.go((EXPIRY_INTERVALS + 2) * MIN_INTERVAL_NS)
     for router in range(8):
         found = fractions(network, router)
-        assert found == (pytest.approx([1 / 8], abs=0.02) if hears_own_half else []), "no fraction without reports"
+        assert found == (pytest.approx([1 / 8], abs=0.02) if hears_own_half else []), "too few reports"
 
 
 def test_a_router_that_restarts_or_resumes_counts_once_and_its_earlier_generation_not_at_all() -> None:
@@ -137,7 +137,8 @@
     """Merging is commutative, associative and idempotent: the highest generation, then sequence, is kept."""
     requests_by_version = {}
     for generation, sequence, requests in versions:
-        requests_by_version[generation, sequence] = requests  # a router sends one report per generation and sequence number
+        # A router sends one report per generation and sequence number.
+        requests_by_version[generation, sequence] = requests
 
     def report(generation: int, sequence: int) -> bytes:
         one = TenantUsage(1, 2, 1, generation, 0)
