--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -2,7 +2,7 @@
 
     first byte   content                            sent to                  module
     0xA2         latencies of cache servers         all, once per interval   gossip_codec, novelty_filter,
-                                                                             peer_judgements
+                                                                             peer_latency_bounds
     0xC1         requests received, by tenant       all, once per interval   tenant_usage
     0x51, 0x41   leases of a shared quota           one                      quota_escrow
     0x61 - 0x63  pings and membership updates       one                      failure_detector
@@ -20,7 +20,7 @@
 from rainhitch.fleet.gossip_codec import LATENCY_KIND, decode, encode, names_by_hash
 from rainhitch.fleet.novelty_filter import NoveltyFilter
 from rainhitch.fleet.options import FleetOptions
-from rainhitch.fleet.peer_judgements import PeerJudgements
+from rainhitch.fleet.peer_latency_bounds import PeerLatencyBounds
 from rainhitch.fleet.quota_escrow import Lease, QuotaEscrow, QuotaMessageKind
 from rainhitch.fleet.tenant_usage import TenantUsage
 from rainhitch.interface import LatencyObservation, TrafficFractions
@@ -72,14 +72,14 @@
         self.random = Random(f"{seed}/exchange")
         self.servers_by_hash: dict[int, str] = {}
         self.novelty_filter = NoveltyFilter()
-        self.peer_judgements: PeerJudgements | None = None
+        self.peer_latency_bounds: PeerLatencyBounds | None = None
         self.tenant_usage: TenantUsage | None = None
         self.failure_detector: FailureDetector | None = None
         self.quota_escrow: QuotaEscrow | None = None
         self.next_report_at_ns = now_ns
         self.handlers: dict[int, Handler] = {LATENCY_KIND: self._receive_latencies}
         if options.bounded:
-            self.peer_judgements = PeerJudgements(me)
+            self.peer_latency_bounds = PeerLatencyBounds(me)
         if 0 <= me < routers:
             self._join_numbered(tenants, generation, now_ns, seed, options)
         self.steps = 0
@@ -104,13 +104,13 @@
     def set_servers(self, names: list[str]) -> None:
         """Replaces the list of servers."""
         self.servers_by_hash = names_by_hash(names)
-        if self.peer_judgements is not None:
-            self.peer_judgements.set_servers(names)
+        if self.peer_latency_bounds is not None:
+            self.peer_latency_bounds.set_servers(names)
 
     def encode_observations(self, now_ns: int, observations: list[LatencyObservation]) -> bytes:
         """Returns the datagram of an interval's observations, empty if none of them is to be published."""
-        if self.peer_judgements is not None:
-            self.peer_judgements.record_own(now_ns, observations)
+        if self.peer_latency_bounds is not None:
+            self.peer_latency_bounds.record_own(now_ns, observations)
         new = self.novelty_filter.select_new(observations)
         return encode(new) if new else b""
 
@@ -169,8 +169,8 @@
     def _receive_latencies(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
         observations = decode(data, self.servers_by_hash)
         self.novelty_filter.record_published(observations)
-        if self.peer_judgements is not None:
-            observations = self.peer_judgements.bound(now_ns, sender, observations)
+        if self.peer_latency_bounds is not None:
+            observations = self.peer_latency_bounds.bound(now_ns, sender, observations)
         return ReceivedDatagram(observations)
 
     def _receive_usage(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
@@ -192,8 +192,8 @@
         Its keys must not change: operators' tools read them.
         """
         described: Json = {"me": self.me, "routers": self.routers}
-        if self.peer_judgements is not None:
-            described["bounded"] = self.peer_judgements.bounded
+        if self.peer_latency_bounds is not None:
+            described["bounded"] = self.peer_latency_bounds.bounded_count
         if self.tenant_usage is not None:
             described["heard"] = len(self.tenant_usage.fresh_reports(now_ns))
             described["parts"] = [round(one, 4) for one in self.tenant_usage.fractions(now_ns)]
--- a/rainhitch/fleet/peer_judgements.py
+++ b/rainhitch/fleet/peer_latency_bounds.py
@@ -18,78 +18,78 @@
 MAX_FACTOR = 2  # a latency counts for at most this multiple of a second author's
 EXPIRY_NS = 4_000_000_000  # in this time 200 routers publish each server about twice
 MAX_AUTHORS = 4  # number of authors kept per server, the latest ones
-USUAL_WEIGHT = 1 / 64  # weight of one latency in the moving average of all
+MEAN_WEIGHT = 1 / 64  # weight of one latency in the moving average of all
 
 
 @dataclass(slots=True)
-class Judgement:
+class RecordedLatency:
     """Latest latency of one server according to one author."""
 
     at_ns: int
     elapsed_ns: int
 
 
-class PeerJudgements:
+class PeerLatencyBounds:
     """Latest latencies of each server by author; `me` is the number of this router."""
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self.judgements: dict[str, dict[int, Judgement]] = {}  # by server, then author; the latest is last
-        self.usual_ns = 0.0  # moving average of all latencies that were accepted or observed
-        self.bounded = 0  # latencies that were reduced to their bound, since the start
+        self.latencies: dict[str, dict[int, RecordedLatency]] = {}  # by server and author, latest last
+        self.mean_latency_ns = 0.0  # moving average of all latencies that were accepted or observed
+        self.bounded_count = 0  # latencies that were reduced to their bound, since the start
 
     def set_servers(self, names: Iterable[str]) -> None:
         """Forgets the servers that are no longer on the endpoint list."""
-        kept = set(names)
-        self.judgements = {name: authors for name, authors in self.judgements.items() if name in kept}
+        listed = set(names)
+        self.latencies = {name: authors for name, authors in self.latencies.items() if name in listed}
 
     def record_own(self, now_ns: int, observations: Iterable[LatencyObservation]) -> None:
         """Records this router's own observations."""
         for one in observations:
             self._record(now_ns, self.me, one.server, one.elapsed_ns)
-            self._update_usual(one.elapsed_ns)
+            self._update_mean(one.elapsed_ns)
 
     def bound(
         self, now_ns: int, author: int, observations: Iterable[LatencyObservation]
     ) -> list[LatencyObservation]:
         """Records another router's observations and returns them with bounded latencies."""
-        believed = []
+        bounded = []
         for one in observations:
             elapsed_ns = one.elapsed_ns
-            max_ns = self._max_believed_ns(now_ns, author, one.server)
-            if max_ns and elapsed_ns > int(max_ns):
-                elapsed_ns = int(max_ns)
-                self.bounded += 1
-            believed.append(LatencyObservation(one.server, elapsed_ns, one.is_in_flight))
+            bound_ns = self._latency_bound_ns(now_ns, author, one.server)
+            if bound_ns and elapsed_ns > int(bound_ns):
+                elapsed_ns = int(bound_ns)
+                self.bounded_count += 1
+            bounded.append(LatencyObservation(one.server, elapsed_ns, one.is_in_flight))
             # The published latency is recorded, not the bounded one, so that a second author can confirm it.
             # The moving average uses the bounded one.
             self._record(now_ns, author, one.server, one.elapsed_ns)
-            self._update_usual(elapsed_ns)
-        return believed
+            self._update_mean(elapsed_ns)
+        return bounded
 
-    def _max_believed_ns(self, now_ns: int, author: int, server: str) -> float:
+    def _latency_bound_ns(self, now_ns: int, author: int, server: str) -> float:
         """Returns the bound of an author's latency of a server, or 0 if no latency bounds it."""
         slowest_ns = -1  # below 0 without a second author
-        for other, judgement in self.judgements.get(server, {}).items():
-            is_fresh = now_ns - judgement.at_ns <= EXPIRY_NS
-            if is_fresh and other != author and judgement.elapsed_ns > slowest_ns:
-                slowest_ns = judgement.elapsed_ns
+        for other, latency in self.latencies.get(server, {}).items():
+            is_fresh = now_ns - latency.at_ns <= EXPIRY_NS
+            if is_fresh and other != author and latency.elapsed_ns > slowest_ns:
+                slowest_ns = latency.elapsed_ns
         if slowest_ns < 0:
-            return MAX_FACTOR * self.usual_ns
+            return MAX_FACTOR * self.mean_latency_ns
         return MAX_FACTOR * slowest_ns
 
     def _record(self, now_ns: int, author: int, server: str, elapsed_ns: int) -> None:
-        authors = self.judgements.setdefault(server, {})
-        judgement = authors.pop(author, None)
-        if judgement is None:
-            judgement = Judgement(now_ns, elapsed_ns)
+        authors = self.latencies.setdefault(server, {})
+        latency = authors.pop(author, None)
+        if latency is None:
+            latency = RecordedLatency(now_ns, elapsed_ns)
         else:
-            judgement.at_ns = now_ns
-            judgement.elapsed_ns = elapsed_ns
-        authors[author] = judgement
+            latency.at_ns = now_ns
+            latency.elapsed_ns = elapsed_ns
+        authors[author] = latency
         if len(authors) > MAX_AUTHORS:
             del authors[next(iter(authors))]
 
-    def _update_usual(self, elapsed_ns: int) -> None:
-        weight = USUAL_WEIGHT if self.usual_ns else 1
-        self.usual_ns += (elapsed_ns - self.usual_ns) * weight
+    def _update_mean(self, elapsed_ns: int) -> None:
+        weight = MEAN_WEIGHT if self.mean_latency_ns else 1
+        self.mean_latency_ns += (elapsed_ns - self.mean_latency_ns) * weight
