--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -211,8 +211,8 @@
 
 def _describe_quota(escrow: QuotaEscrow, now_ns: int) -> Json:
     return {
-        "of": round(escrow.own_per_s * escrow.routers, 3),
-        "own": round(escrow.own_per_s, 3),
+        "of": round(escrow.share_per_s * escrow.routers, 3),
+        "own": round(escrow.share_per_s, 3),
         "now": round(escrow.available_per_s(now_ns), 3),
         "needs": round(escrow.demand_per_s, 3),
         "lent": round(_leased_per_s(escrow.lent, now_ns), 3),
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -19,7 +19,7 @@
 from a pause finds its leases expired: the time is checked for each unit taken, by a clock that continues
 during the pause, and its bucket holds no more than it gains in `burst_s`.
 
-    request:  kind (1) | nonce (4) | wanted rate (4)
+    request:  kind (1) | nonce (4) | requested rate (4)
     grant:    kind (1) | nonce (4) | lent rate (4)      sizes in bytes, rates in milli-units a second
 """
 
@@ -38,9 +38,9 @@
 LENDABLE_FRACTION = 3 / 4  # fraction of its own share that a router may lend
 ROUND_INTERVAL_NS = NS_PER_S // 2  # mean time between two rounds of requests
 ROUND_JITTER = (0.75, 1.25)  # smallest and largest random factor of the interval
-MAX_ASKED = 16  # routers that are sent a request in one round
+MAX_LENDERS = 16  # routers that are sent a request in one round
 HEADROOM_FRACTION = 1 / 8  # part of its demand that a router keeps or requests in addition to the demand
-MIN_REQUEST_FRACTION = 1 / 8  # a router that lacks at most this fraction of its share requests no lease
+MIN_SHORTFALL_FRACTION = 1 / 8  # a router that lacks at most this fraction of its share requests no lease
 MIN_LEASE_FRACTION = 1 / 32  # a router lends at least this fraction of its share, or nothing
 MAX_LEASES = 128  # maximum number of borrowed leases at a router, and of lent leases
 MESSAGE = struct.Struct(">BII")  # kind, nonce, milli-units a second
@@ -76,7 +76,7 @@
 
     lender: int
     sent_at_ns: int
-    wanted_per_s: float
+    requested_per_s: float
 
 
 class QuotaEscrow:
@@ -91,7 +91,7 @@
     ) -> None:
         self.me = me
         self.routers = routers
-        self.own_per_s = quota_per_s / routers
+        self.share_per_s = quota_per_s / routers
         self.burst_s = burst_s
         # The text of the seed must not change: recorded runs are replayed with the sequence that it gives.
         self.random = Random(f"{seed}/holdings")
@@ -100,8 +100,8 @@
         self.next_round_at_ns = now_ns
         self.tokens = 0.0  # units that may be taken now
         self.demand_per_s = 0.0  # moving average of the demand, granted or denied
-        self.demanded = 0  # units demanded since the last round
-        self.no_lending_until_ns = now_ns + LENDER_HOLD_NS  # when an earlier process's leases have expired
+        self.demanded_units = 0  # units demanded since the last round
+        self.lending_starts_at_ns = now_ns + LENDER_HOLD_NS  # when an earlier process's leases have expired
         self.lent: list[Lease] = []
         self.borrowed: list[Lease] = []
         self.requests: dict[int, LeaseRequest] = {}  # by nonce
@@ -110,16 +110,16 @@
 
     def available_per_s(self, now_ns: int) -> float:
         """Returns the rate available to this router now, units a second."""
-        return self._least_available_per_s(now_ns, now_ns)
+        return self._min_available_per_s(now_ns, now_ns)
 
-    def _least_available_per_s(self, begin_ns: int, end_ns: int) -> float:
+    def _min_available_per_s(self, begin_ns: int, end_ns: int) -> float:
         """Returns the lowest rate that was available at any time from begin to end."""
-        if begin_ns < self.no_lending_until_ns:
-            lent_per_s = self.own_per_s * LENDABLE_FRACTION
+        if begin_ns < self.lending_starts_at_ns:
+            lent_per_s = self.share_per_s * LENDABLE_FRACTION
         else:
             lent_per_s = sum(one.rate_per_s for one in self.lent if one.expires_at_ns > begin_ns)
         borrowed_per_s = sum(one.rate_per_s for one in self.borrowed if one.expires_at_ns > end_ns)
-        return max(0.0, self.own_per_s - lent_per_s) + borrowed_per_s
+        return max(0.0, self.share_per_s - lent_per_s) + borrowed_per_s
 
     def bucket_capacity(self, now_ns: int) -> float:
         """Returns the maximum number of units in the bucket.
@@ -134,8 +134,8 @@
         Leases may have expired since the last call, here or at a borrower. So that the sum stays within the
         quota, the whole time counts at the lowest rate available in it, up to the bucket's capacity.
         """
-        passed_ns = max(0, now_ns - self.filled_at_ns)
-        gained = self._least_available_per_s(self.filled_at_ns, now_ns) * passed_ns / NS_PER_S
+        elapsed_ns = max(0, now_ns - self.filled_at_ns)
+        gained = self._min_available_per_s(self.filled_at_ns, now_ns) * elapsed_ns / NS_PER_S
         self.tokens = min(self.bucket_capacity(now_ns), self.tokens + gained)
         self.filled_at_ns = max(now_ns, self.filled_at_ns)
         self.lent = [one for one in self.lent if one.expires_at_ns > now_ns]
@@ -143,7 +143,7 @@
 
     def take(self, now_ns: int) -> bool:
         """Takes one unit if the quota allows it; returns whether it did."""
-        self.demanded += 1
+        self.demanded_units += 1
         self._fill(now_ns)
         if self.tokens < 1:
             self.denied += 1
@@ -161,35 +161,39 @@
         self.requests = {
             nonce: one for nonce, one in self.requests.items() if now_ns - one.sent_at_ns < LEASE_NS
         }
-        missing_per_s = self.demand_per_s * (1 + HEADROOM_FRACTION) - self._lasting_per_s(now_ns)
-        room = MAX_LEASES - max(len(self.requests), len(self.borrowed))
-        if missing_per_s <= self.own_per_s * MIN_REQUEST_FRACTION or self.routers < 2 or room <= 0:
+        shortfall_per_s = self.demand_per_s * (1 + HEADROOM_FRACTION) - self._non_expiring_per_s(now_ns)
+        free_leases = MAX_LEASES - max(len(self.requests), len(self.borrowed))
+        if (
+            shortfall_per_s <= self.share_per_s * MIN_SHORTFALL_FRACTION
+            or self.routers < 2
+            or free_leases <= 0
+        ):
             return []
         others = [router for router in range(self.routers) if router != self.me]
         # One lender more than would suffice, since some have nothing to lend.
-        wanted_lenders = math.ceil(missing_per_s / (self.own_per_s * LENDABLE_FRACTION)) + 1
-        lenders = self.random.sample(others, min(wanted_lenders, MAX_ASKED, room, len(others)))
+        lender_count = math.ceil(shortfall_per_s / (self.share_per_s * LENDABLE_FRACTION)) + 1
+        lenders = self.random.sample(others, min(lender_count, MAX_LENDERS, free_leases, len(others)))
         return [
-            Datagram(lender, self._request(now_ns, lender, missing_per_s / len(lenders)))
+            Datagram(lender, self._request(now_ns, lender, shortfall_per_s / len(lenders)))
             for lender in lenders
         ]
 
     def _update_demand(self, now_ns: int) -> None:
-        passed_ns = max(1, now_ns - self.stepped_at_ns)
-        self.demand_per_s += (self.demanded * NS_PER_S / passed_ns - self.demand_per_s) / 2
-        self.demanded = 0
+        elapsed_ns = max(1, now_ns - self.stepped_at_ns)
+        self.demand_per_s += (self.demanded_units * NS_PER_S / elapsed_ns - self.demand_per_s) / 2
+        self.demanded_units = 0
         self.stepped_at_ns = now_ns
 
-    def _lasting_per_s(self, now_ns: int) -> float:
+    def _non_expiring_per_s(self, now_ns: int) -> float:
         """Returns the available rate without leases that expire within two rounds, which need renewal."""
         soon_ns = now_ns + 2 * ROUND_INTERVAL_NS
         ending_per_s = sum(one.rate_per_s for one in self.borrowed if now_ns < one.expires_at_ns <= soon_ns)
         return self.available_per_s(now_ns) - ending_per_s
 
-    def _request(self, now_ns: int, lender: int, wanted_per_s: float) -> bytes:
+    def _request(self, now_ns: int, lender: int, requested_per_s: float) -> bytes:
         self.nonce = (self.nonce + 1) & MAX_NONCE
-        self.requests[self.nonce] = LeaseRequest(lender, now_ns, wanted_per_s)
-        amount = min(MAX_AMOUNT, math.ceil(wanted_per_s * MILLI_UNITS))
+        self.requests[self.nonce] = LeaseRequest(lender, now_ns, requested_per_s)
+        amount = min(MAX_AMOUNT, math.ceil(requested_per_s * MILLI_UNITS))
         return MESSAGE.pack(QuotaMessageKind.REQUEST, self.nonce, amount)
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
@@ -217,22 +221,22 @@
             return  # a grant to an earlier process, a duplicate, or a grant that was not requested
         del self.requests[nonce]
         # Rejects a grant that is larger than the request, which no lender sends.
-        is_in_bounds = amount <= math.ceil(request.wanted_per_s * MILLI_UNITS)
+        is_in_bounds = amount <= math.ceil(request.requested_per_s * MILLI_UNITS)
         expires_at_ns = request.sent_at_ns + LEASE_NS
         if now_ns < expires_at_ns and is_in_bounds:
             self._fill(now_ns)
             self.borrowed.append(Lease(lender, self.me, amount / MILLI_UNITS, expires_at_ns))
 
-    def _lend(self, now_ns: int, borrower: int, wanted_per_s: float) -> int:
+    def _lend(self, now_ns: int, borrower: int, requested_per_s: float) -> int:
         """Lends the spare rate and holds it back from now on; returns it in milli-units a second."""
         self._fill(now_ns)
-        if now_ns < self.no_lending_until_ns or len(self.lent) >= MAX_LEASES:
+        if now_ns < self.lending_starts_at_ns or len(self.lent) >= MAX_LEASES:
             return 0
-        lendable_per_s = self.own_per_s * LENDABLE_FRACTION - sum(one.rate_per_s for one in self.lent)
+        lendable_per_s = self.share_per_s * LENDABLE_FRACTION - sum(one.rate_per_s for one in self.lent)
         unneeded_per_s = self.available_per_s(now_ns) - self.demand_per_s * (1 + HEADROOM_FRACTION)
-        spare_per_s = min(lendable_per_s, unneeded_per_s, wanted_per_s)
+        spare_per_s = min(lendable_per_s, unneeded_per_s, requested_per_s)
         lent = math.floor(spare_per_s * MILLI_UNITS)
-        if lent <= 0 or spare_per_s < self.own_per_s * MIN_LEASE_FRACTION:
+        if lent <= 0 or spare_per_s < self.share_per_s * MIN_LEASE_FRACTION:
             return 0
         self.lent.append(Lease(self.me, borrower, lent / MILLI_UNITS, now_ns + LENDER_HOLD_NS))
         return lent
--- a/tests/fleet/test_peer_latency_bounds.py
+++ b/tests/fleet/test_peer_latency_bounds.py
@@ -49,7 +49,7 @@
     late = PeerLatencyBounds(ME)
     late.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
     bounded_ns(late, 1, 3 * SECOND)
-    assert bounded_ns(late, 2, 3 * SECOND, now=EXPIRY_NS + 1) < SECOND, "the latency of the first author has expired"
+    assert bounded_ns(late, 2, 3 * SECOND, now=EXPIRY_NS + 1) < SECOND, "the first latency has expired"
 
 
 def test_memory_is_bounded_by_the_endpoint_list_and_the_authors() -> None:
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -1,4 +1,4 @@
-"""The shared quota is never exceeded, whatever is lost, delayed, duplicated, paused or restarted."""
+"""The shared quota is never exceeded, whatever is lost, delayed, duplicated, paused or latest."""
 
 import contextlib
 import copy
@@ -25,16 +25,16 @@
 TOTAL = 120.0
 
 
-class Meter:
+class QuotaMeter:
     """Leaky bucket that compares the units taken by all routers with the quota."""
 
     def __init__(self, network: LossyNetwork, total: float, drift: float) -> None:
         self.network, self.total, self.drift = network, total * (1 + drift), drift
         self.level = self.worst = 0.0
         self.at = network.now
-        self.spent = 0
+        self.taken = 0
 
-    def spend(self, router: int) -> bool:
+    def take(self, router: int) -> bool:
         """Takes a unit at a router if its quota allows it; returns whether it did."""
         network = self.network
         self.level = max(0.0, self.level - self.total * (network.now - self.at) / SECOND)
@@ -42,7 +42,7 @@
         if not network.parts[router].take(network.clock(router)):
             return False
         self.level += 1
-        self.spent += 1
+        self.taken += 1
         self.worst = max(self.worst, self.level)
         return True
 
@@ -62,25 +62,25 @@
     )
 
 
-def chaos(seed: int, steps: int, routers: int) -> tuple[Meter, LossyNetwork]:
+def run_random_faults(seed: int, steps: int, routers: int) -> tuple[QuotaMeter, LossyNetwork]:
     """Runs random faults with a demand that moves at random between the routers."""
     network = fleet(routers, seed, CLOCK_DRIFT_FRACTION)
-    meter = Meter(network, TOTAL, CLOCK_DRIFT_FRACTION)
-    wants = [0.0] * routers
+    meter = QuotaMeter(network, TOTAL, CLOCK_DRIFT_FRACTION)
+    demand_per_s = [0.0] * routers
 
     def demand() -> None:
         for router in range(routers):
             if not network.runs(router):
                 continue
-            many = wants[router] * network.every / SECOND
-            for _ in range(int(many) + (network.random.random() < many % 1)):
-                meter.spend(router)
+            units = demand_per_s[router] * network.every / SECOND
+            for _ in range(int(units) + (network.random.random() < units % 1)):
+                meter.take(router)
 
     for _ in range(steps):
         if network.random.random() < 0.3:
             network.any_fault()
         if network.random.random() < 0.3:
-            wants = [network.random.choice([0.0, 5.0, TOTAL, 3 * TOTAL]) for _ in range(routers)]
+            demand_per_s = [network.random.choice([0.0, 5.0, TOTAL, 3 * TOTAL]) for _ in range(routers)]
         network.go(network.random.randrange(1, 3 * SECOND), demand)
         assert all(
             max(len(one.lent), len(one.requests), len(one.borrowed)) <= MAX_LEASES for one in network.parts
@@ -96,26 +96,26 @@
 
     The faults are loss, delay, duplication, cuts, pauses, deaths and starts.
     """
-    asked = 0
+    demanded = 0
     for seed in range(seeds):
-        meter, network = chaos(seed, 120, routers)
+        meter, network = run_random_faults(seed, 120, routers)
         assert meter.worst <= meter.bound(), f"seed {seed}"
-        assert meter.spent > 1000
-        asked += meter.spent + sum(one.denied for one in network.parts)
-    assert asked > least
+        assert meter.taken > 1000
+        demanded += meter.taken + sum(one.denied for one in network.parts)
+    assert demanded > least
 
 
-@pytest.mark.parametrize("mutant", ["lends what it spends", "own clock ends it", "doubled answer"])
+@pytest.mark.parametrize("mutant", ["lent rate used", "lease from receipt", "duplicate grant"])
 def test_each_part_of_the_rule_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The same schedules exceed the bound without one of the guards, so the test above can fail."""
-    if mutant == "lends what it spends":
-        held = QuotaEscrow._least_available_per_s
+    if mutant == "lent rate used":
+        original = QuotaEscrow._min_available_per_s
         monkeypatch.setattr(
             QuotaEscrow,
-            "_least_available_per_s",
-            lambda one, begin, end: held(one, begin, end) + sum(x.rate_per_s for x in one.lent),
+            "_min_available_per_s",
+            lambda one, begin, end: original(one, begin, end) + sum(x.rate_per_s for x in one.lent),
         )
-    elif mutant == "own clock ends it":
+    elif mutant == "lease from receipt":
 
         def receive(self: QuotaEscrow, now: int, sender: int, data: bytes) -> list[Datagram]:
             kind, nonce, amount = MESSAGE.unpack(data)
@@ -141,7 +141,7 @@
         monkeypatch.setattr(QuotaEscrow, "receive", receive_doubled)
     over = []
     for seed in range(8):
-        meter, _ = chaos(seed, 120, 3)
+        meter, _ = run_random_faults(seed, 120, 3)
         over.append(meter.worst > meter.bound())
         if over[-1]:
             break
@@ -151,18 +151,18 @@
 @pytest.mark.parametrize("routers", [3, 12, 60])
 def test_one_router_with_all_the_demand_soon_holds_most_of_the_quota_and_it_comes_back(routers: int) -> None:
     network = fleet(routers, 1, every=ROUND_INTERVAL_NS // 16)
-    meter = Meter(network, TOTAL, 0.0)
+    meter = QuotaMeter(network, TOTAL, 0.0)
     network.go(6 * SECOND)
 
-    def all_at_first() -> None:
+    def demand_at_first_router() -> None:
         for _ in range(int(2 * TOTAL * network.every / SECOND)):
-            meter.spend(0)
+            meter.take(0)
 
-    network.go(8 * SECOND, all_at_first)
-    before = meter.spent
-    network.go(8 * SECOND, all_at_first)
+    network.go(8 * SECOND, demand_at_first_router)
+    before = meter.taken
+    network.go(8 * SECOND, demand_at_first_router)
     reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # few routers get a request per round, and leases expire
-    assert (meter.spent - before) / 8 > reached * TOTAL
+    assert (meter.taken - before) / 8 > reached * TOTAL
     network.go(2 * LEASE_NS + 4 * SECOND)  # the last requests are sent while the average demand decays
     assert all(not one.borrowed and not one.lent for one in network.parts if one._fill(network.now) is None)
     assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(TOTAL)
@@ -171,15 +171,15 @@
 def test_a_router_that_hears_nothing_falls_back_to_its_own_part_when_its_leases_end() -> None:
     network = fleet(3, 2)
     network.go(6 * SECOND)
-    rich = network.parts[0]
+    borrower = network.parts[0]
     for _ in range(8):
         for _ in range(100):
-            rich.take(network.clock(0))
+            borrower.take(network.clock(0))
         network.go(ROUND_INTERVAL_NS)
-    assert rich.available_per_s(network.clock(0)) > 1.5 * rich.own_per_s
+    assert borrower.available_per_s(network.clock(0)) > 1.5 * borrower.share_per_s
     network.loss = 1.0
     network.go(LEASE_NS)
-    assert rich.available_per_s(network.clock(0)) == rich.own_per_s
+    assert borrower.available_per_s(network.clock(0)) == borrower.share_per_s
 
 
 def test_a_router_paused_past_its_leases_resumes_with_its_own_part_and_one_bucket() -> None:
@@ -189,23 +189,23 @@
     one._fill(3 * SECOND)
     later = 100 * SECOND
     assert sum(one.take(later) for _ in range(1000)) <= one.bucket_capacity(later)
-    assert one.available_per_s(later) == one.own_per_s and not one.borrowed
+    assert one.available_per_s(later) == one.share_per_s and not one.borrowed
 
 
 def test_what_an_earlier_process_lent_is_left_alone_until_it_has_ended() -> None:
-    old = QuotaEscrow(0, 3, TOTAL, 0, 1)
+    earlier = QuotaEscrow(0, 3, TOTAL, 0, 1)
     now = 10 * SECOND
-    ((to, word),) = old.receive(now, 1, MESSAGE.pack(QuotaMessageKind.REQUEST, 5, 1_000_000))
-    kind, nonce, lent = MESSAGE.unpack(word)
+    ((to, message),) = earlier.receive(now, 1, MESSAGE.pack(QuotaMessageKind.REQUEST, 5, 1_000_000))
+    kind, nonce, lent = MESSAGE.unpack(message)
     assert (
         to == 1 and kind == QuotaMessageKind.GRANT and nonce == 5 and lent == 30_000
     )  # three quarters of 40
-    new = QuotaEscrow(0, 3, TOTAL, now, 2)
-    assert new.available_per_s(now) + lent / 1000 <= old.own_per_s
-    assert new.receive(now, 2, MESSAGE.pack(QuotaMessageKind.REQUEST, 6, 1_000_000)) == [], (
+    latest = QuotaEscrow(0, 3, TOTAL, now, 2)
+    assert latest.available_per_s(now) + lent / 1000 <= earlier.share_per_s
+    assert latest.receive(now, 2, MESSAGE.pack(QuotaMessageKind.REQUEST, 6, 1_000_000)) == [], (
         "a router that has just started does not lend"
     )
-    assert new.available_per_s(now + int(LEASE_NS * (1 + CLOCK_DRIFT_FRACTION))) == new.own_per_s
+    assert latest.available_per_s(now + int(LEASE_NS * (1 + CLOCK_DRIFT_FRACTION))) == latest.share_per_s
 
 
 @given(st.binary(max_size=20), st.integers(-2, 4))
@@ -215,7 +215,7 @@
     now = 10 * SECOND
     with contextlib.suppress(QuotaEscrowError):
         one.receive(now, sender, data)
-    assert not one.borrowed and one.available_per_s(now) <= one.own_per_s
+    assert not one.borrowed and one.available_per_s(now) <= one.share_per_s
 
 
 def test_every_order_of_messages_failures_and_time_keeps_the_sum() -> None:
@@ -229,29 +229,29 @@
     seen: set[object] = set()
     states = 0
 
-    def key(parts: tuple[QuotaEscrow, ...], words: tuple[tuple[int, int, bytes], ...], now: int) -> object:
+    def key(parts: tuple[QuotaEscrow, ...], messages: tuple[tuple[int, int, bytes], ...], now: int) -> object:
         rows = [
             (
                 sorted((round(x.rate_per_s, 6), x.expires_at_ns) for x in one.lent),
                 sorted((round(x.rate_per_s, 6), x.expires_at_ns) for x in one.borrowed),
-                sorted((x.lender, x.sent_at_ns, x.wanted_per_s) for x in one.requests.values()),
-                one.no_lending_until_ns,
+                sorted((x.lender, x.sent_at_ns, x.requested_per_s) for x in one.requests.values()),
+                one.lending_starts_at_ns,
             )
             for one in parts
         ]
-        return repr(rows), words, now
+        return repr(rows), messages, now
 
-    def twin(parts: tuple[QuotaEscrow, ...]) -> tuple[QuotaEscrow, ...]:
+    def copies(parts: tuple[QuotaEscrow, ...]) -> tuple[QuotaEscrow, ...]:
         made = tuple(copy.copy(one) for one in parts)
         for one in made:
             one.lent, one.borrowed, one.requests = list(one.lent), list(one.borrowed), dict(one.requests)
         return made
 
     def explore(
-        parts: tuple[QuotaEscrow, ...], words: tuple[tuple[int, int, bytes], ...], now: int, left: int
+        parts: tuple[QuotaEscrow, ...], messages: tuple[tuple[int, int, bytes], ...], now: int, left: int
     ) -> None:
         nonlocal states
-        here = (key(parts, words, now), left)
+        here = (key(parts, messages, now), left)
         if here in seen:
             return
         seen.add(here)
@@ -260,22 +260,22 @@
         if not left:
             return
         for n in range(2):  # the third only lends
-            mine = twin(parts)
-            asked = mine[n]._request(now, (n + 1) % 3, 12.0)
-            explore(mine, (*words, (n, (n + 1) % 3, asked)), now, left - 1)
-        for word in words[-3:]:
-            source, to, data = word
-            mine = twin(parts)
-            answers = mine[to].receive(now, source, data)
+            changed = copies(parts)
+            request = changed[n]._request(now, (n + 1) % 3, 12.0)
+            explore(changed, (*messages, (n, (n + 1) % 3, request)), now, left - 1)
+        for message in messages[-3:]:
+            source, to, data = message
+            changed = copies(parts)
+            answers = changed[to].receive(now, source, data)
             more = tuple((to, whom, one) for whom, one in answers)
-            rest = tuple(one for one in words if one is not word)
-            explore(mine, rest + more, now, left - 1)
-            explore(mine, words + more, now, left - 1)  # the message may arrive again later
+            rest = tuple(one for one in messages if one is not message)
+            explore(changed, rest + more, now, left - 1)
+            explore(changed, messages + more, now, left - 1)  # the message may arrive again later
         for n in range(3):
-            mine = twin(parts)
+            changed = copies(parts)
             fresh = QuotaEscrow(n, 3, 12.0, now, n + 100)
-            explore((*mine[:n], fresh, *mine[n + 1 :]), words, now, left - 1)
-        explore(twin(parts), words, now + LEASE_NS // 2, left - 1)
+            explore((*changed[:n], fresh, *changed[n + 1 :]), messages, now, left - 1)
+        explore(copies(parts), messages, now + LEASE_NS // 2, left - 1)
 
     explore(first, (), start, depth)
     assert states > 1000
