--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -1,4 +1,4 @@
-"""The shared quota is never exceeded, whatever is lost, delayed, duplicated, paused or latest."""
+"""The shared quota is never exceeded, whatever is lost, delayed, duplicated, paused or restarted."""
 
 import contextlib
 import copy
