--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -80,11 +80,11 @@
     generation: int = UNKNOWN_GENERATION
     incarnation: int = 0  # 0 to MAX_INCARNATION, within its generation
     state: RouterState = RouterState.ALIVE
-    since_ns: int = 0
+    state_since_ns: int = 0
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """Precedence of an update: the update with the highest rank is kept.
+    def precedence(self) -> tuple[int, int, int]:
+        """Precedence of an update: the update with the highest precedence is kept.
 
         The order is total, so all routers that have received the same updates keep the same one, whatever
         their order and however often they were received.
@@ -150,9 +150,9 @@
         self.routers = routers
         # The text of the seed must not change: recorded runs are replayed with the sequence that it gives.
         self.random = Random(f"{seed}/alive")
-        self.records = [RouterRecord(since_ns=now_ns) for _ in range(routers)]
-        self.records[me] = RouterRecord(generation, since_ns=now_ns)
-        self.round: list[int] = []  # routers not yet pinged in this round; the last one is pinged next
+        self.records = [RouterRecord(state_since_ns=now_ns) for _ in range(routers)]
+        self.records[me] = RouterRecord(generation, state_since_ns=now_ns)
+        self.ping_order: list[int] = []  # routers not yet pinged in this round, the next one last
         self.pings: dict[int, PendingPing] = {}  # by sequence number
         self.sequence = 0
         self.local_health_score = 0
@@ -160,8 +160,8 @@
         self.stepped_at_ns = now_ns
         self.changes = 0  # changes of any router between dead and not dead, since the start
         # SWIM's logarithm of the fleet's size: updates and suspicions last longer in a larger fleet.
-        self.size_factor = max(1, math.ceil(math.log2(routers + 1)))
-        self.update_queue = UpdateQueue(RETRANSMIT_FACTOR * self.size_factor)
+        self.log_fleet_size = max(1, math.ceil(math.log2(routers + 1)))
+        self.update_queue = UpdateQueue(RETRANSMIT_FACTOR * self.log_fleet_size)
         self.update_queue.enqueue(me)
 
     @property
@@ -199,13 +199,13 @@
         self.next_ping_at_ns = now_ns + PERIOD_NS
         self._change_health_score(1)
         for record in self.records:
-            record.since_ns += gap_ns
+            record.state_since_ns += gap_ns
 
     def _expire_suspicions(self, now_ns: int) -> None:
         health_factor = 1 + self.local_health_score
-        suspicion_ns = SUSPICION_PERIODS * self.size_factor * PERIOD_NS * health_factor // 2
+        suspicion_ns = SUSPICION_PERIODS * self.log_fleet_size * PERIOD_NS * health_factor // 2
         for router, record in enumerate(self.records):
-            if record.state is RouterState.SUSPECT and now_ns - record.since_ns >= suspicion_ns:
+            if record.state is RouterState.SUSPECT and now_ns - record.state_since_ns >= suspicion_ns:
                 self._set_record(now_ns, router, record.generation, record.incarnation, RouterState.DEAD)
 
     def _change_health_score(self, by: int) -> None:
@@ -215,13 +215,13 @@
         return PING_TIMEOUT_NS * (1 + self.local_health_score)
 
     def _ping_next(self, now_ns: int) -> list[Datagram]:
-        if not self.round:
+        if not self.ping_order:
             # Dead routers are pinged too, once per round: after a network cut no other router reports them.
-            self.round = [router for router in range(self.routers) if router != self.me]
-            self.random.shuffle(self.round)
-        if not self.round:
+            self.ping_order = [router for router in range(self.routers) if router != self.me]
+            self.random.shuffle(self.ping_order)
+        if not self.ping_order:
             return []
-        return [self._ping(now_ns, self.round.pop())]
+        return [self._ping(now_ns, self.ping_order.pop())]
 
     def _ping(self, now_ns: int, target: int, requester: PingRequester | None = None) -> Datagram:
         self.sequence = (self.sequence + 1) & MAX_SEQUENCE
@@ -246,9 +246,9 @@
         ping.indirect_requested = True
         ping.deadline_ns = now_ns + INDIRECT_TIMEOUT_FACTOR * self._ping_timeout_ns()
         others = [router for router in self.live_routers() if router not in (self.me, ping.target)]
-        helpers = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
+        proxies = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
         return [
-            Datagram(helper, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for helper in helpers
+            Datagram(proxy, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for proxy in proxies
         ]
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
@@ -303,15 +303,15 @@
     def _apply_update(
         self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState
     ) -> None:
-        rank = (generation, incarnation, state)
+        precedence = (generation, incarnation, state)
         if router != self.me:
-            if rank > self.records[router].rank:
+            if precedence > self.records[router].precedence:
                 self._set_record(now_ns, router, generation, incarnation, state)
             return
-        if rank > self.records[self.me].rank:
+        if precedence > self.records[self.me].precedence:
             self._refute(generation, incarnation)
             return
-        if rank < self.records[self.me].rank:
+        if precedence < self.records[self.me].precedence:
             self.update_queue.enqueue(self.me)  # the sender has not received the last update on this router
 
     def _refute(self, generation: int, incarnation: int) -> None:
@@ -320,8 +320,8 @@
         Refutes updates that call this running router suspect or dead, and updates on its earlier generation.
         """
         record = self.records[self.me]
-        incarnations_spent = incarnation == MAX_INCARNATION
-        if incarnations_spent or generation > record.generation:
+        incarnations_exhausted = incarnation == MAX_INCARNATION
+        if incarnations_exhausted or generation > record.generation:
             record.generation = min(MAX_GENERATION, generation + 1)
             record.incarnation = 0
         else:
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -29,11 +29,11 @@
     )
 
 
-def agreed(network: LossyNetwork) -> bool:
+def views_are_correct(network: LossyNetwork) -> bool:
     """Returns whether all running routers have the correct view of which routers are alive."""
-    truth = list(network.up)
+    alive = list(network.up)
     return all(
-        [part.is_alive(n) for n in range(len(truth))] == truth
+        [part.is_alive(n) for n in range(len(alive))] == alive
         for router, part in enumerate(network.parts)
         if network.runs(router)
     )
@@ -43,13 +43,13 @@
 def test_a_failure_is_known_to_all_and_a_restart_soon_after_it(routers: int) -> None:
     network = fleet(routers, 1)
     network.go(10 * SECOND)
-    assert agreed(network)
+    assert views_are_correct(network)
     network.kill(1)
     network.go((20 if routers < 60 else 60) * SECOND)
-    assert agreed(network)
+    assert views_are_correct(network)
     network.start(1)
     network.go((10 if routers < 60 else 40) * SECOND)
-    assert agreed(network)
+    assert views_are_correct(network)
 
 
 def test_what_a_router_sends_does_not_grow_with_the_fleet() -> None:
@@ -59,7 +59,7 @@
         network.go(20 * SECOND)
         rates.append(network.sent / routers / 20)
         assert network.bytes <= HEADER.size + MAX_UPDATES * UPDATE.size <= 256
-    assert max(rates) < 4 and agreed(network)
+    assert max(rates) < 4 and views_are_correct(network)
 
 
 def test_with_a_third_of_messages_lost_few_routers_are_declared_dead() -> None:
@@ -70,7 +70,7 @@
     assert wrong <= 0.1 * 144
     network.loss = 0.0
     network.go(30 * SECOND)
-    assert agreed(network)
+    assert views_are_correct(network)
 
 
 def test_two_halves_each_declare_the_other_dead_and_recover() -> None:
@@ -81,7 +81,7 @@
     assert network.parts[0].live_routers() == [0, 1, 2, 3] and network.parts[7].live_routers() == [4, 5, 6, 7]
     network.cut = lambda source, to: False
     network.go(40 * SECOND)
-    assert agreed(network)
+    assert views_are_correct(network)
 
 
 def test_a_paused_router_distrusts_itself_before_the_others() -> None:
@@ -96,7 +96,7 @@
     network.go(SECOND)
     assert network.parts[0].live_routers() == [0, 1, 2, 3, 4, 5] and network.parts[0].local_health_score > 0
     network.go(20 * SECOND)
-    assert agreed(network)
+    assert views_are_correct(network)
     assert sum(part.changes for part in network.parts) - sum(before) <= 12, "only the paused router changes"
 
 
@@ -110,7 +110,7 @@
     network.generations[2] = 3
     network.start(2)
     network.go(30 * SECOND)
-    assert agreed(network) and network.parts[2].generation > 1001
+    assert views_are_correct(network) and network.parts[2].generation > 1001
 
 
 @pytest.mark.parametrize("routers", [3, 5, 9])
@@ -123,29 +123,29 @@
             network.go(network.random.randrange(1, 3 * SECOND))
         network.heal()
         network.go(60 * SECOND)
-        assert agreed(network), f"seed {seed}"
+        assert views_are_correct(network), f"seed {seed}"
         assert all(
             len(part.pings) < 64 and len(part.update_queue.transmissions) <= routers for part in network.parts
         )
 
 
-rows = st.lists(
+update_lists = st.lists(
     st.tuples(st.just(1), st.integers(1, 3), st.integers(0, 3), st.sampled_from(list(RouterState))),
     max_size=4,
 )
 
 
-@given(rows)
+@given(update_lists)
 def test_updates_merge_to_the_same_in_every_order_and_however_often(
-    told: list[tuple[int, int, int, RouterState]],
+    updates: list[tuple[int, int, int, RouterState]],
 ) -> None:
-    held = set()
-    for order in permutations(told):
+    kept = set()
+    for order in permutations(updates):
         one = FailureDetector(0, 3, 1, 0, 1)
         for router, generation, incarnation, state in (*order, *order):
             one._apply_update(0, router, generation, incarnation, state)
-        held.add(one.records[1].rank)
-    assert len(held) == 1
+        kept.add(one.records[1].precedence)
+    assert len(kept) == 1
 
 
 @given(st.binary(max_size=64), st.integers(-1, 4))
