--- a/rainhitch/fleet/datagram.py
+++ b/rainhitch/fleet/datagram.py
@@ -4,7 +4,7 @@
 
 from rainhitch.errors import RainhitchError
 
-EVERYONE = -1  # receiver of a datagram that is broadcast to all routers
+ALL_ROUTERS = -1  # receiver of a datagram that is broadcast to all routers
 
 
 class FleetError(RainhitchError):
@@ -12,7 +12,7 @@
 
 
 class Datagram(NamedTuple):
-    """Datagram to send; the receiver is a router's number or `EVERYONE`."""
+    """Datagram to send; the receiver is a router's number or `ALL_ROUTERS`."""
 
     receiver: int
     payload: bytes
--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from rainhitch.fleet.datagram import EVERYONE, Datagram, FleetError
+from rainhitch.fleet.datagram import ALL_ROUTERS, Datagram, FleetError
 from rainhitch.fleet.failure_detector import FailureDetector, MessageKind
 from rainhitch.fleet.gossip_codec import LATENCY_KIND, decode, encode, names_by_hash
 from rainhitch.fleet.novelty_filter import NoveltyFilter
@@ -30,7 +30,7 @@
 STEP_NS = 100_000_000  # time between two calls of `GossipExchange.step`
 STEPS_PER_FRACTIONS = 5  # number of steps between two results of `traffic_fractions`
 USAGE_JITTER = (0.75, 1.25)  # smallest and largest random factor of the interval between usage reports
-MAX_READ_PER_S = 100  # datagrams read from one router per second, which bounds the cost of a flood
+MAX_DATAGRAMS_PER_S = 100  # datagrams read from one router per second, which bounds the cost of a flood
 Json = dict[str, Any]
 
 
@@ -39,14 +39,14 @@
 
 
 @dataclass(slots=True)
-class ReceivedDatagram:
+class ReceiveResult:
     """Result of a received datagram: observations for the decisions, and datagrams to send in answer."""
 
     observations: list[LatencyObservation] = field(default_factory=list)
     replies: list[Datagram] = field(default_factory=list)
 
 
-Handler = Callable[[int, int, bytes], ReceivedDatagram]  # time, sender, datagram
+Handler = Callable[[int, int, bytes], ReceiveResult]  # time, sender, datagram
 
 
 class GossipExchange:
@@ -81,12 +81,12 @@
         if options.bounded:
             self.peer_latency_bounds = PeerLatencyBounds(me)
         if 0 <= me < routers:
-            self._join_numbered(tenants, generation, now_ns, seed, options)
+            self._enable_numbered_protocols(tenants, generation, now_ns, seed, options)
         self.steps = 0
-        self.read_by_sender: dict[int, int] = {}  # number of datagrams read in the current second
-        self.second = 0
+        self.datagrams_by_sender: dict[int, int] = {}  # number of datagrams read in the current second
+        self.current_second = 0
 
-    def _join_numbered(
+    def _enable_numbered_protocols(
         self, tenants: int, generation: int, now_ns: int, seed: int, options: FleetOptions
     ) -> None:
         """Enables the protocols that need this router's number and that the operator has turned on."""
@@ -122,7 +122,7 @@
             if now_ns >= self.next_report_at_ns:
                 jitter = self.random.uniform(*USAGE_JITTER)
                 self.next_report_at_ns = now_ns + int(self.tenant_usage.interval_ns * jitter)
-                sent.append(Datagram(EVERYONE, bytes([USAGE_KIND]) + self.tenant_usage.encode()))
+                sent.append(Datagram(ALL_ROUTERS, bytes([USAGE_KIND]) + self.tenant_usage.encode()))
         if self.failure_detector is not None:
             sent += self.failure_detector.step(now_ns)
         if self.quota_escrow is not None:
@@ -142,12 +142,12 @@
             return None
         return TrafficFractions(fractions, 2 * STEPS_PER_FRACTIONS * STEP_NS)
 
-    def receive(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+    def receive(self, now_ns: int, sender: int, data: bytes) -> ReceiveResult:
         """Handles a datagram from another router.
 
         Raises a FleetError if it cannot be read or its sender exceeds the rate limit.
         """
-        self._count_read(now_ns, sender)
+        self._check_rate(now_ns, sender)
         if sender == self.me or not data:
             raise DatagramError(f"expected data from another router, got {len(data)} bytes from {sender}")
         handler = self.handlers.get(data[0])
@@ -155,36 +155,38 @@
             raise DatagramError(f"expected an enabled kind of datagram, got {data[0]:#x} from {sender}")
         return handler(now_ns, sender, data)
 
-    def _count_read(self, now_ns: int, sender: int) -> None:
+    def _check_rate(self, now_ns: int, sender: int) -> None:
         """Counts a datagram; raises DatagramError over the limit, which guards the CPU against a flood."""
         second = now_ns // NS_PER_S
-        if second != self.second:
-            self.second = second
-            self.read_by_sender = {}
-        count = self.read_by_sender.get(sender, 0) + 1
-        self.read_by_sender[sender] = count
-        if count > MAX_READ_PER_S:
-            raise DatagramError(f"expected up to {MAX_READ_PER_S} datagrams/s from {sender}, got {count}")
-
-    def _receive_latencies(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+        if second != self.current_second:
+            self.current_second = second
+            self.datagrams_by_sender = {}
+        count = self.datagrams_by_sender.get(sender, 0) + 1
+        self.datagrams_by_sender[sender] = count
+        if count > MAX_DATAGRAMS_PER_S:
+            raise DatagramError(
+                f"expected at most {MAX_DATAGRAMS_PER_S} datagrams a second from {sender}, got {count}"
+            )
+
+    def _receive_latencies(self, now_ns: int, sender: int, data: bytes) -> ReceiveResult:
         observations = decode(data, self.servers_by_hash)
         self.novelty_filter.record_published(observations)
         if self.peer_latency_bounds is not None:
             observations = self.peer_latency_bounds.bound(now_ns, sender, observations)
-        return ReceivedDatagram(observations)
+        return ReceiveResult(observations)
 
-    def _receive_usage(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+    def _receive_usage(self, now_ns: int, sender: int, data: bytes) -> ReceiveResult:
         assert self.tenant_usage is not None
         self.tenant_usage.receive(now_ns, sender, data[1:])
-        return ReceivedDatagram()
+        return ReceiveResult()
 
-    def _receive_quota(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+    def _receive_quota(self, now_ns: int, sender: int, data: bytes) -> ReceiveResult:
         assert self.quota_escrow is not None
-        return ReceivedDatagram(replies=self.quota_escrow.receive(now_ns, sender, data))
+        return ReceiveResult(replies=self.quota_escrow.receive(now_ns, sender, data))
 
-    def _receive_failure_detection(self, now_ns: int, sender: int, data: bytes) -> ReceivedDatagram:
+    def _receive_failure_detection(self, now_ns: int, sender: int, data: bytes) -> ReceiveResult:
         assert self.failure_detector is not None
-        return ReceivedDatagram(replies=self.failure_detector.receive(now_ns, sender, data))
+        return ReceiveResult(replies=self.failure_detector.receive(now_ns, sender, data))
 
     def describe(self, now_ns: int) -> Json:
         """Returns this router's view of the fleet as the JSON object of `rainhitch fleet status`.
--- a/rainhitch/fleet/gossip_transport.py
+++ b/rainhitch/fleet/gossip_transport.py
@@ -10,7 +10,7 @@
 
 from rainhitch import interface as api
 from rainhitch import system
-from rainhitch.fleet.datagram import EVERYONE, Datagram, FleetError
+from rainhitch.fleet.datagram import ALL_ROUTERS, Datagram, FleetError
 from rainhitch.fleet.gossip_exchange import STEP_NS, DatagramError, GossipExchange, Json
 from rainhitch.interface import Address
 from rainhitch.telemetry.counts import Counts
@@ -83,7 +83,7 @@
         """
         data = self.exchange.encode_observations(self.now(), observations)
         if data:
-            self._send([Datagram(EVERYONE, data)])
+            self._send([Datagram(ALL_ROUTERS, data)])
 
     def _step(self) -> None:
         if self.transport is None or self.transport.is_closing():
@@ -101,7 +101,7 @@
         for receiver, payload in datagrams:
             self.counts.add("words", "told")
             self.counts.add("words", "bytes", len(payload))
-            address = self.broadcast_address if receiver == EVERYONE else self.peers[receiver]
+            address = self.broadcast_address if receiver == ALL_ROUTERS else self.peers[receiver]
             self.transport.sendto(payload, address)
 
     def describe(self) -> Json:
--- a/tests/fleet/test_gossip_transport.py
+++ b/tests/fleet/test_gossip_transport.py
@@ -15,50 +15,52 @@
 
 
 async def test_datagrams_of_peers_are_read_and_no_others() -> None:
-    heard: asyncio.Queue[Any] = asyncio.Queue()
+    received: asyncio.Queue[Any] = asyncio.Queue()
     with (
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as friend,
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as outsider,
     ):
-        friend.bind(("127.0.0.1", 0))
-        stranger.bind(("127.0.0.1", 0))
-        friend.settimeout(20)
+        peer.bind(("127.0.0.1", 0))
+        outsider.bind(("127.0.0.1", 0))
+        peer.settimeout(20)
         names = ["s-1"]
         exchange = GossipExchange(0, 2, 1, 1, 0, seed=7, options=FleetOptions(counts=False))
-        peers = GossipTransport(
-            exchange, [("127.0.0.1", 9), friend.getsockname()], friend.getsockname(), heard.put_nowait
+        gossip = GossipTransport(
+            exchange, [("127.0.0.1", 9), peer.getsockname()], peer.getsockname(), received.put_nowait
         )
-        peers.set_servers(names)
-        assert await join(("127.0.0.1", 0), peers)
-        assert peers.transport is not None
-        here = peers.transport.get_extra_info("sockname")
-        word = encode([api.LatencyObservation("s-1", 40 * MILLI), api.LatencyObservation("s-2", 40 * MILLI)])
-        stranger.sendto(word, here)
-        friend.sendto(b"noise", here)
-        friend.sendto(word, here)
+        gossip.set_servers(names)
+        assert await join(("127.0.0.1", 0), gossip)
+        assert gossip.transport is not None
+        here = gossip.transport.get_extra_info("sockname")
+        datagram = encode(
+            [api.LatencyObservation("s-1", 40 * MILLI), api.LatencyObservation("s-2", 40 * MILLI)]
+        )
+        outsider.sendto(datagram, here)
+        peer.sendto(b"noise", here)
+        peer.sendto(datagram, here)
         assert near(
-            (await asyncio.wait_for(heard.get(), 20)).observations,
+            (await asyncio.wait_for(received.get(), 20)).observations,
             [api.LatencyObservation("s-1", 40 * MILLI)],
         )
         names.append("s-2")
-        peers.set_servers(names)
-        friend.sendto(word, here)
-        assert len((await asyncio.wait_for(heard.get(), 20)).observations) == 2, "both servers are listed now"
-        assert peers.counts.counters["words"]["unread"] == 2 and heard.empty()
+        gossip.set_servers(names)
+        peer.sendto(datagram, here)
+        assert len((await asyncio.wait_for(received.get(), 20)).observations) == 2, "both servers are listed"
+        assert gossip.counts.counters["words"]["unread"] == 2 and received.empty()
         for elapsed in (8 * SECOND, SECOND):  # the first is left out: the peer has just published s-1
-            peers.publish([api.LatencyObservation("s-1", elapsed)])
-        assert near(decode(friend.recv(512), names_by_hash(names)), [api.LatencyObservation("s-1", SECOND)])
-        peers.close()
+            gossip.publish([api.LatencyObservation("s-1", elapsed)])
+        assert near(decode(peer.recv(512), names_by_hash(names)), [api.LatencyObservation("s-1", SECOND)])
+        gossip.close()
 
 
 async def test_a_router_whose_gossip_port_is_taken_runs_without_gossip() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
-        peers = GossipTransport(
+        gossip = GossipTransport(
             GossipExchange(0, 1, 1, 1, 0, seed=7, options=FleetOptions()),
             [],
             ("127.0.0.1", 9),
             lambda _: None,
         )
-        assert not await join(taken.getsockname(), peers)
-        peers.publish([api.LatencyObservation("s-1", SECOND)])
+        assert not await join(taken.getsockname(), gossip)
+        gossip.publish([api.LatencyObservation("s-1", SECOND)])
--- a/tests/fleet/test_router_gossip.py
+++ b/tests/fleet/test_router_gossip.py
@@ -16,9 +16,9 @@
 from rainhitch.policy.server import Server
 
 
-def configuration(friend: socket.socket, **changes: Any) -> dict[str, Any]:
-    """Returns a router's configuration with `friend` as its first peer and with `changes` to its fields."""
-    host, port = friend.getsockname()
+def configuration(peer: socket.socket, **changes: Any) -> dict[str, Any]:
+    """Returns a router's configuration with `peer` as its first peer and with `changes` to its fields."""
+    host, port = peer.getsockname()
     address = f"{host}:{port}"
     return {
         "listen": "127.0.0.1:0",
@@ -33,7 +33,7 @@
 
 
 @pytest.fixture
-def friend() -> Iterator[socket.socket]:
+def peer() -> Iterator[socket.socket]:
     """Socket of another router."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
         one.bind(("127.0.0.1", 0))
@@ -41,28 +41,28 @@
         yield one
 
 
-def slower(server: Server, before: float) -> bool:
+def is_slower(server: Server, before: float) -> bool:
     """Returns whether a server's average latency has risen above `before`."""
     return server.latency.average_ns > before
 
 
 async def test_a_router_uses_gossip_on_listed_servers_and_publishes_its_own(
-    friend: socket.socket,
+    peer: socket.socket,
 ) -> None:
-    service = Router(parse_configuration(configuration(friend), "test"))
+    service = Router(parse_configuration(configuration(peer), "test"))
     await service.start()
     try:
         assert service.gossip is not None and service.gossip.transport is not None
         here = service.gossip.transport.get_extra_info("sockname")
         service.directory.apply(listing(2, entry("c1", "127.0.0.1:1"), whole=False))
         service.publish_gossip([api.LatencyObservation("c0", 900_000_000)])
-        (word,) = decode(friend.recv(512), names_by_hash(["c0"]))
-        assert word.server == "c0" and word.elapsed_ns == pytest.approx(900_000_000, rel=0.06)
+        (observation,) = decode(peer.recv(512), names_by_hash(["c0"]))
+        assert observation.server == "c0" and observation.elapsed_ns == pytest.approx(900_000_000, rel=0.06)
         for name in ("c0", "c1"):
             server = service.balancer.servers.servers[name]
             before = server.latency.average_ns
-            friend.sendto(encode([api.LatencyObservation(name, 8_000_000_000)]), here)
-            await wait_until(partial(slower, server, before))
+            peer.sendto(encode([api.LatencyObservation(name, 8_000_000_000)]), here)
+            await wait_until(partial(is_slower, server, before))
         assert service.configuration.settings.gossip_interval_ns > 0
     finally:
         service.watch.stop()
@@ -81,12 +81,12 @@
         {"peers": ["127.0.0.1:2"]},
     ],
 )
-def test_without_other_routers_or_permission_there_are_no_peers(friend: socket.socket, changes: Any) -> None:
-    assert parse_configuration(configuration(friend), "test").peers is not None
-    assert parse_configuration(configuration(friend, **changes), "test").peers is None
+def test_without_other_routers_or_permission_there_are_no_peers(peer: socket.socket, changes: Any) -> None:
+    assert parse_configuration(configuration(peer), "test").peers is not None
+    assert parse_configuration(configuration(peer, **changes), "test").peers is None
 
 
 @pytest.mark.parametrize("peers", [None, "127.0.0.1:2", ["nowhere", "127.0.0.1:2"]])
-def test_malformed_peers_end_the_start_with_a_plain_line(friend: socket.socket, peers: Any) -> None:
+def test_malformed_peers_end_the_start_with_a_plain_line(peer: socket.socket, peers: Any) -> None:
     with pytest.raises(ConfigurationError, match="test: "):
-        parse_configuration(configuration(friend, peers=peers), "test")
+        parse_configuration(configuration(peer, peers=peers), "test")
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from lossy import SECOND, LossyNetwork
 
-from rainhitch.fleet.datagram import EVERYONE
+from rainhitch.fleet.datagram import ALL_ROUTERS
 from rainhitch.fleet.gossip_exchange import GossipExchange
 from rainhitch.fleet.options import FleetOptions
 from rainhitch.fleet.tenant_usage import (
@@ -188,5 +188,5 @@
         exchange = GossipExchange(0, routers, 5, 1, 0, seed=7, options=FleetOptions(counts=True))
         sent = 0
         for step in range(1, 1201):
-            sent += sum(to == EVERYONE for to, _ in exchange.step(step * SECOND // 10))
+            sent += sum(to == ALL_ROUTERS for to, _ in exchange.step(step * SECOND // 10))
         assert (routers - 1) * sent / 120 <= 25
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from rainhitch.fleet.datagram import EVERYONE
+from rainhitch.fleet.datagram import ALL_ROUTERS
 from rainhitch.fleet.failure_detector import FailureDetector
 from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
 from rainhitch.fleet.gossip_exchange import GossipExchange
@@ -164,7 +164,7 @@
         for me, exchange in enumerate(exchanges):
             if step % 2 == 0:
                 data = exchange.encode_observations(now, observations(step + me))
-                sent += [(me, EVERYONE, data)] if data else []
+                sent += [(me, ALL_ROUTERS, data)] if data else []
             for number in range((step + me) % 5):
                 exchange.tenant_usage.add(number % 2)  # type: ignore[union-attr]
                 if me == 0 or step % 10 == 0:  # one router needs more than its share and the others lend
@@ -178,7 +178,7 @@
         waiting = []
         for source, to, payload in sent:
             run.append([step, source, to, payload.hex()])
-            targets = [one for one in range(ROUTERS) if one != source] if to == EVERYONE else [to]
+            targets = [one for one in range(ROUTERS) if one != source] if to == ALL_ROUTERS else [to]
             waiting += [(source, one, payload) for one in targets]
     return run
 
