--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -20,11 +20,11 @@
 from rainhitch.rehearsal.scenario import scenario_of
 
 Json = dict[str, Any]
-TOTAL = 24.0  # quota of all routers together, reads of the database a second
-AT_ONCE = 4  # maximum number of days that are played concurrently
+QUOTA_PER_S = 24.0  # quota of all routers together, reads of the database a second
+MAX_CONCURRENT_DAYS = 4  # maximum number of days that are played concurrently
 
 
-class Watched(Environment):
+class ObservedEnvironment(Environment):
     """Environment of a day that keeps its routers' logs and regularly requests their views of the fleet."""
 
     def make_router(self, number: int, config: Json) -> RouterProcess:
@@ -37,13 +37,13 @@
         return super().make_router(number, config)
 
     async def _run_timeline(self, clients: Any) -> None:
-        looking = asyncio.get_running_loop().create_task(self._look())
+        polling = asyncio.get_running_loop().create_task(self._poll_views())
         try:
             await super()._run_timeline(clients)
         finally:
-            looking.cancel()
+            polling.cancel()
 
-    async def _look(self) -> None:
+    async def _poll_views(self) -> None:
         while True:
             views = await ask_all(self.admins)
             self.views.append(((asyncio.get_running_loop().time() * SECOND - self.zero_ns) / SECOND, views))
@@ -56,14 +56,14 @@
         return rows
 
 
-def stage(
+def make_day(
     routers: int,
     faults: list[Json],
     operator: str = "",
     length_s: float = 8.0,
     change: Callable[[list[PlannedRequest]], None] = lambda asks: None,
     **traffic: Any,
-) -> Watched:
+) -> ObservedEnvironment:
     """Returns a day with `routers` router processes and these faults."""
     scenario = scenario_of(
         {
@@ -84,16 +84,16 @@
     )
     plan = draw_plan(scenario, "processes", 7)
     change(plan.asks)
-    return Watched(scenario, plan, rainhitch_command(), operator_config=operator)
+    return ObservedEnvironment(scenario, plan, rainhitch_command(), operator_config=operator)
 
 
-def reads(ledgers: Json) -> list[tuple[float, int]]:
+def database_reads(records: Json) -> list[tuple[float, int]]:
     """Returns the time, s since scoring began, and the router of each read that the database received."""
-    rows = [one for one in ledgers["parts"]["centre"]["fetches"] if not one["write"]]
-    return sorted(((one["last"] - ledgers["zero"]) / SECOND, one["router"]) for one in rows)
+    rows = [one for one in records["parts"]["centre"]["fetches"] if not one["write"]]
+    return sorted(((one["last"] - records["zero"]) / SECOND, one["router"]) for one in rows)
 
 
-def most_within(times: list[float], span: float) -> int:
+def max_within(times: list[float], span: float) -> int:
     """Returns the largest number of events within any `span` seconds."""
     most = first = 0
     for last, at in enumerate(times):
@@ -103,18 +103,18 @@
     return most
 
 
-def to_one(router: int, part: float) -> Callable[[list[PlannedRequest]], None]:
-    """Returns a change of the plan that sends the fraction `part` of the requests to one router."""
+def direct_to_router(router: int, fraction: float) -> Callable[[list[PlannedRequest]], None]:
+    """Returns a change of the plan that sends `fraction` of the requests to one router."""
 
     def change(asks: list[PlannedRequest]) -> None:
         for number, ask in enumerate(asks):
-            if ask.at >= 0 and number % 100 < 100 * part:
+            if ask.at >= 0 and number % 100 < 100 * fraction:
                 ask.router = router
 
     return change
 
 
-FAULTS: list[Json] = [
+QUOTA_FAULTS: list[Json] = [
     {"kind": "messages-doubled", "at_s": 0.5, "for_s": 9.0, "share": 0.5},
     {"kind": "messages-shuffled", "at_s": 0.5, "for_s": 9.0, "delay_s": 2.0},
     {"kind": "routers-apart", "at_s": 5.0, "for_s": 2.0, "group": [0]},
@@ -122,26 +122,26 @@
     {"kind": "router-pause", "at_s": 5.5, "for_s": 3.0, "router": 1},
     {"kind": "router-kill", "at_s": 6.0, "for_s": 0.5, "router": 2},
 ]
-WORDS: list[Json] = [
+DATAGRAM_FAULTS: list[Json] = [
     {"kind": "messages-lost", "at_s": 2.0, "for_s": 8.0, "share": 0.3},
     {"kind": "messages-doubled", "at_s": 2.0, "for_s": 8.0, "share": 0.5},
     {"kind": "messages-late", "at_s": 2.0, "for_s": 8.0, "delay_s": 0.5},
 ]
-PAUSE: list[Json] = [{"kind": "router-pause", "at_s": 2.0, "for_s": 4.0, "router": 0}]
-LEFT: list[Json] = [
+LONG_PAUSE: list[Json] = [{"kind": "router-pause", "at_s": 2.0, "for_s": 4.0, "router": 0}]
+SERVER_FAULTS: list[Json] = [
     {"kind": "node-silent", "at_s": 1.0, "for_s": 5.0, "node": "neihu-0"},
     {"kind": "link-delay", "at_s": 1.0, "for_s": 5.0, "router": 1, "node": "neihu-1", "delay_s": 0.2},
     {"kind": "database-slow", "at_s": 2.0, "for_s": 3.0, "factor": 20.0},
     {"kind": "router-restart", "at_s": 3.0, "router": 2},
 ]
-GONE: list[Json] = [
+ROUTER_FAILURES: list[Json] = [
     {"kind": "router-kill", "at_s": 1.0, "for_s": 100.0, "router": 4},
     {"kind": "router-pause", "at_s": 1.0, "for_s": 12.0, "router": 3},
 ]
-HELD = f"[routers]\ndatabase_rps = {TOTAL}\nmembers = true\n"
+QUOTA_CONFIG = f"[routers]\ndatabase_rps = {QUOTA_PER_S}\nmembers = true\n"
 
 
-def small_at_one(asks: list[PlannedRequest]) -> None:
+def concentrate_small_tenant(asks: list[PlannedRequest]) -> None:
     """Sends all requests of a small tenant to router 0 and all others to the other routers."""
     for ask in asks:
         if ask.at >= 0:
@@ -149,43 +149,47 @@
             ask.router = 0 if ask.customer == 1 else 1 + ask.at % 2
 
 
-def often_anew(asks: list[PlannedRequest]) -> None:
+def reconnect_often(asks: list[PlannedRequest]) -> None:
     """Opens a new connection for a third of the requests, as clients reuse only connections that answer."""
     for ask in asks[::3]:
         ask.fresh = True
 
 
-def soon_gone(asks: list[PlannedRequest]) -> None:
+def disconnect_early(asks: list[PlannedRequest]) -> None:
     """Has half of the clients disconnect after 30 to 230 ms."""
     for number, ask in enumerate(asks[::2]):
         for one in ask.tries:
             one.leaves_us = 30_000 + number * 7919 % 200_000
-    often_anew(asks)
+    reconnect_often(asks)
 
 
-def days() -> dict[str, Watched]:
+def days() -> dict[str, ObservedEnvironment]:
     """Returns all days of this file by name."""
-    mostly = to_one(0, 0.9)
+    most_to_first = direct_to_router(0, 0.9)
     return {
-        "total": stage(4, [], HELD, 9.0, mostly),
-        "total, faults": stage(4, FAULTS, HELD, 11.0, mostly),
-        "no total": stage(4, [], "", 5.0, mostly),
-        "counted": stage(3, WORDS, "[routers]\ncounts = true\n", 10.0, small_at_one, keys=60),
-        "not counted": stage(3, WORDS, "[routers]\ncounts = false\n", 10.0, small_at_one, keys=60),
-        "stopped": stage(3, PAUSE, "", 8.0, often_anew, rate=150.0),
-        "left": stage(3, LEFT, "", 8.0, soon_gone, rate=150.0),
-        "gone": stage(5, GONE, "[routers]\nmembers = true\n", 20.0, rate=20.0),
+        "quota": make_day(4, [], QUOTA_CONFIG, 9.0, most_to_first),
+        "quota, faults": make_day(4, QUOTA_FAULTS, QUOTA_CONFIG, 11.0, most_to_first),
+        "no quota": make_day(4, [], "", 5.0, most_to_first),
+        "usage reports": make_day(
+            3, DATAGRAM_FAULTS, "[routers]\ncounts = true\n", 10.0, concentrate_small_tenant, keys=60
+        ),
+        "no usage reports": make_day(
+            3, DATAGRAM_FAULTS, "[routers]\ncounts = false\n", 10.0, concentrate_small_tenant, keys=60
+        ),
+        "paused": make_day(3, LONG_PAUSE, "", 8.0, reconnect_often, rate=150.0),
+        "departed clients": make_day(3, SERVER_FAULTS, "", 8.0, disconnect_early, rate=150.0),
+        "failed routers": make_day(5, ROUTER_FAILURES, "[routers]\nmembers = true\n", 20.0, rate=20.0),
     }
 
 
 async def play_all() -> dict[str, Json]:
-    free = asyncio.Semaphore(AT_ONCE)
+    free = asyncio.Semaphore(MAX_CONCURRENT_DAYS)
 
-    async def play(day: Watched) -> Json:
+    async def play(day: ObservedEnvironment) -> Json:
         async with free:
-            ledgers = await day.play()
-        assert all(one["crash"] is None for one in ledgers["routers"]), ledgers["logs"]
-        return ledgers | {"asks": sum(ask.at >= 0 for ask in day.plan.asks)}
+            records = await day.play()
+        assert all(one["crash"] is None for one in records["routers"]), records["logs"]
+        return records | {"asks": sum(ask.at >= 0 for ask in day.plan.asks)}
 
     played = days()
     made = await asyncio.gather(*(play(day) for day in played.values()))
@@ -193,90 +197,90 @@
 
 
 @pytest.fixture(scope="module")
-def ledgers() -> dict[str, Json]:
-    """Records of all days by name; `AT_ONCE` days are played at a time."""
+def records() -> dict[str, Json]:
+    """Records of all days by name; `MAX_CONCURRENT_DAYS` days are played at a time."""
     return asyncio.run(play_all())
 
 
-@pytest.mark.parametrize("name", ["total", "total, faults"])
-def test_processes_reads_of_the_database_stay_within_the_total(ledgers: dict[str, Json], name: str) -> None:
+@pytest.mark.parametrize("name", ["quota", "quota, faults"])
+def test_processes_reads_of_the_database_stay_within_the_quota(records: dict[str, Json], name: str) -> None:
     """Four router processes share a quota, and nine tenths of the requests go to one of them.
 
     Leases move the quota to that router. Despite duplicated and delayed datagrams, cuts in both directions
     and in one, a process that is paused beyond the end of its leases and one that is killed and restarted,
     the database receives no more reads in any span of time than the quota and the contents of the buckets.
     """
-    times = [at for at, _ in reads(ledgers[name]) if at >= 0]
+    times = [at for at, _ in database_reads(records[name]) if at >= 0]
     for span in (0.5, 1.0, 2.0, 4.0, 8.0):
-        assert most_within(times, span) <= TOTAL * span + TOTAL + 2 * 4, f"in {span} s"
-    assert ledgers[name]["asks"] > 2 * TOTAL * 9, "the demand is far above the quota"
-    for _, views in ledgers[name]["views"]:
+        assert max_within(times, span) <= QUOTA_PER_S * span + QUOTA_PER_S + 2 * 4, f"in {span} s"
+    assert records[name]["asks"] > 2 * QUOTA_PER_S * 9, "the demand is far above the quota"
+    for _, views in records[name]["views"]:
         held = [one["holds"]["now"] for one in views if "holds" in one]
-        assert sum(held) <= TOTAL * 4 / 3, "views are taken one by one, so a lease may end in between"
+        assert sum(held) <= QUOTA_PER_S * 4 / 3, "views are taken one by one, so a lease may end in between"
 
 
-def test_processes_lend_their_quota_to_the_one_that_needs_it(ledgers: dict[str, Json]) -> None:
-    own = TOTAL / 4
-    late = [router for at, router in reads(ledgers["total"]) if 5 <= at < 9]
+def test_processes_lend_their_quota_to_the_one_that_needs_it(records: dict[str, Json]) -> None:
+    own = QUOTA_PER_S / 4
+    late = [router for at, router in database_reads(records["quota"]) if 5 <= at < 9]
     assert late.count(0) > 1.5 * (4 * own + own), "its own share and a full bucket give 4 s and 1 s of it"
-    held = [one["holds"]["now"] for at, told in ledgers["total"]["views"] if at >= 5 for one in told[:1]]
+    held = [one["holds"]["now"] for at, fleet in records["quota"]["views"] if at >= 5 for one in fleet[:1]]
     assert max(held) > 2 * own and min(held) >= own, "the other routers lend to it"
 
 
-def test_processes_without_a_total_send_the_database_all_reads(ledgers: dict[str, Json]) -> None:
+def test_processes_without_a_quota_send_the_database_all_reads(records: dict[str, Json]) -> None:
     """Without the quota the same load exceeds the bound of the test above."""
-    times = [at for at, _ in reads(ledgers["no total"]) if at >= 0]
-    assert most_within(times, 4.0) > TOTAL * 4.0 + TOTAL + 2 * 4
+    times = [at for at, _ in database_reads(records["no quota"]) if at >= 0]
+    assert max_within(times, 4.0) > QUOTA_PER_S * 4.0 + QUOTA_PER_S + 2 * 4
 
 
-def beyond(told: Json, customer: str, after: float = 6.0) -> float:
+def over_quota_fraction(day: Json, tenant: str, after: float = 6.0) -> float:
     """Returns the fraction of a tenant's requests marked over quota, from `after` s after the first on."""
-    marked = of = 0
-    for log in told["logs"]:
+    marked = total = 0
+    for log in day["logs"]:
         seconds = [
             json.loads(line.partition(" second ")[2]) for line in log.splitlines() if " second {" in line
         ]
         first = next(one["at"] for one in seconds if one["taken"])
         for one in seconds:
-            for name, many in one.get("customers", {}).items() if one["at"] >= first + after else ():
-                if name.startswith(customer):
-                    of += many
-                    marked += many * name.startswith(customer + "+")
-    assert of > 60
-    return marked / of
+            for name, count in one.get("customers", {}).items() if one["at"] >= first + after else ():
+                if name.startswith(tenant):
+                    total += count
+                    marked += count * name.startswith(tenant + "+")
+    assert total > 60
+    return marked / total
 
 
 def test_processes_a_tenant_within_its_quota_is_not_over_quota_where_its_load_comes_to_one_router(
-    ledgers: dict[str, Json],
+    records: dict[str, Json],
 ) -> None:
     """Three router processes, one of which receives all requests of a small tenant.
 
     Datagrams are lost, duplicated and delayed. With usage reports hardly any of the tenant's requests are
     counted as over its quota; without them many are.
     """
-    assert beyond(ledgers["counted"], "xinzhu-textile") <= 0.05
-    assert beyond(ledgers["not counted"], "xinzhu-textile") > 0.2
+    assert over_quota_fraction(records["usage reports"], "xinzhu-textile") <= 0.05
+    assert over_quota_fraction(records["no usage reports"], "xinzhu-textile") > 0.2
 
 
-def sent_for_nobody(told: Json, router: int) -> tuple[int, int]:
+def attempts_for_departed_clients(day: Json, router: int) -> tuple[int, int]:
     """Counts the attempts of a router in the second after it resumed from a pause.
 
     Returns the number of those whose client had disconnected or timed out, and the number of all.
     """
-    clients = [one for part, rows in told["parts"].items() if part[:7] == "clients" for one in rows["sent"]]
-    over = {one["id"]: one["left"] or one["sent"] + one["wait"] for one in clients if one["sent"]}
-    (woke,) = [at for what, at in told["routers"][router]["events"] if what == "wake"]
-    nodes = [one for part, rows in told["parts"].items() if part[:5] == "nodes" for one in rows["attempts"]]
+    clients = [one for part, rows in day["parts"].items() if part[:7] == "clients" for one in rows["sent"]]
+    left_at = {one["id"]: one["left"] or one["sent"] + one["wait"] for one in clients if one["sent"]}
+    (resumed_at,) = [at for what, at in day["routers"][router]["events"] if what == "wake"]
+    nodes = [one for part, rows in day["parts"].items() if part[:5] == "nodes" for one in rows["attempts"]]
     mine = [
         one
-        for one in nodes + told["parts"]["centre"]["fetches"]
-        if one["router"] == router and woke <= one["first"] <= woke + SECOND
+        for one in nodes + day["parts"]["centre"]["fetches"]
+        if one["router"] == router and resumed_at <= one["first"] <= resumed_at + SECOND
     ]
-    return sum(one["first"] > over.get(one["id"], 1 << 62) + SECOND // 20 for one in mine), len(mine)
+    return sum(one["first"] > left_at.get(one["id"], 1 << 62) + SECOND // 20 for one in mine), len(mine)
 
 
 def test_processes_a_router_that_was_stopped_starts_no_attempt_for_clients_that_left(
-    ledgers: dict[str, Json],
+    records: dict[str, Json],
 ) -> None:
     """Three router processes, one of which is paused for four seconds under load.
 
@@ -284,19 +288,19 @@
     Without pause detection it would start attempts for clients that have left in the meantime; with it there
     are none.
     """
-    late, sent = sent_for_nobody(ledgers["stopped"], 0)
-    assert late == 0 and sent > 0
-    assert any("router resumed after a pause" in line for line in ledgers["stopped"]["logs"][0].splitlines())
+    departed, sent = attempts_for_departed_clients(records["paused"], 0)
+    assert departed == 0 and sent > 0
+    assert any("router resumed after a pause" in line for line in records["paused"]["logs"][0].splitlines())
 
 
-def test_processes_start_no_attempt_for_clients_that_left(ledgers: dict[str, Json]) -> None:
+def test_processes_start_no_attempt_for_clients_that_left(records: dict[str, Json]) -> None:
     """No attempt starts for a client that left long ago, while half of the clients leave early.
 
     During the test a server is silent, a link is slow, the database is slow and a router restarts. The margin
     of half a second allows for a slow machine; on an idle machine no attempt arrives after its client has
     left.
     """
-    parts = ledgers["left"]["parts"]
+    parts = records["departed clients"]["parts"]
     clients = [one for name, rows in parts.items() if name[:7] == "clients" for one in rows["sent"]]
     left = {one["id"]: one["left"] for one in clients if one["left"]}
     nodes = [one for name, rows in parts.items() if name[:5] == "nodes" for one in rows["attempts"]]
@@ -306,17 +310,17 @@
 
 
 def test_processes_detect_a_dead_router_and_one_resumed_late_declares_nobody_dead(
-    ledgers: dict[str, Json],
+    records: dict[str, Json],
 ) -> None:
     """Five router processes: one is killed permanently, one is paused and resumes.
 
     The others detect both failures. The resumed router declares none of the others dead, and they soon count
     it as alive again.
     """
-    views = ledgers["gone"]["views"]
-    away = [told for at, told in views if 11 <= at < 12.5]
-    assert any(all(one.get("gone") == [3, 4] for one in told[:3]) for told in away), away
+    views = records["failed routers"]["views"]
+    away = [fleet for at, fleet in views if 11 <= at < 12.5]
+    assert any(all(one.get("gone") == [3, 4] for one in fleet[:3]) for fleet in away), away
     assert [one.get("gone") for one in views[-1][1][:4]] == [[4]] * 4, views[-1]
-    for at, told in views:
+    for at, fleet in views:
         if at > 13.2:
-            assert told[3].get("gone", [4]) in ([], [4]), "the resumed router declared a live router dead"
+            assert fleet[3].get("gone", [4]) in ([], [4]), "the resumed router declared a live router dead"
