--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -141,17 +141,17 @@
 class FailureDetector:
     """Failure detector of one router, with its view of the others.
 
-    `me` is the number of this router among `routers`. `generation` is 1 to `MAX_GENERATION` and higher after
-    each start. Times are in ns.
+    `own_index` is the number of this router among `routers`. `generation` is 1 to `MAX_GENERATION` and
+    higher after each start. Times are in ns.
     """
 
-    def __init__(self, me: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
-        self.me = me
+    def __init__(self, own_index: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
+        self.own_index = own_index
         self.routers = routers
         # The text of the seed must not change: recorded runs are replayed with the sequence that it gives.
         self.random = Random(f"{seed}/alive")
         self.records = [RouterRecord(state_since_ns=now_ns) for _ in range(routers)]
-        self.records[me] = RouterRecord(generation, state_since_ns=now_ns)
+        self.records[own_index] = RouterRecord(generation, state_since_ns=now_ns)
         self.ping_order: list[int] = []  # routers not yet pinged in this round, the next one last
         self.pings: dict[int, PendingPing] = {}  # by sequence number
         self.sequence = 0
@@ -162,12 +162,12 @@
         # SWIM's logarithm of the fleet's size: updates and suspicions last longer in a larger fleet.
         self.log_fleet_size = max(1, math.ceil(math.log2(routers + 1)))
         self.update_queue = UpdateQueue(RETRANSMIT_FACTOR * self.log_fleet_size)
-        self.update_queue.enqueue(me)
+        self.update_queue.enqueue(own_index)
 
     @property
     def generation(self) -> int:
         """This router's own generation."""
-        return self.records[self.me].generation
+        return self.records[self.own_index].generation
 
     def is_alive(self, router: int) -> bool:
         """Returns whether a router counts as alive, as a suspected one does."""
@@ -217,7 +217,7 @@
     def _ping_next(self, now_ns: int) -> list[Datagram]:
         if not self.ping_order:
             # Dead routers are pinged too, once per round: after a network cut no other router reports them.
-            self.ping_order = [router for router in range(self.routers) if router != self.me]
+            self.ping_order = [router for router in range(self.routers) if router != self.own_index]
             self.random.shuffle(self.ping_order)
         if not self.ping_order:
             return []
@@ -245,7 +245,7 @@
             return []
         ping.indirect_requested = True
         ping.deadline_ns = now_ns + INDIRECT_TIMEOUT_FACTOR * self._ping_timeout_ns()
-        others = [router for router in self.live_routers() if router not in (self.me, ping.target)]
+        others = [router for router in self.live_routers() if router not in (self.own_index, ping.target)]
         proxies = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
         return [
             Datagram(proxy, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for proxy in proxies
@@ -260,7 +260,7 @@
             raise FailureDetectorError(
                 f"expected {HEADER.size} bytes and {UPDATE.size} for each update, got {len(data)} bytes"
             )
-        if not 0 <= sender < self.routers or sender == self.me:
+        if not 0 <= sender < self.routers or sender == self.own_index:
             raise FailureDetectorError(
                 f"expected a message from another of {self.routers} routers, got router {sender}"
             )
@@ -280,9 +280,11 @@
             incarnation = state_and_incarnation & MAX_INCARNATION
             self._apply_update(now_ns, router, generation, incarnation, RouterState(state))
         if kind == MessageKind.PING:
-            return [Datagram(sender, self._encode(MessageKind.ACK, sequence, self.me, receiver=sender))]
+            return [
+                Datagram(sender, self._encode(MessageKind.ACK, sequence, self.own_index, receiver=sender))
+            ]
         if kind == MessageKind.PING_REQ:
-            if subject in (self.me, sender):
+            if subject in (self.own_index, sender):
                 return []
             return [self._ping(now_ns, subject, PingRequester(sender, sequence))]
         return self._acknowledged(sequence, sender, subject)
@@ -304,22 +306,23 @@
         self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState
     ) -> None:
         precedence = (generation, incarnation, state)
-        if router != self.me:
+        if router != self.own_index:
             if precedence > self.records[router].precedence:
                 self._set_record(now_ns, router, generation, incarnation, state)
             return
-        if precedence > self.records[self.me].precedence:
+        if precedence > self.records[self.own_index].precedence:
             self._refute(generation, incarnation)
             return
-        if precedence < self.records[self.me].precedence:
-            self.update_queue.enqueue(self.me)  # the sender has not received the last update on this router
+        if precedence < self.records[self.own_index].precedence:
+            # The sender has not received the last update on this router.
+            self.update_queue.enqueue(self.own_index)
 
     def _refute(self, generation: int, incarnation: int) -> None:
         """Takes a higher incarnation than an update on this router has, or a higher generation.
 
         Refutes updates that call this running router suspect or dead, and updates on its earlier generation.
         """
-        record = self.records[self.me]
+        record = self.records[self.own_index]
         incarnations_exhausted = incarnation == MAX_INCARNATION
         if incarnations_exhausted or generation > record.generation:
             record.generation = min(MAX_GENERATION, generation + 1)
@@ -327,7 +330,7 @@
         else:
             record.generation = generation
             record.incarnation = incarnation + 1
-        self.update_queue.enqueue(self.me)
+        self.update_queue.enqueue(self.own_index)
         self._change_health_score(1)
 
     def _set_record(
--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -52,13 +52,13 @@
 class GossipExchange:
     """One router's side of the communication among routers.
 
-    `me` is the number of this router among `routers`, or below 0 if it is unknown; then only latencies are
-    exchanged. `generation` is 1 to 2**32 - 1 and higher after each start. Times are in ns.
+    `own_index` is the number of this router among `routers`, or below 0 if it is unknown; then only latencies
+    are exchanged. `generation` is 1 to 2**32 - 1 and higher after each start. Times are in ns.
     """
 
     def __init__(
         self,
-        me: int,
+        own_index: int,
         routers: int,
         tenants: int,
         generation: int,
@@ -67,7 +67,7 @@
         seed: int,
         options: FleetOptions,
     ) -> None:
-        self.me = me
+        self.own_index = own_index
         self.routers = routers
         self.random = Random(f"{seed}/exchange")
         self.servers_by_hash: dict[int, str] = {}
@@ -79,8 +79,8 @@
         self.next_report_at_ns = now_ns
         self.handlers: dict[int, Handler] = {LATENCY_KIND: self._receive_latencies}
         if options.bounded:
-            self.peer_latency_bounds = PeerLatencyBounds(me)
-        if 0 <= me < routers:
+            self.peer_latency_bounds = PeerLatencyBounds(own_index)
+        if 0 <= own_index < routers:
             self._enable_numbered_protocols(tenants, generation, now_ns, seed, options)
         self.steps = 0
         self.datagrams_by_sender: dict[int, int] = {}  # number of datagrams read in the current second
@@ -91,14 +91,14 @@
     ) -> None:
         """Enables the protocols that need this router's number and that the operator has turned on."""
         if options.counts:
-            self.tenant_usage = TenantUsage(self.me, self.routers, tenants, generation, now_ns)
+            self.tenant_usage = TenantUsage(self.own_index, self.routers, tenants, generation, now_ns)
             self.next_report_at_ns += self.random.randrange(self.tenant_usage.interval_ns)
             self.handlers[USAGE_KIND] = self._receive_usage
         if options.members:
-            self.failure_detector = FailureDetector(self.me, self.routers, generation, now_ns, seed)
+            self.failure_detector = FailureDetector(self.own_index, self.routers, generation, now_ns, seed)
             self.handlers |= dict.fromkeys(MessageKind, self._receive_failure_detection)
         if options.database_rps:
-            self.quota_escrow = QuotaEscrow(self.me, self.routers, options.database_rps, now_ns, seed)
+            self.quota_escrow = QuotaEscrow(self.own_index, self.routers, options.database_rps, now_ns, seed)
             self.handlers |= dict.fromkeys(QuotaMessageKind, self._receive_quota)
 
     def set_servers(self, names: list[str]) -> None:
@@ -148,7 +148,7 @@
         Raises a FleetError if it cannot be read or its sender exceeds the rate limit.
         """
         self._check_rate(now_ns, sender)
-        if sender == self.me or not data:
+        if sender == self.own_index or not data:
             raise DatagramError(f"expected data from another router, got {len(data)} bytes from {sender}")
         handler = self.handlers.get(data[0])
         if handler is None:
@@ -193,7 +193,7 @@
 
         Its keys must not change: operators' tools read them.
         """
-        described: Json = {"me": self.me, "routers": self.routers}
+        described: Json = {"me": self.own_index, "routers": self.routers}
         if self.peer_latency_bounds is not None:
             described["bounded"] = self.peer_latency_bounds.bounded_count
         if self.tenant_usage is not None:
--- a/rainhitch/fleet/peer_latency_bounds.py
+++ b/rainhitch/fleet/peer_latency_bounds.py
@@ -30,10 +30,10 @@
 
 
 class PeerLatencyBounds:
-    """Latest latencies of each server by author; `me` is the number of this router."""
+    """Latest latencies of each server by author; `own_index` is the number of this router."""
 
-    def __init__(self, me: int) -> None:
-        self.me = me
+    def __init__(self, own_index: int) -> None:
+        self.own_index = own_index
         self.latencies: dict[str, dict[int, RecordedLatency]] = {}  # by server and author, latest last
         self.mean_latency_ns = 0.0  # moving average of all latencies that were accepted or observed
         self.bounded_count = 0  # latencies that were reduced to their bound, since the start
@@ -46,7 +46,7 @@
     def record_own(self, now_ns: int, observations: Iterable[LatencyObservation]) -> None:
         """Records this router's own observations."""
         for one in observations:
-            self._record(now_ns, self.me, one.server, one.elapsed_ns)
+            self._record(now_ns, self.own_index, one.server, one.elapsed_ns)
             self._update_mean(one.elapsed_ns)
 
     def bound(
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -82,14 +82,21 @@
 class QuotaEscrow:
     """One router's side of the shared quota.
 
-    `quota_per_s` is the quota of all `routers`, in units a second; `me` is the number of this one. The bucket
-    holds at most the units that it gains in `burst_s`. Times are ns of a monotonic clock.
+    `quota_per_s` is the quota of all `routers`, in units a second; `own_index` is the number of this one. The
+    bucket holds at most the units that it gains in `burst_s`. Times are ns of a monotonic clock.
     """
 
     def __init__(
-        self, me: int, routers: int, quota_per_s: float, now_ns: int, seed: int, *, burst_s: float = 1.0
+        self,
+        own_index: int,
+        routers: int,
+        quota_per_s: float,
+        now_ns: int,
+        seed: int,
+        *,
+        burst_s: float = 1.0,
     ) -> None:
-        self.me = me
+        self.own_index = own_index
         self.routers = routers
         self.share_per_s = quota_per_s / routers
         self.burst_s = burst_s
@@ -169,7 +176,7 @@
             or free_leases <= 0
         ):
             return []
-        others = [router for router in range(self.routers) if router != self.me]
+        others = [router for router in range(self.routers) if router != self.own_index]
         # One lender more than would suffice, since some have nothing to lend.
         lender_count = math.ceil(shortfall_per_s / (self.share_per_s * LENDABLE_FRACTION)) + 1
         lenders = self.random.sample(others, min(lender_count, MAX_LENDERS, free_leases, len(others)))
@@ -203,7 +210,7 @@
         """
         if len(data) != MESSAGE.size:
             raise QuotaEscrowError(f"expected a quota message of {MESSAGE.size} bytes, got {len(data)}")
-        if not 0 <= sender < self.routers or sender == self.me:
+        if not 0 <= sender < self.routers or sender == self.own_index:
             raise QuotaEscrowError(f"expected a message from another of {self.routers} routers, got {sender}")
         kind, nonce, amount = MESSAGE.unpack(data)
         if kind == QuotaMessageKind.REQUEST:
@@ -225,7 +232,7 @@
         expires_at_ns = request.sent_at_ns + LEASE_NS
         if now_ns < expires_at_ns and is_in_bounds:
             self._fill(now_ns)
-            self.borrowed.append(Lease(lender, self.me, amount / MILLI_UNITS, expires_at_ns))
+            self.borrowed.append(Lease(lender, self.own_index, amount / MILLI_UNITS, expires_at_ns))
 
     def _lend(self, now_ns: int, borrower: int, requested_per_s: float) -> int:
         """Lends the spare rate and holds it back from now on; returns it in milli-units a second."""
@@ -238,5 +245,5 @@
         lent = math.floor(spare_per_s * MILLI_UNITS)
         if lent <= 0 or spare_per_s < self.share_per_s * MIN_LEASE_FRACTION:
             return 0
-        self.lent.append(Lease(self.me, borrower, lent / MILLI_UNITS, now_ns + LENDER_HOLD_NS))
+        self.lent.append(Lease(self.own_index, borrower, lent / MILLI_UNITS, now_ns + LENDER_HOLD_NS))
         return lent
--- a/rainhitch/fleet/tenant_usage.py
+++ b/rainhitch/fleet/tenant_usage.py
@@ -59,12 +59,12 @@
 class TenantUsage:
     """One router's view of the usage of all routers.
 
-    `me` is the number of this router among `routers`, `tenants` the number of tenants. `generation` has 32
-    bits and is higher after each start of this router. Times are in ns.
+    `own_index` is the number of this router among `routers`, `tenants` the number of tenants. `generation`
+    has 32 bits and is higher after each start of this router. Times are in ns.
     """
 
-    def __init__(self, me: int, routers: int, tenants: int, generation: int, now_ns: int) -> None:
-        self.me = me
+    def __init__(self, own_index: int, routers: int, tenants: int, generation: int, now_ns: int) -> None:
+        self.own_index = own_index
         self.routers = routers
         self.generation = generation
         self.count_fields = tenants if tenants <= MAX_TENANTS else 1  # number of counts in a report
@@ -102,7 +102,7 @@
         expected_bytes = HEADER.size + 2 * self.count_fields
         if len(data) != expected_bytes:
             raise TenantUsageError(f"expected a report of {expected_bytes} bytes, got {len(data)}")
-        if not 0 <= sender < self.routers or sender == self.me:
+        if not 0 <= sender < self.routers or sender == self.own_index:
             raise TenantUsageError(f"expected a report from another of {self.routers} routers, got {sender}")
         generation, sequence = HEADER.unpack_from(data)
         known = self.reports.get(sender)
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -24,7 +24,9 @@
     """Returns a network of routers with a failure detector each."""
     return LossyNetwork(
         routers,
-        lambda me, generation, now: FailureDetector(me, routers, generation, now, seed * 100 + me),
+        lambda router, generation, now: FailureDetector(
+            router, routers, generation, now, seed * 100 + router
+        ),
         seed,
     )
 
--- a/tests/fleet/test_peer_latency_bounds.py
+++ b/tests/fleet/test_peer_latency_bounds.py
@@ -7,7 +7,7 @@
 from rainhitch import interface as api
 from rainhitch.fleet.peer_latency_bounds import EXPIRY_NS, MAX_AUTHORS, MAX_FACTOR, PeerLatencyBounds
 
-ME = 0
+OWN_INDEX = 0
 
 
 def bounded_ns(
@@ -18,7 +18,7 @@
 
 
 def test_one_author_alone_is_bounded_by_another_author_or_by_own_observations() -> None:
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     bounds.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
     for _ in range(20):  # repetition by one author does not lift the bound
         assert bounded_ns(bounds, 1, 9 * SECOND) == MAX_FACTOR * 100 * MILLI
@@ -26,7 +26,7 @@
 
 
 def test_two_independent_authors_count_in_full_and_one_that_repeats_itself_does_not() -> None:
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     bounds.record_own(
         0, [api.LatencyObservation("c0", 100 * MILLI), api.LatencyObservation("c1", 100 * MILLI)]
     )
@@ -35,25 +35,25 @@
 
 
 def test_without_another_author_the_mean_latency_bounds() -> None:
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     for n in range(50):
         bounds.record_own(0, [api.LatencyObservation(f"s{n}", 100 * MILLI)])
     assert bounded_ns(bounds, 1, 9 * SECOND, server="new") <= 2 * MAX_FACTOR * 100 * MILLI
 
 
 def test_a_latency_expires_whichever_author_published_it() -> None:
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     bounds.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
     bounded_ns(bounds, 1, 3 * SECOND)
     assert bounded_ns(bounds, 2, 3 * SECOND, now=EXPIRY_NS) == 3 * SECOND
-    late = PeerLatencyBounds(ME)
+    late = PeerLatencyBounds(OWN_INDEX)
     late.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
     bounded_ns(late, 1, 3 * SECOND)
     assert bounded_ns(late, 2, 3 * SECOND, now=EXPIRY_NS + 1) < SECOND, "the first latency has expired"
 
 
 def test_memory_is_bounded_by_the_endpoint_list_and_the_authors() -> None:
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     for author in range(1, 100):
         bounds.bound(author, author, [api.LatencyObservation(f"s{n}", SECOND) for n in range(20)])
     assert all(len(authors) <= MAX_AUTHORS for authors in bounds.latencies.values())
@@ -67,7 +67,7 @@
     Another router publishes 20 s for that server in each interval.
     """
     router = Router(settings(router_count=40, gossip_interval_ns=200 * MILLI))
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     server = router.balancer.servers.servers["c0"]
     for step in range(200):
         router.wait(200 * MILLI)
@@ -90,9 +90,9 @@
 def test_no_latency_counts_for_more_than_observed_nor_than_twice_the_second_slowest(
     observed: list[tuple[int, int]],
 ) -> None:
-    bounds = PeerLatencyBounds(ME)
+    bounds = PeerLatencyBounds(OWN_INDEX)
     bounds.record_own(0, [api.LatencyObservation("c0", 100 * MILLI)])
-    latest = {ME: 100 * MILLI}
+    latest = {OWN_INDEX: 100 * MILLI}
     for author, elapsed in observed:
         others = max(time for by, time in latest.items() if by != author)
         assert bounded_ns(bounds, author, elapsed) == min(elapsed, MAX_FACTOR * others)
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -22,14 +22,14 @@
     QuotaMessageKind,
 )
 
-TOTAL = 120.0
+QUOTA_PER_S = 120.0
 
 
 class QuotaMeter:
     """Leaky bucket that compares the units taken by all routers with the quota."""
 
-    def __init__(self, network: LossyNetwork, total: float, drift: float) -> None:
-        self.network, self.total, self.drift = network, total * (1 + drift), drift
+    def __init__(self, network: LossyNetwork, quota_per_s: float, drift: float) -> None:
+        self.network, self.quota_per_s, self.drift = network, quota_per_s * (1 + drift), drift
         self.level = self.worst = 0.0
         self.at = network.now
         self.taken = 0
@@ -37,7 +37,7 @@
     def take(self, router: int) -> bool:
         """Takes a unit at a router if its quota allows it; returns whether it did."""
         network = self.network
-        self.level = max(0.0, self.level - self.total * (network.now - self.at) / SECOND)
+        self.level = max(0.0, self.level - self.quota_per_s * (network.now - self.at) / SECOND)
         self.at = network.now
         if not network.parts[router].take(network.clock(router)):
             return False
@@ -48,14 +48,16 @@
 
     def bound(self) -> float:
         """Returns what the buckets hold: a second of the quota, and per router a unit and a partial one."""
-        return self.total + 2 * len(self.network.parts)
+        return self.quota_per_s + 2 * len(self.network.parts)
 
 
 def fleet(routers: int, seed: int, drift: float = 0.0, every: int = ROUND_INTERVAL_NS // 4) -> LossyNetwork:
     """Returns a network of routers with an equal share of the quota each."""
     return LossyNetwork(
         routers,
-        lambda me, generation, now: QuotaEscrow(me, routers, TOTAL, now, seed * 1000 + me * 10 + generation),
+        lambda router, generation, now: QuotaEscrow(
+            router, routers, QUOTA_PER_S, now, seed * 1000 + router * 10 + generation
+        ),
         seed,
         drift,
         every,
@@ -65,7 +67,7 @@
 def run_random_faults(seed: int, steps: int, routers: int) -> tuple[QuotaMeter, LossyNetwork]:
     """Runs random faults with a demand that moves at random between the routers."""
     network = fleet(routers, seed, CLOCK_DRIFT_FRACTION)
-    meter = QuotaMeter(network, TOTAL, CLOCK_DRIFT_FRACTION)
+    meter = QuotaMeter(network, QUOTA_PER_S, CLOCK_DRIFT_FRACTION)
     demand_per_s = [0.0] * routers
 
     def demand() -> None:
@@ -80,7 +82,9 @@
         if network.random.random() < 0.3:
             network.any_fault()
         if network.random.random() < 0.3:
-            demand_per_s = [network.random.choice([0.0, 5.0, TOTAL, 3 * TOTAL]) for _ in range(routers)]
+            demand_per_s = [
+                network.random.choice([0.0, 5.0, QUOTA_PER_S, 3 * QUOTA_PER_S]) for _ in range(routers)
+            ]
         network.go(network.random.randrange(1, 3 * SECOND), demand)
         assert all(
             max(len(one.lent), len(one.requests), len(one.borrowed)) <= MAX_LEASES for one in network.parts
@@ -124,7 +128,7 @@
                 return [Datagram(sender, MESSAGE.pack(QuotaMessageKind.GRANT, nonce, lent))] if lent else []
             request = self.requests.pop(nonce, None)
             if request is not None and request.lender == sender:
-                self.borrowed.append(Lease(sender, self.me, amount / 1000, now + 3 * LEASE_NS))
+                self.borrowed.append(Lease(sender, self.own_index, amount / 1000, now + 3 * LEASE_NS))
             return []
 
         monkeypatch.setattr(QuotaEscrow, "receive", receive)
@@ -135,7 +139,7 @@
             if kind == QuotaMessageKind.REQUEST:
                 lent = self._lend(now, sender, amount / 1000)
                 return [Datagram(sender, MESSAGE.pack(QuotaMessageKind.GRANT, nonce, lent))] if lent else []
-            self.borrowed.append(Lease(sender, self.me, amount / 1000, now + LEASE_NS))
+            self.borrowed.append(Lease(sender, self.own_index, amount / 1000, now + LEASE_NS))
             return []
 
         monkeypatch.setattr(QuotaEscrow, "receive", receive_doubled)
@@ -151,21 +155,21 @@
 @pytest.mark.parametrize("routers", [3, 12, 60])
 def test_one_router_with_all_the_demand_soon_holds_most_of_the_quota_and_it_comes_back(routers: int) -> None:
     network = fleet(routers, 1, every=ROUND_INTERVAL_NS // 16)
-    meter = QuotaMeter(network, TOTAL, 0.0)
+    meter = QuotaMeter(network, QUOTA_PER_S, 0.0)
     network.go(6 * SECOND)
 
     def demand_at_first_router() -> None:
-        for _ in range(int(2 * TOTAL * network.every / SECOND)):
+        for _ in range(int(2 * QUOTA_PER_S * network.every / SECOND)):
             meter.take(0)
 
     network.go(8 * SECOND, demand_at_first_router)
     before = meter.taken
     network.go(8 * SECOND, demand_at_first_router)
     reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # few routers get a request per round, and leases expire
-    assert (meter.taken - before) / 8 > reached * TOTAL
+    assert (meter.taken - before) / 8 > reached * QUOTA_PER_S
     network.go(2 * LEASE_NS + 4 * SECOND)  # the last requests are sent while the average demand decays
     assert all(not one.borrowed and not one.lent for one in network.parts if one._fill(network.now) is None)
-    assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(TOTAL)
+    assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(QUOTA_PER_S)
 
 
 def test_a_router_that_hears_nothing_falls_back_to_its_own_part_when_its_leases_end() -> None:
@@ -184,7 +188,7 @@
 
 def test_a_router_paused_past_its_leases_resumes_with_its_own_part_and_one_bucket() -> None:
     """Expiry is checked for each unit taken, so a resumed router does not use its expired leases."""
-    one = QuotaEscrow(0, 3, TOTAL, 0, 7)
+    one = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 7)
     one.borrowed.append(Lease(1, 0, 80.0, 4 * SECOND))
     one._fill(3 * SECOND)
     later = 100 * SECOND
@@ -193,14 +197,14 @@
 
 
 def test_what_an_earlier_process_lent_is_left_alone_until_it_has_ended() -> None:
-    earlier = QuotaEscrow(0, 3, TOTAL, 0, 1)
+    earlier = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 1)
     now = 10 * SECOND
     ((to, message),) = earlier.receive(now, 1, MESSAGE.pack(QuotaMessageKind.REQUEST, 5, 1_000_000))
     kind, nonce, lent = MESSAGE.unpack(message)
     assert (
         to == 1 and kind == QuotaMessageKind.GRANT and nonce == 5 and lent == 30_000
     )  # three quarters of 40
-    latest = QuotaEscrow(0, 3, TOTAL, now, 2)
+    latest = QuotaEscrow(0, 3, QUOTA_PER_S, now, 2)
     assert latest.available_per_s(now) + lent / 1000 <= earlier.share_per_s
     assert latest.receive(now, 2, MESSAGE.pack(QuotaMessageKind.REQUEST, 6, 1_000_000)) == [], (
         "a router that has just started does not lend"
@@ -211,7 +215,7 @@
 @given(st.binary(max_size=20), st.integers(-2, 4))
 @budget(max_examples=500)
 def test_malformed_messages_change_nothing_that_is_available(data: bytes, sender: int) -> None:
-    one = QuotaEscrow(0, 3, TOTAL, 0, 1)
+    one = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 1)
     now = 10 * SECOND
     with contextlib.suppress(QuotaEscrowError):
         one.receive(now, sender, data)
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -22,9 +22,9 @@
 class Publisher:
     """Router with a rate of requests per tenant that publishes its usage as GossipExchange does."""
 
-    def __init__(self, me: int, routers: int, rates: list[float], generation: int, now: int) -> None:
-        self.usage = TenantUsage(me, routers, len(rates), generation, now)
-        self.me, self.routers, self.rates = me, routers, rates
+    def __init__(self, own_index: int, routers: int, rates: list[float], generation: int, now: int) -> None:
+        self.usage = TenantUsage(own_index, routers, len(rates), generation, now)
+        self.own_index, self.routers, self.rates = own_index, routers, rates
         self.at = self.reported_at = now
         self.pending = [0.0] * len(rates)
 
@@ -45,14 +45,14 @@
             return []
         self.reported_at = now
         report = self.usage.encode()
-        return [(other, report) for other in range(self.routers) if other != self.me]
+        return [(other, report) for other in range(self.routers) if other != self.own_index]
 
 
 def fleet(rates: list[list[float]], seed: int = 1, drift: float = 0.0) -> LossyNetwork:
     """Returns a network of routers with these rates of requests, by router and tenant."""
     return LossyNetwork(
         len(rates),
-        lambda me, generation, now: Publisher(me, len(rates), rates[me], generation, now),
+        lambda router, generation, now: Publisher(router, len(rates), rates[router], generation, now),
         seed,
         drift,
     )
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -57,21 +57,21 @@
 
 def tenant_usage() -> Run:
     """Exchanges usage reports (GossipExchange puts 0xC1 before them), with a router that restarts."""
-    parts = [TenantUsage(me, ROUTERS, 3, 10 + me, START) for me in range(ROUTERS)]
+    parts = [TenantUsage(router, ROUTERS, 3, 10 + router, START) for router in range(ROUTERS)]
     run: Run = []
     for step in range(1, 80):
         now = START + step * STEP
         if step == 50:
             parts[2] = TenantUsage(2, ROUTERS, 3, 99, now)
-        for me, part in enumerate(parts):
+        for router, part in enumerate(parts):
             for tenant in range(3):
-                for _ in range((step * (me + 1) + tenant) % 4):
+                for _ in range((step * (router + 1) + tenant) % 4):
                     part.add(tenant)
             part.advance_window(now)
-            if step % 10 == me:
+            if step % 10 == router:
                 data = part.encode()
-                heard = [other.receive(now, me, data) for other in parts if other is not part]
-                run.append([step, me, data.hex(), heard, part.requests_in_window(), part.fractions(now)])
+                heard = [other.receive(now, router, data) for other in parts if other is not part]
+                run.append([step, router, data.hex(), heard, part.requests_in_window(), part.fractions(now)])
     return run
 
 
@@ -95,9 +95,9 @@
             if parts[to] is not None
             for answered, payload in parts[to].receive(now, source, data)
         ]
-        for me, part in enumerate(parts):
+        for router, part in enumerate(parts):
             if part is not None:
-                replies += [(me, to, payload) for to, payload in part.step(now)]
+                replies += [(router, to, payload) for to, payload in part.step(now)]
         for source, to, payload in replies:
             sent += 1
             run.append([step, source, to, payload.hex()])
@@ -114,14 +114,14 @@
     def before_step(step: int, now: int, parts: list[Any]) -> None:
         if step == 160:
             parts[3] = QuotaEscrow(3, ROUTERS, 120.0, now, 77)
-        for me, part in enumerate(parts):
-            for _ in range(9 if me == step // 60 % 2 else 1):
+        for router, part in enumerate(parts):
+            for _ in range(9 if router == step // 60 % 2 else 1):
                 part.take(now)
 
     def state(part: QuotaEscrow, now: int) -> Any:
         return [part.available_per_s(now), part.demand_per_s, part.tokens, part.denied]
 
-    parts = [QuotaEscrow(me, ROUTERS, 120.0, START, me) for me in range(ROUTERS)]
+    parts = [QuotaEscrow(router, ROUTERS, 120.0, START, router) for router in range(ROUTERS)]
     return exchanged(parts, 260, before_step, state)
 
 
@@ -139,7 +139,7 @@
     def state(part: FailureDetector, now: int) -> Any:
         return [part.live_routers(), part.generation, part.local_health_score, part.changes]
 
-    parts = [FailureDetector(me, ROUTERS, me + 1, START, me) for me in range(ROUTERS)]
+    parts = [FailureDetector(router, ROUTERS, router + 1, START, router) for router in range(ROUTERS)]
     return exchanged(parts, 400, before_step, state)
 
 
@@ -147,7 +147,8 @@
     """Exchanges all kinds of datagrams by GossipExchange; includes the object of `fleet status`."""
     options = FleetOptions(counts=True, bounded=True, members=True, database_rps=40.0)
     exchanges = [
-        GossipExchange(me, ROUTERS, 2, 5 + me, START, seed=me, options=options) for me in range(ROUTERS)
+        GossipExchange(router, ROUTERS, 2, 5 + router, START, seed=router, options=options)
+        for router in range(ROUTERS)
     ]
     for exchange in exchanges:
         exchange.set_servers([f"cache-{number}" for number in range(8)])
@@ -161,20 +162,20 @@
             sent += [(to, answered, payload) for answered, payload in received.replies]
             if received.observations:
                 run.append([step, to, rows(received.observations)])
-        for me, exchange in enumerate(exchanges):
+        for router, exchange in enumerate(exchanges):
             if step % 2 == 0:
-                data = exchange.encode_observations(now, observations(step + me))
-                sent += [(me, ALL_ROUTERS, data)] if data else []
-            for number in range((step + me) % 5):
+                data = exchange.encode_observations(now, observations(step + router))
+                sent += [(router, ALL_ROUTERS, data)] if data else []
+            for number in range((step + router) % 5):
                 exchange.tenant_usage.add(number % 2)  # type: ignore[union-attr]
-                if me == 0 or step % 10 == 0:  # one router needs more than its share and the others lend
+                if router == 0 or step % 10 == 0:  # one router needs more than its share and the others lend
                     exchange.quota_escrow.take(now)  # type: ignore[union-attr]
-            sent += [(me, to, payload) for to, payload in exchange.step(now)]
+            sent += [(router, to, payload) for to, payload in exchange.step(now)]
             told = exchange.traffic_fractions(now)
             if told is not None:
-                run.append([step, me, told.by_tenant, told.valid_for_ns])
+                run.append([step, router, told.by_tenant, told.valid_for_ns])
             if step % 20 == 0:
-                run.append([step, me, exchange.describe(now), list(exchange.describe(now))])
+                run.append([step, router, exchange.describe(now), list(exchange.describe(now))])
         waiting = []
         for source, to, payload in sent:
             run.append([step, source, to, payload.hex()])
