--- a/tests/fleet/test_gossip_codec.py
+++ b/tests/fleet/test_gossip_codec.py
@@ -21,31 +21,31 @@
 NAMES = [f"s-{n}" for n in range(200)]
 
 
-def test_a_datagram_brings_what_was_seen() -> None:
-    seen = [
+def test_a_datagram_is_decoded_to_the_encoded_observations() -> None:
+    observations = [
         api.LatencyObservation("s-1", 400 * MILLI),
         api.LatencyObservation("s-2", 8 * MILLI),
         api.LatencyObservation("s-1", 90 * SECOND, True),
     ]
-    data = encode(seen)
-    assert near(decode(data, names_by_hash(NAMES)), seen) and len(data) == 1 + 3 * len(seen)
-    assert near(decode(data, names_by_hash(["s-2"])), seen[1:2]), "a server that is not listed is left out"
+    data = encode(observations)
+    assert near(decode(data, names_by_hash(NAMES)), observations) and len(data) == 1 + 3 * len(observations)
+    assert near(decode(data, names_by_hash(["s-2"])), observations[1:2]), "an unlisted server is left out"
 
 
 @given(st.integers(0, 10**15))
-def test_a_time_is_encoded_to_a_twentieth_between_a_millisecond_and_four_minutes(elapsed: int) -> None:
-    (told,) = decode(encode([api.LatencyObservation("s-1", elapsed)]), names_by_hash(NAMES))
-    assert told.elapsed_ns == pytest.approx(min(max(elapsed, TIMES_NS[0]), TIMES_NS[-1]), rel=0.051)
-    assert encode([told]) == encode([api.LatencyObservation("s-1", elapsed)]), (
+def test_a_time_is_encoded_to_a_twentieth_between_a_millisecond_and_three_minutes(elapsed: int) -> None:
+    (decoded,) = decode(encode([api.LatencyObservation("s-1", elapsed)]), names_by_hash(NAMES))
+    assert decoded.elapsed_ns == pytest.approx(min(max(elapsed, TIMES_NS[0]), TIMES_NS[-1]), rel=0.051)
+    assert encode([decoded]) == encode([api.LatencyObservation("s-1", elapsed)]), (
         "a decoded time is encoded as it was received"
     )
 
 
 def test_a_datagram_holds_256_bytes_and_leaves_out_the_rest() -> None:
-    seen = [api.LatencyObservation(name, 4 * MILLI) for name in NAMES]
-    data = encode(seen)
+    observations = [api.LatencyObservation(name, 4 * MILLI) for name in NAMES]
+    data = encode(observations)
     assert len(data) <= MAX_DATAGRAM_BYTES
-    assert near(decode(data, names_by_hash(NAMES)), seen[:MAX_ENTRIES])
+    assert near(decode(data, names_by_hash(NAMES)), observations[:MAX_ENTRIES])
 
 
 def test_servers_that_share_a_hash_are_left_out() -> None:
@@ -62,10 +62,10 @@
 @given(st.binary(max_size=300))
 def test_malformed_datagrams_are_refused_or_name_listed_servers(data: bytes) -> None:
     try:
-        told = decode(data, names_by_hash(NAMES))
+        decoded = decode(data, names_by_hash(NAMES))
     except GossipCodecError:
         return
-    assert all(one.server in NAMES and one.elapsed_ns > 0 for one in told)
+    assert all(one.server in NAMES and one.elapsed_ns > 0 for one in decoded)
 
 
 @pytest.mark.parametrize("cut", [1, 2, 4, 7])
--- a/tests/fleet/test_gossip_in_decisions.py
+++ b/tests/fleet/test_gossip_in_decisions.py
@@ -45,9 +45,9 @@
         router.balancer.servers.attempt_finished(
             api.AttemptFinished("x", 0, server, api.AttemptStatus.OK, True, 80 * MILLI)
         )
-        told = [one for one in router.wait(5 * SECOND) if isinstance(one, api.PublishGossip)]
-        assert [one.observations for one in told if one.observations] == (
+        published = [one for one in router.wait(5 * SECOND) if isinstance(one, api.PublishGossip)]
+        assert [one.observations for one in published if one.observations] == (
             [[api.LatencyObservation(server, 80 * MILLI)]] if every else []
         )
-        assert bool(told) is (every > 0), "published once per interval, with or without observations"
+        assert bool(published) is (every > 0), "published once per interval, with or without observations"
     assert router.now > START
--- a/tests/fleet/test_novelty_filter.py
+++ b/tests/fleet/test_novelty_filter.py
@@ -15,12 +15,12 @@
     steps: list[tuple[str, str]],
 ) -> None:
     """Guards against two hundred routers that publish the same; each datagram costs CPU at all of them."""
-    novelty_filter, known = NoveltyFilter(), set()
+    novelty_filter, published = NoveltyFilter(), set()
     for step, name in steps:
-        seen = [api.LatencyObservation(name, 80 * MILLI)]
+        observations = [api.LatencyObservation(name, 80 * MILLI)]
         if step == "heard":
-            novelty_filter.record_published(seen)
-            known.add(name)
+            novelty_filter.record_published(observations)
+            published.add(name)
         else:
-            assert novelty_filter.select_new(seen) == ([] if name in known else seen)
-            known.clear()
+            assert novelty_filter.select_new(observations) == ([] if name in published else observations)
+            published.clear()
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -182,7 +182,7 @@
         assert set(one.reports) <= {sender} and len(data) == 12
 
 
-def test_reports_heard_a_second_do_not_grow_with_the_fleet() -> None:
+def test_reports_received_a_second_do_not_grow_with_the_fleet() -> None:
     """Up to three hundred routers: the reports that a router sends, and so those it receives, are bounded."""
     for routers in (3, 60, 300):
         exchange = GossipExchange(0, routers, 5, 1, 0, seed=7, options=FleetOptions(counts=True))
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -38,9 +38,9 @@
     ]
 
 
-def rows(seen: list[LatencyObservation]) -> list[Any]:
+def rows(latencies: list[LatencyObservation]) -> list[Any]:
     """Returns observations in the form of the recording."""
-    return [[one.server, one.elapsed_ns, one.is_in_flight] for one in seen]
+    return [[one.server, one.elapsed_ns, one.is_in_flight] for one in latencies]
 
 
 def latency_observations() -> Run:
@@ -70,8 +70,8 @@
             part.advance_window(now)
             if step % 10 == router:
                 data = part.encode()
-                heard = [other.receive(now, router, data) for other in parts if other is not part]
-                run.append([step, router, data.hex(), heard, part.requests_in_window(), part.fractions(now)])
+                newer = [other.receive(now, router, data) for other in parts if other is not part]
+                run.append([step, router, data.hex(), newer, part.requests_in_window(), part.fractions(now)])
     return run
 
 
@@ -171,9 +171,9 @@
                 if router == 0 or step % 10 == 0:  # one router needs more than its share and the others lend
                     exchange.quota_escrow.take(now)  # type: ignore[union-attr]
             sent += [(router, to, payload) for to, payload in exchange.step(now)]
-            told = exchange.traffic_fractions(now)
-            if told is not None:
-                run.append([step, router, told.by_tenant, told.valid_for_ns])
+            fractions = exchange.traffic_fractions(now)
+            if fractions is not None:
+                run.append([step, router, fractions.by_tenant, fractions.valid_for_ns])
             if step % 20 == 0:
                 run.append([step, router, exchange.describe(now), list(exchange.describe(now))])
         waiting = []
@@ -195,8 +195,8 @@
     """Guards against a version that sends bytes an earlier one does not read, or does not read its bytes."""
     recorded = json.loads(RECORDING.read_text())[name]
     made = json.loads(json.dumps(RUNS[name]()))
-    for number, (mine, theirs) in enumerate(zip(made, recorded, strict=True)):
-        assert mine == theirs, f"row {number} of {name}"
+    for number, (made_row, recorded_row) in enumerate(zip(made, recorded, strict=True)):
+        assert made_row == recorded_row, f"row {number} of {name}"
 
 
 def test_recording_holds_each_kind_of_datagram() -> None:
