--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -16,8 +16,8 @@
 it receives, of which there is one per period on average. So the messages per second of a router do not grow
 with the fleet.
 
-A router that was paused may have missed acknowledgements, so its pings in flight are dropped and suspect
-nobody. A router that restarts has a higher generation, by which routers that hold the earlier process as dead
+A router that was paused may have missed acknowledgements, so its pings in flight are dropped without a
+suspicion. A router that restarts has a higher generation, by which routers that hold the earlier process dead
 recognize the new one. If its wall clock was set back in between, it receives its earlier generation in an
 update and takes a higher one.
 
--- a/rainhitch/overload/concurrency_limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -33,7 +33,7 @@
 
     LOW = 0  # over its tenant's quota, or a retry before its Retry-After time
     READ = 1
-    ON_TIME_RETRY = 2  # a read whose client came back at its Retry-After time
+    ON_TIME_RETRY = 2  # a read that is retried at its Retry-After time
     WRITE = 3
 
 
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -1,6 +1,6 @@
 """Entry point of overload control for the decision module and for the side that serves clients.
 
-The controller is told of arrivals, connects, client retries, outcomes of attempts and the delay of the
+The controller receives arrivals, connects, client retries, outcomes of attempts and the delay of the
 router's timers. It decides whether a request is admitted, queued or rejected, when a rejected client should
 retry, whether the router may send one more retry of its own, and for how long accepting pauses. The decision
 module (`policy/`) chooses the server and produces each answer. Times are in ns.
--- a/rainhitch/overload/retry_after.py
+++ b/rainhitch/overload/retry_after.py
@@ -26,7 +26,7 @@
 MIN_RETRY_AFTER_NS = 10_000_000  # shortest time that is given
 MIN_RETURNS_PER_S = 1e-3  # lower bound of the rate of returning clients, which bounds the length of a slot
 
-# What a retry has in common with its first attempt: tenant, class, key, idempotency key.
+# Fields that a retry shares with its first attempt: tenant, class, key, idempotency key.
 Fingerprint = tuple[int, int, str | None, str]
 
 
