--- a/rainhitch/overload/concurrency_limit.py
+++ b/rainhitch/overload/concurrency_limit.py
@@ -31,7 +31,7 @@
 class Priority(IntEnum):
     """Priority of a request under the limit; the lowest number is rejected first."""
 
-    LOW = 0  # over its tenant's quota, or a retry before its Retry-After time
+    LOW = 0  # a request over its tenant's quota, or a read retried before its Retry-After time
     READ = 1
     ON_TIME_RETRY = 2  # a read that is retried at its Retry-After time
     WRITE = 3
