--- a/rainhitch/fleet/pause_detector.py
+++ b/rainhitch/fleet/pause_detector.py
@@ -24,7 +24,7 @@
         self.resuming_until_ns = now_ns - 1  # time until which data read may be as old as the pause
         self.pauses = 0
 
-    def note_running(self, now_ns: int) -> int:
+    def record_heartbeat(self, now_ns: int) -> int:
         """Records a heartbeat; must also be called before any action.
 
         Returns the length of the pause that this call detects, or 0.
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -63,7 +63,7 @@
         Called with each event, heartbeat, result and read of a client: where the router was stopped as it
         waited for its sockets, these are read before any timer fires.
         """
-        pause_ns = self.pause_detector.note_running(self.clock.now())
+        pause_ns = self.pause_detector.record_heartbeat(self.clock.now())
         if not pause_ns:
             return
         log.warning("router resumed after a pause pause_ms=%d", pause_ns // NS_PER_MS)
