--- a/rainhitch/fleet/gossip_transport.py
+++ b/rainhitch/fleet/gossip_transport.py
@@ -115,7 +115,7 @@
             self.transport.abort()
 
 
-async def join(local_address: Address, transport: GossipTransport) -> bool:
+async def open_gossip_socket(local_address: Address, transport: GossipTransport) -> bool:
     """Opens the socket and returns whether this succeeded; if it failed, the router runs without gossip."""
     try:
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: transport, local_addr=local_address)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -174,12 +174,12 @@
 
     async def _join_fleet(self, peering: Peering) -> None:
         """Gossips with the other routers from now on; imported only where there are some."""
-        from rainhitch.fleet.gossip_transport import GossipTransport, join
+        from rainhitch.fleet.gossip_transport import GossipTransport, open_gossip_socket
 
         exchange = make_gossip_exchange(self.configuration, peering, self.pools.system, self.fleet_options)
         deliver = self.driver.decisions.handle
         gossip = GossipTransport(exchange, peering.peers, peering.broadcast, deliver)
-        if await join(peering.listen, gossip):
+        if await open_gossip_socket(peering.listen, gossip):
             self.gossip = gossip
             gossip.counts = self.pools.counts
             self.configuration.settings.gossip_interval_ns = GOSSIP_INTERVAL_NS
--- a/tests/fleet/test_gossip_transport.py
+++ b/tests/fleet/test_gossip_transport.py
@@ -10,7 +10,7 @@
 from rainhitch import interface as api
 from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
 from rainhitch.fleet.gossip_exchange import GossipExchange
-from rainhitch.fleet.gossip_transport import GossipTransport, join
+from rainhitch.fleet.gossip_transport import GossipTransport, open_gossip_socket
 from rainhitch.fleet.options import FleetOptions
 
 
@@ -29,7 +29,7 @@
             exchange, [("127.0.0.1", 9), peer.getsockname()], peer.getsockname(), received.put_nowait
         )
         gossip.set_servers(names)
-        assert await join(("127.0.0.1", 0), gossip)
+        assert await open_gossip_socket(("127.0.0.1", 0), gossip)
         assert gossip.transport is not None
         here = gossip.transport.get_extra_info("sockname")
         datagram = encode(
@@ -62,5 +62,5 @@
             ("127.0.0.1", 9),
             lambda _: None,
         )
-        assert not await join(taken.getsockname(), gossip)
+        assert not await open_gossip_socket(taken.getsockname(), gossip)
         gossip.publish([api.LatencyObservation("s-1", SECOND)])
