--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -117,9 +117,7 @@
         if record is None:
             return []
         return [
-            execution
-            for (owner, _), execution in record.possible_executions.items()
-            if owner != request_id
+            execution for (owner, _), execution in record.possible_executions.items() if owner != request_id
         ]
 
     def attempt_started(
--- a/tests/fleet/test_peer_latency_bounds.py
+++ b/tests/fleet/test_peer_latency_bounds.py
@@ -10,9 +10,7 @@
 OWN_INDEX = 0
 
 
-def bounded_ns(
-    bounds: PeerLatencyBounds, author: int, elapsed: int, now: int = 0, server: str = "c0"
-) -> int:
+def bounded_ns(bounds: PeerLatencyBounds, author: int, elapsed: int, now: int = 0, server: str = "c0") -> int:
     (one,) = bounds.bound(now, author, [api.LatencyObservation(server, elapsed)])
     return one.elapsed_ns
 
