--- a/tests/fleet/test_novelty_filter.py
+++ b/tests/fleet/test_novelty_filter.py
@@ -10,7 +10,7 @@
 NAMES = [f"s-{n}" for n in range(4)]
 
 
-@given(st.lists(st.tuples(st.sampled_from(["record", "select"]), st.sampled_from(NAMES))))
+@given(st.lists(st.tuples(st.sampled_from(["heard", "select"]), st.sampled_from(NAMES))))
 def test_what_another_has_published_since_this_one_did_is_not_published_again(
     steps: list[tuple[str, str]],
 ) -> None:
@@ -18,7 +18,7 @@
     novelty_filter, published = NoveltyFilter(), set()
     for step, name in steps:
         observations = [api.LatencyObservation(name, 80 * MILLI)]
-        if step == "record":
+        if step == "heard":
             novelty_filter.record_published(observations)
             published.add(name)
         else:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -167,18 +167,18 @@
     """Returns all days of this file by name."""
     most_to_first = direct_to_router(0, 0.9)
     return {
-        "quota": make_day(4, [], QUOTA_CONFIG, 9.0, most_to_first),
-        "quota, faults": make_day(4, QUOTA_FAULTS, QUOTA_CONFIG, 11.0, most_to_first),
-        "no quota": make_day(4, [], "", 5.0, most_to_first),
-        "usage reports": make_day(
+        "total": make_day(4, [], QUOTA_CONFIG, 9.0, most_to_first),
+        "total, faults": make_day(4, QUOTA_FAULTS, QUOTA_CONFIG, 11.0, most_to_first),
+        "no total": make_day(4, [], "", 5.0, most_to_first),
+        "counted": make_day(
             3, DATAGRAM_FAULTS, "[routers]\ncounts = true\n", 10.0, concentrate_small_tenant, keys=60
         ),
-        "no usage reports": make_day(
+        "not counted": make_day(
             3, DATAGRAM_FAULTS, "[routers]\ncounts = false\n", 10.0, concentrate_small_tenant, keys=60
         ),
-        "paused": make_day(3, LONG_PAUSE, "", 8.0, reconnect_often, rate=150.0),
-        "departed clients": make_day(3, SERVER_FAULTS, "", 8.0, disconnect_early, rate=150.0),
-        "failed routers": make_day(5, ROUTER_FAILURES, "[routers]\nmembers = true\n", 20.0, rate=20.0),
+        "stopped": make_day(3, LONG_PAUSE, "", 8.0, reconnect_often, rate=150.0),
+        "left": make_day(3, SERVER_FAULTS, "", 8.0, disconnect_early, rate=150.0),
+        "gone": make_day(5, ROUTER_FAILURES, "[routers]\nmembers = true\n", 20.0, rate=20.0),
     }
 
 
@@ -202,7 +202,7 @@
     return asyncio.run(play_all())
 
 
-@pytest.mark.parametrize("name", ["quota", "quota, faults"])
+@pytest.mark.parametrize("name", ["total", "total, faults"])
 def test_processes_reads_of_the_database_stay_within_the_quota(records: dict[str, Json], name: str) -> None:
     """Four router processes share a quota, and nine tenths of the requests go to one of them.
 
@@ -221,15 +221,15 @@
 
 def test_processes_lend_their_quota_to_the_one_that_needs_it(records: dict[str, Json]) -> None:
     own = QUOTA_PER_S / 4
-    late = [router for at, router in database_reads(records["quota"]) if 5 <= at < 9]
+    late = [router for at, router in database_reads(records["total"]) if 5 <= at < 9]
     assert late.count(0) > 1.5 * (4 * own + own), "its own share and a full bucket give 4 s and 1 s of it"
-    held = [one["holds"]["now"] for at, fleet in records["quota"]["views"] if at >= 5 for one in fleet[:1]]
+    held = [one["holds"]["now"] for at, fleet in records["total"]["views"] if at >= 5 for one in fleet[:1]]
     assert max(held) > 2 * own and min(held) >= own, "the other routers lend to it"
 
 
 def test_processes_without_a_quota_send_the_database_all_reads(records: dict[str, Json]) -> None:
     """Without the quota the same load exceeds the bound of the test above."""
-    times = [at for at, _ in database_reads(records["no quota"]) if at >= 0]
+    times = [at for at, _ in database_reads(records["no total"]) if at >= 0]
     assert max_within(times, 4.0) > QUOTA_PER_S * 4.0 + QUOTA_PER_S + 2 * 4
 
 
@@ -258,8 +258,8 @@
     Datagrams are lost, duplicated and delayed. With usage reports hardly any of the tenant's requests are
     counted as over its quota; without them many are.
     """
-    assert over_quota_fraction(records["usage reports"], "xinzhu-textile") <= 0.05
-    assert over_quota_fraction(records["no usage reports"], "xinzhu-textile") > 0.2
+    assert over_quota_fraction(records["counted"], "xinzhu-textile") <= 0.05
+    assert over_quota_fraction(records["not counted"], "xinzhu-textile") > 0.2
 
 
 def attempts_for_departed_clients(day: Json, router: int) -> tuple[int, int]:
@@ -288,9 +288,9 @@
     Without pause detection it would start attempts for clients that have left in the meantime; with it there
     are none.
     """
-    departed, sent = attempts_for_departed_clients(records["paused"], 0)
+    departed, sent = attempts_for_departed_clients(records["stopped"], 0)
     assert departed == 0 and sent > 0
-    assert any("router resumed after a pause" in line for line in records["paused"]["logs"][0].splitlines())
+    assert any("router resumed after a pause" in line for line in records["stopped"]["logs"][0].splitlines())
 
 
 def test_processes_start_no_attempt_for_clients_that_left(records: dict[str, Json]) -> None:
@@ -300,7 +300,7 @@
     of half a second allows for a slow machine; on an idle machine no attempt arrives after its client has
     left.
     """
-    parts = records["departed clients"]["parts"]
+    parts = records["left"]["parts"]
     clients = [one for name, rows in parts.items() if name[:7] == "clients" for one in rows["sent"]]
     left = {one["id"]: one["left"] for one in clients if one["left"]}
     nodes = [one for name, rows in parts.items() if name[:5] == "nodes" for one in rows["attempts"]]
@@ -317,7 +317,7 @@
     The others detect both failures. The resumed router declares none of the others dead, and they soon count
     it as alive again.
     """
-    views = records["failed routers"]["views"]
+    views = records["gone"]["views"]
     away = [fleet for at, fleet in views if 11 <= at < 12.5]
     assert any(all(one.get("gone") == [3, 4] for one in fleet[:3]) for fleet in away), away
     assert [one.get("gone") for one in views[-1][1][:4]] == [[4]] * 4, views[-1]
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -109,17 +109,17 @@
     assert demanded > least
 
 
-@pytest.mark.parametrize("mutant", ["lent rate used", "lease from receipt", "duplicate grant"])
+@pytest.mark.parametrize("mutant", ["lends what it spends", "own clock ends it", "doubled answer"])
 def test_each_part_of_the_rule_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The same schedules exceed the bound without one of the guards, so the test above can fail."""
-    if mutant == "lent rate used":
+    if mutant == "lends what it spends":
         original = QuotaEscrow._min_available_per_s
         monkeypatch.setattr(
             QuotaEscrow,
             "_min_available_per_s",
             lambda one, begin, end: original(one, begin, end) + sum(x.rate_per_s for x in one.lent),
         )
-    elif mutant == "lease from receipt":
+    elif mutant == "own clock ends it":
 
         def receive(self: QuotaEscrow, now: int, sender: int, data: bytes) -> list[Datagram]:
             kind, nonce, amount = MESSAGE.unpack(data)
