--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("routers", [3, 12, 60])
-def test_a_failure_is_known_to_all_and_a_restart_soon_after_it(routers: int) -> None:
+def test_all_routers_detect_a_failure_and_a_restart(routers: int) -> None:
     network = fleet(routers, 1)
     network.go(10 * SECOND)
     assert views_are_correct(network)
@@ -54,7 +54,7 @@
     assert views_are_correct(network)
 
 
-def test_what_a_router_sends_does_not_grow_with_the_fleet() -> None:
+def test_messages_of_a_router_do_not_grow_with_the_fleet() -> None:
     rates = []
     for routers in (3, 60, 200):
         network = fleet(routers, 2)
@@ -86,7 +86,7 @@
     assert views_are_correct(network)
 
 
-def test_a_paused_router_distrusts_itself_before_the_others() -> None:
+def test_a_paused_router_declares_no_other_router_dead() -> None:
     """Guards against a paused router that received nothing and then declares all others dead."""
     network = fleet(6, 5)
     network.go(5 * SECOND)
@@ -138,7 +138,7 @@
 
 
 @given(update_lists)
-def test_updates_merge_to_the_same_in_every_order_and_however_often(
+def test_update_merge_is_independent_of_order_and_repetition(
     updates: list[tuple[int, int, int, RouterState]],
 ) -> None:
     kept = set()
--- a/tests/fleet/test_many_routers.py
+++ b/tests/fleet/test_many_routers.py
@@ -3,7 +3,7 @@
 from benchmarks.fleet import Case, rejected_within_quota, run_case
 
 
-def test_gossip_among_sixty_routers_keeps_none_from_idle_servers() -> None:
+def test_gossip_among_sixty_routers_does_not_leave_servers_idle() -> None:
     """Guards against a collapse with no fault at all.
 
     Each full connection table was published as a slow server. Slow servers got no requests, so nothing showed
--- a/tests/fleet/test_novelty_filter.py
+++ b/tests/fleet/test_novelty_filter.py
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["heard", "select"]), st.sampled_from(NAMES))))
-def test_what_another_has_published_since_this_one_did_is_not_published_again(
+def test_servers_published_by_others_since_the_last_interval_are_left_out(
     steps: list[tuple[str, str]],
 ) -> None:
     """Guards against two hundred routers that publish the same; each datagram costs CPU at all of them."""
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -279,7 +279,7 @@
     return sum(one["first"] > left_at.get(one["id"], 1 << 62) + SECOND // 20 for one in mine), len(mine)
 
 
-def test_processes_a_router_that_was_stopped_starts_no_attempt_for_clients_that_left(
+def test_processes_a_paused_router_starts_no_attempt_for_clients_that_left(
     records: dict[str, Json],
 ) -> None:
     """Three router processes, one of which is paused for four seconds under load.
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("mutant", ["lends what it spends", "own clock ends it", "doubled answer"])
-def test_each_part_of_the_rule_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_guard_is_needed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The same schedules exceed the bound without one of the guards, so the test above can fail."""
     if mutant == "lends what it spends":
         original = QuotaEscrow._min_available_per_s
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("routers", [3, 12, 60])
-def test_one_router_with_all_the_demand_soon_holds_most_of_the_quota_and_it_comes_back(routers: int) -> None:
+def test_one_router_with_all_the_demand_soon_holds_most_of_the_quota_and_returns_it(routers: int) -> None:
     network = fleet(routers, 1, every=ROUND_INTERVAL_NS // 16)
     meter = QuotaMeter(network, QUOTA_PER_S, 0.0)
     network.go(6 * SECOND)
@@ -172,7 +172,7 @@
     assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(QUOTA_PER_S)
 
 
-def test_a_router_that_hears_nothing_falls_back_to_its_own_part_when_its_leases_end() -> None:
+def test_a_router_that_receives_nothing_falls_back_to_its_share_when_leases_end() -> None:
     network = fleet(3, 2)
     network.go(6 * SECOND)
     borrower = network.parts[0]
@@ -186,7 +186,7 @@
     assert borrower.available_per_s(network.clock(0)) == borrower.share_per_s
 
 
-def test_a_router_paused_past_its_leases_resumes_with_its_own_part_and_one_bucket() -> None:
+def test_a_router_paused_past_its_leases_resumes_with_its_share_and_one_bucket() -> None:
     """Expiry is checked for each unit taken, so a resumed router does not use its expired leases."""
     one = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 7)
     one.borrowed.append(Lease(1, 0, 80.0, 4 * SECOND))
@@ -196,7 +196,7 @@
     assert one.available_per_s(later) == one.share_per_s and not one.borrowed
 
 
-def test_what_an_earlier_process_lent_is_left_alone_until_it_has_ended() -> None:
+def test_leases_of_an_earlier_process_are_held_back_until_they_expire() -> None:
     earlier = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 1)
     now = 10 * SECOND
     ((to, message),) = earlier.receive(now, 1, MESSAGE.pack(QuotaMessageKind.REQUEST, 5, 1_000_000))
--- a/tests/fleet/test_router_gossip.py
+++ b/tests/fleet/test_router_gossip.py
@@ -87,6 +87,6 @@
 
 
 @pytest.mark.parametrize("peers", [None, "127.0.0.1:2", ["nowhere", "127.0.0.1:2"]])
-def test_malformed_peers_end_the_start_with_a_plain_line(peer: socket.socket, peers: Any) -> None:
+def test_malformed_peers_are_a_configuration_error(peer: socket.socket, peers: Any) -> None:
     with pytest.raises(ConfigurationError, match="test: "):
         parse_configuration(configuration(peer, peers=peers), "test")
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("fault", ["loss", "doubled", "late", "all"])
-def test_lost_doubled_and_late_reports_leave_the_sum_as_it_is(fault: str) -> None:
+def test_lost_doubled_and_late_reports_do_not_change_the_fractions(fault: str) -> None:
     rates = [[40.0], [20.0], [20.0], [20.0]]
     network = fleet(rates, 3, 1 / 16)
     network.loss = 0.3 if fault in ("loss", "all") else 0.0
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("hears_own_half", [False, True])
-def test_half_of_a_fleet_takes_the_other_half_for_still_running(hears_own_half: bool) -> None:
+def test_half_of_a_partitioned_fleet_assumes_that_the_other_half_runs(hears_own_half: bool) -> None:
     """Guards against two halves of a partitioned fleet that each take their traffic for the whole."""
     network = fleet([[20.0]] * 8)
     network.go(3 * WINDOW_NS)
@@ -131,7 +131,7 @@
 
 @budget(max_examples=300)
 @given(st.lists(st.tuples(st.integers(1, 2), st.integers(1, 3), st.integers(0, 9)), max_size=8), st.randoms())
-def test_reports_merge_to_the_same_in_every_order_and_however_often(
+def test_report_merge_is_independent_of_order_and_repetition(
     versions: list[tuple[int, int, int]], random: object
 ) -> None:
     """Merging is commutative, associative and idempotent: the highest generation, then sequence, is kept."""
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_datagrams_and_what_is_read_of_them_are_as_recorded(name: str) -> None:
+def test_datagrams_and_results_match_the_recording(name: str) -> None:
     """Guards against a version that sends bytes an earlier one does not read, or does not read its bytes."""
     recorded = json.loads(RECORDING.read_text())[name]
     made = json.loads(json.dumps(RUNS[name]()))
--- a/tests/overload/test_closed_loop.py
+++ b/tests/overload/test_closed_loop.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize(
     ("honour_fraction", "retries", "backoff_s"), [(1.0, 2, 0.05), (0.0, 2, 0.0), (0.5, 4, 0.02)], ids=str
 )
-def test_service_comes_back_by_itself_when_the_storm_is_over(
+def test_service_recovers_by_itself_after_a_storm(
     honour_fraction: float, retries: int, backoff_s: float
 ) -> None:
     """Guards against a metastable failure: a storm that is sustained by its own retries after its trigger."""
@@ -51,7 +51,7 @@
     assert set(result.answers.values()) == {1}
 
 
-def test_clients_that_honour_retry_after_come_back_spread_out() -> None:
+def test_clients_that_honour_retry_after_return_spread_out() -> None:
     """Clients rejected in the same second return over the range of Retry-After times, not all at once."""
     waits_ms = sorted(simulate(honour_fraction=1.0).retry_after_ms)
     assert len(waits_ms) > 500 and waits_ms[0] > 0 and waits_ms[-1] <= 2000
--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -32,7 +32,7 @@
     return [f"{type(one).__name__} {getattr(one, 'id', '')}" for one in actions]
 
 
-def test_a_retry_waits_for_the_first_attempts_end_and_then_goes() -> None:
+def test_a_retry_starts_once_the_first_attempt_has_ended() -> None:
     """Guards against a write that is twice at the database because its client retried during an attempt."""
     router = router_with_overload_control()
     (first,) = write(router, "a")
@@ -43,7 +43,7 @@
     assert summaries(router.end_attempt(first, S.OK)) == ["StartAttempt b"]
 
 
-def test_only_one_of_several_retries_goes_at_a_time_in_the_order_they_came() -> None:
+def test_several_retries_start_one_at_a_time_in_order_of_arrival() -> None:
     router = router_with_overload_control()
     (send,) = write(router, "a")
     for name in ("b", "c", "d"):
@@ -53,14 +53,14 @@
         assert summaries([send]) == [f"StartAttempt {name}"]
 
 
-def test_a_retry_whose_own_time_ends_while_it_waits_gets_its_one_answer() -> None:
+def test_a_retry_whose_deadline_passes_while_it_is_queued_gets_one_answer() -> None:
     router = router_with_overload_control()
     write(router, "a", time_left_ns=2 * SECOND)
     assert write(router, "b", time_left_ns=SECOND) == []
     assert summaries(router.wait(SECOND + MILLI)) == ["Reject b"]  # harmless, since repeats are still dropped
 
 
-def test_what_may_have_run_longer_ago_than_it_is_remembered_fails_and_is_not_sent() -> None:
+def test_a_retry_fails_once_repeats_of_the_earlier_attempt_are_not_dropped() -> None:
     """The first attempt times out; when the retry gets the key, a repeat would be executed a second time."""
     router = router_with_overload_control()
     (first,) = write(router, "a", time_left_ns=2 * SECOND)
@@ -70,7 +70,7 @@
     assert summaries(router.end_attempt(first, S.TIMEOUT)) == ["Fail b"]
 
 
-def test_a_later_retry_fails_as_long_as_a_client_may_still_come_again() -> None:
+def test_a_later_retry_fails_within_the_retry_window_of_clients() -> None:
     router = router_with_overload_control()
     (first,) = write(router, "a")
     router.end_attempt(first, S.OK)
@@ -80,7 +80,7 @@
     assert summaries(write(router, "c")) == ["StartAttempt c"]
 
 
-def test_an_attempt_that_never_ran_does_not_restrict_a_retry() -> None:
+def test_an_attempt_that_never_executed_does_not_restrict_a_retry() -> None:
     router = router_with_overload_control()
     (first,) = write(router, "a")
     router.handle(api.ClientGone("a"))
@@ -104,7 +104,7 @@
     assert summaries(sent) == ["Fail b"]
 
 
-def test_requests_with_other_keys_are_not_held_up() -> None:
+def test_requests_with_other_keys_do_not_wait() -> None:
     router = router_with_overload_control()
     write(router, "a")
     assert summaries(write(router, "b", key="o2")) == ["StartAttempt b"]
@@ -190,7 +190,7 @@
         self.now += int(seconds * SECOND)
 
     @invariant()
-    def one_holder_each_and_nobody_stuck(self) -> None:
+    def one_holder_per_key_and_no_stuck_request(self) -> None:
         """At most one request of a key may start attempts; others wait for it or for an attempt to end."""
         for key in "abc":
             holders = [name for name in self.holders if self.open[name] == key]
--- a/tests/overload/test_storm_detector.py
+++ b/tests/overload/test_storm_detector.py
@@ -32,7 +32,7 @@
     return now
 
 
-def test_an_ordinary_peak_is_no_storm_and_one_made_of_reconnects_is() -> None:
+def test_an_ordinary_peak_is_no_storm_and_a_peak_of_reconnects_is() -> None:
     detector = RetryStormDetector()
     now = run_normal_periods(detector)
     for _ in range(40):  # 2.5 times the load, of which much is rejected and retried once
@@ -47,7 +47,7 @@
     assert line.startswith("storm began connects_sign=2.0 ") and " connects=190 requests=200 " in line
 
 
-def test_retries_that_feed_on_themselves_are_a_storm() -> None:
+def test_a_high_fraction_of_retries_is_a_storm() -> None:
     detector = RetryStormDetector()
     now = run_normal_periods(detector)
     assert end_period(detector, now + PERIOD_NS, arrivals=130, connects=5, retries=90, hurried=30).startswith(
@@ -55,7 +55,7 @@
     )
 
 
-def test_the_end_is_seen_only_when_it_lasts() -> None:
+def test_a_storm_ends_only_after_consecutive_calm_periods() -> None:
     detector = RetryStormDetector()
     now = run_normal_periods(detector) + PERIOD_NS
     assert end_period(detector, now, arrivals=200, connects=190, retries=60, hurried=20)
