--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -35,10 +35,10 @@
 
 NS_PER_S = 1_000_000_000
 PERIOD_NS = NS_PER_S  # time between two pings
-PING_TIMEOUT_NS = NS_PER_S // 5  # timeout of a direct ping; a datagram takes less than a tenth of a second
-INDIRECT_TIMEOUT_FACTOR = 2  # timeout of an indirect ping as a multiple of the direct ping's
+PING_TIMEOUT_NS = NS_PER_S // 5  # time-out of a direct ping; a datagram takes less than a tenth of a second
+INDIRECT_TIMEOUT_FACTOR = 2  # time-out of an indirect ping as a multiple of the direct ping's
 INDIRECT_PINGS = 2  # routers that are asked to ping a router that did not acknowledge
-SUSPICION_PERIODS = 3  # suspicion timeout, in half periods times the logarithm of the fleet's size
+SUSPICION_PERIODS = 3  # time-out of a suspicion, in half periods times the logarithm of the fleet's size
 RETRANSMIT_FACTOR = 3  # transmissions of an update, as a multiple of the logarithm of the fleet's size
 MAX_UPDATES = 6  # maximum number of updates in a message
 MAX_HEALTH_SCORE = 8
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -1,13 +1,13 @@
-"""Splits a quota among all routers so that their sum never exceeds it. No sockets, no clock.
+"""Shares a quota among all routers, which together never exceed it. No sockets, no clock.
 
 The method is escrow (O'Neil 1986): each router permanently owns an equal share of the quota, which it may use
 without asking. It lends the rate that it does not need to other routers by leases. The lender holds the lent
 rate back from the moment of the grant until the lease has expired at the borrower, whether or not the grant
 arrived. Clocks are not compared: the borrower's request carries a nonce, and a lease ends `LEASE_NS` after
 the *request was sent*, by the borrower's clock. The lender answers later than that, and holds the rate back
-for `LEASE_NS` plus the clock drift from when it *answered*. So a lease whose grant is lost, late or doubled
-ends at the borrower before the lender uses that rate again, and a router that receives nothing is back at its
-own share once its leases have expired.
+for `LEASE_NS` plus the clock drift from when it *answered*. So a lease whose grant is lost, late or
+duplicated ends at the borrower before the lender uses that rate again, and a router that receives nothing is
+back at its own share once its leases have expired.
 
 At any instant the rates available to all routers add up to at most the quota: each part of it is available to
 its owner or lent to one other router. In a window of w seconds all routers together take at most `quota * w`
