--- a/tests/fleet/test_novelty_filter.py
+++ b/tests/fleet/test_novelty_filter.py
@@ -1,4 +1,4 @@
-"""What other routers have published is not published again."""
+"""Observations of a server that another router has published are not published again."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,16 +11,16 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["heard", "select"]), st.sampled_from(NAMES))))
-def test_what_another_has_published_since_this_one_did_is_not_published_again(
+def test_servers_published_by_others_since_the_last_interval_are_left_out(
     steps: list[tuple[str, str]],
 ) -> None:
-    """Two hundred routers published the same, and each datagram is paid for at all of them."""
-    novelty_filter, known = NoveltyFilter(), set()
+    """Guards against two hundred routers that publish the same; each datagram costs CPU at all of them."""
+    novelty_filter, published = NoveltyFilter(), set()
     for step, name in steps:
-        seen = [api.LatencyObservation(name, 80 * MILLI)]
+        observations = [api.LatencyObservation(name, 80 * MILLI)]
         if step == "heard":
-            novelty_filter.record_published(seen)
-            known.add(name)
+            novelty_filter.record_published(observations)
+            published.add(name)
         else:
-            assert novelty_filter.select_new(seen) == ([] if name in known else seen)
-            known.clear()
+            assert novelty_filter.select_new(observations) == ([] if name in published else observations)
+            published.clear()
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -1,7 +1,7 @@
-"""Bytes between routers, against a recording of an earlier version: a fleet is upgraded router by router.
+"""Wire compatibility with an earlier version, since a fleet is upgraded router by router.
 
-`recorded_datagrams.json` holds what that version sent, believed and described in the runs below. Each run is
-deterministic: its times, its seeds and its lost datagrams are fixed. Datagrams are hexadecimal text.
+`recorded_datagrams.json` has the datagrams that the earlier version sent in the runs below, and its resulting
+state. Each run is deterministic: times, seeds and lost datagrams are fixed. Datagrams are hexadecimal.
 """
 
 import json
@@ -11,7 +11,7 @@
 
 import pytest
 
-from rainhitch.fleet.datagram import EVERYONE
+from rainhitch.fleet.datagram import ALL_ROUTERS
 from rainhitch.fleet.failure_detector import FailureDetector
 from rainhitch.fleet.gossip_codec import decode, encode, names_by_hash
 from rainhitch.fleet.gossip_exchange import GossipExchange
@@ -29,7 +29,7 @@
 
 
 def observations(number: int) -> list[LatencyObservation]:
-    """Answer times of some servers; they differ with `number`."""
+    """Returns latencies of four servers, which depend on `number`."""
     return [
         LatencyObservation(
             f"cache-{(number * 7 + index) % 9}", (number + 1) * (index + 1) * 3 * MILLI, index == 2
@@ -38,13 +38,13 @@
     ]
 
 
-def rows(seen: list[LatencyObservation]) -> list[Any]:
-    """Observations as the recording has them."""
-    return [[one.server, one.elapsed_ns, one.is_in_flight] for one in seen]
+def rows(latencies: list[LatencyObservation]) -> list[Any]:
+    """Returns observations in the form of the recording."""
+    return [[one.server, one.elapsed_ns, one.is_in_flight] for one in latencies]
 
 
 def latency_observations() -> Run:
-    """Answer times (0xA2): what is encoded and what is read of it, with one server that is not listed."""
+    """Encodes and decodes latencies (0xA2), with one server that is not listed."""
     names = names_by_hash([f"cache-{number}" for number in range(8)])
     run: Run = []
     for number in range(12):
@@ -56,22 +56,22 @@
 
 
 def tenant_usage() -> Run:
-    """Usage counts (0xC1 is put before them by the exchange), with a router that starts anew."""
-    parts = [TenantUsage(me, ROUTERS, 3, 10 + me, START) for me in range(ROUTERS)]
+    """Exchanges usage reports (GossipExchange puts 0xC1 before them), with a router that restarts."""
+    parts = [TenantUsage(router, ROUTERS, 3, 10 + router, START) for router in range(ROUTERS)]
     run: Run = []
     for step in range(1, 80):
         now = START + step * STEP
         if step == 50:
             parts[2] = TenantUsage(2, ROUTERS, 3, 99, now)
-        for me, part in enumerate(parts):
+        for router, part in enumerate(parts):
             for tenant in range(3):
-                for _ in range((step * (me + 1) + tenant) % 4):
+                for _ in range((step * (router + 1) + tenant) % 4):
                     part.add(tenant)
-            part.mark(now)
-            if step % 10 == me:
+            part.advance_window(now)
+            if step % 10 == router:
                 data = part.encode()
-                heard = [other.receive(now, me, data) for other in parts if other is not part]
-                run.append([step, me, data.hex(), heard, part.taken(), part.fractions(now)])
+                newer = [other.receive(now, router, data) for other in parts if other is not part]
+                run.append([step, router, data.hex(), newer, part.requests_in_window(), part.fractions(now)])
     return run
 
 
@@ -81,7 +81,7 @@
     before_step: Callable[[int, int, list[Any]], None],
     state: Callable[[Any, int], Any],
 ) -> Run:
-    """Steps all parts, and delivers a datagram in the step after it was sent; each eleventh is lost."""
+    """Steps all routers and delivers each datagram one step after it was sent; each eleventh is lost."""
     run: Run = []
     waiting: list[tuple[int, int, bytes]] = []
     sent = 0
@@ -95,9 +95,9 @@
             if parts[to] is not None
             for answered, payload in parts[to].receive(now, source, data)
         ]
-        for me, part in enumerate(parts):
+        for router, part in enumerate(parts):
             if part is not None:
-                replies += [(me, to, payload) for to, payload in part.step(now)]
+                replies += [(router, to, payload) for to, payload in part.step(now)]
         for source, to, payload in replies:
             sent += 1
             run.append([step, source, to, payload.hex()])
@@ -109,24 +109,24 @@
 
 
 def quota_escrow() -> Run:
-    """Questions and answers for leases of a quota (0x51, 0x41), with a need that moves."""
+    """Exchanges requests and grants of leases (0x51, 0x41), with a demand that moves between routers."""
 
     def before_step(step: int, now: int, parts: list[Any]) -> None:
         if step == 160:
             parts[3] = QuotaEscrow(3, ROUTERS, 120.0, now, 77)
-        for me, part in enumerate(parts):
-            for _ in range(9 if me == step // 60 % 2 else 1):
+        for router, part in enumerate(parts):
+            for _ in range(9 if router == step // 60 % 2 else 1):
                 part.take(now)
 
     def state(part: QuotaEscrow, now: int) -> Any:
         return [part.available_per_s(now), part.demand_per_s, part.tokens, part.denied]
 
-    parts = [QuotaEscrow(me, ROUTERS, 120.0, START, me) for me in range(ROUTERS)]
+    parts = [QuotaEscrow(router, ROUTERS, 120.0, START, router) for router in range(ROUTERS)]
     return exchanged(parts, 260, before_step, state)
 
 
 def failure_detector() -> Run:
-    """Pings, answers and indirect pings (0x61 to 0x63), with a router that is gone and comes back."""
+    """Exchanges pings, acks and ping-reqs (0x61 to 0x63), with a router that fails and restarts."""
 
     def before_step(step: int, now: int, parts: list[Any]) -> None:
         if step == 40:
@@ -134,20 +134,21 @@
         if step == 220:
             parts[3] = FailureDetector(3, ROUTERS, 9, now, 33)
         if step == 300:
-            parts[0].step(now + 3 * SECOND)  # it was stopped, and finds time gone on
+            parts[0].step(now + 3 * SECOND)  # the router resumes from a pause
 
     def state(part: FailureDetector, now: int) -> Any:
         return [part.live_routers(), part.generation, part.local_health_score, part.changes]
 
-    parts = [FailureDetector(me, ROUTERS, me + 1, START, me) for me in range(ROUTERS)]
+    parts = [FailureDetector(router, ROUTERS, router + 1, START, router) for router in range(ROUTERS)]
     return exchanged(parts, 400, before_step, state)
 
 
 def gossip_exchange() -> Run:
-    """All kinds by the one entry point, with what is believed of them, and the object of `fleet status`."""
+    """Exchanges all kinds of datagrams by GossipExchange; includes the object of `fleet status`."""
     options = FleetOptions(counts=True, bounded=True, members=True, database_rps=40.0)
     exchanges = [
-        GossipExchange(me, ROUTERS, 2, 5 + me, START, seed=me, options=options) for me in range(ROUTERS)
+        GossipExchange(router, ROUTERS, 2, 5 + router, START, seed=router, options=options)
+        for router in range(ROUTERS)
     ]
     for exchange in exchanges:
         exchange.set_servers([f"cache-{number}" for number in range(8)])
@@ -161,24 +162,24 @@
             sent += [(to, answered, payload) for answered, payload in received.replies]
             if received.observations:
                 run.append([step, to, rows(received.observations)])
-        for me, exchange in enumerate(exchanges):
+        for router, exchange in enumerate(exchanges):
             if step % 2 == 0:
-                data = exchange.encode_observations(now, observations(step + me))
-                sent += [(me, EVERYONE, data)] if data else []
-            for number in range((step + me) % 5):
+                data = exchange.encode_observations(now, observations(step + router))
+                sent += [(router, ALL_ROUTERS, data)] if data else []
+            for number in range((step + router) % 5):
                 exchange.tenant_usage.add(number % 2)  # type: ignore[union-attr]
-                if me == 0 or step % 10 == 0:  # one router needs more than its part, the others lend
+                if router == 0 or step % 10 == 0:  # one router needs more than its share and the others lend
                     exchange.quota_escrow.take(now)  # type: ignore[union-attr]
-            sent += [(me, to, payload) for to, payload in exchange.step(now)]
-            told = exchange.traffic_fractions(now)
-            if told is not None:
-                run.append([step, me, told.by_tenant, told.valid_for_ns])
+            sent += [(router, to, payload) for to, payload in exchange.step(now)]
+            fractions = exchange.traffic_fractions(now)
+            if fractions is not None:
+                run.append([step, router, fractions.by_tenant, fractions.valid_for_ns])
             if step % 20 == 0:
-                run.append([step, me, exchange.describe(now), list(exchange.describe(now))])
+                run.append([step, router, exchange.describe(now), list(exchange.describe(now))])
         waiting = []
         for source, to, payload in sent:
             run.append([step, source, to, payload.hex()])
-            targets = [one for one in range(ROUTERS) if one != source] if to == EVERYONE else [to]
+            targets = [one for one in range(ROUTERS) if one != source] if to == ALL_ROUTERS else [to]
             waiting += [(source, one, payload) for one in targets]
     return run
 
@@ -190,12 +191,12 @@
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_datagrams_and_what_is_read_of_them_are_as_recorded(name: str) -> None:
-    """A router of a new version must send the bytes that the routers of the old one read, and read theirs."""
+def test_datagrams_and_results_match_the_recording(name: str) -> None:
+    """Guards against a version that sends bytes an earlier one does not read, or does not read its bytes."""
     recorded = json.loads(RECORDING.read_text())[name]
     made = json.loads(json.dumps(RUNS[name]()))
-    for number, (mine, theirs) in enumerate(zip(made, recorded, strict=True)):
-        assert mine == theirs, f"row {number} of {name}"
+    for number, (made_row, recorded_row) in enumerate(zip(made, recorded, strict=True)):
+        assert made_row == recorded_row, f"row {number} of {name}"
 
 
 def test_recording_holds_each_kind_of_datagram() -> None:
