--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -1,7 +1,8 @@
-"""Reads the settings that the platform gives a router at its start.
+"""Reads the start-up settings that the platform passes to a router.
 
-Here, and in `wirehost.py`, the platform's words are mapped to the terms of `interface.py`. A setting is named
-by its path, such as `ceilings.attemptsCap`: the last part is its key, the whole stands in messages of errors.
+This module and `wirehost.py` translate the platform's words to the terms of `interface.py`. A setting is
+named by its path, such as `ceilings.attemptsCap`: error messages give the whole path, and its last part is
+the key in the JSON object.
 """
 
 from dataclasses import dataclass
@@ -12,7 +13,7 @@
 
 Json = dict[str, Any]
 
-# The platform's words, and what they stand for.
+# Words of the platform, and the terms of `interface.py` that they stand for.
 ENDPOINT_LIST_WORDS = ("pushed", "on_request")
 CACHE_MODE_WORDS = ("through", "aside")
 DEDUP_SCOPE_WORDS = ("all", "zone", "cell")
@@ -22,7 +23,7 @@
     "unsafe": api.Idempotency.NOT_IDEMPOTENT,
 }
 
-NUMBER_LIMIT = 1e19  # numbers are below it; it is more than any time in ns
+NUMBER_LIMIT = 1e19  # exclusive; larger than any time in ns
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
 DEFAULT_POLL_WITHIN_NS = 10_000_000_000
 DEFAULT_SLOW_START_WINDOW_NS = 1_000_000_000
@@ -31,17 +32,17 @@
 
 
 class SettingError(RainhitchError, ValueError):
-    """A start-up setting is missing or makes no sense."""
+    """A start-up setting that is missing or invalid."""
 
 
-# One setting
+# Readers of a single setting
 
 
 def _read(source: Json, path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """Reads one setting of this type from the object that holds it.
-
-    A missing setting, or one that is null, has the default; with no default it raises SettingError, as does a
-    value of another type. JSON's true and false are no numbers.
+    """Returns the setting with this path from the JSON object that holds it.
+    A setting that is missing or null has the default. Raises SettingError where there is no default, and for
+    a value of another type; JSON booleans do not count as numbers.
+    value of another type; JSON booleans do not count as numbers.
     """
     key = path.rsplit(".", 1)[-1]
     value = source.get(key)
@@ -51,47 +52,49 @@
         return default
     is_unwanted_bool = isinstance(value, bool) and kind is not bool
     if not isinstance(value, kind) or is_unwanted_bool:
-        raise SettingError(f"setting {path} makes no sense: {value!r}")
+        raise SettingError(f"setting {path} is invalid: {value!r}")
     return value
 
 
 def _read_number(source: Json, path: str, least: float, default: float | None = None) -> float:
-    """Reads a number from `least` up."""
+    """Returns a number of at least `least` and below `NUMBER_LIMIT`."""
     value = float(_read(source, path, (int, float), default))
     if not least <= value < NUMBER_LIMIT:
-        raise SettingError(f"setting {path} makes no sense: {value:g}")
+        raise SettingError(
+            f"setting {path} is invalid: expected {least:g} <= number < {NUMBER_LIMIT:g}, got {value:g}"
+        )
     return value
 
 
 def _read_int(source: Json, path: str, least: int, default: int | None = None) -> int:
-    """Reads a number from `least` up; a fraction is cut off."""
+    """Returns a number of at least `least`, truncated to an integer."""
     return int(_read_number(source, path, least, default))
 
 
 def _read_word(source: Json, path: str, words: tuple[str, ...], default: str) -> str:
-    """Reads one of these words."""
+    """Returns a word, which must be one of `words`."""
     value = _read(source, path, str, default)
     if value not in words:
-        raise SettingError(f"setting {path} makes no sense: {value!r}")
+        raise SettingError(f"setting {path} is invalid: expected one of {', '.join(words)}, got {value!r}")
     return str(value)
 
 
 def _read_objects(source: Json, path: str, default: list[Json] | None = None) -> list[Json]:
-    """Reads a list of objects."""
+    """Returns a list of objects."""
     value: list[Json] = _read(source, path, list, default)
     if not all(isinstance(one, dict) for one in value):
-        raise SettingError(f"setting {path} makes no sense: no list of objects")
+        raise SettingError(f"setting {path} is invalid: expected a list of objects")
     return value
 
 
 def _read_indexes(values: list[Any], path: str) -> dict[str, int]:
-    """Takes a list of different names; returns the index of each."""
+    """Returns the index of each name; raises SettingError where a name is no string or is repeated."""
     if not all(isinstance(one, str) for one in values) or len(set(values)) < len(values):
-        raise SettingError(f"setting {path} makes no sense: {values!r}")
+        raise SettingError(f"setting {path} is invalid: expected unique names, got {values!r}")
     return {name: number for number, name in enumerate(values)}
 
 
-# What the decisions are given
+# Settings of the routing decisions
 
 
 def _read_class(source: Json, number: int) -> api.RequestClass:
@@ -115,13 +118,13 @@
 
 
 def read_settings(document: Json) -> api.Settings:
-    """Reads what the decisions are given; raises SettingError."""
+    """Returns the settings of the routing decisions; raises SettingError."""
     if not isinstance(document, dict):
-        raise SettingError("setting info makes no sense: not an object")
+        raise SettingError("setting info is invalid: expected an object")
     classes = _read_objects(document, "classes")
     tenants = _read_objects(document, "tenants", [])
     if not classes:
-        raise SettingError("setting classes makes no sense: it is empty")
+        raise SettingError("setting classes is invalid: expected at least one class")
     ceilings = _read(document, "ceilings", dict)
     safety = _read(document, "safety", dict)
     cache = _read(document, "specifics", dict, {})
@@ -144,15 +147,15 @@
     )
 
 
-# What the sockets are given
+# Settings of the sockets
 
 
 @dataclass(slots=True)
 class Names:
-    """The names that stand on the sockets for the indexes of the decisions."""
+    """Maps the names that appear on the sockets to the indexes that the routing decisions use."""
 
     classes: dict[str, int]
-    idempotency: list[api.Idempotency]  # of each class, by index
+    idempotency: list[api.Idempotency]  # by class index
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -160,15 +163,15 @@
 
 @dataclass(slots=True)
 class Ceilings:
-    """The limits of the router's sockets."""
+    """Limits of the router's sockets."""
 
-    max_requests: int  # held at a time
+    max_requests: int  # open requests at a time
     connect_timeout_ns: int
     keepalive_ns: int  # an upstream connection idle for this long is closed by its server
 
 
 def read_names(document: Json) -> Names:
-    """Reads the names of classes, tenants, zones and kinds; raises SettingError."""
+    """Returns the names of classes, tenants, zones and kinds; raises SettingError."""
     classes = _read_objects(document, "classes")
     tenants = _read_objects(document, "tenants", [])
     return Names(
@@ -181,7 +184,7 @@
 
 
 def read_ceilings(document: Json) -> Ceilings:
-    """Reads the limits of the router's sockets; raises SettingError."""
+    """Returns the limits of the router's sockets; raises SettingError."""
     ceilings = _read(document, "ceilings", dict)
     return Ceilings(
         max_requests=_read_int(ceilings, "ceilings.mostHeld", 1, DEFAULT_MAX_REQUESTS),
--- a/tests/wire/test_wirehost.py
+++ b/tests/wire/test_wirehost.py
@@ -159,14 +159,14 @@
     ("change", "names"),
     [
         ({"classes": None}, "classes is missing"),
-        ({"classes": []}, "classes makes no sense"),
-        ({"classes": [{"aim": 0, "deadline": 5}]}, "classes[0].aim makes no sense"),
-        ({"classes": [{"aim": 1, "deadline": 5, "effect": "odd"}]}, "classes[0].effect makes no sense"),
+        ({"classes": []}, "classes is invalid"),
+        ({"classes": [{"aim": 0, "deadline": 5}]}, "classes[0].aim is invalid"),
+        ({"classes": [{"aim": 1, "deadline": 5, "effect": "odd"}]}, "classes[0].effect is invalid"),
         ({"ceilings": None}, "ceilings is missing"),
-        ({"safety": {"rampTime": "soon"}}, "safety.rampTime makes no sense"),
-        ({"specifics": {"mode": "sideways"}}, "specifics.mode makes no sense"),
-        ({"registryMode": 3}, "registryMode makes no sense"),
-        ({"tenants": [3]}, "tenants makes no sense"),
+        ({"safety": {"rampTime": "soon"}}, "safety.rampTime is invalid"),
+        ({"specifics": {"mode": "sideways"}}, "specifics.mode is invalid"),
+        ({"registryMode": 3}, "registryMode is invalid"),
+        ({"tenants": [3]}, "tenants is invalid"),
     ],
 )
 def test_bad_settings_are_named_and_end_that_instance_only(change: Json, names: str) -> None:
