--- a/rainhitch/wirehost.py
+++ b/rainhitch/wirehost.py
@@ -1,11 +1,11 @@
-"""Hosts many routers on the bench's wire: lines of JSON on standard input and output.
+"""Hosts many router instances in one process, with JSON lines on standard input and output.
 
-Here, and in `settings.py`, the platform's words are mapped to the terms of `interface.py`.
-Nothing is decided.
+This module and `settings.py` translate the platform's words to the terms of `interface.py`; neither makes
+routing decisions.
 
-Each input line is a batch, `{"clock": ns, "msgs": [...]}`: a message has its type `t`, the number `i` of the
-router instance that it is for, and the fields of its type. One line answers a batch, `{"output": [...]}`,
-with the actions of all instances in order.
+Each input line is a batch, `{"clock": ns, "msgs": [...]}`. A message has its type `t`, the number `i` of the
+router instance that receives it, and the fields of its type. Each batch is answered by one line,
+`{"output": [...]}`, which lists the actions of all instances in the order in which they were taken.
 """
 
 import sys
@@ -21,7 +21,7 @@
 from rainhitch.policy.balancer import Balancer
 from rainhitch.settings import Json, SettingError, read_settings
 
-# The platform's words, and the terms they stand for.
+# Words of the platform, and the terms of `interface.py` that they stand for.
 STATUS_BY_WORD = {
     "completed": api.AttemptStatus.OK,
     "errored": api.AttemptStatus.ERROR,
@@ -55,14 +55,14 @@
 
 
 class WireError(RainhitchError, ValueError):
-    """A line that cannot be read as a batch."""
+    """An input line that is not a valid batch."""
 
 
-# Events. A missing field raises KeyError, as does a word that is not in its table.
+# Readers of events. They raise KeyError for a missing field and for a word that is not in its table.
 
 
 def _int_or_zero(source: Json, name: str) -> int:
-    """A number that may be missing, null or empty, each of which stands for 0."""
+    """Returns the number in a field; 0 where the field is missing, null or empty."""
     value: int | None = source.get(name)
     return value if value else 0
 
@@ -85,7 +85,7 @@
 
 
 def _read_load_report(report: Json | None) -> api.LoadReport | None:
-    """A server's report; unknown fields and nulls are left out, an empty report is none."""
+    """Returns a server's load report without unknown and null fields; None for an empty report."""
     if not report:
         return None
     known = {
@@ -136,7 +136,7 @@
     "DISCOVERY": _read_endpoint_update,
     "WITHDRAWN": _read_client_gone,
 }
-# Events of the wire that no decision reads, each with the fields that it has to have.
+# Events that the routing decisions ignore, each with the fields that it must have.
 UNREAD_EVENTS: dict[str, tuple[str, ...]] = {
     "OPENED": ("msgId", "sendNo", "server"),
     "ECHO": ("server", "disposition", "costTime"),
@@ -145,14 +145,14 @@
 
 
 def _check_unread_event(name: str, message: Json) -> None:
-    """Raises KeyError where an event that no decision reads lacks a field or has an unknown status."""
+    """Raises KeyError where an ignored event lacks a field or has an unknown status."""
     for field in UNREAD_EVENTS[name]:
         value = message[field]
         if field == "disposition":
             STATUS_BY_WORD[value]
 
 
-# Actions. The order of the fields is that on the wire.
+# Writers of actions. The order of the keys is the order on the wire.
 
 
 def _write_start_attempt(instance: int, action: api.StartAttempt) -> Json:
@@ -196,14 +196,14 @@
 
 
 class Host:
-    """The routers of this process, by instance number."""
+    """The router instances of this process, by instance number."""
 
     def __init__(self) -> None:
-        """Starts with none; an `UP` message starts each."""
+        """Creates a host without instances; an `UP` message starts one."""
         self.routers: dict[int, Balancer] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Plays one batch and returns the line that answers it; raises WireError where it cannot be read."""
+        """Handles one batch and returns the output line; raises WireError where the batch is invalid."""
         try:
             batch = orjson.loads(line)
             now_ns = batch["clock"]
@@ -219,11 +219,11 @@
             try:
                 self._play(now_ns, message, output)
             except (KeyError, TypeError, AttributeError) as error:
-                raise WireError(f"msgs[{place}] lacks a field or has a bad one: {error}") from None
+                raise WireError(f"msgs[{place}] has a missing or invalid field: {error}") from None
         return orjson.dumps({"output": output})
 
     def _play(self, now_ns: int, message: Json, output: list[Json]) -> None:
-        """Plays one message; its actions are added to the output."""
+        """Handles one message and appends the resulting actions to the output."""
         name = message["t"]
         instance = message["i"]
         reader = EVENT_READERS.get(name)
@@ -232,7 +232,7 @@
             return
         router = self.routers.get(instance)
         if router is None:
-            print(f"skipped: {name} for instance {instance}, which is not up", file=sys.stderr)
+            print(f"skipped {name}: instance {instance} is not running", file=sys.stderr)
             return
         event: api.Event | None = None
         if reader is None:
@@ -244,14 +244,14 @@
             for action in actions:
                 output.append(ACTION_WRITERS[type(action)](instance, action))
         except Exception as error:  # noqa: BLE001
-            # The outermost frame of an instance's decisions: whatever they raise ends this instance, with its
-            # text, and leaves the others up.
+            # An exception in the routing decisions ends only the instance that raised it; its text is
+            # reported, and the other instances continue.
             traceback.print_exc()
             del self.routers[instance]
             output.append({"t": "DIE", "i": instance, "msg": f"{type(error).__name__}: {error}"})
 
     def _control(self, name: str, instance: int, message: Json, output: list[Json]) -> None:
-        """Starts or ends an instance; one whose settings make no sense is ended with the reason."""
+        """Starts or ends an instance; an instance with invalid settings is ended with the reason."""
         if name == "UP":
             seed = message["nonce64"]
             info = message["info"]
@@ -260,16 +260,16 @@
                 self.routers[instance] = Balancer(settings, seed, OverloadController(settings, seed))
             except SettingError as error:
                 self.routers.pop(instance, None)
-                print(f"instance {instance}: {error}", file=sys.stderr)
+                print(f"instance {instance} not started: {error}", file=sys.stderr)
                 output.append({"t": "DIE", "i": instance, "msg": str(error)})
         elif name == "DESTROY":
             self.routers.pop(instance, None)
         else:
-            print(f"skipped: unknown event {name!r} for instance {instance}", file=sys.stderr)
+            print(f"skipped unknown event {name!r} for instance {instance}", file=sys.stderr)
 
 
 def main() -> int:
-    """Answers each line of standard input until it ends; returns 2 after a line that is no batch."""
+    """Answers each line of standard input until it ends; returns 2 after an invalid line."""
     host = Host()
     answers = sys.stdout.buffer
     for number, line in enumerate(sys.stdin.buffer, 1):
--- a/tests/wire/test_wirehost.py
+++ b/tests/wire/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: replies, bad input, and one process against several."""
+"""Runs the wire host as a process: replies, invalid input, and several instances in one process."""
 
 import json
 import random
@@ -23,7 +23,7 @@
 
 
 def run_wirehost(lines: list[str]) -> subprocess.CompletedProcess[str]:
-    """Runs the adapter on these lines of input to its end."""
+    """Runs the wire host on these lines of input until it exits."""
     return subprocess.run(
         [sys.executable, "-m", "rainhitch.wirehost"],
         input="".join(f"{line}\n" for line in lines),
@@ -33,17 +33,17 @@
 
 
 def batch(clock: int, *messages: Json) -> str:
-    """A line of input: a time in ns and messages."""
+    """Returns an input line: a time in ns and messages."""
     return json.dumps({"clock": clock, "msgs": messages})
 
 
 def up(instance: int, info: Any = INFO) -> Json:
-    """Starts an instance with these settings."""
+    """Returns a message that starts an instance with these settings."""
     return {"t": "UP", "i": instance, "nonce64": 5, "info": info}
 
 
 def listed(instance: int, count: int = 3) -> Json:
-    """The endpoint list of an instance: cache servers s0, s1, ... and the origin o."""
+    """Returns an instance's endpoint list: cache servers s0, s1, ... and the origin o."""
     elements: list[Json] = [{"stageState": "SERVING", "server": f"s{n}", "since": None} for n in range(count)]
     elements.append(
         {"stageState": "SERVING", "server": "o", "machine": 1, "hall": 0, "stripe": 0, "units": 1}
@@ -52,13 +52,13 @@
 
 
 def item(instance: int, name: str, key: str = "k", clock: int = SECOND) -> Json:
-    """A request, valid for 2 s."""
+    """Returns a request that is valid for 2 s."""
     fields = {"msgId": name, "cls": 0, "validUntil": clock + 2 * SECOND, "targetKey": key, "mutates": None}
     return {"t": "WORK_ITEM", "i": instance, "owner": None, **fields}
 
 
 def done(instance: int, send: Json, number: int, how: str) -> Json:
-    """The outcome of an attempt that a DISPATCH started."""
+    """Returns the outcome of an attempt that a DISPATCH started."""
     fields = {"msgId": send["msgId"], "sendNo": number, "server": send["server"], "disposition": how}
     feedback = {"outstanding": 2, "recent_ms": 12.5, "throughput": 9, "x0": 0.4, "utilization": None}
     return {
@@ -72,19 +72,19 @@
 
 
 def replies(result: subprocess.CompletedProcess[str]) -> list[list[Json]]:
-    """The actions of each line of output."""
+    """Returns the actions of each output line."""
     return [json.loads(line)["output"] for line in result.stdout.splitlines()]
 
 
 def test_an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_process() -> None:
-    """With exit code 0 and nothing on standard error."""
+    """The exit code is 0 and nothing is written to standard error."""
     result = run_wirehost([batch(1)])
     assert (result.returncode, result.stdout, result.stderr) == (0, '{"output":[]}\n', "")
     assert run_wirehost([]).returncode == 0
 
 
 def test_a_request_is_dispatched_to_a_cache_server() -> None:
-    """Once."""
+    """The request is sent exactly once."""
     result = run_wirehost([batch(SECOND, up(0), listed(0), item(0, "a"))])
     sends = [action for action in replies(result)[0] if action["t"] == "DISPATCH"]
     assert len(sends) == 1 and sends[0]["msgId"] == "a" and sends[0]["server"] in {"s0", "s1", "s2"}
@@ -127,31 +127,31 @@
         ("[]", "line 1: a batch needs"),
         ('{"msgs":[]}', "line 1: a batch needs the fields clock and msgs: 'clock'"),
         ('{"clock":"1","msgs":[]}', "line 1: a batch needs an integer clock"),
-        ('{"clock":1,"msgs":[{"i":0}]}', "line 1: msgs[0] lacks a field or has a bad one: 't'"),
+        ('{"clock":1,"msgs":[{"i":0}]}', "line 1: msgs[0] has a missing or invalid field: 't'"),
         ('{"clock":1,"msgs":[7]}', "line 1: msgs[0]"),
     ],
 )
 def test_a_line_that_is_no_batch_ends_the_process_with_one_line(line: str, names: str) -> None:
-    """It says which line, and what is wrong with it."""
+    """The error gives the line number and the reason."""
     result = run_wirehost([line])
     assert result.returncode == 2 and result.stdout == ""
     assert result.stderr.startswith(names) and result.stderr.count("\n") == 1
 
 
 def test_a_message_that_lacks_a_field_is_named() -> None:
-    """With line, place and field."""
+    """The error gives the line, the position in the batch and the field."""
     lacking = item(0, "a")
     del lacking["validUntil"]
     result = run_wirehost([batch(SECOND, up(0), listed(0)), batch(SECOND, lacking)])
     assert result.returncode == 2
-    assert result.stderr == "line 2: msgs[0] lacks a field or has a bad one: 'validUntil'\n"
+    assert result.stderr == "line 2: msgs[0] has a missing or invalid field: 'validUntil'\n"
 
 
 def test_unknown_events_and_instances_that_are_not_up_are_logged_and_skipped() -> None:
     """The rest of the batch is handled."""
     result = run_wirehost([batch(SECOND, up(0), listed(0), {"t": "NEWS", "i": 0}, item(4, "a"))])
     assert result.returncode == 0
-    assert "unknown event 'NEWS'" in result.stderr and "instance 4, which is not up" in result.stderr
+    assert "unknown event 'NEWS'" in result.stderr and "skipped WORK_ITEM: instance 4 is not running" in result.stderr
     assert not [action for action in replies(result)[0] if action["i"] == 4]
 
 
@@ -170,7 +170,7 @@
     ],
 )
 def test_bad_settings_are_named_and_end_that_instance_only(change: Json, names: str) -> None:
-    """Other instances of the process go on."""
+    """Other instances of the process keep running."""
     result = run_wirehost([batch(SECOND, up(0, {**INFO, **change}), up(1), listed(1), item(1, "a"))])
     output = replies(result)[0]
     assert result.returncode == 0 and output[0]["t"] == "DIE" and output[0]["i"] == 0
@@ -179,7 +179,7 @@
 
 
 def test_an_exception_in_the_decisions_ends_the_instance_with_its_text() -> None:
-    """The traceback goes to standard error; the process goes on."""
+    """The traceback goes to standard error, and the process keeps running."""
     wrong = item(0, "a")
     wrong["cls"] = 7
     result = run_wirehost([batch(SECOND, up(0), listed(0), wrong)])
@@ -189,7 +189,7 @@
 
 
 def test_instances_in_one_process_do_not_influence_one_another() -> None:
-    """Three in one process act as each does in a process of its own."""
+    """Three instances in one process act as each of them does in a process of its own."""
     dice = random.Random(3)
     script: list[list[Json]] = [[up(i) for i in range(3)] + [listed(i) for i in range(3)]]
     for n in range(60):
