--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -1,8 +1,8 @@
-"""The operator's own file, deploy/operator.toml: read strictly, each key documented once, all of it optional.
+"""Strict reading of the operator's file, `deploy/operator.toml`, in which every key is optional.
 
-`RAINHITCH_OPERATOR` names the file; without it, deploy/operator.toml in the current folder is read if it
-exists. Each subsystem has its table here; a field's name is its key. Where there is no file this module is
-not even imported.
+`RAINHITCH_OPERATOR` names the file; without it, `deploy/operator.toml` in the current directory is read if it
+exists. Each subsystem has a table here, and the name of a field is its key in the file. A router without such
+a file does not import this module.
 """
 
 import dataclasses
@@ -15,8 +15,8 @@
 from rainhitch.interface import DEFAULT_MIGRATION_FRACTION, Address
 from rainhitch.overload.controller import OverloadOptions
 
-DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")  # in the current folder
-PORT_LIMIT = 65_536
+DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")  # relative to the current directory
+PORT_LIMIT = 65_536  # exclusive
 
 
 @dataclass(slots=True)
@@ -24,15 +24,15 @@
     """[clients]: limits of clients' connections."""
 
     idle_s: float = toml_schema.number(
-        2.0, 0.5, 3600, "a connection with no request open is left alone so long, however many there are"
+        2.0, 0.5, 3600, "an idle connection is not closed for so long, except where at_need_s applies"
     )
     at_need_s: float = toml_schema.number(
-        0.025, 0.01, 3600, "the same when a newcomer finds little room; idle_s at most"
+        0.025, 0.01, 3600, "replaces idle_s while more than half of the client limit is open; idle_s at most"
     )
-    unfinished_s: float = toml_schema.number(2.6, 0.1, 60, "a command may be on its way for so long")
-    user: str = toml_schema.text("default", "that clients name with the password")
-    password_file: str = toml_schema.text("", "file that holds the password; empty: anybody may come")
-    unread_s: float = toml_schema.number(10.0, 0.5, 600, "a client may leave answers unread for so long")
+    unfinished_s: float = toml_schema.number(2.6, 0.1, 60, "limit on the time until a command is complete")
+    user: str = toml_schema.text("default", "name that clients send with the password")
+    password_file: str = toml_schema.text("", "file that holds the password; empty: no password is needed")
+    unread_s: float = toml_schema.number(10.0, 0.5, 600, "limit on the time that answers lie unread")
 
 
 @dataclass(slots=True)
@@ -43,113 +43,113 @@
         10.0,
         0.1,
         3600,
-        "an idle connection to a server is closed then, at 0.8 of its keepalive at most",
+        "an idle connection is closed after so long, and after 0.8 of the server's keepalive at most",
     )
-    resp3: bool = toml_schema.flag(False, "cache servers are asked with HELLO whether they speak RESP3")
+    resp3: bool = toml_schema.flag(False, "true: cache servers are asked with HELLO for RESP3")
 
 
 @dataclass(slots=True)
 class Storms:
-    """[storms]: overload control; the defaults stand in overload/controller.py."""
+    """[storms]: overload control; the defaults are in overload/controller.py."""
 
     damping: bool = toml_schema.flag(
-        OverloadOptions.damping, "false: storms are seen and logged, nothing more"
+        OverloadOptions.damping, "false: retry storms are detected and logged only"
     )
     retry_share: float = toml_schema.number(
-        OverloadOptions.retry_share, 0, 5, "further attempts of the router's own for each first try"
+        OverloadOptions.retry_share, 0, 5, "the router's own retries for each first attempt"
     )
     retries_least: float = toml_schema.number(
-        OverloadOptions.retries_least, 0, 10000, "of them a second, always allowed"
+        OverloadOptions.retries_least, 0, 10000, "retries per second that are always allowed"
     )
     least_in_work: int = toml_schema.whole(
-        OverloadOptions.least_in_work, 1, 20000, "requests that are always taken"
+        OverloadOptions.least_in_work, 1, 20000, "lower bound of the concurrency limit, in requests"
     )
     floor: float = toml_schema.number(
-        OverloadOptions.floor, 0, 0.5, "part of the limit that first tries and retries each keep"
+        OverloadOptions.floor, 0, 0.5, "fraction of the limit reserved for first attempts, and for retries"
     )
     accepts_least: float = toml_schema.number(
-        OverloadOptions.accepts_least, 1, 1e5, "connections a second, at least"
+        OverloadOptions.accepts_least, 1, 1e5, "minimum rate of accepted connections, per second"
     )
     accepts_most: float = toml_schema.number(
-        OverloadOptions.accepts_most, 1, 1e6, "connections a second, at most"
+        OverloadOptions.accepts_most, 1, 1e6, "maximum rate of accepted connections, per second"
     )
-    orders: int = toml_schema.whole(OverloadOptions.orders, 16, 1 << 20, "order keys remembered at once")
+    orders: int = toml_schema.whole(OverloadOptions.orders, 16, 1 << 20, "idempotency keys remembered")
 
     def options(self) -> OverloadOptions:
-        """The same as the overload control takes it."""
+        """Returns the options of overload control."""
         return OverloadOptions(**dataclasses.asdict(self))
 
 
 @dataclass(slots=True)
 class Growth:
-    """[growth]: the migration of keys when the endpoint list changes."""
+    """[growth]: migration of keys when the endpoint list changes."""
 
-    paced: bool = toml_schema.flag(True, "false: keys move as soon as the list changes")
+    paced: bool = toml_schema.flag(True, "false: keys move as soon as the endpoint list changes")
     share: float = toml_schema.number(
-        DEFAULT_MIGRATION_FRACTION, 0, 100, "of what the database is sent besides, for keys that move"
+        DEFAULT_MIGRATION_FRACTION, 0, 100, "migration reads, as a fraction of the origin's other reads"
     )
 
     def migration_fraction(self) -> float:
-        """The fraction of the origin's other reads that migration may add; below 0: keys move at once."""
+        """Returns the fraction of the origin's other reads allowed for migration; below 0: keys move at once."""
         return self.share if self.paced else -1.0
 
 
 @dataclass(slots=True)
 class Routers:
-    """[routers]: what routers exchange; the defaults stand in fleet/options.py."""
+    """[routers]: exchange between routers; the defaults are in fleet/options.py."""
 
     counts: bool = toml_schema.flag(
-        FleetOptions.counts, "customers' use is told to the other routers and added up"
+        FleetOptions.counts, "tenants' usage is sent to the other routers and summed"
     )
     bounded: bool = toml_schema.flag(
-        FleetOptions.bounded, "one router's word on a cache server is bounded by a second one's"
+        FleetOptions.bounded, "a server's latency counts only as far as a second router confirms it"
     )
-    members: bool = toml_schema.flag(FleetOptions.members, "routers find out which of them are there")
+    members: bool = toml_schema.flag(FleetOptions.members, "routers detect which other routers are alive")
     database_rps: float = toml_schema.number(
-        FleetOptions.database_rps, 0, 1e6, "reads a second that all together send the database; 0: no limit"
+        FleetOptions.database_rps, 0, 1e6, "origin reads per second of all routers together; 0: no limit"
     )
 
     def options(self) -> FleetOptions:
-        """The same as the exchange between routers takes it."""
+        """Returns the options of the exchange between routers."""
         return FleetOptions(**dataclasses.asdict(self))
 
 
 @dataclass(slots=True)
 class Membership:
-    """[membership]: the source of the endpoint list."""
+    """[membership]: source of the endpoint list."""
 
-    source: str = toml_schema.text("discovery", "who leads: the other is not asked", ("discovery", "etcd"))
-    endpoints: list[str] = toml_schema.texts(["127.0.0.1:2379"], "etcd's, tried in turn: host:port")
-    prefix: str = toml_schema.text("/rainhitch/members/", "of the keys; the uid follows")
+    source: str = toml_schema.text("discovery", "source of the endpoint list", ("discovery", "etcd"))
+    endpoints: list[str] = toml_schema.texts(["127.0.0.1:2379"], "etcd's endpoints (host:port), tried in turn")
+    prefix: str = toml_schema.text("/rainhitch/members/", "prefix of the keys in etcd; the uid follows it")
     ca: str = toml_schema.text(
-        "", "file of the authority that etcd's certificates are checked by; empty: no TLS"
+        "", "file of the CA that signs etcd's certificates; empty: no TLS"
     )
-    certificate: str = toml_schema.text("", "file of the router's own certificate")
-    key: str = toml_schema.text("", "file of its key")
-    user: str = toml_schema.text("", "etcd's user")
-    password_file: str = toml_schema.text("", "file that holds its password")
-    timeout_s: float = toml_schema.number(2.0, 0.1, 60, "for an answer that need not wait")
+    certificate: str = toml_schema.text("", "file of the router's client certificate")
+    key: str = toml_schema.text("", "file of the certificate's private key")
+    user: str = toml_schema.text("", "user name in etcd; empty: no authentication")
+    password_file: str = toml_schema.text("", "file that holds the user's password")
+    timeout_s: float = toml_schema.number(2.0, 0.1, 60, "limit on a unary call to etcd")
 
 
 @dataclass(slots=True)
 class OperatorConfig:
-    """The whole file, one field a table."""
+    """The whole file; each field is a table."""
 
-    clients: ClientLimits = toml_schema.table(ClientLimits, "what clients' connections are held to")
-    servers: ServerLimits = toml_schema.table(ServerLimits, "what connections to servers are held to")
-    storms: Storms = toml_schema.table(Storms, "storms of retries and reconnects")
-    growth: Growth = toml_schema.table(Growth, "keys that move when the list of servers changes")
-    routers: Routers = toml_schema.table(Routers, "what routers tell one another, and share")
-    membership: Membership = toml_schema.table(Membership, "where the list of servers comes from")
+    clients: ClientLimits = toml_schema.table(ClientLimits, "limits of connections from clients")
+    servers: ServerLimits = toml_schema.table(ServerLimits, "limits of connections to servers")
+    storms: Storms = toml_schema.table(Storms, "overload control against retry and reconnect storms")
+    growth: Growth = toml_schema.table(Growth, "migration of keys when the endpoint list changes")
+    routers: Routers = toml_schema.table(Routers, "exchange between routers")
+    membership: Membership = toml_schema.table(Membership, "source of the endpoint list")
 
 
 def operator_file_path() -> Path:
-    """The file that `RAINHITCH_OPERATOR` names, or the default; whether it exists is not asked."""
+    """Returns the file that `RAINHITCH_OPERATOR` names, or the default; it need not exist."""
     return Path(os.environ.get("RAINHITCH_OPERATOR") or DEFAULT_OPERATOR_FILE)
 
 
 def parse_host_port(text: str) -> Address | None:
-    """The address that `HOST:PORT` or `[HOST]:PORT` names; None where it names none."""
+    """Returns the address in `HOST:PORT` or `[HOST]:PORT`; None where the text is neither."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal():
         return None
@@ -159,7 +159,7 @@
 
 
 def membership_problems(table: Membership) -> list[str]:
-    """What does not fit together in the table, one line each."""
+    """Returns one line for each conflict between the table's keys and for each invalid address or prefix."""
     problems = [
         f"membership.endpoints: {endpoint!r}: allowed is host:port"
         for endpoint in table.endpoints
@@ -172,12 +172,12 @@
     if bool(table.user) != bool(table.password_file):
         problems.append("membership.user and membership.password_file: allowed are both or neither")
     if not table.prefix.endswith("/") or len(table.prefix) < 2:
-        problems.append(f"membership.prefix = {table.prefix!r}: allowed is a text that ends with /")
+        problems.append(f"membership.prefix = {table.prefix!r}: allowed is a longer string that ends with /")
     return problems
 
 
 def read_operator_config(path: Path) -> OperatorConfig:
-    """The operator's settings; raises TableError with one line for each bad key."""
+    """Returns the operator's settings; raises TableError with one line for each invalid key."""
     problems: list[str] = []
     config = toml_schema.read(OperatorConfig, toml_schema.load(path), str(path), problems)
     if config is not None:
