--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -90,7 +90,7 @@
     )
 
     def migration_fraction(self) -> float:
-        """Returns the fraction of the origin's other reads allowed for migration; below 0: keys move at once."""
+        """Returns the migration reads allowed per other read of the origin; below 0: keys move at once."""
         return self.share if self.paced else -1.0
 
 
@@ -119,7 +119,7 @@
     """[membership]: source of the endpoint list."""
 
     source: str = toml_schema.text("discovery", "source of the endpoint list", ("discovery", "etcd"))
-    endpoints: list[str] = toml_schema.texts(["127.0.0.1:2379"], "etcd's endpoints (host:port), tried in turn")
+    endpoints: list[str] = toml_schema.texts(["127.0.0.1:2379"], "addresses of etcd (host:port), tried in turn")
     prefix: str = toml_schema.text("/rainhitch/members/", "prefix of the keys in etcd; the uid follows it")
     ca: str = toml_schema.text(
         "", "file of the CA that signs etcd's certificates; empty: no TLS"
--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -1,12 +1,12 @@
 """Strict reading of TOML tables into dataclasses.
 
-Each key that is unknown, of a wrong type or out of range is one line of the problems, with the key, its
+Each key that is unknown, missing, of a wrong type or out of range is reported in one line, with the key, its
 value and what is allowed. The same definitions make a JSON Schema for editors.
 
 A table is a dataclass whose fields are made by `number`, `whole`, `flag`, `text`, `texts`, `numbers`,
-`pair`, `table` and `tables`; each states its default, its bounds and what it is for. pydantic does the
-checking, with a model that is made from these once; the result is the dataclass, which needs nothing of
-pydantic.
+`pair`, `table` and `tables`; each states its default, its bounds and its description. pydantic checks the
+values with a model that is made once from these definitions. The result is the dataclass, which does not
+depend on pydantic.
 """
 
 import dataclasses
@@ -30,14 +30,14 @@
 from rainhitch.errors import RainhitchError
 
 T = TypeVar("T")
-REQUIRED: Any = dataclasses.MISSING  # as a default: the key must be there
-BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")  # of a key that needs no quotes
-MAX_SHOWN = 60  # characters of a value in a problem's line
-SPEC = "spec"  # under which a dataclass field's metadata holds its FieldSpec
+REQUIRED: Any = dataclasses.MISSING  # default of a key that must be present
+BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")  # of an unquoted TOML key
+MAX_SHOWN = 60  # maximum length of a value in a reported line
+SPEC = "spec"  # key of the FieldSpec in a dataclass field's metadata
 
 
 class TableError(RainhitchError, ValueError):
-    """A file of tables that can't be read; `lines` holds one problem each."""
+    """A TOML file that cannot be read or has invalid keys; `lines` has one line for each problem."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -45,21 +45,21 @@
 
 
 class DisallowedValueError(RainhitchError, ValueError):
-    """A value that is of the right type and not allowed; raised to pydantic, which reports the place."""
+    """A value of the right type that is not allowed. pydantic catches it and reports the key."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldSpec:
-    """What a field of a table takes."""
+    """The type, bounds and description of a table's field."""
 
     doc: str
-    form: Any = None  # the type that pydantic checks; None for tables
-    allowed: str = ""  # what is allowed, for a problem's line
-    table: type | None = None  # the dataclass of the field's table, or of each table in its array
-    is_array: bool = False  # of tables
+    form: Any = None  # type that pydantic checks; None for tables
+    allowed: str = ""  # description of the allowed values, for reported lines
+    table: type | None = None  # dataclass of the field's table, or of each table in its array
+    is_array: bool = False  # whether the field is an array of tables
 
     def allowed_text(self) -> str:
-        """What is allowed, in words."""
+        """Returns a description of the allowed values."""
         if self.table is None:
             return self.allowed
         return "tables" if self.is_array else "a table"
@@ -71,7 +71,7 @@
 
 
 def _field(form: Any, allowed: str, default: Any, doc: str) -> Any:
-    """A field of a table; `form` is the type that pydantic checks."""
+    """Returns a dataclass field; `form` is the type that pydantic checks."""
     metadata = {SPEC: FieldSpec(doc, form, allowed)}
     if isinstance(default, list):
         return dataclasses.field(default_factory=lambda: list(default), metadata=metadata)
@@ -87,22 +87,22 @@
 
 
 def number(default: Any, low: float, high: float, doc: str) -> Any:
-    """A number in [low, high]."""
+    """Returns a field for a number in [low, high]."""
     return _field(_bounded(float, low, high), f"a number from {low:g} to {high:g}", default, doc)
 
 
 def whole(default: Any, low: int, high: int, doc: str) -> Any:
-    """A whole number in [low, high]."""
+    """Returns a field for an integer in [low, high]."""
     return _field(_bounded(int, low, high), f"a whole number from {low} to {high}", default, doc)
 
 
 def flag(default: bool, doc: str) -> Any:
-    """True or false."""
+    """Returns a field for true or false."""
     return _field(Annotated[bool, Field(strict=True)], "true or false", default, doc)
 
 
 def text(default: Any, doc: str, choices: tuple[str, ...] = ()) -> Any:
-    """A text, one of the choices where there are any."""
+    """Returns a field for a string; where there are choices, for one of them."""
     if choices:
         return _field(Literal[choices], "one of " + ", ".join(choices), default, doc)
     return _field(Annotated[str, Field(strict=True)], "a text", default, doc)
@@ -110,55 +110,55 @@
 
 def _different(value: list[str]) -> list[str]:
     if len(set(value)) < len(value):
-        raise DisallowedValueError("not all different")
+        raise DisallowedValueError("expected unique values")
     return value
 
 
 def texts(default: list[str], doc: str) -> Any:
-    """A list of different texts, at least one."""
+    """Returns a field for a non-empty list of unique, non-empty strings."""
     one = Annotated[str, Field(strict=True, min_length=1)]
     form = Annotated[list[one], Field(strict=True, min_length=1), AfterValidator(_different)]
     return _field(form, "a list of different texts", default, doc)
 
 
 def numbers(default: list[int], low: int, high: int, doc: str) -> Any:
-    """A list of whole numbers; each may be named twice."""
+    """Returns a field for a list of integers in [low, high], which may repeat."""
     within = Annotated[int, Field(ge=low, le=high, strict=True)]
     return _field(list[within], f"a list of whole numbers from {low} to {high}", default, doc)
 
 
 def _both_ends(value: object) -> object:
-    """A range as pydantic takes it: one number stands for both ends."""
+    """Returns a range in the form that pydantic checks: a single number stands for both ends."""
     return tuple(value) if isinstance(value, list) else (value, value)
 
 
 def _in_order(value: tuple[float, float]) -> tuple[float, float]:
     if value[0] > value[1]:
-        raise DisallowedValueError("the second is less than the first")
+        raise DisallowedValueError("expected the second number to be no less than the first")
     return value
 
 
 def pair(default: tuple[float, float], low: float, high: float, doc: str) -> Any:
-    """A range [a, b] with low <= a <= b <= high; one number stands for both ends."""
+    """Returns a field for a range [a, b] with low <= a <= b <= high; a single number is both ends."""
     end = _bounded(float, low, high)
     form = Annotated[tuple[end, end], BeforeValidator(_both_ends), AfterValidator(_in_order)]  # type: ignore[valid-type]
     return _field(form, f"a number or a range [a, b] from {low:g} to {high:g}", default, doc)
 
 
 def table(kind: type, doc: str) -> Any:
-    """A table of its own."""
+    """Returns a field for a table."""
     return dataclasses.field(default_factory=kind, metadata={SPEC: FieldSpec(doc, table=kind)})
 
 
 def tables(kind: type, doc: str, default: Callable[[], list[Any]] = list) -> Any:
-    """An array of tables."""
+    """Returns a field for an array of tables."""
     spec = FieldSpec(doc, table=kind, is_array=True)
     return dataclasses.field(default_factory=default, metadata={SPEC: spec})
 
 
 @cache
 def model(kind: Any) -> type[BaseModel]:
-    """The pydantic model of a table."""
+    """Returns the pydantic model of a table."""
     fields = {one.name: (_form(_spec(one)), _model_field(one)) for one in dataclasses.fields(kind)}
     definitions: dict[str, Any] = fields
     config = ConfigDict(extra="forbid")
@@ -167,7 +167,7 @@
 
 
 def _form(spec: FieldSpec) -> Any:
-    """The type that pydantic checks."""
+    """Returns the type that pydantic checks."""
     if spec.table is None:
         return spec.form
     row = model(spec.table)
@@ -175,7 +175,7 @@
 
 
 def _model_field(one: "dataclasses.Field[Any]") -> Any:
-    """The default and the description of a pydantic field."""
+    """Returns a pydantic field with the default and the description of a dataclass field."""
     doc = _spec(one).doc
     if one.default is not dataclasses.MISSING:
         return Field(one.default, description=doc)
@@ -185,14 +185,14 @@
 
 
 def schema(kind: type) -> dict[str, Any]:
-    """The JSON Schema of a file of this kind."""
+    """Returns the JSON Schema of a file whose tables are the fields of this dataclass."""
     return model(kind).model_json_schema()
 
 
 def read(kind: type[T], source: Mapping[str, object], where: str, problems: list[str]) -> T | None:
-    """The dataclass of a table; None where anything is wrong with it, which is added to `problems`.
+    """Returns the dataclass of a table; None and lines in `problems` where it is invalid.
 
-    `where` begins each problem's line, as the file's name.
+    Each line begins with `where`, such as the file's name.
     """
     try:
         checked = model(kind).model_validate(dict(source))  # type: ignore[arg-type]
@@ -205,7 +205,7 @@
 
 
 def _dataclass(kind: type[T], checked: Any) -> T:
-    """The dataclass of what pydantic has read. Defaults are dataclasses already."""
+    """Returns a dataclass with the values that pydantic has read; defaults are dataclasses already."""
     values: dict[str, Any] = {}
     for one in dataclasses.fields(kind):  # type: ignore[arg-type]
         value = getattr(checked, one.name)
@@ -225,9 +225,9 @@
 
 
 def _problem_line(kind: Any, source: Any, place: tuple[int | str, ...], is_missing: bool) -> str:
-    """One problem: the path of the key, the value that stands there, and what is allowed.
+    """Returns a line with a key's path, its value and what is allowed.
 
-    `place` is pydantic's: keys and indexes from the outermost table inwards.
+    `place` is pydantic's location of the problem: keys and indexes from the outermost table inwards.
     """
     path = ""
     value = source
@@ -249,28 +249,28 @@
         allowed = spec.allowed_text()
         kind = spec.table
         if kind is None:
-            break  # what is wrong within a value is wrong with the value
+            break  # a problem inside a value is reported for the whole value
     verb = "allowed are" if allowed == "tables" else "allowed is"
     return f"{path} = {_shown(value)}: {verb} {allowed}"
 
 
 def _key(name: str) -> str:
-    """A key as it stands in TOML, quoted where it must be."""
+    """Returns a key as TOML writes it, quoted where that is necessary."""
     return _shown(name) if set(name) - BARE_KEY_CHARACTERS else name
 
 
 def _shown(value: object) -> str:
-    """A value in one short line."""
+    """Returns a value as one line of at most `MAX_SHOWN` characters."""
     shown = " ".join(repr(value).split())
     return shown if len(shown) <= MAX_SHOWN else shown[: MAX_SHOWN - 3] + "..."
 
 
 def load(path: Path) -> dict[str, Any]:
-    """The tables of a TOML file; raises TableError of one line where it can't be read or is no TOML."""
+    """Returns the tables of a TOML file; raises TableError where it cannot be read or is not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as problem:
-        reason = problem.strerror if isinstance(problem, OSError) else "no UTF-8"
+        reason = problem.strerror if isinstance(problem, OSError) else "not UTF-8"
         raise TableError([f"{path}: {reason}"]) from None
     except tomllib.TOMLDecodeError as problem:
-        raise TableError([f"{path}: no TOML: {' '.join(str(problem).split())}"]) from None
+        raise TableError([f"{path}: not TOML: {' '.join(str(problem).split())}"]) from None
