--- a/rainhitch/system.py
+++ b/rainhitch/system.py
@@ -1,7 +1,8 @@
-"""The machine under a router: its clocks, its listening sockets, and what a loop hides of connections.
+"""The operating system under a router: clocks, listening sockets, and socket state that asyncio hides.
 
-Nothing above this module asks the machine itself. A loop that stands for another machine (the rehearsal's
-virtual one) carries that machine as its attribute `system`; all others run on the real one.
+Modules above this one do not call the operating system for these. An event loop that simulates another host
+(the virtual loop of the rehearsal kit) carries its own `System` in its attribute `system`; any other loop
+uses the real one.
 """
 
 import asyncio
@@ -15,8 +16,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-TCP_INFO_BYTES = 56  # of struct tcp_info, up to and with the field read here
-TCP_INFO_LAST_DATA = slice(52, 56)  # tcpi_last_data_recv: ms since data came last
+TCP_INFO_BYTES = 56  # length of struct tcp_info up to and including tcpi_last_data_recv
+TCP_INFO_LAST_DATA = slice(52, 56)  # tcpi_last_data_recv: ms since data last arrived
 ProtocolFactory = Callable[[], asyncio.Protocol]
 
 
@@ -28,69 +29,69 @@
     async def accept(
         self, make_protocol: ProtocolFactory, max_per_turn: int, backlog: int
     ) -> asyncio.AbstractServer:
-        """Accepts until the server is closed; who comes after that waits in the backlog."""
+        """Accepts connections until the server is closed; later connections wait in the backlog."""
 
     def waits(self) -> bool:
-        """Whether somebody waits in the backlog."""
+        """Returns whether a connection waits in the backlog."""
 
     def close(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
 
 
 class System(Protocol):
-    """One machine."""
+    """The clocks, CPU time and sockets of one host."""
 
     def now(self) -> int:
-        """Monotonic nanoseconds: the loop's time."""
+        """Returns monotonic nanoseconds, the time of the event loop."""
 
     def unix(self) -> int:
-        """Unix nanoseconds, which may jump."""
+        """Returns Unix nanoseconds, which may jump."""
 
     def cpu(self) -> float:
-        """Seconds of CPU that this program has had."""
+        """Returns the CPU seconds that this process has used."""
 
     def open_listener(self, host: str, port: int, inherited: int | None) -> ListeningSocket:
-        """Listens at an address, or on a listening socket that is there already; raises OSError."""
+        """Listens at an address, or on an inherited listening socket; raises OSError."""
 
     def readable(self, transport: asyncio.Transport) -> bool:
-        """Whether something has come on a connection, or its end, that was not read yet."""
+        """Returns whether a connection has unread data, or an unread end."""
 
     def hung_up(self, transport: asyncio.Transport) -> bool:
-        """Whether the peer has ended or reset a connection, also behind bytes that were not read yet."""
+        """Returns whether the peer has closed or reset a connection, even with data unread before that."""
 
     def shut(self, transport: asyncio.Transport) -> None:
-        """Ends a connection at once, in both directions."""
+        """Shuts a connection down at once, in both directions."""
 
     def unread_ms(self, transport: asyncio.Transport) -> int:
-        """For how many ms what has come last had been lying unread; 0 where that is not known."""
+        """Returns for how many ms the data that arrived last has been unread; 0 where that is unknown."""
 
     def take_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
-        """Reads what has come past the loop, for a connection that is closed next."""
+        """Reads from the socket directly, bypassing the loop; for a connection that is about to be closed."""
 
     def bound_reads(self, transport: asyncio.Transport, size_bytes: int) -> None:
-        """Bounds what the machine holds for a connection that is not read."""
+        """Limits the receive buffer of a connection that is not read."""
 
 
 @dataclass(slots=True)
 class Clock:
-    """The clocks of a machine, as they are passed in to what needs the time."""
+    """The clocks of a host, for code that is passed the time source."""
 
-    now: Callable[[], int]  # monotonic ns: the loop's time
+    now: Callable[[], int]  # monotonic ns, the time of the event loop
     unix: Callable[[], int]  # Unix ns, which may jump
 
 
 def has_event(which: socket.socket, event: int) -> bool:
-    """Whether poll(2) reports an event of a socket now."""
+    """Returns whether poll(2) reports an event of a socket now."""
     poller = select.poll()
     poller.register(which.fileno(), event)
     return bool(poller.poll(0))
 
 
 class SystemListeningSocket:
-    """A listening socket of this machine."""
+    """A listening socket of the real operating system."""
 
     def __init__(self, host: str, port: int, inherited: int | None) -> None:
-        # An inherited one outlives this process: who waits in its backlog is another process's to accept.
+        # An inherited socket outlives this process: the connections in its backlog stay for another process.
         if inherited is None:
             self.socket = socket.create_server((host, port))
         else:
@@ -101,53 +102,53 @@
     async def accept(
         self, make_protocol: ProtocolFactory, max_per_turn: int, backlog: int
     ) -> asyncio.AbstractServer:
-        """Accepts until the server is closed; who comes after that waits in the backlog."""
+        """Accepts connections until the server is closed; later connections wait in the backlog."""
         loop = asyncio.get_running_loop()
-        # A duplicate, since the loop closes what it listens on: the connections that wait stay.
+        # The loop closes the socket that it listens on; a duplicate keeps the connections in the backlog.
         duplicate = self.socket.dup()
-        # The loop accepts as many in a turn as its backlog is; the system's own backlog is set again below.
+        # The loop accepts up to `backlog` connections in one iteration; the real backlog is set again below.
         server = await loop.create_server(make_protocol, sock=duplicate, backlog=max_per_turn)
         self.socket.listen(backlog)
         return server
 
     def waits(self) -> bool:
-        """Whether somebody waits in the backlog."""
-        # Asked for each connection that the loop has accepted, also after the socket was closed.
+        """Returns whether a connection waits in the backlog."""
+        # Called for each connection that the loop has accepted, also after the socket was closed.
         return self.socket.fileno() >= 0 and has_event(self.socket, select.POLLIN)
 
     def close(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         self.socket.close()
 
 
 class RealSystem:
-    """The machine that this runs on."""
+    """The real operating system."""
 
     now = staticmethod(time.monotonic_ns)
     unix = staticmethod(time.time_ns)
     cpu = staticmethod(time.process_time)
 
     def open_listener(self, host: str, port: int, inherited: int | None) -> ListeningSocket:
-        """Listens at an address, or on a listening socket that is there already; raises OSError."""
+        """Listens at an address, or on an inherited listening socket; raises OSError."""
         return SystemListeningSocket(host, port, inherited)
 
     def readable(self, transport: asyncio.Transport) -> bool:
-        """Whether something has come on a connection, or its end, that was not read yet."""
+        """Returns whether a connection has unread data, or an unread end."""
         return has_event(transport.get_extra_info("socket"), select.POLLIN)
 
     def hung_up(self, transport: asyncio.Transport) -> bool:
-        """Whether the peer has ended or reset a connection, also behind bytes that were not read yet."""
+        """Returns whether the peer has closed or reset a connection, even with data unread before that."""
         return has_event(transport.get_extra_info("socket"), select.POLLRDHUP)
 
     def shut(self, transport: asyncio.Transport) -> None:
-        """Ends a connection at once, in both directions."""
+        """Shuts a connection down at once, in both directions."""
         with contextlib.suppress(OSError):
             descriptor = os.dup(transport.get_extra_info("socket").fileno())
             with socket.socket(fileno=descriptor) as duplicate:
                 duplicate.shutdown(socket.SHUT_RDWR)
 
     def unread_ms(self, transport: asyncio.Transport) -> int:
-        """For how many ms what has come last had been lying unread; 0 where that is not known."""
+        """Returns for how many ms the data that arrived last has been unread; 0 where that is unknown."""
         connection = transport.get_extra_info("socket")
         try:
             info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -158,14 +159,14 @@
         return int.from_bytes(info[TCP_INFO_LAST_DATA], sys.byteorder)
 
     def take_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
-        """Reads what has come past the loop, for a connection that is closed next."""
+        """Reads from the socket directly, bypassing the loop; for a connection that is about to be closed."""
         try:
             return os.read(transport.get_extra_info("socket").fileno(), max_bytes)
         except OSError:
             return b""
 
     def bound_reads(self, transport: asyncio.Transport, size_bytes: int) -> None:
-        """Bounds what the machine holds for a connection that is not read."""
+        """Limits the receive buffer of a connection that is not read."""
         connection = transport.get_extra_info("socket")
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size_bytes)
 
@@ -174,19 +175,19 @@
 
 
 def of(loop: asyncio.AbstractEventLoop) -> System:
-    """The machine that a loop runs on."""
+    """Returns the system that a loop runs on."""
     found: Any = getattr(loop, "system", REAL_SYSTEM)
     return found  # type: ignore[no-any-return]
 
 
 def clock_of(loop: asyncio.AbstractEventLoop) -> Clock:
-    """The clocks of the machine that a loop runs on."""
+    """Returns the clocks of the system that a loop runs on."""
     system = of(loop)
     return Clock(system.now, system.unix)
 
 
 def running() -> System:
-    """The machine of the loop that runs now; the real one where none does."""
+    """Returns the system of the running loop; the real one where no loop runs."""
     try:
         return of(asyncio.get_running_loop())
     except RuntimeError:
@@ -194,5 +195,5 @@
 
 
 def now() -> int:
-    """Monotonic nanoseconds of the loop that runs now."""
+    """Returns monotonic nanoseconds of the running loop."""
     return running().now()
