--- a/rainhitch/__main__.py
+++ b/rainhitch/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m rainhitch` is the router; with arguments it is the command line, loaded only then."""
+"""`python -m rainhitch` runs the router; with arguments it runs a subcommand, loaded only then."""
 
 import sys
 
 
 def main() -> int:
-    """Runs the router, or a subcommand; returns the exit code."""
+    """Runs the router or a subcommand, and returns the exit code."""
     arguments = sys.argv[1:]
     if arguments:
         from rainhitch.cli import run
--- a/rainhitch/errors.py
+++ b/rainhitch/errors.py
@@ -1,10 +1,9 @@
-"""The root of the package's errors.
+"""The base class of the project's errors.
 
-Each package derives its own small hierarchy from `RainhitchError`, so that a caller may catch what the
-project raises on purpose without catching faults of the program. A message says what was expected, what came,
-and where.
+Each package derives its own errors from `RainhitchError`, so that callers can catch expected failures without
+catching programming errors. A message says what was expected, what was found, and where.
 """
 
 
 class RainhitchError(Exception):
-    """Base of every error that the project raises on purpose."""
+    """Base class of every error that the project raises deliberately."""
--- a/rainhitch/program.py
+++ b/rainhitch/program.py
@@ -1,4 +1,4 @@
-"""The router as a program on its machine: configuration, signals, exit code; node and admin put together."""
+"""The router process: configuration, signals and exit code; connects the node and the admin endpoint."""
 
 import asyncio
 import gc
@@ -26,14 +26,14 @@
 
 
 def make_admin_endpoint(router: Router) -> "AdminEndpoint":
-    """The operators' endpoint of a router; imported only where one is configured."""
+    """Returns the operators' endpoint of a router; its module is imported only where one is configured."""
     from rainhitch.admin.endpoint import AdminEndpoint
 
     configuration = router.configuration
     host, port = configuration.listen
 
     def divide_limits(process_count: int) -> None:
-        """Has so many processes of this router share its descriptors."""
+        """Divides this router's limit of file descriptors between so many of its processes."""
         split_between_processes(configuration.sockets, router.pools, router.clients, process_count)
 
     return AdminEndpoint(
@@ -48,7 +48,7 @@
 
 
 async def serve(configuration: Configuration, path: str | None, operator: "OperatorConfig | None") -> None:
-    """Runs the router until SIGTERM, and then until it holds nothing more."""
+    """Runs the router until SIGTERM, and then shuts it down gracefully."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
@@ -58,14 +58,14 @@
     await router.start()
     await stopping.wait()
     await router.stop()
-    # Guards the exit code against a second SIGTERM, which finds no handler once the loop is closed.
+    # Guards the exit code: a second SIGTERM after the loop is closed would find no handler.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
 
 
 def main() -> int:
-    """Runs the router; gives the exit code."""
+    """Runs the router and returns the exit code."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    # Guards against a SIGHUP that comes before its handler: it waits, and its file is read after all.
+    # Guards against a SIGHUP before its handler is set: the signal stays pending, and the reload still runs.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     path = os.environ.get("BALANCER_CONFIG")
     try:
