--- a/rainhitch/membership/__init__.py
+++ b/rainhitch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of servers comes from when it is not the platform's discovery: etcd's watch."""
+"""The endpoint list from etcd, which may replace the platform's discovery."""
--- a/rainhitch/membership/change_publisher.py
+++ b/rainhitch/membership/change_publisher.py
@@ -1,7 +1,7 @@
-"""Which changes of the list to publish now: each once, in batches that hold up no request. No clock.
+"""Decides when to publish changes of the endpoint list: each change once, in batches. Reads no clock.
 
-A change is published at once, but batches come no closer than `BATCH_INTERVAL_NS`: a thousand changes a
-second would otherwise be a thousand updates a second for the decisions.
+A change is published at once, but batches are at least `BATCH_INTERVAL_NS` apart: at a thousand changes per
+second the routing decisions would otherwise apply a thousand updates per second.
 """
 
 from itertools import islice
@@ -9,34 +9,34 @@
 from rainhitch.membership.watch_events import Publish
 
 SECOND_NS = 1_000_000_000
-BATCH_INTERVAL_NS = SECOND_NS // 20  # between two batches
-PART_INTERVAL_NS = SECOND_NS // 40  # between the parts of a batch that is too large
+BATCH_INTERVAL_NS = SECOND_NS // 20  # minimum between two batches
+PART_INTERVAL_NS = SECOND_NS // 40  # minimum between the parts of a batch that is split
 MAX_KNOWN_IN_PART = 1000  # changes of entries that were published before
-MAX_NEW_IN_PART = 100  # entries that were not, and changes in a batch that is not split
+MAX_NEW_IN_PART = 100  # changes of new entries in a part; a larger batch is split
 
 
 class ChangePublisher:
-    """The entries as they were last published, and the changes that are still to be."""
+    """The entries as they were last published, and the changes that are not published yet."""
 
     def __init__(self) -> None:
         self.published: dict[str, bytes] = {}
-        self.pending: dict[str, bytes | None] = {}  # None: deleted
+        self.pending: dict[str, bytes | None] = {}  # by uid; None: deleted
         self.published_at_ns = -BATCH_INTERVAL_NS
 
     def add(self, uid: str, value: bytes | None) -> None:
-        """Notes a change, None for a deletion; a later one of the same entry takes its place."""
+        """Adds a change, None for a deletion; it replaces an earlier change of the same entry."""
         self.pending[uid] = value
 
     def due_at_ns(self) -> int | None:
-        """When the next batch is due; None while there is nothing to publish."""
+        """Returns when the next batch is due; None while no change is pending."""
         return self.published_at_ns + BATCH_INTERVAL_NS if self.pending else None
 
     def is_due(self, now_ns: int) -> bool:
-        """Whether a batch is due now."""
+        """Returns whether a batch is due now."""
         return bool(self.pending) and now_ns - self.published_at_ns >= BATCH_INTERVAL_NS
 
     def publish_whole(self, now_ns: int) -> Publish:
-        """Everything noted, as a whole list."""
+        """Returns all pending entries as a whole list."""
         entries = self.pending
         self.pending = {}
         self._record(entries)
@@ -44,7 +44,7 @@
         return Publish(entries, whole=True)
 
     def publish_changes(self, now_ns: int) -> Publish | None:
-        """The next batch; None where nothing differs from what was published, as each change was undone."""
+        """Returns the next batch; None where every pending change was undone before it was published."""
         news = {uid: value for uid, value in self.pending.items() if self.published.get(uid) != value}
         self.pending = {}
         early_ns = 0
@@ -60,11 +60,11 @@
         return Publish(news)
 
     def _part(self, news: dict[str, bytes | None]) -> dict[str, bytes | None]:
-        """The part of a large batch that is published first.
+        """Returns the part of a large batch that is published first.
 
-        Guards requests in flight: thousands of entries at once would hold them up for as long as applying
-        them takes. Entries that were published before go first: a drain must be known in time, a new
-        endpoint need not be.
+        Guards requests in flight: applying thousands of entries at once would delay them for that time.
+        Entries that were published before go first, since a drain must be applied in time and a new endpoint
+        can wait.
         """
         known = ((uid, news[uid]) for uid in news if uid in self.published)
         part = dict(islice(known, MAX_KNOWN_IN_PART))
