--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -1,6 +1,6 @@
-"""Changes that an operator makes to the list in etcd.
+"""Changes that an operator makes to the endpoint list in etcd.
 
-Each is one transaction, which holds only if nobody changed the same entries since they were read.
+Each change is one transaction, which succeeds only if its entries have not changed since they were read.
 """
 
 from dataclasses import dataclass
@@ -12,15 +12,15 @@
 from rainhitch.membership.etcd_client import EtcdClient
 from rainhitch.protocol import etcd
 
-MAX_ENTRIES = 100  # of one transaction; etcd takes 128 operations by default
-STATES = ("Ready", "Retiring", "Terminating")  # that an operator may set
-NO_REVISION = 0  # of an entry that is not in the store
+MAX_ENTRIES = 100  # per transaction; etcd accepts 128 operations by default
+STATES = ("Ready", "Retiring", "Terminating")  # states that an operator may set
+NO_REVISION = 0  # revision of an entry that is not in etcd
 Json = dict[str, Any]
 
 
 @dataclass(slots=True)
 class StoredEntry:
-    """An entry as it was read; `NO_REVISION`: it was not there."""
+    """An entry as it was read; its revision is `NO_REVISION` where it is not in etcd."""
 
     key: bytes
     revision: int
@@ -28,7 +28,7 @@
 
 
 async def read_entry(client: EtcdClient, uid: str) -> StoredEntry:
-    """The entry of a uid as it is in the store now."""
+    """Returns the entry of a uid as it is in etcd now."""
     key = (client.options.prefix + uid).encode()
     answer = await client.call("KV/Range", etcd.message("RangeRequest", key=key))
     if not answer.kvs:
@@ -37,9 +37,9 @@
 
 
 async def commit(client: EtcdClient, changes: list[tuple[StoredEntry, bytes]]) -> int:
-    """Puts the values if each entry is still as it was read; returns the revision.
+    """Puts the values if every entry is unchanged since it was read; returns the revision.
 
-    Raises ChangeRejectedError where one is not, and then none is changed.
+    Raises ChangeRejectedError where an entry has changed; then no value is put.
     """
     request = etcd.message("TxnRequest")
     for entry, value in changes:
@@ -47,15 +47,15 @@
         request.success.add(request_put=etcd.message("PutRequest", key=entry.key, value=value))
     answer = await client.call("KV/Txn", request)
     if not answer.succeeded:
-        raise ChangeRejectedError("somebody else changed it meanwhile: look again, and try again")
+        raise ChangeRejectedError("somebody else changed an entry after it was read: read it again and retry")
     return int(answer.header.revision)
 
 
 async def set_state(client: EtcdClient, uid: str, state: str, only_from: str = "") -> int:
-    """Drains, retires or restores an endpoint; returns the revision.
+    """Sets the state of an endpoint; returns the revision.
 
-    `only_from`: the state that it must be in, empty for any. Raises ChangeRejectedError where it is in
-    another, in `state` already, not in the store, or not readable.
+    `only_from` is the state that the endpoint must be in, empty for any. Raises ChangeRejectedError where it
+    is in another state or in `state` already, is not in etcd, or has an unreadable entry.
     """
     stored = await read_entry(client, uid)
     if stored.revision == NO_REVISION:
@@ -65,28 +65,28 @@
     except orjson.JSONDecodeError:
         entry = None
     if not isinstance(entry, dict):
-        raise ChangeRejectedError(f"{uid}: its entry can't be read, so that its other fields would be lost")
+        raise ChangeRejectedError(f"{uid}: its entry can't be read, and its other fields would be lost")
     if entry.get("state") == state:
         raise ChangeRejectedError(f"{uid}: it is {state} already, since revision {stored.revision}")
     if only_from and entry.get("state") != only_from:
-        raise ChangeRejectedError(f"{uid}: somebody else has made it {entry.get('state')} meanwhile")
+        raise ChangeRejectedError(f"{uid}: somebody else has made it {entry.get('state')}, no longer {only_from}")
     return await commit(client, [(stored, orjson.dumps({**entry, "state": state}))])
 
 
 def parse_entries(text: bytes) -> list[Json]:
-    """The entries of a file: a list of them, or an object with `targets` as discovery sends it.
+    """Returns the entries of a file: a list of them, or an object with `targets` as discovery sends it.
 
-    Raises ChangeRejectedError where it is neither, or an entry makes no sense.
+    Raises ChangeRejectedError where the file is neither, or an entry is invalid.
     """
     try:
         document = orjson.loads(text)
     except orjson.JSONDecodeError as problem:
-        raise ChangeRejectedError(f"no JSON: {problem}") from None
+        raise ChangeRejectedError(f"not JSON: {problem}") from None
     rows = document.get("targets") if isinstance(document, dict) else document
     if not isinstance(rows, list) or not rows or not all(isinstance(one, dict) for one in rows):
-        raise ChangeRejectedError('wanted is a list of entries, or {"targets": [...]}')
+        raise ChangeRejectedError('expected a list of entries, or {"targets": [...]}')
     if len(rows) > MAX_ENTRIES:
-        raise ChangeRejectedError(f"{len(rows)} entries: at most {MAX_ENTRIES} are changed at once")
+        raise ChangeRejectedError(f"{len(rows)} entries: at most {MAX_ENTRIES} can be changed at once")
     uids = [one.get("uid") for one in rows]
     for row in rows:
         _check_entry(row, uids)
@@ -96,7 +96,7 @@
 def _check_entry(row: Json, uids: list[Any]) -> None:
     uid = row.get("uid")
     if not isinstance(uid, str) or not uid or "/" in uid or uids.count(uid) > 1:
-        raise ChangeRejectedError(f"uid = {uid!r}: wanted is a text of its own, without /")
+        raise ChangeRejectedError(f"uid = {uid!r}: expected a unique string without /")
     if row.get("state") not in STATES:
         raise ChangeRejectedError(f"{uid}: state = {row.get('state')!r}: allowed are {', '.join(STATES)}")
     if not isinstance(row.get("endpoint"), str) or ":" not in row["endpoint"]:
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -99,11 +99,11 @@
     assert (await members(path, "put", str(file)))[0] == 0
     assert etcd.store.revision == before + 1
     for bad, why in (
-        ("{", "no JSON"),
+        ("{", "not JSON"),
         ("[]", "a list of entries"),
         (json.dumps([entry("c1", "x")]), "host:port"),
         (json.dumps([entry("c1", "h:1", state="Gone")]), "allowed are Ready"),
-        (json.dumps([entry("c1", "h:1")] * 2), "a text of its own"),
+        (json.dumps([entry("c1", "h:1")] * 2), "a unique string"),
     ):
         file.write_text(bad)
         code, _, err = await members(path, "put", str(file))
@@ -117,7 +117,7 @@
     )
     one = await editing.read_entry(client, "c0")
     await editing.set_state(client, "c0", "Terminating")
-    with pytest.raises(ChangeRejectedError, match="somebody else changed it"):
+    with pytest.raises(ChangeRejectedError, match="somebody else changed an entry"):
         await editing.commit(client, [(one, b"{}")])
     new = await editing.read_entry(client, "new")
     await editing.put(client, [entry("new", "h:1")])
