--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -69,7 +69,7 @@
     if entry.get("state") == state:
         raise ChangeRejectedError(f"{uid}: it is {state} already, since revision {stored.revision}")
     if only_from and entry.get("state") != only_from:
-        raise ChangeRejectedError(f"{uid}: somebody else has made it {entry.get('state')}, no longer {only_from}")
+        raise ChangeRejectedError(f"{uid}: not {only_from}: somebody else has made it {entry.get('state')}")
     return await commit(client, [(stored, orjson.dumps({**entry, "state": state}))])
 
 
--- a/rainhitch/membership/endpoint_list_builder.py
+++ b/rainhitch/membership/endpoint_list_builder.py
@@ -1,4 +1,4 @@
-"""Builds endpoint lists as discovery sends them from the values that a source publishes."""
+"""Builds endpoint lists, in the form that discovery sends, from the values that a source publishes."""
 
 import logging
 from collections.abc import Callable
@@ -13,9 +13,10 @@
 
 
 class EndpointListBuilder:
-    """The entries as they were last readable, by uid.
+    """The entries by uid, each as it was last readable.
 
-    `apply` takes each list, `version` returns the one of the list in use: both are the endpoint directory's.
+    `apply` takes each new list, and `version` returns that of the list in use; both belong to the endpoint
+    directory.
     """
 
     def __init__(self, apply: Callable[[Json], object], version: Callable[[], int]) -> None:
@@ -25,10 +26,10 @@
         self.unreadable: set[str] = set()
 
     def publish(self, values: dict[str, bytes | None], whole: bool) -> None:
-        """Applies values by uid, None for a deleted one; `whole`: all other entries are gone.
+        """Applies values by uid, None for a deleted entry; with `whole`, all other entries are deleted.
 
-        An entry that can't be read changes nothing: what was known of it stays in use, and it is logged once
-        until it can be read again.
+        A change to an unreadable value is skipped, and the entry's last readable state stays in use; a whole
+        list leaves the entry out. The failure is logged once until the entry is readable again.
         """
         rows: list[Json] = []
         if whole:
@@ -38,8 +39,8 @@
             if row is not None:
                 rows.append(row)
         if whole or rows:
-            # Versions of this list are the router's own: each is newer than the one before, whatever the
-            # store's are.
+            # The router numbers the versions of this list itself, so that each is newer than the one before,
+            # whatever the store's revisions are.
             self.apply({"rev": self.version() + 1, "all": whole, "targets": rows})
 
     def _deleted(self, uid: str) -> Json | None:
@@ -61,7 +62,7 @@
 
 
 def _parse_entry(uid: str, value: bytes) -> Json:
-    """The entry that a value holds, with its uid; raises EntryError."""
+    """Returns the entry in a value, with its uid; raises EntryError."""
     try:
         entry = orjson.loads(value)
     except orjson.JSONDecodeError as problem:
@@ -69,5 +70,5 @@
     if not isinstance(entry, dict):
         raise EntryError(f"expected an object, got {type(entry).__name__}")
     if entry.get("uid", uid) != uid:
-        raise EntryError(f"its uid is {entry['uid']!r}")
+        raise EntryError(f"expected uid {uid!r}, got {entry['uid']!r}")
     return {**entry, "uid": uid}
--- a/rainhitch/membership/errors.py
+++ b/rainhitch/membership/errors.py
@@ -1,15 +1,15 @@
-"""The errors of this package."""
+"""Errors of the membership package."""
 
 from rainhitch.errors import RainhitchError
 
 
 class MembershipError(RainhitchError, ValueError):
-    """The endpoint list in etcd can't be reached or changed as asked; the text says why in one line."""
+    """The endpoint list in etcd cannot be reached or changed; the text gives the reason in one line."""
 
 
 class EntryError(MembershipError):
-    """An entry of the list can't be read."""
+    """An unreadable entry of the endpoint list."""
 
 
 class ChangeRejectedError(MembershipError):
-    """An operator's change was not made; the text says why."""
+    """A change by an operator that was not made; the text gives the reason."""
--- a/rainhitch/membership/etcd_client.py
+++ b/rainhitch/membership/etcd_client.py
@@ -1,4 +1,4 @@
-"""Calls to one endpoint of etcd's v3 gRPC API. The library is grpclib, imported only with this module."""
+"""Client of one endpoint of etcd's v3 gRPC API. grpclib is imported only with this module."""
 
 import ssl
 from dataclasses import dataclass, field
@@ -13,33 +13,33 @@
 from rainhitch.membership.watch_events import Snapshot, StoredValue
 from rainhitch.protocol import etcd
 
-PAGE_ENTRIES = 1000  # of one answer to a read
-DEFAULT_TIMEOUT_S = 2.0  # for an answer that need not wait
+PAGE_ENTRIES = 1000  # entries in one response to a read
+DEFAULT_TIMEOUT_S = 2.0  # for a unary call
 KEEPALIVE_INTERVAL_S = 10.0  # between HTTP/2 pings
-KEEPALIVE_TIMEOUT_S = 5.0  # for the answer to one
+KEEPALIVE_TIMEOUT_S = 5.0  # for the response to a ping
 CALL_ERRORS = (
     OSError,
     TimeoutError,
     GRPCError,
     ProtocolError,
     StreamTerminatedError,
-)  # of a call that failed
+)  # errors of a failed call
 
 
 @dataclass(slots=True)
 class EtcdOptions:
-    """How etcd is reached."""
+    """Endpoints, credentials and time limit of the connection to etcd."""
 
     endpoints: list[Address]  # tried in turn
-    prefix: str = "/rainhitch/members/"  # of the keys; the uid follows
-    user: str = ""  # empty: etcd asks for none
+    prefix: str = "/rainhitch/members/"  # of the keys; the uid follows it
+    user: str = ""  # empty: no authentication
     password: str = ""
     tls: ssl.SSLContext | None = None
     timeout_s: float = DEFAULT_TIMEOUT_S
 
 
 def tls_context(ca: str, certificate: str = "", key: str = "") -> ssl.SSLContext:
-    """The TLS settings that these files make; raises OSError (ssl.SSLError) where one can't be used."""
+    """Returns the TLS context for these files; raises OSError (ssl.SSLError) where a file is unusable."""
     context = ssl.create_default_context(cafile=ca)
     if certificate:
         context.load_cert_chain(certificate, key or None)
@@ -48,20 +48,20 @@
 
 
 def describe_error(problem: BaseException) -> str:
-    """A failed call in a few words, for the log."""
+    """Returns a short description of a failed call for the log."""
     if isinstance(problem, GRPCError):
         return f"{problem.status.name}: {problem.message}"
     return f"{type(problem).__name__}: {problem}" if str(problem) else type(problem).__name__
 
 
 def uid_of(key: bytes, prefix: str) -> str:
-    """The uid in an entry's key."""
+    """Returns the uid in an entry's key."""
     return key[len(prefix.encode()) :].decode("utf-8", "replace")
 
 
 @dataclass
 class EtcdClient:
-    """Calls to one endpoint; where there is a user, a token is fetched once and kept."""
+    """Client of one endpoint; where there is a user, a token is fetched once and kept."""
 
     options: EtcdOptions
     address: Address
@@ -74,7 +74,7 @@
         self.channel = Channel(host, port, ssl=self.options.tls, config=config)
 
     async def metadata(self) -> dict[str, str]:
-        """What goes with each call; fetches a token where there is a user and none yet."""
+        """Returns the metadata of a call; fetches a token where there is a user and no token yet."""
         if self.options.user and not self.token:
             login = etcd.message(
                 "AuthenticateRequest", name=self.options.user, password=self.options.password
@@ -84,7 +84,7 @@
         return {"token": self.token} if self.token else {}
 
     async def call(self, method: str, request: Any) -> Any:
-        """The answer to a unary call; raises one of CALL_ERRORS. An expired token is fetched again, once."""
+        """Returns the response to a unary call; raises one of CALL_ERRORS. Renews an expired token once."""
         try:
             return await self._unary(method, request, await self.metadata())
         except GRPCError as problem:
@@ -101,7 +101,7 @@
         return await call(request, timeout=self.options.timeout_s, metadata=metadata)
 
     def stream(self, method: str, metadata: dict[str, str]) -> Any:
-        """An open stream, to be used as a context."""
+        """Returns a stream, to be used as an async context manager."""
         asked, answered, _ = etcd.METHODS[method]
         call: Any = StreamStreamMethod(
             self.channel, etcd.path(method), etcd.MESSAGES[asked], etcd.MESSAGES[answered]
@@ -109,10 +109,10 @@
         return call.open(metadata=metadata)
 
     async def read_all(self, prefix: str) -> Snapshot:
-        """The entries under a prefix as of one revision, read page by page; raises one of CALL_ERRORS."""
+        """Returns the entries under a prefix as of one revision, read in pages; raises one of CALL_ERRORS."""
         key = prefix.encode()
         end = etcd.prefix_end(key)
-        revision = 0  # the first page is as of etcd's latest, the others as of the first page's
+        revision = 0  # the first page is read at etcd's latest revision, the others at that of the first page
         entries: dict[str, StoredValue] = {}
         while True:
             request = etcd.message(
@@ -128,5 +128,5 @@
             key = page.kvs[-1].key + b"\0"
 
     def close(self) -> None:
-        """Closes the connection; calls on it fail."""
+        """Closes the connection; further calls fail."""
         self.channel.close()
--- a/rainhitch/membership/etcd_settings.py
+++ b/rainhitch/membership/etcd_settings.py
@@ -1,4 +1,4 @@
-"""From the operator's [membership] table to the etcd source's options; the only place that knows both."""
+"""The only translation of the operator's [membership] table to the options of the etcd source."""
 
 import ssl
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def etcd_options(table: Membership) -> "EtcdOptions":
-    """The options of the etcd source; raises MembershipError for files or a library that can't be used."""
+    """Returns the etcd source's options; raises MembershipError for an unusable file or missing library."""
     try:
         from rainhitch.membership.etcd_client import EtcdOptions
     except ModuleNotFoundError as problem:
