--- a/rainhitch/membership/change_publisher.py
+++ b/rainhitch/membership/change_publisher.py
@@ -1,4 +1,4 @@
-"""Decides when to publish changes of the endpoint list: each change once, in batches. Reads no clock.
+"""Decides when to publish changes of the endpoint list: each change once, in batches. No clock.
 
 A change is published at once, but batches are at least `BATCH_INTERVAL_NS` apart: at a thousand changes per
 second the routing decisions would otherwise apply a thousand updates per second.
--- a/rainhitch/membership/etcd_source.py
+++ b/rainhitch/membership/etcd_source.py
@@ -1,8 +1,8 @@
-"""The host of `WatchStateMachine` on etcd's API: makes its calls, and decides nothing.
+"""Runs a `WatchStateMachine` on etcd's API: makes the calls that the state machine requests.
 
-One connection to one endpoint, and one call at a time: beginning a call cancels the one before, and a
-cancelled call reports nothing. When to call again after a failure (backoff), and where, is the machine's to
-say.
+It uses one connection to one endpoint, and one call at a time: a new call cancels the previous one, and a
+cancelled call reports nothing. The state machine decides when to call again after a failure (backoff), and
+at which endpoint.
 """
 
 import asyncio
@@ -36,15 +36,16 @@
 from rainhitch.membership.watch_state_machine import WatchStateMachine
 from rainhitch.protocol import etcd
 
-PROGRESS_REQUEST_TIMEOUT_S = 2.0  # for sending one
+PROGRESS_REQUEST_TIMEOUT_S = 2.0  # for sending a progress request
 log = logging.getLogger("rainhitch")
 
 
 class EtcdSource:
-    """Follows the list until it is stopped.
+    """Follows the endpoint list in etcd until it is stopped.
 
-    `publish(entries, whole)` takes what changed: values by uid, None for a deleted one; whole: all others
-    are gone. `known_uids` are those of the configuration's list. `clock` returns nanoseconds.
+    `publish(entries, whole)` receives changed values by uid, None for a deleted entry; with `whole`, all
+    other entries are deleted. `known_uids` are the uids of the configuration's list. `clock` returns
+    nanoseconds.
     """
 
     def __init__(
@@ -59,24 +60,24 @@
         self.publish = publish
         self.clock = clock
         self.machine = WatchStateMachine(Random(f"{seed}/membership"))
-        # Guards the fleet against a first read that is empty: the configuration's endpoints count as known,
-        # so that a read without them is suspicious.
+        # Guards against an empty first read: the configuration's endpoints count as known, so that a read
+        # without them is suspicious.
         self.machine.view.known = dict.fromkeys(known_uids or (), StoredValue(0, b""))
-        self.endpoint_turn = 0  # counts the endpoints tried
+        self.endpoint_turn = 0  # number of switches to the next endpoint
         self.client: EtcdClient | None = None
-        self.call: asyncio.Task[None] | None = None  # the read or the watch in progress
-        self.stream: Any = None  # the watch's, once it is created
+        self.call: asyncio.Task[None] | None = None  # the read or watch in progress
+        self.stream: Any = None  # the stream of the watch in progress
         self.progress_request: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
 
     def start(self) -> None:
-        """Begins to follow; does nothing once it has begun."""
+        """Starts to follow the list; does nothing if it was started before."""
         if self.timer is None and not self.stopped:
             self._perform(self.machine.start(self.clock()))
 
     def stop(self) -> None:
-        """Ends for good."""
+        """Stops for good."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
@@ -111,8 +112,8 @@
         try:
             self.publish(action.entries, action.whole)
         except Exception:
-            # The outermost frame of what the pools and the decisions do with a list: a fault there must not
-            # end the watch, after which no change would ever be known.
+            # The outermost frame of applying a list: a failure there must not end the watch, since later
+            # changes would be lost.
             log.exception("etcd list not applied reason=internal_error")
 
     def _disconnect(self) -> None:
@@ -125,22 +126,22 @@
         self.stream = None
 
     def _begin(self, call: Callable[[], Awaitable[None]]) -> None:
-        """Cancels the call in progress, and begins another."""
+        """Cancels the call in progress and starts another."""
         if self.call is not None:
             self.call.cancel()
         self.stream = None
         self.call = asyncio.ensure_future(self._guarded(call))
 
     async def _guarded(self, call: Callable[[], Awaitable[None]]) -> None:
-        """Runs a call, and reports its failure unless another call has taken its place."""
+        """Runs a call and reports its failure, unless another call has replaced it."""
         this_call = asyncio.current_task()
         try:
             await call()
         except CALL_ERRORS as problem:
             failure = describe_error(problem)
         except Exception as problem:
-            # The outermost frame of a call: a fault of the program counts as a failed call, so that a next
-            # one is made.
+            # The outermost frame of a call: an unexpected exception counts as a failed call, so that the call
+            # is retried.
             log.exception("etcd call failed reason=internal_error")
             failure = describe_error(problem)
         else:
@@ -158,7 +159,7 @@
         self._report(await self._connected().read_all(self.options.prefix))
 
     async def _watch(self, revision: int) -> None:
-        """Watches from a revision on, until that is compacted; raises one of CALL_ERRORS at any other end."""
+        """Watches from a revision on until it is compacted; any other end raises one of CALL_ERRORS."""
         client = self._connected()
         async with client.stream("Watch/Watch", await client.metadata()) as stream:
             await stream.send_message(self._watch_request(revision))
@@ -175,7 +176,7 @@
                 if not response.fragment:
                     self._report_response(fragments)
                     fragments = []
-            await stream.recv_trailing_metadata()  # raises the reason that the other side gave
+            await stream.recv_trailing_metadata()  # raises the server's reason
             raise StreamTerminatedError("the watch ended")
 
     def _watch_request(self, revision: int) -> Any:
@@ -191,7 +192,7 @@
         return etcd.message("WatchRequest", create_request=create)
 
     def _report_response(self, fragments: list[Any]) -> None:
-        """Reports one response of the watch, which may have come in fragments."""
+        """Reports a response of the watch, which may consist of several fragments."""
         last = fragments[-1]
         changes = [
             self._change(event.kv, event.type == etcd.DELETE)
@@ -201,7 +202,7 @@
         if changes:
             self._report(Changes(last.header.cluster_id, changes))
             return
-        # The response that creates a watch holds etcd's revision, not how far this watch is.
+        # The response that creates a watch has etcd's current revision, not the progress of this watch.
         revision = self.machine.view.revision if last.created else last.header.revision
         self._report(Progress(last.header.cluster_id, revision))
 
--- a/rainhitch/membership/list_view.py
+++ b/rainhitch/membership/list_view.py
@@ -1,7 +1,7 @@
-"""The endpoint list as one router knows it from etcd: a revision, and the entries as of it. No clock.
+"""The endpoint list as one router has read it from etcd: a revision and the entries as of it. No clock.
 
-Nothing at or below the view's revision changes it: what a lagging member or a second watch reports again is
-known, and a drain that was seen is not undone by the state before it.
+Changes at or below the view's revision are ignored: a lagging member or a second watch may report them again,
+and must not undo a drain that was seen.
 """
 
 from dataclasses import dataclass, field
@@ -10,47 +10,46 @@
 from rainhitch.membership.watch_events import Changes, Snapshot, StoredValue
 
 UNKNOWN_REVISION = 0  # below any revision of etcd
-UNKNOWN_CLUSTER = 0  # the id of none
-SUSPICIOUS_DROP_FRACTION = 0.5  # of the entries: a read that drops more is checked by a second one
-SUSPICIOUS_MIN_ENTRIES = 4  # up to which any number may go at once
+UNKNOWN_CLUSTER = 0  # not the id of any cluster
+SUSPICIOUS_DROP_FRACTION = 0.5  # a read that drops more of the entries than this is checked by a second read
+SUSPICIOUS_MIN_ENTRIES = 4  # a list of at most this many entries may lose any number of them
 
 
 @dataclass(slots=True)
 class ListView:
-    """The view; each difference that a read or a watch makes is noted with the publisher."""
+    """The view; each difference that a read or a watch makes is added to the publisher."""
 
-    known: dict[str, StoredValue] = field(default_factory=dict)  # the entries by uid
+    known: dict[str, StoredValue] = field(default_factory=dict)  # by uid
     revision: int = UNKNOWN_REVISION
     cluster_id: int = UNKNOWN_CLUSTER
     publisher: ChangePublisher = field(default_factory=ChangePublisher)
 
     @property
     def is_read(self) -> bool:
-        """Whether the list was read once."""
+        """Whether the list was read at least once."""
         return self.revision != UNKNOWN_REVISION
 
     def is_other_cluster(self, cluster_id: int) -> bool:
-        """Whether this is another cluster's id than the view's."""
+        """Returns whether a cluster id differs from the view's; False while the view has none."""
         if self.cluster_id == UNKNOWN_CLUSTER:
             return False
         return cluster_id != self.cluster_id
 
     def dropped(self, snapshot: Snapshot) -> int:
-        """How many of the view's entries a read lacks."""
+        """Returns how many of the view's entries are missing in a read."""
         return sum(uid not in snapshot.entries for uid in self.known)
 
     def is_suspicious(self, dropped: int) -> bool:
-        """Whether a read that drops so many entries is to be checked by a second one.
+        """Returns whether a read that drops so many entries must be checked by a second read.
 
-        Guards the fleet against a partial backup or a wrong prefix, which would take most endpoints out at
-        once.
+        Guards against a partial backup or a wrong prefix, which would remove most endpoints at once.
         """
         if len(self.known) <= SUSPICIOUS_MIN_ENTRIES:
             return False
         return dropped > SUSPICIOUS_DROP_FRACTION * len(self.known)
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Makes a read the view."""
+        """Replaces the view by a read."""
         for uid in [uid for uid in self.known if uid not in snapshot.entries]:
             del self.known[uid]
             self.publisher.add(uid, None)
@@ -63,7 +62,7 @@
         self.revision = snapshot.revision
 
     def apply(self, event: Changes) -> None:
-        """Applies what a watch reports; changes at or below the view's revision are known already."""
+        """Applies the changes of a watch; those at or below the view's revision are ignored."""
         newest = self.revision
         for uid, revision, value in event.changes:
             newest = max(newest, revision)
--- a/rainhitch/membership/watch_events.py
+++ b/rainhitch/membership/watch_events.py
@@ -1,6 +1,6 @@
-"""What the watch on etcd tells the state machine, and what the state machine has its host do.
+"""Events of the watch on etcd for the state machine, and actions that the state machine requests of its host.
 
-A revision is etcd's count of commits; a uid is the key of an entry without the prefix.
+A revision is etcd's count of commits. A uid is the key of an entry without the prefix.
 """
 
 from collections.abc import Mapping
@@ -9,14 +9,14 @@
 
 
 class StoredValue(NamedTuple):
-    """An entry's value, and the revision that wrote it last."""
+    """An entry's value, and the revision that last wrote it."""
 
     revision: int
     value: bytes
 
 
 class Change(NamedTuple):
-    """One change of an entry; `value` None: it was deleted."""
+    """A change of an entry; `value` is None where the entry was deleted."""
 
     uid: str
     revision: int
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """A read of the whole list as of one revision: the entries by uid."""
+    """The result of reading the whole list: the entries by uid, as of one revision."""
 
     cluster_id: int
     revision: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Changes:
-    """What a watch reports, in the order of revisions."""
+    """Changes that a watch reports, in the order of their revisions."""
 
     cluster_id: int
     changes: list[Change]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Progress:
-    """The watch says that it has reported everything up to this revision."""
+    """The watch claims that every change up to this revision was reported; etcd may send this too early."""
 
     cluster_id: int
     revision: int
@@ -50,19 +50,19 @@
 
 @dataclass(slots=True)
 class Compacted:
-    """The revision to watch from is no longer in etcd's history."""
+    """The requested start of the watch is no longer in etcd's history."""
 
 
 @dataclass(slots=True)
 class CallEnded:
-    """A read failed, or a watch has ended; the reason is for the log."""
+    """A read failed or a watch ended; the reason is for the log."""
 
     reason: str
 
 
 @dataclass(slots=True)
 class TimeElapsed:
-    """Nothing happened but that time passed."""
+    """Time has passed without another event."""
 
 
 Event = Snapshot | Changes | Progress | Compacted | CallEnded | TimeElapsed
@@ -82,17 +82,17 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """Ask the watch for its progress."""
+    """Request the progress of the watch."""
 
 
 @dataclass(slots=True)
 class SwitchEndpoint:
-    """Close the connection, and go to the next endpoint with the next call."""
+    """Close the connection; the next call goes to the next endpoint."""
 
 
 @dataclass(slots=True)
 class Publish:
-    """Hand these values on, by uid, None for a deleted entry. `whole`: all other entries are gone too."""
+    """Publish these values by uid, None for a deleted entry; with `whole`, all other entries are deleted."""
 
     entries: dict[str, bytes | None]
     whole: bool = False
@@ -100,13 +100,13 @@
 
 @dataclass(slots=True)
 class LogWarning:
-    """Write a line to the log."""
+    """Write a warning to the log."""
 
     text: str
 
 
 def warning(message: str, **fields: object) -> LogWarning:
-    """A line of a fixed message and fields, in their order."""
+    """Returns a warning with a fixed message and fields, in the order given."""
     return LogWarning(" ".join([message, *(f"{name}={value}" for name, value in fields.items())]))
 
 
