--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -1,17 +1,18 @@
-"""Follows an endpoint list in etcd: what to read, what to watch, what to publish. No socket, no clock.
+"""State machine that follows an endpoint list in etcd: what to read, watch and publish. No I/O, no clock.
 
-etcd counts each commit by a revision, and each entry carries the revision that wrote it last. A read gives
-all entries as of one revision; a watch from the next one gives every change after it. So the view is a
-revision and the entries as of it, and three rules keep it true:
+etcd counts each commit by a revision, and each entry carries the revision that last wrote it. A read returns
+all entries as of one revision, and a watch from the next revision returns every later change. The view is
+therefore a revision and the entries as of it, and three rules keep it correct:
 
-- Nothing at or below the view's revision changes the view (`ListView`).
-- A watch continues from the revision after the view's, wherever it broke. Where that has been compacted away,
-  the list is read whole and compared, and each difference, a deletion too, is published as a change.
-- Another cluster id, or revisions that stay behind for `RESTORED_AFTER_NS`, mean another history: the list is
-  read whole and compared by its values.
+- A change at or below the view's revision does not change the view (`ListView`).
+- A watch continues from the revision after the view's, wherever it broke. Where that revision was compacted,
+  the whole list is read and compared, and each difference is published as a change, also a deletion.
+- Another cluster id, or revisions that stay behind for `RESTORED_AFTER_NS`, mean that etcd's history was
+  replaced: the whole list is read and its values are compared.
 
-`Mode` holds the states and their transitions. A silent watch is asked for its progress every
-`PROGRESS_INTERVAL_NS`, and given up after `SILENCE_LIMIT_NS`. Times are nanoseconds of the host's clock.
+`Mode` defines the states and their transitions. A silent watch is asked for its progress every
+`PROGRESS_INTERVAL_NS`, and counts as failed after `SILENCE_LIMIT_NS`. Times are nanoseconds of the host's
+clock.
 """
 
 from dataclasses import dataclass, field
@@ -35,21 +36,21 @@
 )
 
 SECOND_NS = 1_000_000_000
-PROGRESS_INTERVAL_NS = SECOND_NS  # between two requests for progress
-SILENCE_LIMIT_NS = 3 * SECOND_NS  # after which a call that says nothing has failed
+PROGRESS_INTERVAL_NS = SECOND_NS  # between two progress requests
+SILENCE_LIMIT_NS = 3 * SECOND_NS  # without any response, after which a call has failed
 FIRST_BACKOFF_NS = SECOND_NS // 20  # doubled with each failure
 MAX_BACKOFF_NS = 2 * SECOND_NS
 MAX_BACKOFF_DOUBLINGS = 8
-MIN_JITTER_FRACTION = 0.5  # of a backoff, which is spread so that routers do not reconnect in step
+MIN_JITTER_FRACTION = 0.5  # of a backoff; the jitter keeps routers from reconnecting at the same time
 MAX_JITTER_FRACTION = 1.0
-RESTORED_AFTER_NS = 10 * SECOND_NS  # for which revisions must stay behind to count as another history
+RESTORED_AFTER_NS = 10 * SECOND_NS  # of older revisions, after which etcd's history counts as replaced
 READ_AGAIN_AFTER_NS = 3 * SECOND_NS // 10  # between a suspicious read and the second one
-# After so long a suspicious read counts all the same: the limit on a drain runs from when it was seen.
+# After this time a suspicious read is adopted: the limit on a drain runs from when the drain was seen.
 ADOPT_AFTER_NS = 8 * SECOND_NS // 10
 
 
 class Mode(Enum):
-    """What the machine is doing.
+    """State of the machine, with its transitions.
 
     READING     --Snapshot--> WATCHING
     READING     --a Snapshot that drops too many--> VERIFYING
@@ -69,7 +70,7 @@
 
 
 def backoff_ns(failures: int, random: Random) -> int:
-    """How long to wait after so many failures before: doubled with each, and spread."""
+    """Returns the wait after so many earlier failures: doubled with each, with jitter."""
     doublings = min(failures, MAX_BACKOFF_DOUBLINGS)
     longest_ns = min(FIRST_BACKOFF_NS << doublings, MAX_BACKOFF_NS)
     return int(longest_ns * random.uniform(MIN_JITTER_FRACTION, MAX_JITTER_FRACTION))
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class SnapshotSuspicion:
-    """A read that would drop too many entries, and when it counts all the same."""
+    """A read that would drop too many entries, and when it is adopted without a second read."""
 
     snapshot: Snapshot
     adopt_at_ns: int
@@ -86,26 +87,26 @@
 
 @dataclass
 class WatchStateMachine:
-    """One router's view of the list; `random` spreads the backoffs."""
+    """One router's state of the watch and view of the list; `random` adds jitter to backoffs."""
 
     random: Random
     mode: Mode = Mode.READING
     view: ListView = field(default_factory=ListView)
-    heard_at_ns: int = 0  # when etcd last said something, or a call began
+    heard_at_ns: int = 0  # time of etcd's last response, or of the start of the call
     progress_requested_at_ns: int = 0
-    resume_at_ns: int = 0  # the end of a backoff
-    failures: int = 0  # in a row
-    is_failing: bool = False  # etcd failed, and that was logged
-    behind_since_ns: int | None = None  # since when only older revisions than the view's were seen
+    resume_at_ns: int = 0  # end of the backoff
+    failures: int = 0  # consecutive
+    is_failing: bool = False  # whether a failure of etcd was logged
+    behind_since_ns: int | None = None  # since when all revisions seen were older than the view's
     suspicion: SnapshotSuspicion | None = None
 
     def start(self, now_ns: int) -> list[Action]:
-        """The first actions."""
+        """Returns the first actions."""
         self.heard_at_ns = now_ns
         return [ReadAll()]
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """The actions that follow from an event, and from the time that has passed."""
+        """Returns the actions that follow from an event and from the time that has passed."""
         actions: list[Action] = []
         match event:
             case Snapshot():
@@ -124,7 +125,7 @@
 
     @property
     def wake_at_ns(self) -> int:
-        """When the machine wants to be told the time next."""
+        """When the machine next needs a TimeElapsed event."""
         due_at_ns = self.view.publisher.due_at_ns()
         times = [] if due_at_ns is None else [due_at_ns]
         if self.mode is Mode.BACKING_OFF:
@@ -168,7 +169,7 @@
             self.progress_requested_at_ns = now_ns
             actions.append(RequestProgress())
 
-    # The transitions of `Mode`, one method for each state that is entered.
+    # Transitions of `Mode`: one method for each state that is entered.
 
     def _read_all(self, now_ns: int, actions: list[Action]) -> None:
         self.mode = Mode.READING
@@ -182,7 +183,7 @@
         actions.append(WatchFrom(self.view.revision + 1))
 
     def _back_off(self, now_ns: int, reason: str, actions: list[Action]) -> None:
-        """Waits before the next call, at the next endpoint; logs the first failure of an outage."""
+        """Waits before the next call, which goes to the next endpoint; logs an outage once."""
         if self.mode is Mode.BACKING_OFF:
             return
         if not self.is_failing:
@@ -195,22 +196,22 @@
         actions.append(SwitchEndpoint())
 
     def _verify(self, now_ns: int, snapshot: Snapshot) -> None:
-        """Has a read that drops too many entries checked by a second one."""
+        """Has a read that drops too many entries checked by a second read."""
         self.suspicion = SnapshotSuspicion(snapshot, now_ns + ADOPT_AFTER_NS, now_ns + READ_AGAIN_AFTER_NS)
         self.mode = Mode.VERIFYING
         self.heard_at_ns = now_ns
 
     def _resume(self, now_ns: int, actions: list[Action]) -> None:
-        """Ends a backoff: watches from the view on where that is known to be good, and else reads all."""
+        """Ends a backoff: watches from the view's revision where the view is valid, and else reads the list."""
         if self.view.is_read and self.behind_since_ns is None and self.suspicion is None:
             self._watch(now_ns, actions)
         else:
             self._read_all(now_ns, actions)
 
-    # What etcd reports.
+    # Events from etcd.
 
     def _answered(self, now_ns: int, actions: list[Action]) -> None:
-        """Notes that etcd answered, with a revision that is no older than the view's."""
+        """Records a response from etcd whose revision is not older than the view's."""
         self.heard_at_ns = now_ns
         if self.is_failing:
             actions.append(warning("etcd available again"))
@@ -219,14 +220,14 @@
         self.behind_since_ns = None
 
     def _member_lags(self, now_ns: int, revision: int, actions: list[Action]) -> None:
-        """An older revision than the view's: another member is asked, after a backoff."""
+        """Handles a revision older than the view's: backs off and then asks another member."""
         if self.behind_since_ns is None:
             self.behind_since_ns = now_ns
             known = self.view.revision
             actions.append(
                 warning("etcd member lags", revision=revision, known_revision=known, action="ignore")
             )
-        self.is_failing = True  # so that the backoff logs no line of its own
+        self.is_failing = True  # keeps the backoff from logging an outage
         self._back_off(now_ns, "", actions)
 
     def _handle_snapshot(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
@@ -251,11 +252,11 @@
         self._adopt(now_ns, snapshot, actions)
 
     def _is_restored(self, now_ns: int) -> bool:
-        """Whether revisions have stayed behind for so long that etcd's history must be another one."""
+        """Returns whether revisions have stayed behind for so long that etcd's history was replaced."""
         return self.behind_since_ns is not None and now_ns - self.behind_since_ns >= RESTORED_AFTER_NS
 
     def _adopt(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
-        """Makes a read the view, and notes what differs as changes."""
+        """Makes a read the view, and adds the differences to the pending changes."""
         is_first = not self.view.is_read
         self._answered(now_ns, actions)
         self.suspicion = None
@@ -282,6 +283,6 @@
         elif event.revision < self.view.revision:
             self._member_lags(now_ns, event.revision, actions)
         else:
-            # It shows that the watch lives, and moves no revision. Guards against a drain lost for good:
-            # released versions of etcd report a progress ahead of events that are still on their way.
+            # Progress shows that the watch works, and does not advance the view's revision. Guards against a
+            # drain lost for good: released versions of etcd report progress ahead of events still in transit.
             self._answered(now_ns, actions)
