--- a/rainhitch/growth/__init__.py
+++ b/rainhitch/growth/__init__.py
@@ -1,1 +1,1 @@
-"""What a change of the endpoint list would move, worked out ahead and without traffic."""
+"""Forecast of the effects of a change of the endpoint list, computed without traffic."""
--- a/rainhitch/growth/forecast.py
+++ b/rainhitch/growth/forecast.py
@@ -1,16 +1,16 @@
-"""Which keys a change of the endpoint list moves, what that costs the origin, and how long it takes. Pure.
+"""Forecast of a change of the endpoint list: which keys move, the cost for the origin, and the time. No I/O.
 
-Owners are worked out as `policy.placement` does: equal ranges over the sorted ids, and the far end of a small
-machine's range with the next server. Keys lie evenly in the hash space: fractions of it are fractions of the
-keys.
+Owners are computed as in `policy.placement`: each server has an equal range over the sorted ids, and the far
+end of the range of a server of low weight goes to the next server. Keys are assumed to be spread evenly over
+the hash space, so that a fraction of it is the same fraction of the keys.
 
-Duration: routers move keys at `moves_per_s` together, and each move is of the key that is requested next
-among those that have not moved, so popular keys move first. With the popularities w, and the probability p
+Duration: all routers together move `moves_per_s` keys per second. Each move is of the key that is requested
+next of those not yet moved, so popular keys move first. With the popularities w, and the probability p
 that a key has not moved,
 
     dp/dt = -moves_per_s * w * p / sum(w * p)
 
-This is integrated here in steps over the keys that move, in groups of similar popularity.
+This is integrated in steps over the keys that move, in groups of similar popularity.
 """
 
 from collections import defaultdict
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-STEPS = 4000  # of the integration, for the time in which all keys would move at the full pace
-MAX_DURATION_FACTOR = 50  # times that time at which the integration ends
+STEPS = 4000  # of the integration, in the time that moving all keys takes at the full rate
+MAX_DURATION_FACTOR = 50  # the integration ends at this multiple of that time
 GROUP_POPULARITY_FACTOR = 1.1  # keys whose popularities differ by less are one group
 MAX_OWNERS_OF_RANGE = 3  # servers that share a key range: its owner and the next two
 SECONDS_AFTER_LOSS = 10
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One cache server of a list; `weight` as the list gives it."""
+    """A cache server of an endpoint list; `weight` is the weight in the list."""
 
     uid: str
     zone: str = ""
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadWorkload:
-    """What is read: keys by Zipf's law with its exponent and offset. Caches hold the most popular ones."""
+    """Read traffic by Zipf's law with exponent and offset; caches hold the most popular keys."""
 
     keys: int = 6000
     zipf_exponent: float = 1.0
@@ -46,24 +46,24 @@
 
 @dataclass(slots=True)
 class Forecast:
-    """What a change of the list moves; fractions are of the hash space, and so of the keys.
+    """Result of a forecast; fractions are of the hash space, and therefore of the keys.
 
-    The names of the fields are those in the JSON that `rainhitch plan --json` prints.
+    The field names are those in the JSON that `rainhitch plan --json` prints.
     """
 
     moved: float  # fraction that gets another owner
     between: dict[tuple[str, str], float]  # fraction that moves from one server to another, by their uids
-    rooms: dict[tuple[str, str], float]  # the same from one zone to another
-    lost: float  # fraction of the keys that move whose holder is gone: nothing paces it
-    reads: float  # of the origin: cached keys that move or are lost
+    rooms: dict[tuple[str, str], float]  # fraction that moves from one zone to another
+    lost: float  # fraction whose previous owner is gone, which no migration rate limits
+    reads: float  # origin reads: cached keys that move or are lost
     seconds: dict[
         float, float
-    ]  # by fraction of the moved traffic: until so much of it goes to its new owners
+    ]  # by fraction of the moved traffic: seconds until that much goes to the new owners
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """A part of the hash space, from the end of the segment before it, and its owner."""
+    """A part of the hash space that begins at the end of the previous segment, and its owner."""
 
     end: float
     uid: str
@@ -73,15 +73,15 @@
 class KeyGroup:
     """Keys of similar popularity."""
 
-    popularity: float  # of each, as a fraction of all reads
+    popularity: float  # of each key, as a fraction of all reads
     unmoved_keys: float
 
 
 def segments(servers: Sequence[Server]) -> list[Segment]:
-    """The hash space from 0 to 1 in segments by owner, as one list divides it.
+    """Returns the hash space from 0 to 1 in segments by owner for one endpoint list.
 
-    Each server has an equal range. One of less than the mean weight bears that part of it; the rest goes to
-    the next server, and what that does not bear to the one after it.
+    Each server has an equal range. A server of less than the mean weight owns that fraction of its range; the
+    rest goes to the next server, and what exceeds that server's weight to the one after it.
     """
     ordered = sorted(servers, key=lambda server: server.uid)
     count = len(ordered)
@@ -100,7 +100,7 @@
 
 
 def moved_fractions(before: Sequence[Server], after: Sequence[Server]) -> dict[tuple[str, str], float]:
-    """The fraction of the hash space that moves from one server to another, by their uids."""
+    """Returns the fraction of the hash space that moves from one server to another, by their uids."""
     old_segments = segments(before)
     new_segments = segments(after)
     fractions: dict[tuple[str, str], float] = defaultdict(float)
@@ -122,7 +122,7 @@
 
 
 def read_fractions(workload: ReadWorkload) -> list[float]:
-    """The fraction of all reads that each cached key draws, the most popular key first."""
+    """Returns the fraction of all reads for each cached key, the most popular key first."""
     weights = [(rank + 1 + workload.zipf_offset) ** -workload.zipf_exponent for rank in range(workload.keys)]
     total = sum(weights)
     return [weight / total for weight in weights[: min(workload.cached_keys, workload.keys)]]
@@ -131,10 +131,10 @@
 def seconds_until_moved(
     popularities: Sequence[float], moved_fraction: float, moves_per_s: float, goals: Sequence[float]
 ) -> dict[float, float]:
-    """Seconds until each goal, a fraction of the moved traffic, is reached.
+    """Returns the seconds until each goal, a fraction of the moved traffic, is reached.
 
-    `popularities`: of the cached keys, the most popular first; `moved_fraction`: of each of them moves so
-    much. Infinity where nothing moves.
+    `popularities` are those of the cached keys, the most popular first; `moved_fraction` is the fraction of
+    the keys that moves. Infinity where `moves_per_s` is not positive.
     """
     groups = _groups(popularities, moved_fraction)
     keys = sum(group.unmoved_keys for group in groups)
@@ -158,7 +158,7 @@
 
 
 def _groups(popularities: Sequence[float], moved_fraction: float) -> list[KeyGroup]:
-    """The moving part of the keys in groups of similar popularity."""
+    """Returns the moving fraction of the keys in groups of similar popularity."""
     groups: list[KeyGroup] = []
     for popularity in popularities:
         if groups and groups[-1].popularity <= popularity * GROUP_POPULARITY_FACTOR:
@@ -169,7 +169,7 @@
 
 
 def _unmoved_traffic(groups: Sequence[KeyGroup]) -> float:
-    """The fraction of all reads that is of keys that have not moved yet."""
+    """Returns the fraction of all reads that is of keys that have not moved."""
     return sum(group.popularity * group.unmoved_keys for group in groups)
 
 
@@ -191,11 +191,11 @@
     goals: Sequence[float] = (0.5, 0.9, 0.99),
     retiring: Collection[str] = (),
 ) -> Forecast:
-    """What going from one list to the other moves.
+    """Returns what a change from one endpoint list to another moves.
 
-    `moves_per_s` is the pace of all routers together; `goals` are the fractions of the moved traffic for
-    which a time is given; `retiring` are the uids that are off the new list and are read until their keys
-    have moved.
+    `moves_per_s` is the rate of all routers together. `goals` are the fractions of the moved traffic for
+    which a time is computed. `retiring` are the uids that are not in the new list but are read until their
+    keys have moved.
     """
     between = moved_fractions(before, after)
     still_read = {server.uid for server in after} | set(retiring)
@@ -217,9 +217,9 @@
 
 
 def lost_reads(forecast_made: Forecast, workload: ReadWorkload, reads_per_s: float) -> list[float]:
-    """Origin reads in each of the first seconds after a loss.
+    """Returns the origin reads in each of the first seconds after servers are lost.
 
-    Each cached key of the lost fraction is read from the origin once, when it is first requested;
+    Each cached key of the lost fraction is read from the origin once, when it is first requested.
     `reads_per_s` is the rate of all reads.
     """
     popularities = read_fractions(workload)
--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -202,7 +202,7 @@
         self.heard_at_ns = now_ns
 
     def _resume(self, now_ns: int, actions: list[Action]) -> None:
-        """Ends a backoff: watches from the view's revision where the view is valid, and else reads the list."""
+        """Ends a backoff: watches from the view's revision if it is valid, and else reads the list."""
         if self.view.is_read and self.behind_since_ns is None and self.suspicion is None:
             self._watch(now_ns, actions)
         else:
