--- a/tests/ground/test_operator_applies.py
+++ b/tests/ground/test_operator_applies.py
@@ -1,4 +1,4 @@
-"""What the operator's file says holds in the router: seen from a client's socket."""
+"""Settings of the operator's file take effect in the router, as seen on a client's socket."""
 
 import asyncio
 import signal
@@ -10,7 +10,7 @@
 
 
 async def unfinished(tmp_path: Path, text: str) -> bytes:
-    """What a client that never finishes its command gets from a router with this file."""
+    """Returns what a client that never completes its command receives from a router with this file."""
     path = tmp_path / "operator.toml"
     path.write_text(text)
     env = {**configuration(tmp_path), "RAINHITCH_OPERATOR": str(path)}
--- a/tests/ground/test_operator_config.py
+++ b/tests/ground/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: every wrong key is one line that names key, value and what is allowed."""
+"""The operator's file: every invalid key is one line with the key, its value and what is allowed."""
 
 import dataclasses
 import json
@@ -20,7 +20,7 @@
 
 
 def written(tmp_path: Path, text: str) -> Path:
-    """An operator's file with this text."""
+    """Returns the path of an operator's file with this text."""
     path = tmp_path / "operator.toml"
     path.write_text(text)
     return path
@@ -89,7 +89,7 @@
 
 
 def program(env: dict[str, str], *words: str) -> subprocess.CompletedProcess[str]:
-    """Runs the program with this environment."""
+    """Runs `python -m rainhitch` with this environment."""
     return subprocess.run(
         [sys.executable, "-m", "rainhitch", *words],
         env=env,
--- a/tests/ground/test_requirements.py
+++ b/tests/ground/test_requirements.py
@@ -1,7 +1,7 @@
-"""The pinned versions of `pyproject.toml` are those of the requirements files.
+"""The versions pinned in `pyproject.toml` and in the requirements files must be the same.
 
-Once they differed, a new machine refused the development requirements, while environments that already stood
-went on working.
+When they differed, a new machine could not install the development requirements, while existing environments
+kept working.
 """
 
 import tomllib
@@ -11,7 +11,7 @@
 
 
 def pinned(name: str) -> dict[str, str]:
-    """Package to version, of a requirements file."""
+    """Returns the pinned version of each package in a requirements file."""
     lines = (ROOT / name).read_text().splitlines()
     versions = {}
     for line in lines:
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -1,4 +1,4 @@
-"""Other customers' settings work as well: the sites in deploy/sites, and nothing that is fitted to one."""
+"""The sites in deploy/sites work with the same code, and nothing in it is fitted to one site."""
 
 import tomllib
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def router_info(site: Json) -> Json:
-    """The settings that a router of such a site is told, by the words of the wire's first message."""
+    """Returns the settings that a router of such a site receives in the first message on the wire."""
     [tier] = site["tier"]
     rules, allow, link = site["rules"], site["allow"], tier["conn"]
     return {
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -1,4 +1,4 @@
-"""What `rainhitch plan` tells: against the placement itself, against a draw of moves, and as a command."""
+"""The forecast against the placement itself, against a simulation of single moves, and as a command."""
 
 import json
 import subprocess
@@ -28,7 +28,7 @@
 
 
 def owners(listed: dict[str, float], keys: list[str]) -> list[str]:
-    """Where the decisions themselves look for keys that they have not seen."""
+    """Returns the servers that the routing decisions choose for keys that they have not seen."""
     members = [api.Endpoint(uid, weight=weight) for uid, weight in listed.items()]
     router = Router(endpoints=[*members, api.Endpoint("origin", kind=ORIGIN_KIND)])
     found = []
@@ -37,7 +37,7 @@
         assert isinstance(send, api.StartAttempt)
         found.append(send.server)
         router.end_attempt(send, api.AttemptStatus.OK)
-        router.now += 50_000_000  # so that none is swamped
+        router.now += 50_000_000  # apart in time, so that no server counts as overloaded
         del name
     return found
 
@@ -61,7 +61,7 @@
 
 
 def test_the_forecast_time_is_that_of_a_simulated_course_of_moves() -> None:
-    """Tokens that go to the next request for a key that has not moved, drawn one by one."""
+    """Each move goes to the next request for a key that has not moved; the moves are drawn one by one."""
     weights = read_fractions(ReadWorkload(600, 1.0, 5.0, 300))
     random, left = Random(3), dict(enumerate(weights))
     whole, done = sum(weights), 0.0
@@ -98,7 +98,7 @@
 
 @pytest.fixture
 def listed(tmp_path: Path) -> str:
-    """A file with an endpoint list."""
+    """The path of a file with an endpoint list."""
     rows = [{"uid": f"n{n}", "az": "ab"[n % 2], "state": "Ready", "model": "full-node"} for n in range(6)]
     rows.append({"uid": "o", "az": "a", "state": "Ready", "model": "origin"})
     rows.append({"uid": "leaving", "az": "a", "state": "Terminating", "model": "full-node"})
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -1,4 +1,4 @@
-"""The operator's table, and `rainhitch members` as a process against the stand-in."""
+"""The operator's [membership] table, and `rainhitch members` as a process against the fake etcd."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 @pytest_asyncio.fixture
 async def etcd() -> AsyncIterator[EtcdCluster]:
-    """An etcd with two entries."""
+    """A fake etcd with two entries."""
     made = EtcdCluster()
     await made.start()
     for name in ("c0", "c1"):
@@ -36,7 +36,7 @@
 
 
 def operator(tmp_path: Path, etcd: EtcdCluster, more: str = "") -> Path:
-    """An operator's file that names this etcd."""
+    """Returns the path of an operator's file that names this etcd."""
     path = tmp_path / "operator.toml"
     endpoints = json.dumps(etcd.endpoints)
     path.write_text(f'[membership]\nsource = "etcd"\nendpoints = {endpoints}\n{more}')
@@ -44,7 +44,7 @@
 
 
 async def members(path: Path, *words: str) -> tuple[int, str, str]:
-    """Runs `rainhitch members`; gives exit code, output and errors."""
+    """Runs `rainhitch members`; returns exit code, standard output and standard error."""
     running = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -122,7 +122,7 @@
     new = await editing.read_entry(client, "new")
     await editing.put(client, [entry("new", "h:1")])
     with pytest.raises(ChangeRejectedError):
-        await editing.commit(client, [(new, b"{}")])  # it was not there when it was read
+        await editing.commit(client, [(new, b"{}")])  # the entry did not exist when it was read
     client.close()
 
 
@@ -207,7 +207,7 @@
 async def test_a_router_follows_etcd_and_serves_from_its_known_list_while_etcd_is_unavailable(
     tmp_path: Path, etcd: EtcdCluster
 ) -> None:
-    """PING tells the truth: with etcd away at the start, by the known list alone."""
+    """While etcd is unavailable at the start, PING is answered by the known list alone."""
     known = {"rev": 3, "all": True, "targets": [entry("k0", "127.0.0.1:1")]}
     etcd.refuse = True
     env = {
@@ -233,7 +233,7 @@
             etcd.store.put(KEY + name, state)
         etcd.refuse = False
         async with asyncio.timeout(PATIENCE):
-            while not (await ping()).startswith(b"-LOADING"):  # the list has come: nobody is ready
+            while not (await ping()).startswith(b"-LOADING"):  # the list was read: no endpoint is ready
                 await asyncio.sleep(0.05)
         etcd.store.put(KEY + b"c0", json.dumps(entry("c0", "127.0.0.1:1")).encode())
         async with asyncio.timeout(PATIENCE):
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -1,4 +1,4 @@
-"""The etcd source against the stand-in over sockets: each fault, what the router holds, and what is said."""
+"""The etcd source against the fake etcd over sockets: each fault, the router's list, and the log."""
 
 import asyncio
 import contextlib
@@ -25,13 +25,13 @@
 
 
 def row(name: str, state: str = "Ready", **changes: Any) -> bytes:
-    """An entry as etcd stores it."""
+    """Returns an entry as etcd stores it."""
     return orjson.dumps(entry(name, "127.0.0.1:1", state=state, **changes))
 
 
 @dataclass
 class Scene:
-    """An etcd, and a router's source and list that follow it; `updates` are those published."""
+    """A fake etcd, and a router's source and directory that follow it; `updates` are those published."""
 
     etcd: EtcdCluster
     source: EtcdSource
@@ -43,11 +43,11 @@
         self.etcd.store.put(PREFIX.encode() + name.encode(), row(name, state, **changes))
 
     def states(self) -> dict[str, str]:
-        """The state of each server that the router holds."""
+        """Returns the state of each server that the router knows."""
         return {uid: target.endpoint.state.value for uid, target in self.directory.targets.items()}
 
     async def until(self, **states: str) -> None:
-        """Waits until the router holds just these servers, in these states."""
+        """Waits until the router knows exactly these servers, in these states."""
         await wait_until(lambda: self.states() == states)
 
 
@@ -55,7 +55,7 @@
 async def scene(
     members: int = 1, known: list[str] | None = None, start: bool = True, **options: Any
 ) -> AsyncIterator[Scene]:
-    """A source that follows an etcd of so many members with three entries, c0 to c2."""
+    """Starts a source that follows an etcd of so many members with three entries, c0 to c2."""
     etcd = EtcdCluster(members)
     await etcd.start()
     updates: list[api.EndpointUpdate] = []
@@ -78,7 +78,7 @@
 
 
 def lines(caplog: pytest.LogCaptureFixture, part: str) -> int:
-    """How many log lines have this text."""
+    """Returns how many log lines contain this text."""
     return sum(part in record.getMessage() for record in caplog.records)
 
 
@@ -119,7 +119,7 @@
 async def test_after_a_compaction_the_list_is_read_whole_and_compared(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A watch that was away for longer than etcd's history must miss no drain and no deletion."""
+    """A watch that was interrupted for longer than etcd's history must miss no drain and no deletion."""
     async with scene() as one:
         await one.etcd.kill(0)
         one.put("c0", "Terminating")
@@ -155,19 +155,19 @@
 
 
 async def test_progress_reported_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A drain below a progress that came first was taken for known, and never updates."""
+    """A progress report arrived before its events; a drain with a lower revision was ignored for good."""
     monkeypatch.setattr(watch_state_machine, "PROGRESS_INTERVAL_NS", 100_000_000)
     async with scene() as one:
         await wait_until(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         one.etcd.progress_before_events, one.etcd.silent = True, True
-        await asyncio.sleep(0.5)  # progress is asked for meanwhile
+        await asyncio.sleep(0.5)  # progress is requested meanwhile
         one.put("c0", "Terminating")
         one.etcd.silent = False
         await one.until(c0="draining", c1="ready", c2="ready")
 
 
 async def test_a_member_that_lags_does_not_undo_a_drain(caplog: pytest.LogCaptureFixture) -> None:
-    """A fail-over to a lagging member must not bring a drained server back."""
+    """A fail-over to a lagging member must not undo a drain."""
     async with scene(members=2) as one:
         one.put("c0", "Terminating")
         await one.until(c0="draining", c1="ready", c2="ready")
@@ -196,7 +196,7 @@
 async def test_without_a_leader_the_list_stays_in_use_and_continues_with_the_next_leader(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """While etcd elects a leader it answers nothing: the router must serve from the list in use."""
+    """While etcd elects a leader it answers nothing: the router must serve from its current list."""
     async with scene() as one:
         one.etcd.set_leader(False)
         await wait_until(lambda: lines(caplog, "no leader"))
@@ -283,7 +283,7 @@
 async def test_a_server_that_is_no_etcd_is_logged_and_publishes_nothing(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A wrong address in the operator's file must be seen in the log, and empty no list."""
+    """A wrong address in the operator's file must show in the log, and must not empty the list."""
 
     async def noise(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 400 Bad Request\r\n\r\n")
--- a/tests/membership/test_fake_etcd.py
+++ b/tests/membership/test_fake_etcd.py
@@ -1,4 +1,4 @@
-"""The fake etcd, driven by a client library that knows nothing of it and has its own copy of the API."""
+"""The fake etcd against an independent client library, which has its own copy of the API."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,7 +21,7 @@
 
 
 def client(cluster: EtcdCluster, **more: str) -> aetcd.Client:
-    """A client of the cluster's member; `more` are the library's own arguments."""
+    """Returns a client of the cluster's member; `more` are the library's own arguments."""
     host, port = cluster.endpoints[0].split(":")
     return aetcd.Client(host=host, port=int(port), timeout=10, **more)
 
@@ -65,9 +65,9 @@
 async def test_a_watch_from_a_compacted_revision_is_cancelled_with_that_revision(
     cluster: EtcdCluster,
 ) -> None:
-    """A watch asks for a history that was compacted meanwhile.
+    """A watch requests a history that was compacted.
 
-    It must fail with the revision, and not begin later as if nothing were missing.
+    It must fail with the compacted revision, and must not start later as if nothing were missing.
     """
     async with client(cluster) as etcd:
         for n in range(5):
@@ -111,7 +111,7 @@
 
 
 async def test_a_user_needs_the_right_password(cluster: EtcdCluster) -> None:
-    """A client logs in with a wrong password: none of its calls is answered."""
+    """A client logs in with a wrong password, and none of its calls is answered."""
     cluster.users["router"] = "secret"
     async with client(cluster, username="router", password="secret") as etcd:
         await etcd.put(b"/m/a", b"1")
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -1,4 +1,4 @@
-"""The membership machine: random histories against a plain model, and each hard case by itself."""
+"""The watch state machine: random histories against a simple model, and each hard case by itself."""
 
 from itertools import pairwise
 from random import Random
@@ -14,7 +14,7 @@
 
 
 class Follower:
-    """A machine with its clock; what it told, and what it wants."""
+    """A state machine with its clock, what it published and logged, and the calls that it requested."""
 
     def __init__(self) -> None:
         self.machine, self.now = m.WatchStateMachine(Random(7)), START
@@ -25,7 +25,7 @@
         self.do(self.machine.start(self.now))
 
     def do(self, actions: list[watch_events.Action]) -> list[watch_events.Action]:
-        """Keeps what actions publish, log and want; gives the actions."""
+        """Records what actions publish, log and request; returns the actions."""
         for action in actions:
             if isinstance(action, watch_events.Publish):
                 if action.whole:
@@ -43,11 +43,11 @@
         return actions
 
     def handle(self, event: watch_events.Event) -> list[watch_events.Action]:
-        """Has the machine handle an event."""
+        """Passes an event to the state machine."""
         return self.do(self.machine.handle(self.now, event))
 
     def wait(self, span: int) -> None:
-        """Lets time pass, with every time that the machine wants on the way."""
+        """Advances the clock, with a TimeElapsed event at every wake-up that the state machine requests."""
         end = self.now + span
         while self.machine.wake_at_ns <= end:
             self.now = max(self.now + 1, self.machine.wake_at_ns)
@@ -60,22 +60,22 @@
         self.handle(watch_events.Snapshot(cluster, revision, stored))
 
     def settle(self) -> None:
-        """Waits until what is gathered is published."""
+        """Waits until pending changes are published."""
         self.wait(change_publisher.BATCH_INTERVAL_NS + MILLI)
 
 
 def fleet(count: int, revision: int = 5) -> dict[str, tuple[int, bytes]]:
-    """So many entries, by uid: revision and value."""
+    """Returns so many entries by uid: revision and value."""
     return {f"n{n}": (revision, b"ready") for n in range(count)}
 
 
 def changes(cluster: int, rows: list[tuple[str, int, bytes | None]]) -> watch_events.Changes:
-    """Changes that a watch sends: uid, revision, value."""
+    """Returns changes that a watch sends: uid, revision, value."""
     return watch_events.Changes(cluster, [watch_events.Change(*row) for row in rows])
 
 
 def following(count: int = 6) -> Follower:
-    """A machine that has read so many entries and watches."""
+    """Returns a state machine that has read so many entries and watches."""
     follower = Follower()
     follower.read(10, fleet(count))
     assert follower.wants == [watch_events.ReadAll(), watch_events.WatchFrom(11)]
@@ -98,7 +98,7 @@
 
 
 def test_a_drain_once_seen_is_not_undone_by_a_member_that_lags() -> None:
-    """After a fail-over an older member said Ready again, and work went to a drained node."""
+    """After a fail-over a lagging member reported Ready again, and requests went to a drained server."""
     follower = following()
     follower.wait(SECOND // 2)
     follower.handle(changes(1, [("n0", 12, b"drains")]))
@@ -132,7 +132,7 @@
 
 
 def test_thousands_of_new_entries_are_published_in_parts_and_drains_go_first() -> None:
-    """Ten thousand entries at once held up requests in work for a fifth of a second."""
+    """Applying ten thousand entries at once delayed requests in flight by a fifth of a second."""
     follower = following()
     follower.wait(SECOND)
     news: list[tuple[str, int, bytes | None]] = [(f"m{n}", 11, b"ready") for n in range(10_000)]
@@ -154,7 +154,7 @@
 
 
 def test_a_silent_watch_is_asked_for_progress_and_then_given_up_in_time() -> None:
-    """A half-open stream kept a drain from the router for TCP's minutes."""
+    """A half-open stream hid a drain from the router until TCP timed out, minutes later."""
     follower = following()
     follower.wait(m.PROGRESS_INTERVAL_NS + MILLI)
     assert follower.wants == [watch_events.RequestProgress()]
@@ -180,7 +180,7 @@
 
 
 def test_a_read_that_drops_most_of_the_fleet_waits_for_a_second_read() -> None:
-    """A backup with half of the keys emptied the fleet."""
+    """A backup that lacked half of the keys removed most endpoints."""
     follower = following(10)
     follower.handle(watch_events.Compacted())
     follower.read(20, fleet(2))
@@ -261,13 +261,13 @@
 
 
 class Play:
-    """A store that is a plain dictionary with a revision, a watch on it, and the machine that follows."""
+    """A store that is a dictionary with a revision, a watch on it, and the state machine that follows it."""
 
     def __init__(self) -> None:
         self.store: dict[str, tuple[int, bytes]] = {}
         self.history: list[tuple[str, int, bytes | None]] = []
         self.revision = self.compacted = 1
-        self.sent = 0  # how far the watch has told, by revision
+        self.sent = 0  # revision up to which the watch has sent changes
         self.follower = Follower()
 
     def put(self, which: int, value: int) -> None:
@@ -292,7 +292,7 @@
             self.history.append((f"n{which}", self.revision, None))
 
     def broken(self, which: int, value: int) -> None:
-        """The call breaks."""
+        """The current call fails."""
         self.follower.handle(watch_events.CallEnded("reset"))
 
     def compact(self, which: int, value: int) -> None:
@@ -300,12 +300,12 @@
         self.compacted = self.revision
 
     def repeat(self, which: int, value: int) -> None:
-        """The watch sends changes again."""
+        """The watch sends changes a second time."""
         told = [one for one in self.history if one[1] <= self.sent]
         self.follower.handle(changes(1, told[-1 - which :]))
 
     def stale(self, which: int, value: int) -> None:
-        """A member that lags reports its progress."""
+        """A lagging member reports its progress."""
         self.follower.handle(watch_events.Progress(1, max(1, self.sent - which)))
 
     def progress(self, which: int, value: int) -> None:
@@ -313,7 +313,7 @@
         self.follower.handle(watch_events.Progress(1, self.sent))
 
     def serve(self) -> None:
-        """Does what the machine wants, and has the watch catch up."""
+        """Answers the requested calls, and sends the changes that the watch has not sent yet."""
         for _ in range(8):
             self._answer()
             watching = self.follower.machine.mode is m.Mode.WATCHING
@@ -346,7 +346,7 @@
 def test_whatever_happens_the_view_becomes_the_stores_and_no_revision_goes_back(
     steps: list[tuple[str, int, int]],
 ) -> None:
-    """The watch may break, repeat, compact or lag at any step."""
+    """The watch may fail, repeat, be compacted or lag at any step."""
     play, revisions = Play(), [0]
     follower = play.follower
     play.serve()
@@ -364,4 +364,4 @@
     assert revisions == sorted(revisions)
     for uid in play.store:
         mine = [value for whose, value in follower.published if whose == uid]
-        assert all(one != two for one, two in pairwise(mine))  # each change once
+        assert all(one != two for one, two in pairwise(mine))  # each change is published once
