--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -25,7 +25,7 @@
 
 NUMBER_LIMIT = 1e19  # exclusive; larger than any time in ns
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
-DEFAULT_POLL_WITHIN_NS = 10_000_000_000
+DEFAULT_MAX_POLL_RETRY_NS = 10_000_000_000
 DEFAULT_SLOW_START_WINDOW_NS = 1_000_000_000
 DEFAULT_MAX_REQUESTS = 20_000
 DEFAULT_KEEPALIVE_NS = 60_000_000_000
@@ -82,23 +82,23 @@
 def _read_objects(source: Json, path: str, default: list[Json] | None = None) -> list[Json]:
     """Returns a list of objects."""
     value: list[Json] = _read(source, path, list, default)
-    if not all(isinstance(one, dict) for one in value):
+    if not all(isinstance(item, dict) for item in value):
         raise SettingError(f"setting {path} is invalid: expected a list of objects")
     return value
 
 
-def _read_indexes(values: list[Any], path: str) -> dict[str, int]:
+def _index_by_name(values: list[Any], path: str) -> dict[str, int]:
     """Returns the index of each name; raises SettingError where a name is no string or is repeated."""
-    if not all(isinstance(one, str) for one in values) or len(set(values)) < len(values):
+    if not all(isinstance(name, str) for name in values) or len(set(values)) < len(values):
         raise SettingError(f"setting {path} is invalid: expected unique names, got {values!r}")
-    return {name: number for number, name in enumerate(values)}
+    return {name: index for index, name in enumerate(values)}
 
 
 # Settings of the routing decisions
 
 
-def _read_class(source: Json, number: int) -> api.RequestClass:
-    path = f"classes[{number}]"
+def _read_class(source: Json, index: int) -> api.RequestClass:
+    path = f"classes[{index}]"
     return api.RequestClass(
         latency_objective_ns=_read_int(source, f"{path}.aim", 1),
         deadline_ns=_read_int(source, f"{path}.deadline", 1),
@@ -113,8 +113,8 @@
     )
 
 
-def _read_tenant(source: Json, number: int) -> api.Tenant:
-    return api.Tenant(quota_per_s=_read_number(source, f"tenants[{number}].quotaRps", 0, 0))
+def _read_tenant(source: Json, index: int) -> api.Tenant:
+    return api.Tenant(quota_per_s=_read_number(source, f"tenants[{index}].quotaRps", 0, 0))
 
 
 def read_settings(document: Json) -> api.Settings:
@@ -129,9 +129,9 @@
     safety = _read(document, "safety", dict)
     cache = _read(document, "specifics", dict, {})
     return api.Settings(
-        classes=[_read_class(one, number) for number, one in enumerate(classes)],
+        classes=[_read_class(source, index) for index, source in enumerate(classes)],
         router_count=_read_int(document, "balancers", 1, 1),
-        tenants=[_read_tenant(one, number) for number, one in enumerate(tenants)],
+        tenants=[_read_tenant(source, index) for index, source in enumerate(tenants)],
         cache_aside=_read_word(cache, "specifics.mode", CACHE_MODE_WORDS, "through") == "aside",
         origin_kind=_read_int(cache, "specifics.originKind", -1, -1),
         endpoints_polled=_read_word(document, "registryMode", ENDPOINT_LIST_WORDS, "pushed") == "on_request",
@@ -139,7 +139,7 @@
         max_retry_after_ns=_read_int(ceilings, "ceilings.maxRetryAfter", 0, 0),
         max_attempts=_read_int(ceilings, "ceilings.attemptsCap", 1, 1),
         connect_timeout_ns=_read_int(ceilings, "ceilings.dialTimeout", 0, DEFAULT_CONNECT_TIMEOUT_NS),
-        max_poll_retry_ns=_read_int(safety, "safety.askWithin", 0, DEFAULT_POLL_WITHIN_NS),
+        max_poll_retry_ns=_read_int(safety, "safety.askWithin", 0, DEFAULT_MAX_POLL_RETRY_NS),
         slow_start_initial_fraction=_read_number(safety, "safety.coldFrom", 0, 1),
         slow_start_ns=_read_int(safety, "safety.rampTime", 0, 0),
         slow_start_overload_factor=_read_number(safety, "safety.tipMultiple", 0, 1),
@@ -175,11 +175,11 @@
     classes = _read_objects(document, "classes")
     tenants = _read_objects(document, "tenants", [])
     return Names(
-        classes=_read_indexes([one.get("name") for one in classes], "classes[].name"),
-        idempotency=[_read_class(one, number).idempotency for number, one in enumerate(classes)],
-        tenants=_read_indexes([one.get("name") for one in tenants], "tenants[].name"),
-        zones=_read_indexes(_read(document, "azs", list, []), "azs"),
-        kinds=_read_indexes(_read(document, "hostTypes", list, []), "hostTypes"),
+        classes=_index_by_name([source.get("name") for source in classes], "classes[].name"),
+        idempotency=[_read_class(source, index).idempotency for index, source in enumerate(classes)],
+        tenants=_index_by_name([source.get("name") for source in tenants], "tenants[].name"),
+        zones=_index_by_name(_read(document, "azs", list, []), "azs"),
+        kinds=_index_by_name(_read(document, "hostTypes", list, []), "hostTypes"),
     )
 
 
