--- a/rainhitch/wirehost.py
+++ b/rainhitch/wirehost.py
@@ -137,16 +137,16 @@
     "WITHDRAWN": _read_client_gone,
 }
 # Events that the routing decisions ignore, each with the fields that it must have.
-UNREAD_EVENTS: dict[str, tuple[str, ...]] = {
+IGNORED_EVENTS: dict[str, tuple[str, ...]] = {
     "OPENED": ("msgId", "sendNo", "server"),
     "ECHO": ("server", "disposition", "costTime"),
     "MEMO": ("sender", "payload"),
 }
 
 
-def _check_unread_event(name: str, message: Json) -> None:
+def _check_ignored_event(name: str, message: Json) -> None:
     """Raises KeyError where an ignored event lacks a field or has an unknown status."""
-    for field in UNREAD_EVENTS[name]:
+    for field in IGNORED_EVENTS[name]:
         value = message[field]
         if field == "disposition":
             STATUS_BY_WORD[value]
@@ -202,7 +202,7 @@
         """Creates a host without instances; an `UP` message starts one."""
         self.routers: dict[int, Balancer] = {}
 
-    def reply(self, line: bytes) -> bytes:
+    def handle_batch(self, line: bytes) -> bytes:
         """Handles one batch and returns the output line; raises WireError where the batch is invalid."""
         try:
             batch = orjson.loads(line)
@@ -215,20 +215,20 @@
         if type(now_ns) is not int or type(messages) is not list:
             raise WireError("a batch needs an integer clock and a list msgs")
         output: list[Json] = []
-        for place, message in enumerate(messages):
+        for index, message in enumerate(messages):
             try:
-                self._play(now_ns, message, output)
+                self._handle_message(now_ns, message, output)
             except (KeyError, TypeError, AttributeError) as error:
-                raise WireError(f"msgs[{place}] has a missing or invalid field: {error}") from None
+                raise WireError(f"msgs[{index}] has a missing or invalid field: {error}") from None
         return orjson.dumps({"output": output})
 
-    def _play(self, now_ns: int, message: Json, output: list[Json]) -> None:
+    def _handle_message(self, now_ns: int, message: Json, output: list[Json]) -> None:
         """Handles one message and appends the resulting actions to the output."""
         name = message["t"]
         instance = message["i"]
         reader = EVENT_READERS.get(name)
-        if reader is None and name not in UNREAD_EVENTS:
-            self._control(name, instance, message, output)
+        if reader is None and name not in IGNORED_EVENTS:
+            self._handle_control(name, instance, message, output)
             return
         router = self.routers.get(instance)
         if router is None:
@@ -236,7 +236,7 @@
             return
         event: api.Event | None = None
         if reader is None:
-            _check_unread_event(name, message)
+            _check_ignored_event(name, message)
         else:
             event = reader(message)
         try:
@@ -250,7 +250,7 @@
             del self.routers[instance]
             output.append({"t": "DIE", "i": instance, "msg": f"{type(error).__name__}: {error}"})
 
-    def _control(self, name: str, instance: int, message: Json, output: list[Json]) -> None:
+    def _handle_control(self, name: str, instance: int, message: Json, output: list[Json]) -> None:
         """Starts or ends an instance; an instance with invalid settings is ended with the reason."""
         if name == "UP":
             seed = message["nonce64"]
@@ -271,15 +271,15 @@
 def main() -> int:
     """Answers each line of standard input until it ends; returns 2 after an invalid line."""
     host = Host()
-    answers = sys.stdout.buffer
+    output = sys.stdout.buffer
     for number, line in enumerate(sys.stdin.buffer, 1):
         try:
-            answer = host.reply(line)
+            output_line = host.handle_batch(line)
         except WireError as error:
             print(f"line {number}: {error}", file=sys.stderr)
             return 2
-        answers.write(answer + b"\n")
-        answers.flush()
+        output.write(output_line + b"\n")
+        output.flush()
     return 0
 
 
