--- a/rainhitch/membership/change_publisher.py
+++ b/rainhitch/membership/change_publisher.py
@@ -45,32 +45,32 @@
 
     def publish_changes(self, now_ns: int) -> Publish | None:
         """Returns the next batch; None where every pending change was undone before it was published."""
-        news = {uid: value for uid, value in self.pending.items() if self.published.get(uid) != value}
+        changes = {uid: value for uid, value in self.pending.items() if self.published.get(uid) != value}
         self.pending = {}
-        early_ns = 0
-        if len(news) > MAX_NEW_IN_PART:
-            part = self._part(news)
-            self.pending = {uid: value for uid, value in news.items() if uid not in part}
-            news = part
-            early_ns = BATCH_INTERVAL_NS - PART_INTERVAL_NS
-        self._record(news)
-        if not news:
+        advance_ns = 0
+        if len(changes) > MAX_NEW_IN_PART:
+            part = self._first_part(changes)
+            self.pending = {uid: value for uid, value in changes.items() if uid not in part}
+            changes = part
+            advance_ns = BATCH_INTERVAL_NS - PART_INTERVAL_NS
+        self._record(changes)
+        if not changes:
             return None
-        self.published_at_ns = now_ns - early_ns
-        return Publish(news)
+        self.published_at_ns = now_ns - advance_ns
+        return Publish(changes)
 
-    def _part(self, news: dict[str, bytes | None]) -> dict[str, bytes | None]:
+    def _first_part(self, changes: dict[str, bytes | None]) -> dict[str, bytes | None]:
         """Returns the part of a large batch that is published first.
 
         Guards requests in flight: applying thousands of entries at once would delay them for that time.
         Entries that were published before go first, since a drain must be applied in time and a new endpoint
         can wait.
         """
-        known = ((uid, news[uid]) for uid in news if uid in self.published)
+        known = ((uid, changes[uid]) for uid in changes if uid in self.published)
         part = dict(islice(known, MAX_KNOWN_IN_PART))
         if part:
             return part
-        return dict(islice(news.items(), MAX_NEW_IN_PART))
+        return dict(islice(changes.items(), MAX_NEW_IN_PART))
 
     def _record(self, entries: dict[str, bytes | None]) -> None:
         for uid, value in entries.items():
--- a/rainhitch/membership/endpoint_list_builder.py
+++ b/rainhitch/membership/endpoint_list_builder.py
@@ -35,7 +35,7 @@
         if whole:
             self.entries.clear()
         for uid, value in values.items():
-            row = self._deleted(uid) if value is None else self._updated(uid, value)
+            row = self._delete(uid) if value is None else self._update(uid, value)
             if row is not None:
                 rows.append(row)
         if whole or rows:
@@ -43,12 +43,12 @@
             # whatever the store's revisions are.
             self.apply({"rev": self.version() + 1, "all": whole, "targets": rows})
 
-    def _deleted(self, uid: str) -> Json | None:
+    def _delete(self, uid: str) -> Json | None:
         self.unreadable.discard(uid)
-        before = self.entries.pop(uid, None)
-        return None if before is None else {**before, "state": "Gone"}
+        previous = self.entries.pop(uid, None)
+        return None if previous is None else {**previous, "state": "Gone"}
 
-    def _updated(self, uid: str, value: bytes) -> Json | None:
+    def _update(self, uid: str, value: bytes) -> Json | None:
         try:
             entry = _parse_entry(uid, value)
         except EntryError as problem:
