--- a/rainhitch/membership/list_view.py
+++ b/rainhitch/membership/list_view.py
@@ -35,18 +35,18 @@
             return False
         return cluster_id != self.cluster_id
 
-    def dropped(self, snapshot: Snapshot) -> int:
+    def count_dropped(self, snapshot: Snapshot) -> int:
         """Returns how many of the view's entries are missing in a read."""
         return sum(uid not in snapshot.entries for uid in self.known)
 
-    def is_suspicious(self, dropped: int) -> bool:
+    def is_suspicious(self, dropped_count: int) -> bool:
         """Returns whether a read that drops so many entries must be checked by a second read.
 
         Guards against a partial backup or a wrong prefix, which would remove most endpoints at once.
         """
         if len(self.known) <= SUSPICIOUS_MIN_ENTRIES:
             return False
-        return dropped > SUSPICIOUS_DROP_FRACTION * len(self.known)
+        return dropped_count > SUSPICIOUS_DROP_FRACTION * len(self.known)
 
     def adopt(self, snapshot: Snapshot) -> None:
         """Replaces the view by a read."""
--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -92,9 +92,9 @@
     random: Random
     mode: Mode = Mode.READING
     view: ListView = field(default_factory=ListView)
-    heard_at_ns: int = 0  # time of etcd's last response, or of the start of the call
+    last_response_at_ns: int = 0  # time of etcd's last response, or of the start of the call
     progress_requested_at_ns: int = 0
-    resume_at_ns: int = 0  # end of the backoff
+    backoff_ends_at_ns: int = 0
     failures: int = 0  # consecutive
     is_failing: bool = False  # whether a failure of etcd was logged
     behind_since_ns: int | None = None  # since when all revisions seen were older than the view's
@@ -102,7 +102,7 @@
 
     def start(self, now_ns: int) -> list[Action]:
         """Returns the first actions."""
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
         return [ReadAll()]
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
@@ -129,19 +129,19 @@
         due_at_ns = self.view.publisher.due_at_ns()
         times = [] if due_at_ns is None else [due_at_ns]
         if self.mode is Mode.BACKING_OFF:
-            times.append(self.resume_at_ns)
+            times.append(self.backoff_ends_at_ns)
         elif self.mode is Mode.VERIFYING and self.suspicion is not None:
             times.append(min(self.suspicion.read_again_at_ns, self.suspicion.adopt_at_ns))
         else:
-            times.append(self.heard_at_ns + SILENCE_LIMIT_NS)
+            times.append(self.last_response_at_ns + SILENCE_LIMIT_NS)
             if self.mode is Mode.WATCHING:
-                times.append(self._last_sign_ns() + PROGRESS_INTERVAL_NS)
+                times.append(self._last_activity_ns() + PROGRESS_INTERVAL_NS)
         if self.suspicion is not None:
             times.append(self.suspicion.adopt_at_ns)
         return min(times)
 
-    def _last_sign_ns(self) -> int:
-        return max(self.heard_at_ns, self.progress_requested_at_ns)
+    def _last_activity_ns(self) -> int:
+        return max(self.last_response_at_ns, self.progress_requested_at_ns)
 
     def _handle_time(self, now_ns: int, actions: list[Action]) -> None:
         suspicion = self.suspicion
@@ -150,7 +150,7 @@
             self._adopt(now_ns, suspicion.snapshot, actions)
         match self.mode:
             case Mode.BACKING_OFF:
-                if now_ns >= self.resume_at_ns:
+                if now_ns >= self.backoff_ends_at_ns:
                     self._resume(now_ns, actions)
             case Mode.VERIFYING:
                 if self.suspicion is not None and now_ns >= self.suspicion.read_again_at_ns:
@@ -163,9 +163,9 @@
                 actions.append(batch)
 
     def _check_silence(self, now_ns: int, actions: list[Action]) -> None:
-        if now_ns - self.heard_at_ns >= SILENCE_LIMIT_NS:
+        if now_ns - self.last_response_at_ns >= SILENCE_LIMIT_NS:
             self._back_off(now_ns, f"silent for {SILENCE_LIMIT_NS / SECOND_NS:g} s", actions)
-        elif self.mode is Mode.WATCHING and now_ns - self._last_sign_ns() >= PROGRESS_INTERVAL_NS:
+        elif self.mode is Mode.WATCHING and now_ns - self._last_activity_ns() >= PROGRESS_INTERVAL_NS:
             self.progress_requested_at_ns = now_ns
             actions.append(RequestProgress())
 
@@ -173,12 +173,12 @@
 
     def _read_all(self, now_ns: int, actions: list[Action]) -> None:
         self.mode = Mode.READING
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
         actions.append(ReadAll())
 
     def _watch(self, now_ns: int, actions: list[Action]) -> None:
         self.mode = Mode.WATCHING
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
         self.progress_requested_at_ns = now_ns
         actions.append(WatchFrom(self.view.revision + 1))
 
@@ -191,7 +191,7 @@
             actions.append(warning("etcd unavailable", **fields))
         self.is_failing = True
         self.mode = Mode.BACKING_OFF
-        self.resume_at_ns = now_ns + backoff_ns(self.failures, self.random)
+        self.backoff_ends_at_ns = now_ns + backoff_ns(self.failures, self.random)
         self.failures += 1
         actions.append(SwitchEndpoint())
 
@@ -199,7 +199,7 @@
         """Has a read that drops too many entries checked by a second read."""
         self.suspicion = SnapshotSuspicion(snapshot, now_ns + ADOPT_AFTER_NS, now_ns + READ_AGAIN_AFTER_NS)
         self.mode = Mode.VERIFYING
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
 
     def _resume(self, now_ns: int, actions: list[Action]) -> None:
         """Ends a backoff: watches from the view's revision if it is valid, and else reads the list."""
@@ -210,16 +210,16 @@
 
     # Events from etcd.
 
-    def _answered(self, now_ns: int, actions: list[Action]) -> None:
+    def _record_response(self, now_ns: int, actions: list[Action]) -> None:
         """Records a response from etcd whose revision is not older than the view's."""
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
         if self.is_failing:
             actions.append(warning("etcd available again"))
         self.is_failing = False
         self.failures = 0
         self.behind_since_ns = None
 
-    def _member_lags(self, now_ns: int, revision: int, actions: list[Action]) -> None:
+    def _handle_lagging_member(self, now_ns: int, revision: int, actions: list[Action]) -> None:
         """Handles a revision older than the view's: backs off and then asks another member."""
         if self.behind_since_ns is None:
             self.behind_since_ns = now_ns
@@ -239,13 +239,13 @@
             actions.append(warning("etcd cluster id changed", **ids, action="compare_all"))
         elif snapshot.revision < view.revision:
             if not self._is_restored(now_ns):
-                self._member_lags(now_ns, snapshot.revision, actions)
+                self._handle_lagging_member(now_ns, snapshot.revision, actions)
                 return
             revisions = {"from": view.revision, "to": snapshot.revision}
             actions.append(warning("etcd revisions went back", **revisions, action="adopt_restored_backup"))
-        dropped = view.dropped(snapshot)
-        if self.suspicion is None and view.is_suspicious(dropped):
-            counts = {"dropped": dropped, "known": len(view.known)}
+        dropped_count = view.count_dropped(snapshot)
+        if self.suspicion is None and view.is_suspicious(dropped_count):
+            counts = {"dropped": dropped_count, "known": len(view.known)}
             actions.append(warning("etcd read drops too many", **counts, action="read_again"))
             self._verify(now_ns, snapshot)
             return
@@ -258,7 +258,7 @@
     def _adopt(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
         """Makes a read the view, and adds the differences to the pending changes."""
         is_first = not self.view.is_read
-        self._answered(now_ns, actions)
+        self._record_response(now_ns, actions)
         self.suspicion = None
         self.view.adopt(snapshot)
         if is_first:
@@ -272,7 +272,7 @@
         if event.cluster_id != self.view.cluster_id:
             self._read_all(now_ns, actions)
             return
-        self._answered(now_ns, actions)
+        self._record_response(now_ns, actions)
         self.view.apply(event)
 
     def _handle_progress(self, now_ns: int, event: Progress, actions: list[Action]) -> None:
@@ -281,8 +281,8 @@
         if event.cluster_id != self.view.cluster_id:
             self._read_all(now_ns, actions)
         elif event.revision < self.view.revision:
-            self._member_lags(now_ns, event.revision, actions)
+            self._handle_lagging_member(now_ns, event.revision, actions)
         else:
             # Progress shows that the watch works, and does not advance the view's revision. Guards against a
             # drain lost for good: released versions of etcd report progress ahead of events still in transit.
-            self._answered(now_ns, actions)
+            self._record_response(now_ns, actions)
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -149,8 +149,8 @@
 async def test_a_quiet_watch_is_asked_for_progress_and_kept() -> None:
     async with scene() as one:
         await wait_until(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
-        heard = one.source.machine.heard_at_ns
-        await wait_until(lambda: one.source.machine.heard_at_ns > heard)
+        last_response_at_ns = one.source.machine.last_response_at_ns
+        await wait_until(lambda: one.source.machine.last_response_at_ns > last_response_at_ns)
         assert not one.source.machine.is_failing and one.source.endpoint_turn == 0
 
 
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -254,7 +254,7 @@
     follower, pauses = Follower(), []
     for _ in range(12):
         follower.handle(watch_events.CallEnded("refused"))
-        pauses.append(follower.machine.resume_at_ns - follower.now)
+        pauses.append(follower.machine.backoff_ends_at_ns - follower.now)
         follower.wait(m.MAX_BACKOFF_NS)
     assert pauses[0] <= m.FIRST_BACKOFF_NS and max(pauses) <= m.MAX_BACKOFF_NS
     assert all(pause > m.MAX_BACKOFF_NS // 2 for pause in pauses[7:]) and len(set(pauses[7:])) > 1
