--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -30,10 +30,10 @@
 async def read_entry(client: EtcdClient, uid: str) -> StoredEntry:
     """Returns the entry of a uid as it is in etcd now."""
     key = (client.options.prefix + uid).encode()
-    answer = await client.call("KV/Range", etcd.message("RangeRequest", key=key))
-    if not answer.kvs:
+    response = await client.call("KV/Range", etcd.message("RangeRequest", key=key))
+    if not response.kvs:
         return StoredEntry(key, NO_REVISION, b"")
-    return StoredEntry(key, answer.kvs[0].mod_revision, answer.kvs[0].value)
+    return StoredEntry(key, response.kvs[0].mod_revision, response.kvs[0].value)
 
 
 async def commit(client: EtcdClient, changes: list[tuple[StoredEntry, bytes]]) -> int:
@@ -45,10 +45,10 @@
     for entry, value in changes:
         request.compare.add(result=etcd.EQUAL, target=etcd.MOD, key=entry.key, mod_revision=entry.revision)
         request.success.add(request_put=etcd.message("PutRequest", key=entry.key, value=value))
-    answer = await client.call("KV/Txn", request)
-    if not answer.succeeded:
+    response = await client.call("KV/Txn", request)
+    if not response.succeeded:
         raise ChangeRejectedError("somebody else changed an entry after it was read: read it again and retry")
-    return int(answer.header.revision)
+    return int(response.header.revision)
 
 
 async def set_state(client: EtcdClient, uid: str, state: str, only_from: str = "") -> int:
@@ -83,11 +83,11 @@
     except orjson.JSONDecodeError as problem:
         raise ChangeRejectedError(f"not JSON: {problem}") from None
     rows = document.get("targets") if isinstance(document, dict) else document
-    if not isinstance(rows, list) or not rows or not all(isinstance(one, dict) for one in rows):
+    if not isinstance(rows, list) or not rows or not all(isinstance(row, dict) for row in rows):
         raise ChangeRejectedError('expected a list of entries, or {"targets": [...]}')
     if len(rows) > MAX_ENTRIES:
         raise ChangeRejectedError(f"{len(rows)} entries: at most {MAX_ENTRIES} can be changed at once")
-    uids = [one.get("uid") for one in rows]
+    uids = [row.get("uid") for row in rows]
     for row in rows:
         _check_entry(row, uids)
     return rows
@@ -105,5 +105,5 @@
 
 async def put(client: EtcdClient, rows: list[Json]) -> int:
     """Puts entries in one transaction; returns the revision."""
-    changes = [(await read_entry(client, one["uid"]), orjson.dumps(one)) for one in rows]
+    changes = [(await read_entry(client, row["uid"]), orjson.dumps(row)) for row in rows]
     return await commit(client, changes)
--- a/rainhitch/membership/etcd_client.py
+++ b/rainhitch/membership/etcd_client.py
@@ -76,11 +76,11 @@
     async def metadata(self) -> dict[str, str]:
         """Returns the metadata of a call; fetches a token where there is a user and no token yet."""
         if self.options.user and not self.token:
-            login = etcd.message(
+            credentials = etcd.message(
                 "AuthenticateRequest", name=self.options.user, password=self.options.password
             )
-            answer = await self._unary("Auth/Authenticate", login, {})
-            self.token = answer.token
+            response = await self._unary("Auth/Authenticate", credentials, {})
+            self.token = response.token
         return {"token": self.token} if self.token else {}
 
     async def call(self, method: str, request: Any) -> Any:
@@ -94,17 +94,17 @@
             return await self._unary(method, request, await self.metadata())
 
     async def _unary(self, method: str, request: Any, metadata: dict[str, str]) -> Any:
-        asked, answered, _ = etcd.METHODS[method]
+        request_type, response_type, _ = etcd.METHODS[method]
         call: Any = UnaryUnaryMethod(
-            self.channel, etcd.path(method), etcd.MESSAGES[asked], etcd.MESSAGES[answered]
+            self.channel, etcd.path(method), etcd.MESSAGES[request_type], etcd.MESSAGES[response_type]
         )
         return await call(request, timeout=self.options.timeout_s, metadata=metadata)
 
     def stream(self, method: str, metadata: dict[str, str]) -> Any:
         """Returns a stream, to be used as an async context manager."""
-        asked, answered, _ = etcd.METHODS[method]
+        request_type, response_type, _ = etcd.METHODS[method]
         call: Any = StreamStreamMethod(
-            self.channel, etcd.path(method), etcd.MESSAGES[asked], etcd.MESSAGES[answered]
+            self.channel, etcd.path(method), etcd.MESSAGES[request_type], etcd.MESSAGES[response_type]
         )
         return call.open(metadata=metadata)
 
@@ -121,8 +121,8 @@
             page = await self.call("KV/Range", request)
             if not revision:
                 revision = page.header.revision
-            for one in page.kvs:
-                entries[uid_of(one.key, prefix)] = StoredValue(one.mod_revision, one.value)
+            for entry in page.kvs:
+                entries[uid_of(entry.key, prefix)] = StoredValue(entry.mod_revision, entry.value)
             if not page.more or not page.kvs:
                 return Snapshot(page.header.cluster_id, revision, entries)
             key = page.kvs[-1].key + b"\0"
--- a/rainhitch/membership/etcd_source.py
+++ b/rainhitch/membership/etcd_source.py
@@ -63,7 +63,7 @@
         # Guards against an empty first read: the configuration's endpoints count as known, so that a read
         # without them is suspicious.
         self.machine.view.known = dict.fromkeys(known_uids or (), StoredValue(0, b""))
-        self.endpoint_turn = 0  # number of switches to the next endpoint
+        self.endpoint_switches = 0
         self.client: EtcdClient | None = None
         self.call: asyncio.Task[None] | None = None  # the read or watch in progress
         self.stream: Any = None  # the stream of the watch in progress
@@ -91,14 +91,14 @@
         for action in actions:
             match action:
                 case ReadAll():
-                    self._begin(self._read)
+                    self._start_call(self._read)
                 case WatchFrom():
-                    self._begin(partial(self._watch, action.revision))
+                    self._start_call(partial(self._watch, action.revision))
                 case RequestProgress():
                     self._request_progress()
                 case SwitchEndpoint():
                     self._disconnect()
-                    self.endpoint_turn += 1
+                    self.endpoint_switches += 1
                 case Publish():
                     self._publish(action)
                 case LogWarning():
@@ -125,14 +125,14 @@
         self.client = None
         self.stream = None
 
-    def _begin(self, call: Callable[[], Awaitable[None]]) -> None:
+    def _start_call(self, call: Callable[[], Awaitable[None]]) -> None:
         """Cancels the call in progress and starts another."""
         if self.call is not None:
             self.call.cancel()
         self.stream = None
-        self.call = asyncio.ensure_future(self._guarded(call))
+        self.call = asyncio.ensure_future(self._run_call(call))
 
-    async def _guarded(self, call: Callable[[], Awaitable[None]]) -> None:
+    async def _run_call(self, call: Callable[[], Awaitable[None]]) -> None:
         """Runs a call and reports its failure, unless another call has replaced it."""
         this_call = asyncio.current_task()
         try:
@@ -149,18 +149,18 @@
         if self.call is this_call:
             self._report(CallEnded(failure))
 
-    def _connected(self) -> EtcdClient:
+    def _connected_client(self) -> EtcdClient:
         if self.client is None:
             endpoints = self.options.endpoints
-            self.client = EtcdClient(self.options, endpoints[self.endpoint_turn % len(endpoints)])
+            self.client = EtcdClient(self.options, endpoints[self.endpoint_switches % len(endpoints)])
         return self.client
 
     async def _read(self) -> None:
-        self._report(await self._connected().read_all(self.options.prefix))
+        self._report(await self._connected_client().read_all(self.options.prefix))
 
     async def _watch(self, revision: int) -> None:
         """Watches from a revision on until it is compacted; any other end raises one of CALL_ERRORS."""
-        client = self._connected()
+        client = self._connected_client()
         async with client.stream("Watch/Watch", await client.metadata()) as stream:
             await stream.send_message(self._watch_request(revision))
             self.stream = stream
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -151,7 +151,7 @@
         await wait_until(lambda: one.source.machine.mode is watch_state_machine.Mode.WATCHING)
         last_response_at_ns = one.source.machine.last_response_at_ns
         await wait_until(lambda: one.source.machine.last_response_at_ns > last_response_at_ns)
-        assert not one.source.machine.is_failing and one.source.endpoint_turn == 0
+        assert not one.source.machine.is_failing and one.source.endpoint_switches == 0
 
 
 async def test_progress_reported_ahead_of_its_events_loses_no_drain(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -173,7 +173,7 @@
         await one.until(c0="draining", c1="ready", c2="ready")
         one.etcd.lag(1, behind=1)
         await one.etcd.kill(0)
-        await wait_until(lambda: one.source.endpoint_turn >= 3)
+        await wait_until(lambda: one.source.endpoint_switches >= 3)
         assert one.states()["c0"] == "draining"
         one.etcd.lag(-1)
         one.put("c1", "Terminating")
