--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -32,7 +32,7 @@
 T = TypeVar("T")
 REQUIRED: Any = dataclasses.MISSING  # default of a key that must be present
 BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")  # of an unquoted TOML key
-MAX_SHOWN = 60  # maximum length of a value in a reported line
+MAX_SHOWN_LENGTH = 60  # characters of a value in a reported line
 SPEC = "spec"  # key of the FieldSpec in a dataclass field's metadata
 
 
@@ -65,8 +65,8 @@
         return "tables" if self.is_array else "a table"
 
 
-def _spec(one: "dataclasses.Field[Any]") -> FieldSpec:
-    spec: FieldSpec = one.metadata[SPEC]
+def _spec_of(field: "dataclasses.Field[Any]") -> FieldSpec:
+    spec: FieldSpec = field.metadata[SPEC]
     return spec
 
 
@@ -108,7 +108,7 @@
     return _field(Annotated[str, Field(strict=True)], "a text", default, doc)
 
 
-def _different(value: list[str]) -> list[str]:
+def _check_unique(value: list[str]) -> list[str]:
     if len(set(value)) < len(value):
         raise DisallowedValueError("expected unique values")
     return value
@@ -116,8 +116,8 @@
 
 def texts(default: list[str], doc: str) -> Any:
     """Returns a field for a non-empty list of unique, non-empty strings."""
-    one = Annotated[str, Field(strict=True, min_length=1)]
-    form = Annotated[list[one], Field(strict=True, min_length=1), AfterValidator(_different)]
+    item = Annotated[str, Field(strict=True, min_length=1)]
+    form = Annotated[list[item], Field(strict=True, min_length=1), AfterValidator(_check_unique)]
     return _field(form, "a list of different texts", default, doc)
 
 
@@ -127,12 +127,12 @@
     return _field(list[within], f"a list of whole numbers from {low} to {high}", default, doc)
 
 
-def _both_ends(value: object) -> object:
-    """Returns a range in the form that pydantic checks: a single number stands for both ends."""
+def _range_of(value: object) -> object:
+    """Returns a range for pydantic to check; a single number stands for both ends."""
     return tuple(value) if isinstance(value, list) else (value, value)
 
 
-def _in_order(value: tuple[float, float]) -> tuple[float, float]:
+def _check_order(value: tuple[float, float]) -> tuple[float, float]:
     if value[0] > value[1]:
         raise DisallowedValueError("expected the second number to be no less than the first")
     return value
@@ -141,7 +141,7 @@
 def pair(default: tuple[float, float], low: float, high: float, doc: str) -> Any:
     """Returns a field for a range [a, b] with low <= a <= b <= high; a single number is both ends."""
     end = _bounded(float, low, high)
-    form = Annotated[tuple[end, end], BeforeValidator(_both_ends), AfterValidator(_in_order)]  # type: ignore[valid-type]
+    form = Annotated[tuple[end, end], BeforeValidator(_range_of), AfterValidator(_check_order)]  # type: ignore[valid-type]
     return _field(form, f"a number or a range [a, b] from {low:g} to {high:g}", default, doc)
 
 
@@ -159,11 +159,11 @@
 @cache
 def model(kind: Any) -> type[BaseModel]:
     """Returns the pydantic model of a table."""
-    fields = {one.name: (_form(_spec(one)), _model_field(one)) for one in dataclasses.fields(kind)}
+    fields = {field.name: (_form(_spec_of(field)), _model_field(field)) for field in dataclasses.fields(kind)}
     definitions: dict[str, Any] = fields
     config = ConfigDict(extra="forbid")
-    made: type[BaseModel] = create_model(kind.__name__, __config__=config, **definitions)
-    return made
+    table_model: type[BaseModel] = create_model(kind.__name__, __config__=config, **definitions)
+    return table_model
 
 
 def _form(spec: FieldSpec) -> Any:
@@ -174,13 +174,13 @@
     return Annotated[list[row], Field(strict=True)] if spec.is_array else row  # type: ignore[valid-type]
 
 
-def _model_field(one: "dataclasses.Field[Any]") -> Any:
+def _model_field(field: "dataclasses.Field[Any]") -> Any:
     """Returns a pydantic field with the default and the description of a dataclass field."""
-    doc = _spec(one).doc
-    if one.default is not dataclasses.MISSING:
-        return Field(one.default, description=doc)
-    if one.default_factory is not dataclasses.MISSING:
-        return Field(default_factory=one.default_factory, description=doc)
+    doc = _spec_of(field).doc
+    if field.default is not dataclasses.MISSING:
+        return Field(field.default, description=doc)
+    if field.default_factory is not dataclasses.MISSING:
+        return Field(default_factory=field.default_factory, description=doc)
     return Field(description=doc)
 
 
@@ -197,8 +197,8 @@
     try:
         checked = model(kind).model_validate(dict(source))  # type: ignore[arg-type]
     except ValidationError as problem:
-        found = problem.errors(include_url=False)
-        lines = [_problem_line(kind, source, one["loc"], one["type"] == "missing") for one in found]
+        errors = problem.errors(include_url=False)
+        lines = [_problem_line(kind, source, error["loc"], error["type"] == "missing") for error in errors]
         problems += [f"{where}: {line}" for line in dict.fromkeys(lines)]
         return None
     return _dataclass(kind, checked)
@@ -207,12 +207,12 @@
 def _dataclass(kind: type[T], checked: Any) -> T:
     """Returns a dataclass with the values that pydantic has read; defaults are dataclasses already."""
     values: dict[str, Any] = {}
-    for one in dataclasses.fields(kind):  # type: ignore[arg-type]
-        value = getattr(checked, one.name)
-        spec = _spec(one)
+    for field in dataclasses.fields(kind):  # type: ignore[arg-type]
+        value = getattr(checked, field.name)
+        spec = _spec_of(field)
         if spec.table is not None:
             value = _tables(spec.table, value) if spec.is_array else _table(spec.table, value)
-        values[one.name] = value
+        values[field.name] = value
     return kind(**values)
 
 
@@ -238,11 +238,11 @@
             value = value[step]
             allowed = "a table"
             continue
-        specs = {one.name: _spec(one) for one in dataclasses.fields(kind)}
-        path = f"{path}.{_key(step)}" if path else _key(step)
+        specs = {field.name: _spec_of(field) for field in dataclasses.fields(kind)}
+        path = f"{path}.{_toml_key(step)}" if path else _toml_key(step)
         spec = specs.get(step)
         if spec is None:
-            return f"{path} = {_shown(value[step])}: no such key; allowed: {', '.join(specs)}"
+            return f"{path} = {_short_repr(value[step])}: no such key; allowed: {', '.join(specs)}"
         if is_missing and step not in value:
             return f"{path} is missing: allowed is {spec.allowed or 'a table'}"
         value = value[step]
@@ -251,18 +251,18 @@
         if kind is None:
             break  # a problem inside a value is reported for the whole value
     verb = "allowed are" if allowed == "tables" else "allowed is"
-    return f"{path} = {_shown(value)}: {verb} {allowed}"
+    return f"{path} = {_short_repr(value)}: {verb} {allowed}"
 
 
-def _key(name: str) -> str:
+def _toml_key(name: str) -> str:
     """Returns a key as TOML writes it, quoted where that is necessary."""
-    return _shown(name) if set(name) - BARE_KEY_CHARACTERS else name
+    return _short_repr(name) if set(name) - BARE_KEY_CHARACTERS else name
 
 
-def _shown(value: object) -> str:
-    """Returns a value as one line of at most `MAX_SHOWN` characters."""
+def _short_repr(value: object) -> str:
+    """Returns a value as one line of at most `MAX_SHOWN_LENGTH` characters."""
     shown = " ".join(repr(value).split())
-    return shown if len(shown) <= MAX_SHOWN else shown[: MAX_SHOWN - 3] + "..."
+    return shown if len(shown) <= MAX_SHOWN_LENGTH else shown[: MAX_SHOWN_LENGTH - 3] + "..."
 
 
 def load(path: Path) -> dict[str, Any]:
