--- a/rainhitch/growth/forecast.py
+++ b/rainhitch/growth/forecast.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-STEPS = 4000  # of the integration, in the time that moving all keys takes at the full rate
+INTEGRATION_STEPS = 4000  # of the integration, in the time that moving all keys takes at the full rate
 MAX_DURATION_FACTOR = 50  # the integration ends at this multiple of that time
 GROUP_POPULARITY_FACTOR = 1.1  # keys whose popularities differ by less are one group
 MAX_OWNERS_OF_RANGE = 3  # servers that share a key range: its owner and the next two
@@ -86,17 +86,17 @@
     ordered = sorted(servers, key=lambda server: server.uid)
     count = len(ordered)
     mean_weight = sum(server.weight for server in ordered) / count
-    found: list[Segment] = []
+    result: list[Segment] = []
     relative_weights = [server.weight / mean_weight if mean_weight else 1.0 for server in ordered]
-    for number in range(count):
-        chain = [(number + offset) % count for offset in range(min(MAX_OWNERS_OF_RANGE, count))]
+    for index in range(count):
+        chain = [(index + offset) % count for offset in range(min(MAX_OWNERS_OF_RANGE, count))]
         near_end = 0.0
-        for place in chain:
-            far_end = 1.0 if place == chain[-1] else min(1.0, relative_weights[place])
+        for owner in chain:
+            far_end = 1.0 if owner == chain[-1] else min(1.0, relative_weights[owner])
             if far_end > near_end:
-                found.append(Segment((number + far_end) / count, ordered[place].uid))
+                result.append(Segment((index + far_end) / count, ordered[owner].uid))
                 near_end = far_end
-    return found
+    return result
 
 
 def moved_fractions(before: Sequence[Server], after: Sequence[Server]) -> dict[tuple[str, str], float]:
@@ -144,7 +144,7 @@
         return dict.fromkeys(goals, float("inf"))
     total_traffic = _unmoved_traffic(groups)
     unmoved_traffic = total_traffic
-    step_s = keys / moves_per_s / STEPS
+    step_s = keys / moves_per_s / INTEGRATION_STEPS
     elapsed_s = 0.0
     reached: dict[float, float] = {}
     while len(reached) < len(goals) and elapsed_s < MAX_DURATION_FACTOR * keys / moves_per_s:
@@ -216,7 +216,7 @@
     )
 
 
-def lost_reads(forecast_made: Forecast, workload: ReadWorkload, reads_per_s: float) -> list[float]:
+def lost_reads(change_forecast: Forecast, workload: ReadWorkload, reads_per_s: float) -> list[float]:
     """Returns the origin reads in each of the first seconds after servers are lost.
 
     Each cached key of the lost fraction is read from the origin once, when it is first requested.
@@ -224,7 +224,7 @@
     """
     popularities = read_fractions(workload)
     read_by = [
-        forecast_made.lost
+        change_forecast.lost
         * sum(1 - (1 - popularity) ** (reads_per_s * second) for popularity in popularities)
         for second in range(SECONDS_AFTER_LOSS + 1)
     ]
