--- a/tests/ground/test_operator_config.py
+++ b/tests/ground/test_operator_config.py
@@ -19,7 +19,7 @@
 EXAMPLE = ROOT / "deploy" / "operator.example.toml"
 
 
-def written(tmp_path: Path, text: str) -> Path:
+def write_operator_file(tmp_path: Path, text: str) -> Path:
     """Returns the path of an operator's file with this text."""
     path = tmp_path / "operator.toml"
     path.write_text(text)
@@ -29,13 +29,13 @@
 def test_the_example_shows_each_key_with_its_default() -> None:
     tables = load(EXAMPLE)
     assert read_operator_config(EXAMPLE) == OperatorConfig()
-    shown = {name: set(table) for name, table in tables.items()}
-    whole = dataclasses.asdict(OperatorConfig())
-    assert shown == {name: set(table) for name, table in whole.items()}
+    keys_by_table = {name: set(table) for name, table in tables.items()}
+    defaults = dataclasses.asdict(OperatorConfig())
+    assert keys_by_table == {name: set(table) for name, table in defaults.items()}
 
 
 def test_an_empty_file_means_all_defaults(tmp_path: Path) -> None:
-    assert read_operator_config(written(tmp_path, "")) == OperatorConfig()
+    assert read_operator_config(write_operator_file(tmp_path, "")) == OperatorConfig()
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     ],
 )
 def test_a_bad_key_is_one_line(tmp_path: Path, text: str, key: str, value: str, allowed: str) -> None:
-    path = written(tmp_path, text)
+    path = write_operator_file(tmp_path, text)
     with pytest.raises(TableError) as raised:
         read_operator_config(path)
     (line,) = raised.value.lines
@@ -60,7 +60,7 @@
 
 def test_each_bad_key_has_its_line(tmp_path: Path) -> None:
     with pytest.raises(TableError) as raised:
-        read_operator_config(written(tmp_path, "x = 1\n[clients]\nidle_s = -1\nunread_s = []"))
+        read_operator_config(write_operator_file(tmp_path, "x = 1\n[clients]\nidle_s = -1\nunread_s = []"))
     assert len(raised.value.lines) == 3
 
 
@@ -88,10 +88,10 @@
     assert all("\n" not in line and line.startswith("f: ") for line in problems)
 
 
-def program(env: dict[str, str], *words: str) -> subprocess.CompletedProcess[str]:
+def run_program(env: dict[str, str], *arguments: str) -> subprocess.CompletedProcess[str]:
     """Runs `python -m rainhitch` with this environment."""
     return subprocess.run(
-        [sys.executable, "-m", "rainhitch", *words],
+        [sys.executable, "-m", "rainhitch", *arguments],
         env=env,
         cwd=ROOT,
         capture_output=True,
@@ -101,38 +101,40 @@
 
 
 def test_the_router_ends_on_a_bad_file_with_a_line_for_each_key(tmp_path: Path) -> None:
-    path = written(tmp_path, "[clients]\nidle_s = 0\nunread_s = 0")
-    ended = program({**configuration(tmp_path), "RAINHITCH_OPERATOR": str(path)})
-    lines = ended.stderr.splitlines()
-    assert ended.returncode == 2 and len(lines) == 2
+    path = write_operator_file(tmp_path, "[clients]\nidle_s = 0\nunread_s = 0")
+    result = run_program({**configuration(tmp_path), "RAINHITCH_OPERATOR": str(path)})
+    lines = result.stderr.splitlines()
+    assert result.returncode == 2 and len(lines) == 2
     assert all(line.startswith(f"rainhitch: {path}: clients.") for line in lines)
 
 
 def test_the_router_ends_on_a_file_that_is_named_and_not_there(tmp_path: Path) -> None:
-    ended = program({**configuration(tmp_path), "RAINHITCH_OPERATOR": str(tmp_path / "none.toml")})
-    assert ended.returncode == 2 and ended.stderr.count("\n") == 1 and "No such file" in ended.stderr
+    result = run_program({**configuration(tmp_path), "RAINHITCH_OPERATOR": str(tmp_path / "none.toml")})
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and "No such file" in result.stderr
 
 
 def test_the_command_line_prints_its_version_and_its_commands() -> None:
-    assert program(dict(os.environ), "--version").stdout == "rainhitch 0.2.0\n"
-    shown = program(dict(os.environ), "--help")
-    assert shown.returncode == 0 and "rehearse" in shown.stdout
-    unknown = program(dict(os.environ), "dance")
+    assert run_program(dict(os.environ), "--version").stdout == "rainhitch 0.2.0\n"
+    result = run_program(dict(os.environ), "--help")
+    assert result.returncode == 0 and "rehearse" in result.stdout
+    unknown = run_program(dict(os.environ), "dance")
     assert unknown.returncode == 2 and "dance" in unknown.stderr
 
 
 def test_a_router_imports_nothing_of_the_kit_the_command_line_or_the_operators_file() -> None:
     code = "import sys, rainhitch.__main__, rainhitch.node.router; print(*sys.modules)"
-    shown = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    loaded = set(shown.stdout.split())
-    assert "rainhitch.node.request_driver" in loaded, shown.stderr
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    loaded = set(result.stdout.split())
+    assert "rainhitch.node.request_driver" in loaded, result.stderr
     kit = ("rainhitch.cli", "rainhitch.rehearsal", "rainhitch.operator_config", "rainhitch.toml_schema")
     assert not [name for name in loaded if name.startswith((*kit, "tomllib", "rich", "argparse"))]
 
 
 @pytest.mark.parametrize(("kind", "key"), [("operator", "clients"), ("scenario", "faults")])
 def test_editors_get_a_schema_with_each_key_and_what_it_is_for(kind: str, key: str) -> None:
-    schema = json.loads(program(dict(os.environ), "schema", kind).stdout)
+    schema = json.loads(run_program(dict(os.environ), "schema", kind).stdout)
     assert key in schema["properties"] and schema["additionalProperties"] is False
-    keys = [one for made in schema["$defs"].values() for one in made["properties"].values()]
-    assert len(keys) > 20 and all(one.get("description") for one in keys)
+    keys = [key_schema for table in schema["$defs"].values() for key_schema in table["properties"].values()]
+    assert len(keys) > 20 and all(key_schema.get("description") for key_schema in keys)
--- a/tests/ground/test_requirements.py
+++ b/tests/ground/test_requirements.py
@@ -24,9 +24,9 @@
 def test_every_version_of_the_project_file_is_the_one_of_the_requirements() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     extras = project["optional-dependencies"].values()
-    wanted = [*project["dependencies"], *(one for extra in extras for one in extra)]
+    requirements = [*project["dependencies"], *(requirement for extra in extras for requirement in extra)]
     versions = pinned("requirements.txt") | pinned("requirements-dev.txt")
-    assert wanted
-    for requirement in wanted:
+    assert requirements
+    for requirement in requirements:
         package = requirement.split("==")[0]
         assert requirement == f"{package}=={versions[package]}"
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -24,7 +24,7 @@
     rules, allow, link = site["rules"], site["allow"], tier["conn"]
     return {
         "azs": site["net"]["zones"],
-        "hostTypes": [one["name"] for one in tier["kind"]] + ["origin"],
+        "hostTypes": [kind["name"] for kind in tier["kind"]] + ["origin"],
         "balancers": site["scale"]["balancers"][1],
         "registryMode": {"push": "pushed", "ask": "on_request"}[site["discovery"]["mode"]],
         "ceilings": {
@@ -37,21 +37,21 @@
         },
         "classes": [
             {
-                "name": one["name"],
-                "aim": one["aim_ms"] * MS,
-                "deadline": one["deadline_ms"] * MS,
-                "effect": one["effect"],
-                "gain": float(one["worth"]),
-                "group": one.get("group", "all"),
-                "lateWorth": one["late_worth"],
-                "repeatWindow": one.get("window_ms", 0) * MS,
+                "name": request_class["name"],
+                "aim": request_class["aim_ms"] * MS,
+                "deadline": request_class["deadline_ms"] * MS,
+                "effect": request_class["effect"],
+                "gain": float(request_class["worth"]),
+                "group": request_class.get("group", "all"),
+                "lateWorth": request_class["late_worth"],
+                "repeatWindow": request_class.get("window_ms", 0) * MS,
             }
-            for one in site["class"]
+            for request_class in site["class"]
         ],
-        "tenants": [{"name": one["name"], "quotaRps": 100.0 * one["share"]} for one in site["tenant"]],
+        "tenants": [{"name": item["name"], "quotaRps": 100.0 * item["share"]} for item in site["tenant"]],
         "safety": {
-            "coldFrom": min(one["cold_from"][0] for one in tier["kind"]),
-            "rampTime": int(max(one["cold_s"][1] for one in tier["kind"]) * SECOND),
+            "coldFrom": min(kind["cold_from"][0] for kind in tier["kind"]),
+            "rampTime": int(max(kind["cold_s"][1] for kind in tier["kind"]) * SECOND),
             "tipMultiple": float(rules["fall_multiple"]),
             "fall": rules["fall_ms"] * MS,
             "stopSendingWithin": rules["drain_grace_ms"] * MS,
@@ -67,12 +67,12 @@
 
 
 def test_the_sites_are_far_apart() -> None:
-    read = [read_settings(router_info(tomllib.loads(path.read_text()))) for path in SITES]
-    assert len(read) >= 2
-    longest = sorted(max(one.deadline_ns for one in settings.classes) for settings in read)
+    all_settings = [read_settings(router_info(tomllib.loads(path.read_text()))) for path in SITES]
+    assert len(all_settings) >= 2
+    longest = sorted(max(cls.deadline_ns for cls in settings.classes) for settings in all_settings)
     assert longest[0] < SECOND and longest[-1] > 10 * SECOND
-    assert {settings.endpoints_polled for settings in read} == {False, True}
-    effects = {one.idempotency for settings in read for one in settings.classes}
+    assert {settings.endpoints_polled for settings in all_settings} == {False, True}
+    effects = {cls.idempotency for settings in all_settings for cls in settings.classes}
     assert effects == set(api.Idempotency)
 
 
@@ -82,12 +82,12 @@
         read_names(router_info(site)),
         read_ceilings(router_info(site)),
     )
-    assert list(names.classes) == [one["name"] for one in site["class"]]
-    assert list(names.tenants) == [one["name"] for one in site["tenant"]]
+    assert list(names.classes) == [request_class["name"] for request_class in site["class"]]
+    assert list(names.tenants) == [tenant["name"] for tenant in site["tenant"]]
     assert list(names.zones) == site["net"]["zones"]
     assert settings.slow_start_window_ns == site["rules"]["fall_ms"] * MS
     assert ceilings.connect_timeout_ns == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
-    longest = max(one.deadline_ns for one in settings.classes) / SECOND
+    longest = max(request_class.deadline_ns for request_class in settings.classes) / SECOND
     assert shutdown_schedule(longest).exit_s < min(longest, 3) + 0.7
     assert (POLLED_TIMES if settings.endpoints_polled else PUSHED_TIMES).longest() < 6
 
@@ -118,9 +118,9 @@
     words = {"menu-read", "slot-read", "order-list", "order-place", "full-node", "small-node", "neihu"}
     words |= {"banqiao", "taoyuan", "nangang-chip", "xinzhu-textile", "taichung-tools", "yilan-foods"}
     for path in SITES:
-        read = tomllib.loads(path.read_text())
-        words |= {one["name"] for kind in ("class", "tenant") for one in read[kind] if "-" in one["name"]}
-        words |= {read["name"], read["tier"][0]["name"]}
+        site = tomllib.loads(path.read_text())
+        words |= {item["name"] for kind in ("class", "tenant") for item in site[kind] if "-" in item["name"]}
+        words |= {site["name"], site["tier"][0]["name"]}
     assert len(files) > 40
     found = [f"{path}: {word}" for path in files for word in words if word in path.read_text()]
     assert found == []
