--- a/rainhitch/node/client_socket.py
+++ b/rainhitch/node/client_socket.py
@@ -47,7 +47,7 @@
         """
         if self.transport is None or self.transport.is_closing():
             return True
-        if self.system.hung_up(self.transport):
+        if self.system.peer_closed(self.transport):
             self.transport.close()
             return True
         return False
--- a/rainhitch/node/endpoint_directory.py
+++ b/rainhitch/node/endpoint_directory.py
@@ -55,7 +55,7 @@
         self.targets: dict[str, ListedEndpoint] = {}
         self.cordoned: set[str] = set()  # taken as draining, whatever the list says
         # Read once, so that a start which is listed again keeps its time on the router's clock.
-        self.unix_offset_ns = pools.system.unix() - pools.system.now()
+        self.unix_offset_ns = pools.system.unix_ns() - pools.system.now()
 
     @property
     def can_serve(self) -> bool:
--- a/rainhitch/node/listener.py
+++ b/rainhitch/node/listener.py
@@ -50,7 +50,7 @@
         if not self.backlog_since_ns:
             return 0
         age_ns = now - self.backlog_since_ns
-        if self.server is not None and not self.socket.waits():
+        if self.server is not None and not self.socket.has_pending_connection():
             self.backlog_since_ns = 0
         return age_ns
 
@@ -75,7 +75,7 @@
             if self.server is None:
                 await self._accept()
         for _ in range(BACKLOG):
-            if not self.socket.waits():
+            if not self.socket.has_pending_connection():
                 break
             await asyncio.sleep(0)
 
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -87,7 +87,7 @@
         """
         self.owner.remove(self)
         if not self.transport.is_closing():
-            self.data_received(self.owner.system.take_unread(self.transport, MAX_LINGER_BYTES))
+            self.data_received(self.owner.system.read_unread(self.transport, MAX_LINGER_BYTES))
             self.transport.close()
 
     def connection_lost(self) -> None:
--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -75,7 +75,7 @@
         if attempt is not None:
             tries.append(f"{attempt.server} out for {(now - attempt.started_at_ns) // NS_PER_MS} ms")
         record = Bad(
-            self.clock.unix() / NS_PER_S,
+            self.clock.unix_ns() / NS_PER_S,
             request.id,
             outcome,
             tries,
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -200,7 +200,7 @@
         loop = asyncio.get_running_loop()
         system = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
-        record = self.pools.counts.take_record(system.unix() / NS_PER_S, system.cpu())
+        record = self.pools.counts.take_record(system.unix_ns() / NS_PER_S, system.cpu_s())
         if record is not None:
             record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
@@ -328,7 +328,7 @@
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
-    generation = max(1, (system.unix() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
+    generation = max(1, (system.unix_ns() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
     return GossipExchange(
         peering.own_index,
         len(peering.peers),
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -240,7 +240,7 @@
             return
         self.transport.set_write_buffer_limits(0)  # so that pause_writing is called for every byte left over
         # Guards memory: what is read at once is held for each client that reads slowly.
-        self.system.bound_reads(self.transport, READ_PIECE_BYTES)
+        self.system.limit_receive_buffer(self.transport, READ_PIECE_BYTES)
         self.connected()
 
     def connected(self) -> None:
--- a/rainhitch/node/upstream_socket.py
+++ b/rainhitch/node/upstream_socket.py
@@ -60,5 +60,5 @@
             if self.connecting is not None:
                 self.connecting.cancel()
             return
-        self.system.shut(self.transport)
+        self.system.shut_down(self.transport)
         self.transport.abort()
--- a/rainhitch/rehearsal/fakes/shared_services_worker.py
+++ b/rainhitch/rehearsal/fakes/shared_services_worker.py
@@ -87,7 +87,7 @@
         """Begins the run: the database is free until shortly before it, and the list changes as planned."""
         super().start_run(zero_ns)
         now_ns = system.now()
-        unix_now_ms = system.running().unix() // NANOSECONDS_PER_MILLISECOND
+        unix_now_ms = system.running().unix_ns() // NANOSECONDS_PER_MILLISECOND
         self._lists.unix_zero_ms = unix_now_ms + (zero_ns - now_ns) // NANOSECONDS_PER_MILLISECOND
         self._database.is_free = True
         free_for_s = max(0.0, (zero_ns - now_ns) / 1e9 - FREE_UNTIL_S)
--- a/rainhitch/rehearsal/virtual/listener.py
+++ b/rainhitch/rehearsal/virtual/listener.py
@@ -51,7 +51,7 @@
 
     def schedule_accept(self) -> None:
         """Plans one turn of accepting, where somebody waits."""
-        waits = self.listener.waits() and self.listener.state is not ListenState.HANGING
+        waits = self.listener.has_pending_connection() and self.listener.state is not ListenState.HANGING
         if self.open and not self.turn_scheduled and waits:
             self.turn_scheduled = True
             self.loop.call_soon(self._accept_turn, context=self.context)
@@ -149,7 +149,7 @@
         self.server.schedule_accept()
         return self.server
 
-    def waits(self) -> bool:
+    def has_pending_connection(self) -> bool:
         """Whether somebody waits in the queue."""
         return bool(self.accept_queue)
 
--- a/rainhitch/rehearsal/virtual/system.py
+++ b/rainhitch/rehearsal/virtual/system.py
@@ -24,13 +24,13 @@
         process = CURRENT_PROCESS.get()
         return self.loop.clock_ns if process is None else process.local_ns(self.loop.clock_ns)
 
-    def unix(self) -> int:
+    def unix_ns(self) -> int:
         """Unix ns by the wall clock of the process that asks."""
         process = CURRENT_PROCESS.get()
         offset_ns = 0 if process is None else process.unix_offset_ns
         return START_UNIX_NS + self.now() - START_NS + offset_ns
 
-    def cpu(self) -> float:
+    def cpu_s(self) -> float:
         """CPU seconds of the process that asks."""
         process = CURRENT_PROCESS.get()
         return 0.0 if process is None else process.cpu_ns / 1e9
@@ -43,22 +43,22 @@
         """Whether something has come on a connection, or its end, that was not read yet."""
         return _socket_of(transport).is_readable()
 
-    def hung_up(self, transport: asyncio.Transport) -> bool:
+    def peer_closed(self, transport: asyncio.Transport) -> bool:
         """Whether the peer has ended or reset a connection, also behind bytes that were not read yet."""
         return _socket_of(transport).is_hung_up()
 
-    def shut(self, transport: asyncio.Transport) -> None:
+    def shut_down(self, transport: asyncio.Transport) -> None:
         """Does nothing: the abort that follows does all."""
 
     def unread_ms(self, transport: asyncio.Transport) -> int:
         """For how many ms what has come last had been lying unread."""
         return (self.loop.clock_ns - _socket_of(transport).last_received_ns) // NS_PER_MS
 
-    def take_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
+    def read_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
         """Reads what has come past the loop, for a connection that is closed next."""
         return _socket_of(transport).take_unread(max_bytes)
 
-    def bound_reads(self, transport: asyncio.Transport, size_bytes: int) -> None:
+    def limit_receive_buffer(self, transport: asyncio.Transport, size_bytes: int) -> None:
         """Bounds what is held for a connection that is not read; a kernel grants twice what is asked for."""
         sock = _socket_of(transport)
         sock.receive_window_bytes = min(sock.receive_window_bytes, 2 * size_bytes)
--- a/rainhitch/system.py
+++ b/rainhitch/system.py
@@ -31,7 +31,7 @@
     ) -> asyncio.AbstractServer:
         """Accepts connections until the server is closed; later connections wait in the backlog."""
 
-    def waits(self) -> bool:
+    def has_pending_connection(self) -> bool:
         """Returns whether a connection waits in the backlog."""
 
     def close(self) -> None:
@@ -44,10 +44,10 @@
     def now(self) -> int:
         """Returns monotonic nanoseconds, the time of the event loop."""
 
-    def unix(self) -> int:
+    def unix_ns(self) -> int:
         """Returns Unix nanoseconds, which may jump."""
 
-    def cpu(self) -> float:
+    def cpu_s(self) -> float:
         """Returns the CPU seconds that this process has used."""
 
     def open_listener(self, host: str, port: int, inherited: int | None) -> ListeningSocket:
@@ -56,19 +56,19 @@
     def readable(self, transport: asyncio.Transport) -> bool:
         """Returns whether a connection has unread data, or an unread end."""
 
-    def hung_up(self, transport: asyncio.Transport) -> bool:
+    def peer_closed(self, transport: asyncio.Transport) -> bool:
         """Returns whether the peer has closed or reset a connection, even with data unread before that."""
 
-    def shut(self, transport: asyncio.Transport) -> None:
+    def shut_down(self, transport: asyncio.Transport) -> None:
         """Shuts a connection down at once, in both directions."""
 
     def unread_ms(self, transport: asyncio.Transport) -> int:
         """Returns for how many ms the data that arrived last has been unread; 0 where that is unknown."""
 
-    def take_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
+    def read_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
         """Reads from the socket directly, bypassing the loop; for a connection that is about to be closed."""
 
-    def bound_reads(self, transport: asyncio.Transport, size_bytes: int) -> None:
+    def limit_receive_buffer(self, transport: asyncio.Transport, size_bytes: int) -> None:
         """Limits the receive buffer of a connection that is not read."""
 
 
@@ -77,7 +77,7 @@
     """The clocks of a host, for code that is passed the time source."""
 
     now: Callable[[], int]  # monotonic ns, the time of the event loop
-    unix: Callable[[], int]  # Unix ns, which may jump
+    unix_ns: Callable[[], int]  # Unix ns, which may jump
 
 
 def has_event(which: socket.socket, event: int) -> bool:
@@ -111,7 +111,7 @@
         self.socket.listen(backlog)
         return server
 
-    def waits(self) -> bool:
+    def has_pending_connection(self) -> bool:
         """Returns whether a connection waits in the backlog."""
         # Called for each connection that the loop has accepted, also after the socket was closed.
         return self.socket.fileno() >= 0 and has_event(self.socket, select.POLLIN)
@@ -125,8 +125,8 @@
     """The real operating system."""
 
     now = staticmethod(time.monotonic_ns)
-    unix = staticmethod(time.time_ns)
-    cpu = staticmethod(time.process_time)
+    unix_ns = staticmethod(time.time_ns)
+    cpu_s = staticmethod(time.process_time)
 
     def open_listener(self, host: str, port: int, inherited: int | None) -> ListeningSocket:
         """Listens at an address, or on an inherited listening socket; raises OSError."""
@@ -136,11 +136,11 @@
         """Returns whether a connection has unread data, or an unread end."""
         return has_event(transport.get_extra_info("socket"), select.POLLIN)
 
-    def hung_up(self, transport: asyncio.Transport) -> bool:
+    def peer_closed(self, transport: asyncio.Transport) -> bool:
         """Returns whether the peer has closed or reset a connection, even with data unread before that."""
         return has_event(transport.get_extra_info("socket"), select.POLLRDHUP)
 
-    def shut(self, transport: asyncio.Transport) -> None:
+    def shut_down(self, transport: asyncio.Transport) -> None:
         """Shuts a connection down at once, in both directions."""
         with contextlib.suppress(OSError):
             descriptor = os.dup(transport.get_extra_info("socket").fileno())
@@ -158,14 +158,14 @@
             return 0
         return int.from_bytes(info[TCP_INFO_LAST_DATA], sys.byteorder)
 
-    def take_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
+    def read_unread(self, transport: asyncio.Transport, max_bytes: int) -> bytes:
         """Reads from the socket directly, bypassing the loop; for a connection that is about to be closed."""
         try:
             return os.read(transport.get_extra_info("socket").fileno(), max_bytes)
         except OSError:
             return b""
 
-    def bound_reads(self, transport: asyncio.Transport, size_bytes: int) -> None:
+    def limit_receive_buffer(self, transport: asyncio.Transport, size_bytes: int) -> None:
         """Limits the receive buffer of a connection that is not read."""
         connection = transport.get_extra_info("socket")
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size_bytes)
@@ -183,7 +183,7 @@
 def clock_of(loop: asyncio.AbstractEventLoop) -> Clock:
     """Returns the clocks of the system that a loop runs on."""
     system = of(loop)
-    return Clock(system.now, system.unix)
+    return Clock(system.now, system.unix_ns)
 
 
 def running() -> System:
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -278,13 +278,13 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen()
         self.address = "{}:{}".format(*self.listener.getsockname())
-        bound = bench.pools.system.bound_reads
+        bound = bench.pools.system.limit_receive_buffer
 
         def little(transport: asyncio.Transport, size: int) -> None:
             bound(transport, size)
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-        monkeypatch.setattr(bench.pools.system, "bound_reads", little)
+        monkeypatch.setattr(bench.pools.system, "limit_receive_buffer", little)
         bench.directory.apply(listing(6, entry("c0", self.address)))
 
     def writing(self) -> list[upstream_connection.UpstreamConnection]:
