--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -15,13 +15,13 @@
 from rainhitch.node.endpoint_list import EndpointListError, read_address
 from rainhitch.node.session import NO_PASSWORD_NEEDED, Authenticator
 from rainhitch.settings import (
-    Ceilings,
     Json,
     Names,
     SettingError,
-    read_ceilings,
+    SocketLimits,
     read_names,
     read_settings,
+    read_socket_limits,
 )
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
     known_list: Json  # an endpoint list to begin with, as discovery sends it
     settings: Settings
     names: Names
-    ceilings: Ceilings
+    socket_limits: SocketLimits
     admin: Address | None = None  # of the operators' endpoint
     peers: Peering | None = None  # where there are other routers, and gossip with them is allowed
     inherited_fd: int | None = None  # of the clients' listening socket, where the platform holds it
@@ -110,7 +110,7 @@
         known_list=document.get("known") or {"rev": 0, "targets": []},
         settings=read_settings(settings_document),
         names=read_names(settings_document),
-        ceilings=read_ceilings(settings_document),
+        socket_limits=read_socket_limits(settings_document),
         admin=read_admin_address(document),
         peers=read_peers(document, settings_document),
         inherited_fd=read_inherited_fd(),
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -92,7 +92,7 @@
             settings, configuration.seed, None if operator is None else operator.storms.options()
         )
         self.balancer = Balancer(settings, configuration.seed, self.overload)
-        max_requests = configuration.ceilings.max_requests
+        max_requests = configuration.socket_limits.max_requests
         self.driver = RequestDriver(
             self.balancer, self.pools, max_requests, buffer_bytes, class_names=list(names.classes), host=self
         )
@@ -288,8 +288,8 @@
 def make_pools(configuration: Configuration) -> ConnectionPools:
     """The servers' side, with its part of the descriptors."""
     max_open, _ = socket_caps(configuration.sockets)
-    ceilings = configuration.ceilings
-    return ConnectionPools(max_open, ceilings.connect_timeout_ns / NS_PER_S, ceilings.keepalive_ns / NS_PER_S)
+    limits = configuration.socket_limits
+    return ConnectionPools(max_open, limits.connect_timeout_ns / NS_PER_S, limits.keepalive_ns / NS_PER_S)
 
 
 def buffer_share(memory_bytes: int) -> int:
--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -162,7 +162,7 @@
 
 
 @dataclass(slots=True)
-class Ceilings:
+class SocketLimits:
     """Limits of the router's sockets."""
 
     max_requests: int  # open requests at a time
@@ -183,10 +183,10 @@
     )
 
 
-def read_ceilings(document: Json) -> Ceilings:
+def read_socket_limits(document: Json) -> SocketLimits:
     """Returns the limits of the router's sockets; raises SettingError."""
     ceilings = _read(document, "ceilings", dict)
-    return Ceilings(
+    return SocketLimits(
         max_requests=_read_int(ceilings, "ceilings.mostHeld", 1, DEFAULT_MAX_REQUESTS),
         connect_timeout_ns=_read_int(ceilings, "ceilings.dialTimeout", 1, DEFAULT_CONNECT_TIMEOUT_NS),
         keepalive_ns=_read_int(ceilings, "ceilings.keepalive", 1, DEFAULT_KEEPALIVE_NS),
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -10,7 +10,7 @@
 from rainhitch import interface as api
 from rainhitch.node.polling import POLLED_TIMES, PUSHED_TIMES
 from rainhitch.node.shutdown import shutdown_schedule
-from rainhitch.settings import read_ceilings, read_names, read_settings
+from rainhitch.settings import read_names, read_settings, read_socket_limits
 
 ROOT = Path(__file__).parents[2]
 SITES = sorted((ROOT / "deploy/sites").glob("*/site.toml"))
@@ -77,16 +77,16 @@
 
 
 def test_a_sites_settings_are_read_whole(site: Json) -> None:
-    settings, names, ceilings = (
+    settings, names, socket_limits = (
         read_settings(router_info(site)),
         read_names(router_info(site)),
-        read_ceilings(router_info(site)),
+        read_socket_limits(router_info(site)),
     )
     assert list(names.classes) == [request_class["name"] for request_class in site["class"]]
     assert list(names.tenants) == [tenant["name"] for tenant in site["tenant"]]
     assert list(names.zones) == site["net"]["zones"]
     assert settings.slow_start_window_ns == site["rules"]["fall_ms"] * MS
-    assert ceilings.connect_timeout_ns == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
+    assert socket_limits.connect_timeout_ns == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
     longest = max(request_class.deadline_ns for request_class in settings.classes) / SECOND
     assert shutdown_schedule(longest).exit_s < min(longest, 3) + 0.7
     assert (POLLED_TIMES if settings.endpoints_polled else PUSHED_TIMES).longest() < 6
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -22,7 +22,7 @@
 from rainhitch.protocol.resp3_reader import Resp3Reader
 from rainhitch.protocol.resp3_types import Map
 from rainhitch.protocol.resp3_writer import encode
-from rainhitch.settings import read_ceilings, read_names, read_settings
+from rainhitch.settings import read_names, read_settings, read_socket_limits
 
 PATIENCE = 20.0  # s; every wait of these tests is on an event, and this long at the most
 WAIT_INTERVAL_S = 0.005  # between two looks at what a test waits for
@@ -285,7 +285,7 @@
         await peer.start()
     configured = info(**ceilings)
     settings = read_settings(configured)
-    limits = read_ceilings(configured)
+    limits = read_socket_limits(configured)
     names = read_names(configured)
     pools = ConnectionPools(sockets, limits.connect_timeout_ns / 1e9, limits.keepalive_ns / 1e9)
     overload = OverloadController(settings, 1)
