--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -66,7 +66,7 @@
     return tomllib.loads(request.param.read_text())
 
 
-def test_the_sites_are_far_apart() -> None:
+def test_the_sites_differ_in_deadlines_polling_and_idempotency() -> None:
     all_settings = [read_settings(router_info(tomllib.loads(path.read_text()))) for path in SITES]
     assert len(all_settings) >= 2
     longest = sorted(max(cls.deadline_ns for cls in settings.classes) for settings in all_settings)
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -43,7 +43,7 @@
 
 
 @given(LISTS, LISTS)
-def test_parts_are_what_the_placement_moves(before: dict[str, float], after: dict[str, float]) -> None:
+def test_moved_fractions_match_the_placement(before: dict[str, float], after: dict[str, float]) -> None:
     keys = [f"key{n}" for n in range(300)]
     old_servers, new_servers = chosen_servers(before, keys), chosen_servers(after, keys)
     predicted = moved_fractions(
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -223,7 +223,7 @@
         await setup.wait_for_states(c0="ready", c1="ready", c2="draining")
 
 
-async def test_an_entry_that_cannot_be_read_is_logged_once_and_the_others_stand(
+async def test_an_unreadable_entry_is_logged_once_and_the_others_stay_in_use(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with etcd_setup() as setup:
@@ -257,7 +257,7 @@
         assert not setup.directory.can_serve
 
 
-async def test_a_wrong_prefix_empties_no_fleet_at_once(caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_wrong_prefix_does_not_drop_all_endpoints_at_once(caplog: pytest.LogCaptureFixture) -> None:
     async with etcd_setup(start=False, known=[f"k{n}" for n in range(9)]) as setup:
         setup.source.options.prefix = "/nobody/"
         setup.source.start()
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -352,7 +352,7 @@
 
 @settings(max_examples=300)
 @given(STEPS)
-def test_whatever_happens_the_view_becomes_the_stores_and_no_revision_goes_back(
+def test_the_view_converges_to_the_store_and_no_revision_goes_back(
     steps: list[tuple[str, int, int]],
 ) -> None:
     """The watch may fail, repeat, be compacted or lag at any step."""
