--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -96,7 +96,7 @@
 def _check_entry(row: Json, uids: list[Any]) -> None:
     uid = row.get("uid")
     if not isinstance(uid, str) or not uid or "/" in uid or uids.count(uid) > 1:
-        raise ChangeRejectedError(f"uid = {uid!r}: expected a unique string without /")
+        raise ChangeRejectedError(f"uid = {uid!r}: expected a unique, non-empty string without /")
     if row.get("state") not in STATES:
         raise ChangeRejectedError(f"{uid}: state = {row.get('state')!r}: allowed are {', '.join(STATES)}")
     if not isinstance(row.get("endpoint"), str) or ":" not in row["endpoint"]:
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -24,15 +24,15 @@
     """[clients]: limits of clients' connections."""
 
     idle_s: float = toml_schema.number(
-        2.0, 0.5, 3600, "an idle connection is not closed for so long, except where at_need_s applies"
+        2.0, 0.5, 3600, "time for which an idle connection stays open, except where at_need_s applies"
     )
     at_need_s: float = toml_schema.number(
         0.025, 0.01, 3600, "replaces idle_s while more than half of the client limit is open; idle_s at most"
     )
-    unfinished_s: float = toml_schema.number(2.6, 0.1, 60, "limit on the time until a command is complete")
+    unfinished_s: float = toml_schema.number(2.6, 0.1, 60, "time within which a command must be complete")
     user: str = toml_schema.text("default", "name that clients send with the password")
     password_file: str = toml_schema.text("", "file that holds the password; empty: no password is needed")
-    unread_s: float = toml_schema.number(10.0, 0.5, 600, "limit on the time that answers lie unread")
+    unread_s: float = toml_schema.number(10.0, 0.5, 600, "time for which a client may leave answers unread")
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
         10.0,
         0.1,
         3600,
-        "an idle connection is closed after so long, and after 0.8 of the server's keepalive at most",
+        "time after which an idle connection is closed, at most 0.8 of the server's keepalive",
     )
     resp3: bool = toml_schema.flag(False, "true: cache servers are asked with HELLO for RESP3")
 
@@ -65,7 +65,7 @@
         OverloadOptions.least_in_work, 1, 20000, "lower bound of the concurrency limit, in requests"
     )
     floor: float = toml_schema.number(
-        OverloadOptions.floor, 0, 0.5, "fraction of the limit reserved for first attempts, and for retries"
+        OverloadOptions.floor, 0, 0.5, "fraction of the limit that first attempts and retries each keep"
     )
     accepts_least: float = toml_schema.number(
         OverloadOptions.accepts_least, 1, 1e5, "minimum rate of accepted connections, per second"
@@ -106,7 +106,7 @@
     )
     members: bool = toml_schema.flag(FleetOptions.members, "routers detect which other routers are alive")
     database_rps: float = toml_schema.number(
-        FleetOptions.database_rps, 0, 1e6, "origin reads per second of all routers together; 0: no limit"
+        FleetOptions.database_rps, 0, 1e6, "limit on the origin reads per second of all routers together; 0: none"
     )
 
     def options(self) -> FleetOptions:
@@ -128,7 +128,7 @@
     key: str = toml_schema.text("", "file of the certificate's private key")
     user: str = toml_schema.text("", "user name in etcd; empty: no authentication")
     password_file: str = toml_schema.text("", "file that holds the user's password")
-    timeout_s: float = toml_schema.number(2.0, 0.1, 60, "limit on a unary call to etcd")
+    timeout_s: float = toml_schema.number(2.0, 0.1, 60, "time limit of a unary call to etcd")
 
 
 @dataclass(slots=True)
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -103,7 +103,7 @@
         ("[]", "a list of entries"),
         (json.dumps([entry("c1", "x")]), "host:port"),
         (json.dumps([entry("c1", "h:1", state="Gone")]), "allowed are Ready"),
-        (json.dumps([entry("c1", "h:1")] * 2), "a unique string"),
+        (json.dumps([entry("c1", "h:1")] * 2), "a unique, non-empty string"),
     ):
         file.write_text(content)
         code, _, err = await run_members(path, "put", str(file))
