--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -106,7 +106,7 @@
     )
     members: bool = toml_schema.flag(FleetOptions.members, "routers detect which other routers are alive")
     database_rps: float = toml_schema.number(
-        FleetOptions.database_rps, 0, 1e6, "limit on the origin reads per second of all routers together; 0: none"
+        FleetOptions.database_rps, 0, 1e6, "limit on origin reads per second, all routers together; 0: none"
     )
 
     def options(self) -> FleetOptions:
