--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -121,9 +121,7 @@
     source: str = toml_schema.text("discovery", "source of the endpoint list", ("discovery", "etcd"))
     endpoints: list[str] = toml_schema.texts(["127.0.0.1:2379"], "etcd addresses (host:port), tried in turn")
     prefix: str = toml_schema.text("/rainhitch/members/", "prefix of the keys in etcd; the uid follows it")
-    ca: str = toml_schema.text(
-        "", "file of the CA that signs etcd's certificates; empty: no TLS"
-    )
+    ca: str = toml_schema.text("", "file of the CA that signs etcd's certificates; empty: no TLS")
     certificate: str = toml_schema.text("", "file of the router's client certificate")
     key: str = toml_schema.text("", "file of the certificate's private key")
     user: str = toml_schema.text("", "user name in etcd; empty: no authentication")
--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -40,9 +40,9 @@
 
 def _read(source: Json, path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
     """Returns the setting with this path from the JSON object that holds it.
+
     A setting that is missing or null has the default. Raises SettingError where there is no default, and for
     a value of another type; JSON booleans do not count as numbers.
-    value of another type; JSON booleans do not count as numbers.
     """
     key = path.rsplit(".", 1)[-1]
     value = source.get(key)
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -242,9 +242,7 @@
     for _ in range(30):
         driver.handle(watch_events.CallEnded("refused"))
         driver.wait(SECOND)
-    assert (
-        len(driver.view) == 6 and len(driver.logged) == 1 and "revision_in_use=10" in driver.logged[0]
-    )
+    assert len(driver.view) == 6 and len(driver.logged) == 1 and "revision_in_use=10" in driver.logged[0]
     driver.machine.mode = m.Mode.WATCHING
     driver.handle(watch_events.Progress(1, 10))
     assert driver.logged[1:] == ["etcd available again"]
