--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -53,7 +53,7 @@
     """The type, bounds and description of a table's field."""
 
     doc: str
-    form: Any = None  # type that pydantic checks; None for tables
+    pydantic_type: Any = None  # type that pydantic checks; None for tables
     allowed: str = ""  # description of the allowed values, for reported lines
     table: type | None = None  # dataclass of the field's table, or of each table in its array
     is_array: bool = False  # whether the field is an array of tables
@@ -70,9 +70,9 @@
     return spec
 
 
-def _field(form: Any, allowed: str, default: Any, doc: str) -> Any:
-    """Returns a dataclass field; `form` is the type that pydantic checks."""
-    metadata = {SPEC: FieldSpec(doc, form, allowed)}
+def _field(pydantic_type: Any, allowed: str, default: Any, doc: str) -> Any:
+    """Returns a dataclass field; `pydantic_type` is the type that pydantic checks."""
+    metadata = {SPEC: FieldSpec(doc, pydantic_type, allowed)}
     if isinstance(default, list):
         return dataclasses.field(default_factory=lambda: list(default), metadata=metadata)
     if default is dataclasses.MISSING:
@@ -117,8 +117,8 @@
 def texts(default: list[str], doc: str) -> Any:
     """Returns a field for a non-empty list of unique, non-empty strings."""
     item = Annotated[str, Field(strict=True, min_length=1)]
-    form = Annotated[list[item], Field(strict=True, min_length=1), AfterValidator(_check_unique)]
-    return _field(form, "a list of different texts", default, doc)
+    pydantic_type = Annotated[list[item], Field(strict=True, min_length=1), AfterValidator(_check_unique)]
+    return _field(pydantic_type, "a list of different texts", default, doc)
 
 
 def numbers(default: list[int], low: int, high: int, doc: str) -> Any:
@@ -141,8 +141,8 @@
 def pair(default: tuple[float, float], low: float, high: float, doc: str) -> Any:
     """Returns a field for a range [a, b] with low <= a <= b <= high; a single number is both ends."""
     end = _bounded(float, low, high)
-    form = Annotated[tuple[end, end], BeforeValidator(_range_of), AfterValidator(_check_order)]  # type: ignore[valid-type]
-    return _field(form, f"a number or a range [a, b] from {low:g} to {high:g}", default, doc)
+    pydantic_type = Annotated[tuple[end, end], BeforeValidator(_range_of), AfterValidator(_check_order)]  # type: ignore[valid-type]
+    return _field(pydantic_type, f"a number or a range [a, b] from {low:g} to {high:g}", default, doc)
 
 
 def table(kind: type, doc: str) -> Any:
@@ -159,17 +159,20 @@
 @cache
 def model(kind: Any) -> type[BaseModel]:
     """Returns the pydantic model of a table."""
-    fields = {field.name: (_form(_spec_of(field)), _model_field(field)) for field in dataclasses.fields(kind)}
+    fields = {
+        field.name: (_pydantic_type(_spec_of(field)), _model_field(field))
+        for field in dataclasses.fields(kind)
+    }
     definitions: dict[str, Any] = fields
     config = ConfigDict(extra="forbid")
     table_model: type[BaseModel] = create_model(kind.__name__, __config__=config, **definitions)
     return table_model
 
 
-def _form(spec: FieldSpec) -> Any:
+def _pydantic_type(spec: FieldSpec) -> Any:
     """Returns the type that pydantic checks."""
     if spec.table is None:
-        return spec.form
+        return spec.pydantic_type
     row = model(spec.table)
     return Annotated[list[row], Field(strict=True)] if spec.is_array else row  # type: ignore[valid-type]
 
@@ -189,17 +192,17 @@
     return model(kind).model_json_schema()
 
 
-def read(kind: type[T], source: Mapping[str, object], where: str, problems: list[str]) -> T | None:
+def read(kind: type[T], source: Mapping[str, object], source_name: str, problems: list[str]) -> T | None:
     """Returns the dataclass of a table; None and lines in `problems` where it is invalid.
 
-    Each line begins with `where`, such as the file's name.
+    Each line begins with `source_name`, such as the file's name.
     """
     try:
         checked = model(kind).model_validate(dict(source))  # type: ignore[arg-type]
     except ValidationError as problem:
         errors = problem.errors(include_url=False)
         lines = [_problem_line(kind, source, error["loc"], error["type"] == "missing") for error in errors]
-        problems += [f"{where}: {line}" for line in dict.fromkeys(lines)]
+        problems += [f"{source_name}: {line}" for line in dict.fromkeys(lines)]
         return None
     return _dataclass(kind, checked)
 
@@ -224,15 +227,15 @@
     return [_table(kind, row) for row in rows]
 
 
-def _problem_line(kind: Any, source: Any, place: tuple[int | str, ...], is_missing: bool) -> str:
+def _problem_line(kind: Any, source: Any, location: tuple[int | str, ...], is_missing: bool) -> str:
     """Returns a line with a key's path, its value and what is allowed.
 
-    `place` is pydantic's location of the problem: keys and indexes from the outermost table inwards.
+    `location` is pydantic's `loc`: keys and indexes from the outermost table inwards.
     """
     path = ""
     value = source
     allowed = "a table"
-    for step in place:
+    for step in location:
         if isinstance(step, int):
             path += f"[{step}]"
             value = value[step]
