--- a/rainhitch/growth/forecast.py
+++ b/rainhitch/growth/forecast.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-INTEGRATION_STEPS = 4000  # of the integration, in the time that moving all keys takes at the full rate
-MAX_DURATION_FACTOR = 50  # the integration ends at this multiple of that time
+INTEGRATION_STEPS = 4000  # steps in the time that moving all keys takes at the full rate
+MAX_DURATION_FACTOR = 50  # multiple of the time to move all keys at which the integration ends
 GROUP_POPULARITY_FACTOR = 1.1  # keys whose popularities differ by less are one group
 MAX_OWNERS_OF_RANGE = 3  # servers that share a key range: its owner and the next two
 SECONDS_AFTER_LOSS = 10
@@ -58,7 +58,7 @@
     reads: float  # origin reads: cached keys that move or are lost
     seconds: dict[
         float, float
-    ]  # by fraction of the moved traffic: seconds until that much goes to the new owners
+    ]  # seconds until the fraction of the moved traffic (the key) goes to the new owners
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
 class KeyGroup:
     """Keys of similar popularity."""
 
-    popularity: float  # of each key, as a fraction of all reads
+    popularity: float  # popularity of each key as a fraction of all reads
     unmoved_keys: float
 
 
--- a/rainhitch/membership/change_publisher.py
+++ b/rainhitch/membership/change_publisher.py
@@ -9,10 +9,10 @@
 from rainhitch.membership.watch_events import Publish
 
 SECOND_NS = 1_000_000_000
-BATCH_INTERVAL_NS = SECOND_NS // 20  # minimum between two batches
-PART_INTERVAL_NS = SECOND_NS // 40  # minimum between the parts of a batch that is split
-MAX_KNOWN_IN_PART = 1000  # changes of entries that were published before
-MAX_NEW_IN_PART = 100  # changes of new entries in a part; a larger batch is split
+BATCH_INTERVAL_NS = SECOND_NS // 20  # minimum time between two batches
+PART_INTERVAL_NS = SECOND_NS // 40  # minimum time between the parts of a split batch
+MAX_KNOWN_IN_PART = 1000  # maximum number of changes of published entries in a part
+MAX_NEW_IN_PART = 100  # maximum number of changes of new entries in a part; a larger batch is split
 
 
 class ChangePublisher:
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.published: dict[str, bytes] = {}
-        self.pending: dict[str, bytes | None] = {}  # by uid; None: deleted
+        self.pending: dict[str, bytes | None] = {}  # changed values by uid; None: deleted
         self.published_at_ns = -BATCH_INTERVAL_NS
 
     def add(self, uid: str, value: bytes | None) -> None:
--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -12,7 +12,7 @@
 from rainhitch.membership.etcd_client import EtcdClient
 from rainhitch.protocol import etcd
 
-MAX_ENTRIES = 100  # per transaction; etcd accepts 128 operations by default
+MAX_ENTRIES = 100  # maximum number of entries per transaction; etcd accepts 128 operations by default
 STATES = ("Ready", "Retiring", "Terminating")  # states that an operator may set
 NO_REVISION = 0  # revision of an entry that is not in etcd
 Json = dict[str, Any]
--- a/rainhitch/membership/etcd_client.py
+++ b/rainhitch/membership/etcd_client.py
@@ -13,10 +13,10 @@
 from rainhitch.membership.watch_events import Snapshot, StoredValue
 from rainhitch.protocol import etcd
 
-PAGE_ENTRIES = 1000  # entries in one response to a read
-DEFAULT_TIMEOUT_S = 2.0  # for a unary call
-KEEPALIVE_INTERVAL_S = 10.0  # between HTTP/2 pings
-KEEPALIVE_TIMEOUT_S = 5.0  # for the response to a ping
+PAGE_ENTRIES = 1000  # maximum number of entries in one response to a read
+DEFAULT_TIMEOUT_S = 2.0  # time limit of a unary call
+KEEPALIVE_INTERVAL_S = 10.0  # time between HTTP/2 pings
+KEEPALIVE_TIMEOUT_S = 5.0  # time limit of the response to a ping
 CALL_ERRORS = (
     OSError,
     TimeoutError,
@@ -30,9 +30,9 @@
 class EtcdOptions:
     """Endpoints, credentials and time limit of the connection to etcd."""
 
-    endpoints: list[Address]  # tried in turn
-    prefix: str = "/rainhitch/members/"  # of the keys; the uid follows it
-    user: str = ""  # empty: no authentication
+    endpoints: list[Address]  # addresses that are tried in turn
+    prefix: str = "/rainhitch/members/"  # prefix of the keys; the uid follows it
+    user: str = ""  # empty: no authentication is used
     password: str = ""
     tls: ssl.SSLContext | None = None
     timeout_s: float = DEFAULT_TIMEOUT_S
--- a/rainhitch/membership/etcd_source.py
+++ b/rainhitch/membership/etcd_source.py
@@ -36,7 +36,7 @@
 from rainhitch.membership.watch_state_machine import WatchStateMachine
 from rainhitch.protocol import etcd
 
-PROGRESS_REQUEST_TIMEOUT_S = 2.0  # for sending a progress request
+PROGRESS_REQUEST_TIMEOUT_S = 2.0  # time limit of sending a progress request
 log = logging.getLogger("rainhitch")
 
 
--- a/rainhitch/membership/list_view.py
+++ b/rainhitch/membership/list_view.py
@@ -9,8 +9,8 @@
 from rainhitch.membership.change_publisher import ChangePublisher
 from rainhitch.membership.watch_events import Changes, Snapshot, StoredValue
 
-UNKNOWN_REVISION = 0  # below any revision of etcd
-UNKNOWN_CLUSTER = 0  # not the id of any cluster
+UNKNOWN_REVISION = 0  # a value below any revision of etcd
+UNKNOWN_CLUSTER = 0  # a value that is not the id of any cluster
 SUSPICIOUS_DROP_FRACTION = 0.5  # a read that drops more of the entries than this is checked by a second read
 SUSPICIOUS_MIN_ENTRIES = 4  # a list of at most this many entries may lose any number of them
 
@@ -19,7 +19,7 @@
 class ListView:
     """The view; each difference that a read or a watch makes is added to the publisher."""
 
-    known: dict[str, StoredValue] = field(default_factory=dict)  # by uid
+    known: dict[str, StoredValue] = field(default_factory=dict)  # entries by uid
     revision: int = UNKNOWN_REVISION
     cluster_id: int = UNKNOWN_CLUSTER
     publisher: ChangePublisher = field(default_factory=ChangePublisher)
--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -36,15 +36,15 @@
 )
 
 SECOND_NS = 1_000_000_000
-PROGRESS_INTERVAL_NS = SECOND_NS  # between two progress requests
-SILENCE_LIMIT_NS = 3 * SECOND_NS  # without any response, after which a call has failed
-FIRST_BACKOFF_NS = SECOND_NS // 20  # doubled with each failure
+PROGRESS_INTERVAL_NS = SECOND_NS  # time between two progress requests
+SILENCE_LIMIT_NS = 3 * SECOND_NS  # time without a response after which a call has failed
+FIRST_BACKOFF_NS = SECOND_NS // 20  # the first backoff; it doubles with each failure
 MAX_BACKOFF_NS = 2 * SECOND_NS
 MAX_BACKOFF_DOUBLINGS = 8
-MIN_JITTER_FRACTION = 0.5  # of a backoff; the jitter keeps routers from reconnecting at the same time
+MIN_JITTER_FRACTION = 0.5  # fraction of a backoff; jitter keeps routers from reconnecting together
 MAX_JITTER_FRACTION = 1.0
-RESTORED_AFTER_NS = 10 * SECOND_NS  # of older revisions, after which etcd's history counts as replaced
-READ_AGAIN_AFTER_NS = 3 * SECOND_NS // 10  # between a suspicious read and the second one
+RESTORED_AFTER_NS = 10 * SECOND_NS  # time of older revisions after which etcd's history counts as replaced
+READ_AGAIN_AFTER_NS = 3 * SECOND_NS // 10  # time between a suspicious read and the second read
 # After this time a suspicious read is adopted: the limit on a drain runs from when the drain was seen.
 ADOPT_AFTER_NS = 8 * SECOND_NS // 10
 
@@ -95,9 +95,9 @@
     last_response_at_ns: int = 0  # time of etcd's last response, or of the start of the call
     progress_requested_at_ns: int = 0
     backoff_ends_at_ns: int = 0
-    failures: int = 0  # consecutive
+    failures: int = 0  # number of consecutive failures
     is_failing: bool = False  # whether a failure of etcd was logged
-    behind_since_ns: int | None = None  # since when all revisions seen were older than the view's
+    behind_since_ns: int | None = None  # time since which all revisions seen were older than the view's
     suspicion: SnapshotSuspicion | None = None
 
     def start(self, now_ns: int) -> list[Action]:
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -15,8 +15,8 @@
 from rainhitch.interface import DEFAULT_MIGRATION_FRACTION, Address
 from rainhitch.overload.controller import OverloadOptions
 
-DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")  # relative to the current directory
-PORT_LIMIT = 65_536  # exclusive
+DEFAULT_OPERATOR_FILE = Path("deploy/operator.toml")  # path relative to the current directory
+PORT_LIMIT = 65_536  # exclusive upper bound of a port
 
 
 @dataclass(slots=True)
--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -23,7 +23,7 @@
     "unsafe": api.Idempotency.NOT_IDEMPOTENT,
 }
 
-NUMBER_LIMIT = 1e19  # exclusive; larger than any time in ns
+NUMBER_LIMIT = 1e19  # exclusive upper bound of every number; larger than any time in ns
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
 DEFAULT_MAX_POLL_RETRY_NS = 10_000_000_000
 DEFAULT_SLOW_START_WINDOW_NS = 1_000_000_000
@@ -155,7 +155,7 @@
     """Maps the names that appear on the sockets to the indexes that the routing decisions use."""
 
     classes: dict[str, int]
-    idempotency: list[api.Idempotency]  # by class index
+    idempotency: list[api.Idempotency]  # one entry per class, by class index
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -165,9 +165,9 @@
 class SocketLimits:
     """Limits of the router's sockets."""
 
-    max_requests: int  # open requests at a time
+    max_requests: int  # maximum number of open requests
     connect_timeout_ns: int
-    keepalive_ns: int  # an upstream connection idle for this long is closed by its server
+    keepalive_ns: int  # idle time after which servers close an upstream connection
 
 
 def read_names(document: Json) -> Names:
--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -31,8 +31,9 @@
 
 T = TypeVar("T")
 REQUIRED: Any = dataclasses.MISSING  # default of a key that must be present
-BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")  # of an unquoted TOML key
-MAX_SHOWN_LENGTH = 60  # characters of a value in a reported line
+# Characters of a TOML key that needs no quotes.
+BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")
+MAX_SHOWN_LENGTH = 60  # maximum number of characters of a value in a reported line
 SPEC = "spec"  # key of the FieldSpec in a dataclass field's metadata
 
 
--- a/tests/growth/test_forecast.py
+++ b/tests/growth/test_forecast.py
@@ -37,7 +37,7 @@
         assert isinstance(send, api.StartAttempt)
         servers.append(send.server)
         router.end_attempt(send, api.AttemptStatus.OK)
-        router.now += 50_000_000  # apart in time, so that no server counts as overloaded
+        router.now += 50_000_000  # requests are spaced so that no server counts as overloaded
         del name
     return servers
 
