--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -1,17 +1,18 @@
-"""Follows an endpoint list in etcd: what to read, what to watch, what to publish. No socket, no clock.
+"""State machine that follows an endpoint list in etcd: what to read, watch and publish. No I/O, no clock.
 
-etcd counts each commit by a revision, and each entry carries the revision that wrote it last. A read gives
-all entries as of one revision; a watch from the next one gives every change after it. So the view is a
-revision and the entries as of it, and three rules keep it true:
+etcd counts each commit by a revision, and each entry carries the revision that last wrote it. A read returns
+all entries as of one revision, and a watch from the next revision returns every later change. The view is
+therefore a revision and the entries as of it, and three rules keep it correct:
 
-- Nothing at or below the view's revision changes the view (`ListView`).
-- A watch continues from the revision after the view's, wherever it broke. Where that has been compacted away,
-  the list is read whole and compared, and each difference, a deletion too, is published as a change.
-- Another cluster id, or revisions that stay behind for `RESTORED_AFTER_NS`, mean another history: the list is
-  read whole and compared by its values.
+- A change at or below the view's revision does not change the view (`ListView`).
+- A watch continues from the revision after the view's, wherever it broke. Where that revision was compacted,
+  the whole list is read and compared, and each difference is published as a change, also a deletion.
+- Another cluster id, or revisions that stay behind for `RESTORED_AFTER_NS`, mean that etcd's history was
+  replaced: the whole list is read and its values are compared.
 
-`Mode` holds the states and their transitions. A silent watch is asked for its progress every
-`PROGRESS_INTERVAL_NS`, and given up after `SILENCE_LIMIT_NS`. Times are nanoseconds of the host's clock.
+`Mode` defines the states and their transitions. A silent watch is asked for its progress every
+`PROGRESS_INTERVAL_NS`, and counts as failed after `SILENCE_LIMIT_NS`. Times are nanoseconds of the host's
+clock.
 """
 
 from dataclasses import dataclass, field
@@ -35,21 +36,21 @@
 )
 
 SECOND_NS = 1_000_000_000
-PROGRESS_INTERVAL_NS = SECOND_NS  # between two requests for progress
-SILENCE_LIMIT_NS = 3 * SECOND_NS  # after which a call that says nothing has failed
-FIRST_BACKOFF_NS = SECOND_NS // 20  # doubled with each failure
+PROGRESS_INTERVAL_NS = SECOND_NS  # time between two progress requests
+SILENCE_LIMIT_NS = 3 * SECOND_NS  # time without a response after which a call has failed
+FIRST_BACKOFF_NS = SECOND_NS // 20  # the first backoff; it doubles with each failure
 MAX_BACKOFF_NS = 2 * SECOND_NS
 MAX_BACKOFF_DOUBLINGS = 8
-MIN_JITTER_FRACTION = 0.5  # of a backoff, which is spread so that routers do not reconnect in step
+MIN_JITTER_FRACTION = 0.5  # fraction of a backoff; jitter keeps routers from reconnecting together
 MAX_JITTER_FRACTION = 1.0
-RESTORED_AFTER_NS = 10 * SECOND_NS  # for which revisions must stay behind to count as another history
-READ_AGAIN_AFTER_NS = 3 * SECOND_NS // 10  # between a suspicious read and the second one
-# After so long a suspicious read counts all the same: the limit on a drain runs from when it was seen.
+RESTORED_AFTER_NS = 10 * SECOND_NS  # time of older revisions after which etcd's history counts as replaced
+READ_AGAIN_AFTER_NS = 3 * SECOND_NS // 10  # time between a suspicious read and the second read
+# After this time a suspicious read is adopted: the limit on a drain runs from when the drain was seen.
 ADOPT_AFTER_NS = 8 * SECOND_NS // 10
 
 
 class Mode(Enum):
-    """What the machine is doing.
+    """State of the machine, with its transitions.
 
     READING     --Snapshot--> WATCHING
     READING     --a Snapshot that drops too many--> VERIFYING
@@ -69,7 +70,7 @@
 
 
 def backoff_ns(failures: int, random: Random) -> int:
-    """How long to wait after so many failures before: doubled with each, and spread."""
+    """Returns the wait after so many earlier failures: doubled with each, with jitter."""
     doublings = min(failures, MAX_BACKOFF_DOUBLINGS)
     longest_ns = min(FIRST_BACKOFF_NS << doublings, MAX_BACKOFF_NS)
     return int(longest_ns * random.uniform(MIN_JITTER_FRACTION, MAX_JITTER_FRACTION))
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class SnapshotSuspicion:
-    """A read that would drop too many entries, and when it counts all the same."""
+    """A read that would drop too many entries, and when it is adopted without a second read."""
 
     snapshot: Snapshot
     adopt_at_ns: int
@@ -86,26 +87,26 @@
 
 @dataclass
 class WatchStateMachine:
-    """One router's view of the list; `random` spreads the backoffs."""
+    """One router's state of the watch and view of the list; `random` adds jitter to backoffs."""
 
     random: Random
     mode: Mode = Mode.READING
     view: ListView = field(default_factory=ListView)
-    heard_at_ns: int = 0  # when etcd last said something, or a call began
+    last_response_at_ns: int = 0  # time of etcd's last response, or of the start of the call
     progress_requested_at_ns: int = 0
-    resume_at_ns: int = 0  # the end of a backoff
-    failures: int = 0  # in a row
-    is_failing: bool = False  # etcd failed, and that was logged
-    behind_since_ns: int | None = None  # since when only older revisions than the view's were seen
+    backoff_ends_at_ns: int = 0
+    failures: int = 0  # number of consecutive failures
+    is_failing: bool = False  # whether a failure of etcd was logged
+    behind_since_ns: int | None = None  # time since which all revisions seen were older than the view's
     suspicion: SnapshotSuspicion | None = None
 
     def start(self, now_ns: int) -> list[Action]:
-        """The first actions."""
-        self.heard_at_ns = now_ns
+        """Returns the first actions."""
+        self.last_response_at_ns = now_ns
         return [ReadAll()]
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """The actions that follow from an event, and from the time that has passed."""
+        """Returns the actions that follow from an event and from the time that has passed."""
         actions: list[Action] = []
         match event:
             case Snapshot():
@@ -124,23 +125,23 @@
 
     @property
     def wake_at_ns(self) -> int:
-        """When the machine wants to be told the time next."""
+        """When the machine next needs a TimeElapsed event."""
         due_at_ns = self.view.publisher.due_at_ns()
         times = [] if due_at_ns is None else [due_at_ns]
         if self.mode is Mode.BACKING_OFF:
-            times.append(self.resume_at_ns)
+            times.append(self.backoff_ends_at_ns)
         elif self.mode is Mode.VERIFYING and self.suspicion is not None:
             times.append(min(self.suspicion.read_again_at_ns, self.suspicion.adopt_at_ns))
         else:
-            times.append(self.heard_at_ns + SILENCE_LIMIT_NS)
+            times.append(self.last_response_at_ns + SILENCE_LIMIT_NS)
             if self.mode is Mode.WATCHING:
-                times.append(self._last_sign_ns() + PROGRESS_INTERVAL_NS)
+                times.append(self._last_activity_ns() + PROGRESS_INTERVAL_NS)
         if self.suspicion is not None:
             times.append(self.suspicion.adopt_at_ns)
         return min(times)
 
-    def _last_sign_ns(self) -> int:
-        return max(self.heard_at_ns, self.progress_requested_at_ns)
+    def _last_activity_ns(self) -> int:
+        return max(self.last_response_at_ns, self.progress_requested_at_ns)
 
     def _handle_time(self, now_ns: int, actions: list[Action]) -> None:
         suspicion = self.suspicion
@@ -149,7 +150,7 @@
             self._adopt(now_ns, suspicion.snapshot, actions)
         match self.mode:
             case Mode.BACKING_OFF:
-                if now_ns >= self.resume_at_ns:
+                if now_ns >= self.backoff_ends_at_ns:
                     self._resume(now_ns, actions)
             case Mode.VERIFYING:
                 if self.suspicion is not None and now_ns >= self.suspicion.read_again_at_ns:
@@ -162,27 +163,27 @@
                 actions.append(batch)
 
     def _check_silence(self, now_ns: int, actions: list[Action]) -> None:
-        if now_ns - self.heard_at_ns >= SILENCE_LIMIT_NS:
+        if now_ns - self.last_response_at_ns >= SILENCE_LIMIT_NS:
             self._back_off(now_ns, f"silent for {SILENCE_LIMIT_NS / SECOND_NS:g} s", actions)
-        elif self.mode is Mode.WATCHING and now_ns - self._last_sign_ns() >= PROGRESS_INTERVAL_NS:
+        elif self.mode is Mode.WATCHING and now_ns - self._last_activity_ns() >= PROGRESS_INTERVAL_NS:
             self.progress_requested_at_ns = now_ns
             actions.append(RequestProgress())
 
-    # The transitions of `Mode`, one method for each state that is entered.
+    # Transitions of `Mode`: one method for each state that is entered.
 
     def _read_all(self, now_ns: int, actions: list[Action]) -> None:
         self.mode = Mode.READING
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
         actions.append(ReadAll())
 
     def _watch(self, now_ns: int, actions: list[Action]) -> None:
         self.mode = Mode.WATCHING
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
         self.progress_requested_at_ns = now_ns
         actions.append(WatchFrom(self.view.revision + 1))
 
     def _back_off(self, now_ns: int, reason: str, actions: list[Action]) -> None:
-        """Waits before the next call, at the next endpoint; logs the first failure of an outage."""
+        """Waits before the next call, which goes to the next endpoint; logs an outage once."""
         if self.mode is Mode.BACKING_OFF:
             return
         if not self.is_failing:
@@ -190,43 +191,43 @@
             actions.append(warning("etcd unavailable", **fields))
         self.is_failing = True
         self.mode = Mode.BACKING_OFF
-        self.resume_at_ns = now_ns + backoff_ns(self.failures, self.random)
+        self.backoff_ends_at_ns = now_ns + backoff_ns(self.failures, self.random)
         self.failures += 1
         actions.append(SwitchEndpoint())
 
     def _verify(self, now_ns: int, snapshot: Snapshot) -> None:
-        """Has a read that drops too many entries checked by a second one."""
+        """Has a read that drops too many entries checked by a second read."""
         self.suspicion = SnapshotSuspicion(snapshot, now_ns + ADOPT_AFTER_NS, now_ns + READ_AGAIN_AFTER_NS)
         self.mode = Mode.VERIFYING
-        self.heard_at_ns = now_ns
+        self.last_response_at_ns = now_ns
 
     def _resume(self, now_ns: int, actions: list[Action]) -> None:
-        """Ends a backoff: watches from the view on where that is known to be good, and else reads all."""
+        """Ends a backoff: watches from the view's revision if it is valid, and else reads the list."""
         if self.view.is_read and self.behind_since_ns is None and self.suspicion is None:
             self._watch(now_ns, actions)
         else:
             self._read_all(now_ns, actions)
 
-    # What etcd reports.
+    # Events from etcd.
 
-    def _answered(self, now_ns: int, actions: list[Action]) -> None:
-        """Notes that etcd answered, with a revision that is no older than the view's."""
-        self.heard_at_ns = now_ns
+    def _record_response(self, now_ns: int, actions: list[Action]) -> None:
+        """Records a response from etcd whose revision is not older than the view's."""
+        self.last_response_at_ns = now_ns
         if self.is_failing:
             actions.append(warning("etcd available again"))
         self.is_failing = False
         self.failures = 0
         self.behind_since_ns = None
 
-    def _member_lags(self, now_ns: int, revision: int, actions: list[Action]) -> None:
-        """An older revision than the view's: another member is asked, after a backoff."""
+    def _handle_lagging_member(self, now_ns: int, revision: int, actions: list[Action]) -> None:
+        """Handles a revision older than the view's: backs off and then asks another member."""
         if self.behind_since_ns is None:
             self.behind_since_ns = now_ns
             known = self.view.revision
             actions.append(
                 warning("etcd member lags", revision=revision, known_revision=known, action="ignore")
             )
-        self.is_failing = True  # so that the backoff logs no line of its own
+        self.is_failing = True  # keeps the backoff from logging an outage
         self._back_off(now_ns, "", actions)
 
     def _handle_snapshot(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
@@ -238,26 +239,26 @@
             actions.append(warning("etcd cluster id changed", **ids, action="compare_all"))
         elif snapshot.revision < view.revision:
             if not self._is_restored(now_ns):
-                self._member_lags(now_ns, snapshot.revision, actions)
+                self._handle_lagging_member(now_ns, snapshot.revision, actions)
                 return
             revisions = {"from": view.revision, "to": snapshot.revision}
             actions.append(warning("etcd revisions went back", **revisions, action="adopt_restored_backup"))
-        dropped = view.dropped(snapshot)
-        if self.suspicion is None and view.is_suspicious(dropped):
-            counts = {"dropped": dropped, "known": len(view.known)}
+        dropped_count = view.count_dropped(snapshot)
+        if self.suspicion is None and view.is_suspicious(dropped_count):
+            counts = {"dropped": dropped_count, "known": len(view.known)}
             actions.append(warning("etcd read drops too many", **counts, action="read_again"))
             self._verify(now_ns, snapshot)
             return
         self._adopt(now_ns, snapshot, actions)
 
     def _is_restored(self, now_ns: int) -> bool:
-        """Whether revisions have stayed behind for so long that etcd's history must be another one."""
+        """Returns whether revisions have stayed behind for so long that etcd's history was replaced."""
         return self.behind_since_ns is not None and now_ns - self.behind_since_ns >= RESTORED_AFTER_NS
 
     def _adopt(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
-        """Makes a read the view, and notes what differs as changes."""
+        """Makes a read the view, and adds the differences to the pending changes."""
         is_first = not self.view.is_read
-        self._answered(now_ns, actions)
+        self._record_response(now_ns, actions)
         self.suspicion = None
         self.view.adopt(snapshot)
         if is_first:
@@ -271,7 +272,7 @@
         if event.cluster_id != self.view.cluster_id:
             self._read_all(now_ns, actions)
             return
-        self._answered(now_ns, actions)
+        self._record_response(now_ns, actions)
         self.view.apply(event)
 
     def _handle_progress(self, now_ns: int, event: Progress, actions: list[Action]) -> None:
@@ -280,8 +281,8 @@
         if event.cluster_id != self.view.cluster_id:
             self._read_all(now_ns, actions)
         elif event.revision < self.view.revision:
-            self._member_lags(now_ns, event.revision, actions)
+            self._handle_lagging_member(now_ns, event.revision, actions)
         else:
-            # It shows that the watch lives, and moves no revision. Guards against a drain lost for good:
-            # released versions of etcd report a progress ahead of events that are still on their way.
-            self._answered(now_ns, actions)
+            # Progress shows that the watch works, and does not advance the view's revision. Guards against a
+            # drain lost for good: released versions of etcd report progress ahead of events still in transit.
+            self._record_response(now_ns, actions)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -92,7 +92,7 @@
             settings, configuration.seed, None if operator is None else operator.storms.options()
         )
         self.balancer = Balancer(settings, configuration.seed, self.overload)
-        max_requests = configuration.ceilings.max_requests
+        max_requests = configuration.socket_limits.max_requests
         self.driver = RequestDriver(
             self.balancer, self.pools, max_requests, buffer_bytes, class_names=list(names.classes), host=self
         )
@@ -200,7 +200,7 @@
         loop = asyncio.get_running_loop()
         system = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
-        record = self.pools.counts.take_record(system.unix() / NS_PER_S, system.cpu())
+        record = self.pools.counts.take_record(system.unix_ns() / NS_PER_S, system.cpu_s())
         if record is not None:
             record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
@@ -288,8 +288,8 @@
 def make_pools(configuration: Configuration) -> ConnectionPools:
     """The servers' side, with its part of the descriptors."""
     max_open, _ = socket_caps(configuration.sockets)
-    ceilings = configuration.ceilings
-    return ConnectionPools(max_open, ceilings.connect_timeout_ns / NS_PER_S, ceilings.keepalive_ns / NS_PER_S)
+    limits = configuration.socket_limits
+    return ConnectionPools(max_open, limits.connect_timeout_ns / NS_PER_S, limits.keepalive_ns / NS_PER_S)
 
 
 def buffer_share(memory_bytes: int) -> int:
@@ -328,7 +328,7 @@
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
-    generation = max(1, (system.unix() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
+    generation = max(1, (system.unix_ns() - GENERATION_EPOCH_UNIX_NS) // GENERATION_UNIT_NS & GENERATION_MASK)
     return GossipExchange(
         peering.own_index,
         len(peering.peers),
--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -1,12 +1,12 @@
 """Strict reading of TOML tables into dataclasses.
 
-Each key that is unknown, of a wrong type or out of range is one line of the problems, with the key, its
+Each key that is unknown, missing, of a wrong type or out of range is reported in one line, with the key, its
 value and what is allowed. The same definitions make a JSON Schema for editors.
 
 A table is a dataclass whose fields are made by `number`, `whole`, `flag`, `text`, `texts`, `numbers`,
-`pair`, `table` and `tables`; each states its default, its bounds and what it is for. pydantic does the
-checking, with a model that is made from these once; the result is the dataclass, which needs nothing of
-pydantic.
+`pair`, `table` and `tables`; each states its default, its bounds and its description. pydantic checks the
+values with a model that is made once from these definitions. The result is the dataclass, which does not
+depend on pydantic.
 """
 
 import dataclasses
@@ -30,14 +30,15 @@
 from rainhitch.errors import RainhitchError
 
 T = TypeVar("T")
-REQUIRED: Any = dataclasses.MISSING  # as a default: the key must be there
-BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")  # of a key that needs no quotes
-MAX_SHOWN = 60  # characters of a value in a problem's line
-SPEC = "spec"  # under which a dataclass field's metadata holds its FieldSpec
+REQUIRED: Any = dataclasses.MISSING  # default of a key that must be present
+# Characters of a TOML key that needs no quotes.
+BARE_KEY_CHARACTERS = frozenset(string.ascii_letters + string.digits + "_-")
+MAX_SHOWN_LENGTH = 60  # maximum number of characters of a value in a reported line
+SPEC = "spec"  # key of the FieldSpec in a dataclass field's metadata
 
 
 class TableError(RainhitchError, ValueError):
-    """A file of tables that can't be read; `lines` holds one problem each."""
+    """A TOML file that cannot be read or has invalid keys; `lines` has one line for each problem."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -45,34 +46,34 @@
 
 
 class DisallowedValueError(RainhitchError, ValueError):
-    """A value that is of the right type and not allowed; raised to pydantic, which reports the place."""
+    """A value of the right type that is not allowed. pydantic catches it and reports the key."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldSpec:
-    """What a field of a table takes."""
+    """The type, bounds and description of a table's field."""
 
     doc: str
-    form: Any = None  # the type that pydantic checks; None for tables
-    allowed: str = ""  # what is allowed, for a problem's line
-    table: type | None = None  # the dataclass of the field's table, or of each table in its array
-    is_array: bool = False  # of tables
+    pydantic_type: Any = None  # type that pydantic checks; None for tables
+    allowed: str = ""  # description of the allowed values, for reported lines
+    table: type | None = None  # dataclass of the field's table, or of each table in its array
+    is_array: bool = False  # whether the field is an array of tables
 
     def allowed_text(self) -> str:
-        """What is allowed, in words."""
+        """Returns a description of the allowed values."""
         if self.table is None:
             return self.allowed
         return "tables" if self.is_array else "a table"
 
 
-def _spec(one: "dataclasses.Field[Any]") -> FieldSpec:
-    spec: FieldSpec = one.metadata[SPEC]
+def _spec_of(field: "dataclasses.Field[Any]") -> FieldSpec:
+    spec: FieldSpec = field.metadata[SPEC]
     return spec
 
 
-def _field(form: Any, allowed: str, default: Any, doc: str) -> Any:
-    """A field of a table; `form` is the type that pydantic checks."""
-    metadata = {SPEC: FieldSpec(doc, form, allowed)}
+def _field(pydantic_type: Any, allowed: str, default: Any, doc: str) -> Any:
+    """Returns a dataclass field; `pydantic_type` is the type that pydantic checks."""
+    metadata = {SPEC: FieldSpec(doc, pydantic_type, allowed)}
     if isinstance(default, list):
         return dataclasses.field(default_factory=lambda: list(default), metadata=metadata)
     if default is dataclasses.MISSING:
@@ -87,132 +88,135 @@
 
 
 def number(default: Any, low: float, high: float, doc: str) -> Any:
-    """A number in [low, high]."""
+    """Returns a field for a number in [low, high]."""
     return _field(_bounded(float, low, high), f"a number from {low:g} to {high:g}", default, doc)
 
 
 def whole(default: Any, low: int, high: int, doc: str) -> Any:
-    """A whole number in [low, high]."""
+    """Returns a field for an integer in [low, high]."""
     return _field(_bounded(int, low, high), f"a whole number from {low} to {high}", default, doc)
 
 
 def flag(default: bool, doc: str) -> Any:
-    """True or false."""
+    """Returns a field for true or false."""
     return _field(Annotated[bool, Field(strict=True)], "true or false", default, doc)
 
 
 def text(default: Any, doc: str, choices: tuple[str, ...] = ()) -> Any:
-    """A text, one of the choices where there are any."""
+    """Returns a field for a string; where there are choices, for one of them."""
     if choices:
         return _field(Literal[choices], "one of " + ", ".join(choices), default, doc)
     return _field(Annotated[str, Field(strict=True)], "a text", default, doc)
 
 
-def _different(value: list[str]) -> list[str]:
+def _check_unique(value: list[str]) -> list[str]:
     if len(set(value)) < len(value):
-        raise DisallowedValueError("not all different")
+        raise DisallowedValueError("expected unique values")
     return value
 
 
 def texts(default: list[str], doc: str) -> Any:
-    """A list of different texts, at least one."""
-    one = Annotated[str, Field(strict=True, min_length=1)]
-    form = Annotated[list[one], Field(strict=True, min_length=1), AfterValidator(_different)]
-    return _field(form, "a list of different texts", default, doc)
+    """Returns a field for a non-empty list of unique, non-empty strings."""
+    item = Annotated[str, Field(strict=True, min_length=1)]
+    pydantic_type = Annotated[list[item], Field(strict=True, min_length=1), AfterValidator(_check_unique)]
+    return _field(pydantic_type, "a list of different texts", default, doc)
 
 
 def numbers(default: list[int], low: int, high: int, doc: str) -> Any:
-    """A list of whole numbers; each may be named twice."""
+    """Returns a field for a list of integers in [low, high], which may repeat."""
     within = Annotated[int, Field(ge=low, le=high, strict=True)]
     return _field(list[within], f"a list of whole numbers from {low} to {high}", default, doc)
 
 
-def _both_ends(value: object) -> object:
-    """A range as pydantic takes it: one number stands for both ends."""
+def _range_of(value: object) -> object:
+    """Returns a range for pydantic to check; a single number stands for both ends."""
     return tuple(value) if isinstance(value, list) else (value, value)
 
 
-def _in_order(value: tuple[float, float]) -> tuple[float, float]:
+def _check_order(value: tuple[float, float]) -> tuple[float, float]:
     if value[0] > value[1]:
-        raise DisallowedValueError("the second is less than the first")
+        raise DisallowedValueError("expected the second number to be no less than the first")
     return value
 
 
 def pair(default: tuple[float, float], low: float, high: float, doc: str) -> Any:
-    """A range [a, b] with low <= a <= b <= high; one number stands for both ends."""
+    """Returns a field for a range [a, b] with low <= a <= b <= high; a single number is both ends."""
     end = _bounded(float, low, high)
-    form = Annotated[tuple[end, end], BeforeValidator(_both_ends), AfterValidator(_in_order)]  # type: ignore[valid-type]
-    return _field(form, f"a number or a range [a, b] from {low:g} to {high:g}", default, doc)
+    pydantic_type = Annotated[tuple[end, end], BeforeValidator(_range_of), AfterValidator(_check_order)]  # type: ignore[valid-type]
+    return _field(pydantic_type, f"a number or a range [a, b] from {low:g} to {high:g}", default, doc)
 
 
 def table(kind: type, doc: str) -> Any:
-    """A table of its own."""
+    """Returns a field for a table."""
     return dataclasses.field(default_factory=kind, metadata={SPEC: FieldSpec(doc, table=kind)})
 
 
 def tables(kind: type, doc: str, default: Callable[[], list[Any]] = list) -> Any:
-    """An array of tables."""
+    """Returns a field for an array of tables."""
     spec = FieldSpec(doc, table=kind, is_array=True)
     return dataclasses.field(default_factory=default, metadata={SPEC: spec})
 
 
 @cache
 def model(kind: Any) -> type[BaseModel]:
-    """The pydantic model of a table."""
-    fields = {one.name: (_form(_spec(one)), _model_field(one)) for one in dataclasses.fields(kind)}
+    """Returns the pydantic model of a table."""
+    fields = {
+        field.name: (_pydantic_type(_spec_of(field)), _model_field(field))
+        for field in dataclasses.fields(kind)
+    }
     definitions: dict[str, Any] = fields
     config = ConfigDict(extra="forbid")
-    made: type[BaseModel] = create_model(kind.__name__, __config__=config, **definitions)
-    return made
+    table_model: type[BaseModel] = create_model(kind.__name__, __config__=config, **definitions)
+    return table_model
 
 
-def _form(spec: FieldSpec) -> Any:
-    """The type that pydantic checks."""
+def _pydantic_type(spec: FieldSpec) -> Any:
+    """Returns the type that pydantic checks."""
     if spec.table is None:
-        return spec.form
+        return spec.pydantic_type
     row = model(spec.table)
     return Annotated[list[row], Field(strict=True)] if spec.is_array else row  # type: ignore[valid-type]
 
 
-def _model_field(one: "dataclasses.Field[Any]") -> Any:
-    """The default and the description of a pydantic field."""
-    doc = _spec(one).doc
-    if one.default is not dataclasses.MISSING:
-        return Field(one.default, description=doc)
-    if one.default_factory is not dataclasses.MISSING:
-        return Field(default_factory=one.default_factory, description=doc)
+def _model_field(field: "dataclasses.Field[Any]") -> Any:
+    """Returns a pydantic field with the default and the description of a dataclass field."""
+    doc = _spec_of(field).doc
+    if field.default is not dataclasses.MISSING:
+        return Field(field.default, description=doc)
+    if field.default_factory is not dataclasses.MISSING:
+        return Field(default_factory=field.default_factory, description=doc)
     return Field(description=doc)
 
 
 def schema(kind: type) -> dict[str, Any]:
-    """The JSON Schema of a file of this kind."""
+    """Returns the JSON Schema of a file whose tables are the fields of this dataclass."""
     return model(kind).model_json_schema()
 
 
-def read(kind: type[T], source: Mapping[str, object], where: str, problems: list[str]) -> T | None:
-    """The dataclass of a table; None where anything is wrong with it, which is added to `problems`.
+def read(kind: type[T], source: Mapping[str, object], source_name: str, problems: list[str]) -> T | None:
+    """Returns the dataclass of a table; None and lines in `problems` where it is invalid.
 
-    `where` begins each problem's line, as the file's name.
+    Each line begins with `source_name`, such as the file's name.
     """
     try:
         checked = model(kind).model_validate(dict(source))  # type: ignore[arg-type]
     except ValidationError as problem:
-        found = problem.errors(include_url=False)
-        lines = [_problem_line(kind, source, one["loc"], one["type"] == "missing") for one in found]
-        problems += [f"{where}: {line}" for line in dict.fromkeys(lines)]
+        errors = problem.errors(include_url=False)
+        lines = [_problem_line(kind, source, error["loc"], error["type"] == "missing") for error in errors]
+        problems += [f"{source_name}: {line}" for line in dict.fromkeys(lines)]
         return None
     return _dataclass(kind, checked)
 
 
 def _dataclass(kind: type[T], checked: Any) -> T:
-    """The dataclass of what pydantic has read. Defaults are dataclasses already."""
+    """Returns a dataclass with the values that pydantic has read; defaults are dataclasses already."""
     values: dict[str, Any] = {}
-    for one in dataclasses.fields(kind):  # type: ignore[arg-type]
-        value = getattr(checked, one.name)
-        spec = _spec(one)
+    for field in dataclasses.fields(kind):  # type: ignore[arg-type]
+        value = getattr(checked, field.name)
+        spec = _spec_of(field)
         if spec.table is not None:
             value = _tables(spec.table, value) if spec.is_array else _table(spec.table, value)
-        values[one.name] = value
+        values[field.name] = value
     return kind(**values)
 
 
@@ -224,53 +228,53 @@
     return [_table(kind, row) for row in rows]
 
 
-def _problem_line(kind: Any, source: Any, place: tuple[int | str, ...], is_missing: bool) -> str:
-    """One problem: the path of the key, the value that stands there, and what is allowed.
+def _problem_line(kind: Any, source: Any, location: tuple[int | str, ...], is_missing: bool) -> str:
+    """Returns a line with a key's path, its value and what is allowed.
 
-    `place` is pydantic's: keys and indexes from the outermost table inwards.
+    `location` is pydantic's `loc`: keys and indexes from the outermost table inwards.
     """
     path = ""
     value = source
     allowed = "a table"
-    for step in place:
+    for step in location:
         if isinstance(step, int):
             path += f"[{step}]"
             value = value[step]
             allowed = "a table"
             continue
-        specs = {one.name: _spec(one) for one in dataclasses.fields(kind)}
-        path = f"{path}.{_key(step)}" if path else _key(step)
+        specs = {field.name: _spec_of(field) for field in dataclasses.fields(kind)}
+        path = f"{path}.{_toml_key(step)}" if path else _toml_key(step)
         spec = specs.get(step)
         if spec is None:
-            return f"{path} = {_shown(value[step])}: no such key; allowed: {', '.join(specs)}"
+            return f"{path} = {_short_repr(value[step])}: no such key; allowed: {', '.join(specs)}"
         if is_missing and step not in value:
             return f"{path} is missing: allowed is {spec.allowed or 'a table'}"
         value = value[step]
         allowed = spec.allowed_text()
         kind = spec.table
         if kind is None:
-            break  # what is wrong within a value is wrong with the value
+            break  # a problem inside a value is reported for the whole value
     verb = "allowed are" if allowed == "tables" else "allowed is"
-    return f"{path} = {_shown(value)}: {verb} {allowed}"
+    return f"{path} = {_short_repr(value)}: {verb} {allowed}"
 
 
-def _key(name: str) -> str:
-    """A key as it stands in TOML, quoted where it must be."""
-    return _shown(name) if set(name) - BARE_KEY_CHARACTERS else name
+def _toml_key(name: str) -> str:
+    """Returns a key as TOML writes it, quoted where that is necessary."""
+    return _short_repr(name) if set(name) - BARE_KEY_CHARACTERS else name
 
 
-def _shown(value: object) -> str:
-    """A value in one short line."""
+def _short_repr(value: object) -> str:
+    """Returns a value as one line of at most `MAX_SHOWN_LENGTH` characters."""
     shown = " ".join(repr(value).split())
-    return shown if len(shown) <= MAX_SHOWN else shown[: MAX_SHOWN - 3] + "..."
+    return shown if len(shown) <= MAX_SHOWN_LENGTH else shown[: MAX_SHOWN_LENGTH - 3] + "..."
 
 
 def load(path: Path) -> dict[str, Any]:
-    """The tables of a TOML file; raises TableError of one line where it can't be read or is no TOML."""
+    """Returns the tables of a TOML file; raises TableError where it cannot be read or is not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as problem:
-        reason = problem.strerror if isinstance(problem, OSError) else "no UTF-8"
+        reason = problem.strerror if isinstance(problem, OSError) else "not UTF-8"
         raise TableError([f"{path}: {reason}"]) from None
     except tomllib.TOMLDecodeError as problem:
-        raise TableError([f"{path}: no TOML: {' '.join(str(problem).split())}"]) from None
+        raise TableError([f"{path}: not TOML: {' '.join(str(problem).split())}"]) from None
--- a/tests/ground/test_requirements.py
+++ b/tests/ground/test_requirements.py
@@ -1,7 +1,7 @@
-"""The pinned versions of `pyproject.toml` are those of the requirements files.
+"""The versions pinned in `pyproject.toml` and in the requirements files must be the same.
 
-Once they differed, a new machine refused the development requirements, while environments that already stood
-went on working.
+When they differed, a new machine could not install the development requirements, while existing environments
+kept working.
 """
 
 import tomllib
@@ -11,7 +11,7 @@
 
 
 def pinned(name: str) -> dict[str, str]:
-    """Package to version, of a requirements file."""
+    """Returns the pinned version of each package in a requirements file."""
     lines = (ROOT / name).read_text().splitlines()
     versions = {}
     for line in lines:
@@ -24,9 +24,9 @@
 def test_every_version_of_the_project_file_is_the_one_of_the_requirements() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     extras = project["optional-dependencies"].values()
-    wanted = [*project["dependencies"], *(one for extra in extras for one in extra)]
+    requirements = [*project["dependencies"], *(requirement for extra in extras for requirement in extra)]
     versions = pinned("requirements.txt") | pinned("requirements-dev.txt")
-    assert wanted
-    for requirement in wanted:
+    assert requirements
+    for requirement in requirements:
         package = requirement.split("==")[0]
         assert requirement == f"{package}=={versions[package]}"
