--- a/rainhitch/node/__init__.py
+++ b/rainhitch/node/__init__.py
@@ -1,4 +1,4 @@
-"""The router on real sockets.
+"""The I/O layer of the router: client and server connections, timers, discovery and shutdown.
 
-What is called a node in `rehearsal/` is a cache server, and is not here.
+The nodes that `rehearsal/` refers to are cache servers; they are not part of this package.
 """
--- a/rainhitch/node/errors.py
+++ b/rainhitch/node/errors.py
@@ -1,7 +1,7 @@
-"""The errors that the router on sockets raises on purpose."""
+"""The base class of the errors that this package raises."""
 
 from rainhitch.errors import RainhitchError
 
 
 class NodeError(RainhitchError):
-    """Base of the errors of `rainhitch.node`."""
+    """Base class of the errors of `rainhitch.node`."""
