--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -1,4 +1,4 @@
-"""The router put together: its parts, their start, and their end."""
+"""The router: creates its components, starts them, and stops them in order."""
 
 import asyncio
 import logging
@@ -37,12 +37,12 @@
     from rainhitch.operator_config import Membership, OperatorConfig
 
 NS_PER_S = 1_000_000_000
-IDLE_PROGRAM_BYTES = 24 << 20  # that the router takes with next to nothing to do
+IDLE_PROGRAM_BYTES = 24 << 20  # memory use of an idle router
 MIN_BUFFER_BYTES = 1 << 20
 GOSSIP_INTERVAL_NS = 200_000_000
 GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
-SPARE_DESCRIPTORS = 24  # for all that is neither a client's nor a server's
-# A router's generation is its start in quarters of a second since 2020, 32 bits of it.
+SPARE_DESCRIPTORS = 24  # for everything except client and server connections
+# A router's generation is its start time in units of 250 ms since 2020, modulo 2**32.
 GENERATION_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
 GENERATION_UNIT_NS = 250_000_000
 GENERATION_MASK = 0xFFFFFFFF
@@ -52,23 +52,23 @@
 
 
 class AdminEndpointHandle(Protocol):
-    """The operators' endpoint, as the router starts and ends it."""
+    """The admin endpoint, as the router starts and stops it."""
 
     async def open(self, host: str, port: int) -> tuple[str, int]:
-        """Begins to listen; gives the address. Raises OSError."""
+        """Starts to listen and returns the bound address. Raises OSError."""
 
     def stop(self) -> None:
-        """The router is stopping: it is not ready any more."""
+        """Reports the router as not ready, because it is stopping."""
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the endpoint."""
 
 
 class Router:
-    """One router, on the loop that runs.
+    """One router on the running event loop.
 
-    `make_admin_endpoint` is called where an admin address is configured; the program gives it, so that this
-    package does not know the endpoint.
+    `make_admin_endpoint` is called if an admin address is configured. The program supplies it, so that this
+    package does not import the admin endpoint.
     """
 
     def __init__(
@@ -113,42 +113,42 @@
         self.random = Random(configuration.seed)
 
     def _apply_operator_config(self, operator: "OperatorConfig") -> None:
-        """Sets what the operator's file says, also whether etcd leads in place of discovery."""
+        """Applies the operator's file, including etcd as the endpoint source in place of discovery."""
         apply_operator_config(operator, self.clients, self.directory)
         if operator.membership.source == "etcd":
             self.etcd = make_etcd_source(operator.membership, self.directory, self.configuration)
 
     def watch_endpoints(self) -> None:
-        """Asks the source of the endpoint list for it."""
+        """Starts the configured source of the endpoint list."""
         source = self.watch if self.etcd is None else self.etcd
         source.start()
 
     def publish_gossip(self, observations: list[LatencyObservation]) -> None:
-        """Tells the other routers, where there are some."""
+        """Publishes observations to the other routers, if there are any."""
         if self.gossip is not None:
             self.gossip.publish(observations)
 
     def request_taken(self, tenant: int) -> None:
-        """Counts a tenant's request, where routers add up what tenants use."""
+        """Counts a tenant's request if the routers share their tenants' usage."""
         if self.tenant_usage is not None:
             self.tenant_usage.add(tenant)
 
     def _endpoints_updated(self, event: EndpointUpdate) -> None:
-        """Other routers' words are read by the servers of the list."""
+        """Passes an update on to gossip, whose messages refer to the listed servers, and to the driver."""
         if self.gossip is not None:
             self.gossip.set_servers(list(self.directory.targets))
         self.driver.endpoints_updated(event)
 
     def can_serve(self) -> bool:
-        """Whether PING says yes.
+        """Returns whether PING succeeds.
 
-        While this process stops it does so, though it drains its clients: during an upgrade the other process
-        serves at the same address.
+        PING still succeeds while this process stops and drains its clients: during an upgrade the other
+        process serves at the same address.
         """
         return self.directory.can_serve and (self.stopping or not self.clients.draining)
 
     async def start(self) -> None:
-        """Takes in the known list and listens; raises ConfigurationError where it can't."""
+        """Applies the configured endpoint list and listens; raises ConfigurationError if it can't listen."""
         configuration = self.configuration
         asyncio.get_running_loop().call_later(RECORD_INTERVAL_S, self._record)
         if configuration.peers is not None:
@@ -173,7 +173,7 @@
             self.watch.start()
 
     async def _join_fleet(self, peering: Peering) -> None:
-        """Gossips with the other routers from now on; imported only where there are some."""
+        """Starts gossip with the other routers; the modules for it are imported only if there are any."""
         from rainhitch.fleet.gossip_transport import GossipTransport, join
 
         exchange = make_gossip_exchange(self.configuration, peering, self.pools.system, self.fleet_options)
@@ -189,14 +189,14 @@
             self._end_gossip_interval()
 
     def _end_gossip_interval(self) -> None:
-        """Ends an interval of gossip; each router's are jittered."""
+        """Ends a gossip interval and schedules the next one, jittered so that routers are out of step."""
         if self.gossip is not None and not self.gossip.closed:
             self.driver.decisions.handle(GossipIntervalElapsed())
             interval_s = GOSSIP_INTERVAL_NS * self.random.uniform(*GOSSIP_JITTER) / NS_PER_S
             asyncio.get_running_loop().call_later(interval_s, self._end_gossip_interval)
 
     def _record(self) -> None:
-        """Writes down what the last second brought."""
+        """Logs the records of the last second."""
         loop = asyncio.get_running_loop()
         system = self.pools.system
         throttle = self.balancer.origin_admission.monitor.throttle
@@ -212,9 +212,9 @@
         loop.call_later(RECORD_INTERVAL_S, self._record)
 
     def reload_configuration(self, path: str | None) -> None:
-        """Takes in a new configuration: the watch moves to its discovery, all else runs on as it is.
+        """Reloads the configuration file, of which only the discovery address takes effect.
 
-        Guards against a file that is bad or half written: the router keeps to what it has.
+        If the file is invalid or partly written, the router keeps its current configuration.
         """
         metrics = self.driver.metrics
         try:
@@ -232,7 +232,7 @@
         self.watch.move(discovery)
 
     async def stop(self) -> None:
-        """Ends: answers all that is held, closes the clients' connections, and holds nothing more."""
+        """Stops the router: answers the requests in flight and closes the clients' connections."""
         loop = asyncio.get_running_loop()
         log.info("router stopping")
         self.stopping = True
@@ -261,14 +261,14 @@
 
 
 def write_record(record: Second | Bad) -> None:
-    """Writes a line of the log that `rainhitch logs` reads."""
+    """Logs a record as a line that `rainhitch logs` can parse."""
     log.info("%s %s", RECORD_WORDS[type(record)], orjson.dumps(record).decode())
 
 
 def apply_operator_config(
     operator: "OperatorConfig", clients: ClientConnections, directory: EndpointDirectory
 ) -> None:
-    """Sets what the operator's file says."""
+    """Applies the settings of the operator's file to clients, servers and key migration."""
     driver = clients.driver
     pools = directory.pools
     limits = operator.clients
@@ -286,28 +286,28 @@
 
 
 def make_pools(configuration: Configuration) -> ConnectionPools:
-    """The servers' side, with its part of the descriptors."""
+    """Returns the server connection pools, with their share of the descriptors."""
     max_open, _ = socket_caps(configuration.sockets)
     ceilings = configuration.ceilings
     return ConnectionPools(max_open, ceilings.connect_timeout_ns / NS_PER_S, ceilings.keepalive_ns / NS_PER_S)
 
 
 def buffer_share(memory_bytes: int) -> int:
-    """How many bytes of clients' requests may be held, and as many of what they have not yet sent or read.
+    """Returns the limit in bytes of requests in flight, which is also that of the clients' buffers.
 
-    Of what is left beside the program itself each of these gets a quarter; half is for what servers are
-    sending and what the memory's bookkeeping wastes.
+    The clients' buffers hold unfinished commands and unread responses. Each of the two gets a quarter of the
+    memory that the program itself leaves; the other half is for data from servers and allocator overhead.
     """
     return max(MIN_BUFFER_BYTES, (memory_bytes - IDLE_PROGRAM_BYTES) // 4)
 
 
 def socket_caps(sockets: int) -> tuple[int, int]:
-    """The most connections to servers, and the most of clients, of so many descriptors."""
+    """Returns the limits of server connections and of client connections for a number of descriptors."""
     return sockets * 3 // 8, sockets // 2
 
 
 def split_descriptors(sockets: int, pools: ConnectionPools, clients: ClientConnections) -> None:
-    """Splits the descriptors of this process between clients and servers."""
+    """Splits the descriptors of this process between client and server connections."""
     pools.max_open, clients.max_open = socket_caps(sockets)
     pools.descriptors.shared = sockets - SPARE_DESCRIPTORS
 
@@ -315,7 +315,10 @@
 def split_between_processes(
     sockets: int, pools: ConnectionPools, clients: ClientConnections, process_count: int
 ) -> None:
-    """The limits hold for all processes of this router together, as during an upgrade."""
+    """Divides the descriptors between the processes that this router has during an upgrade.
+
+    The limits apply to all processes of the router together.
+    """
     each = sockets // process_count
     log.info("descriptors split between processes processes=%d descriptors_each=%d", process_count, each)
     split_descriptors(each, pools, clients)
@@ -324,7 +327,7 @@
 def make_gossip_exchange(
     configuration: Configuration, peering: Peering, system: System, options: "FleetOptions | None"
 ) -> "GossipExchange":
-    """What decides what this router publishes to the others; imported only here, where there are some."""
+    """Returns the exchange that decides what this router publishes; imported only if there are others."""
     from rainhitch.fleet.gossip_exchange import GossipExchange
     from rainhitch.fleet.options import FleetOptions
 
@@ -343,7 +346,7 @@
 def make_etcd_source(
     membership: "Membership", directory: EndpointDirectory, configuration: Configuration
 ) -> "EtcdSource":
-    """The source of endpoints in place of discovery; imported only here, where it is on."""
+    """Returns the etcd source that replaces discovery; its modules are imported only if it is enabled."""
     from rainhitch.membership.endpoint_list_builder import EndpointListBuilder
     from rainhitch.membership.errors import MembershipError
     from rainhitch.membership.etcd_settings import etcd_options
