--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -1,7 +1,7 @@
-"""The requests that the router holds, from the client's command to its one answer.
+"""Drives the requests in flight, from the client's command to its single response.
 
-Nothing is chosen here: events go to the Balancer (node/decision_loop.py), whose actions are carried out here
-and in node/attempt_runner.py.
+The driver makes no decisions: it passes events to the Balancer (node/decision_loop.py), whose actions are
+carried out here and in node/attempt_runner.py.
 """
 
 import asyncio
@@ -29,20 +29,20 @@
 
 
 class DriverHost(Protocol):
-    """Where the driver passes on what does not concern its requests alone."""
+    """The owner of a driver, which handles what concerns the whole router."""
 
     def request_taken(self, tenant: int) -> None:
-        """A tenant's request was taken in."""
+        """Counts an accepted request of a tenant."""
 
     def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
-        """Tells the other routers, where there are some."""
+        """Publishes observations to the other routers, if there are any."""
 
     def watch_endpoints(self) -> None:
-        """Asks for the endpoint list."""
+        """Starts the source of the endpoint list."""
 
 
 class NoHost:
-    """A driver alone, without other routers and without a source of the list."""
+    """The host of a driver that has neither other routers nor a source of the endpoint list."""
 
     def request_taken(self, tenant: int) -> None:
         """Does nothing."""
@@ -55,9 +55,10 @@
 
 
 class RequestDriver:
-    """The requests in flight of one router, at most `max_requests` of `max_request_bytes` in all.
+    """The requests in flight of one router: at most `max_requests`, with `max_request_bytes` in total.
 
-    `class_names` name the classes in the metrics, in the settings' order; None: by their numbers.
+    `class_names` are the labels of the request classes in the metrics, in the order of the settings; if None,
+    the classes' indexes are used.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> InFlightRequest | None:
-        """Takes in a client's command; None where it is answered already."""
+        """Accepts a client's command and returns its request; None if it was answered at once."""
         request_id = client_request.id.decode()
         if request_id in self.requests:
             self.accounting.id_in_use(client_request)
@@ -103,7 +104,7 @@
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
             self.accounting.no_room(client_request)
-            sink.fill(resp.busy_reply(0))  # it has not begun, so that a retry is harmless
+            sink.fill(resp.busy_reply(0))  # the request has not started, so that a retry is safe
             return None
         now = self.clock.now()
         class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
@@ -114,14 +115,17 @@
         self.request_bytes += size_bytes
         self.accounting.accepted(client_request)
         self.host.request_taken(client_request.tenant)
-        # So long until `deadline_passed` is called, unless the attempt's own timer ends it before.
+        # Calls `deadline_passed` unless the attempt's own timer ends the request first.
         passed_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
         request.deadline_timer = self.loop.call_later(passed_in_ns / NS_PER_S, self.deadline_passed, request)
         self.decisions.handle(_request_event(request))
         return request
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """The client has left. An attempt that is written whole runs on: its connection stays usable."""
+        """Withdraws a request whose client has left.
+
+        An attempt that is written in full runs on, so that its connection stays usable.
+        """
         if not request.is_open():
             return
         self._mark_finished(request)
@@ -132,11 +136,11 @@
         self.forget_if_over(request)
 
     def endpoints_updated(self, event: api.EndpointUpdate) -> None:
-        """The endpoint list has changed."""
+        """Passes a change of the endpoint list to the Balancer."""
         self.decisions.handle(event)
 
     def stop(self, within_s: float) -> None:
-        """Answers all that is held, and all that comes, within so many seconds from now."""
+        """Answers every request in flight, and every later one, within `within_s` seconds from now."""
         self.reserve.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
         self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._end_all)
 
@@ -145,16 +149,17 @@
             self.deadline_passed(request)
 
     def deadline_passed(self, request: InFlightRequest) -> None:
-        """Its time is over, and its attempt's timer has not ended it."""
+        """Fails a request whose deadline has passed, unless its attempt has a response to be read."""
         if request.is_open() and request.attempt is not None and self.attempts.give_grace(request.attempt):
             return
         self._give_up(request)
 
     def _give_up(self, request: InFlightRequest) -> None:
-        """Fails a request that the decisions have not ended.
+        """Fails a request that the Balancer has not ended.
 
-        Guards clients against a request that the decisions have lost or could not decide on, and against the
-        end of a graceful shutdown. The decisions are told as if its client had left: nothing more is owed.
+        This answers clients whose request the Balancer has lost or could not decide on, and those whose
+        request is still open at the end of a graceful shutdown. The Balancer is told that the client has
+        left, so that it takes no further action for the request.
         """
         if request.is_open():
             self._answer(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
@@ -213,12 +218,12 @@
         self.forget_if_over(request)
 
     def served(self, request: InFlightRequest, value: object) -> None:
-        """Answers the client with the value of an attempt."""
+        """Sends the value of a successful attempt to the client."""
         answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
         self._answer(request, answer, self.metrics.served, SERVED)
 
     def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
-        """Passes a long value on to the client as it arrives."""
+        """Starts to relay a long value to the client as it arrives."""
         request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
         request.relay = relay
@@ -232,7 +237,7 @@
         self.forget_if_over(request)
 
     def _answer(self, request: InFlightRequest, answer: bytes, metric: list[int], outcome: str) -> None:
-        """Gives the final answer, and counts it in a metric by class and by its outcome."""
+        """Sends the final response and counts it, in `metric` by request class and in the records by outcome."""
         self._mark_finished(request)
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
@@ -246,7 +251,7 @@
             request.deadline_timer.cancel()
 
     def forget_if_over(self, request: InFlightRequest) -> None:
-        """Drops a request that is over and has nothing in flight."""
+        """Removes a request that is finished and has no attempt in flight."""
         if not request.may_be_forgotten():
             return
         if self.requests.pop(request.id, None) is not None:
@@ -254,7 +259,7 @@
 
 
 def _request_event(request: InFlightRequest) -> api.Request:
-    """The request as the decisions see it."""
+    """Returns the event that announces a request to the Balancer."""
     client_request = request.client_request
     return api.Request(
         request.id,
