--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -237,7 +237,7 @@
         self.forget_if_over(request)
 
     def _answer(self, request: InFlightRequest, answer: bytes, metric: list[int], outcome: str) -> None:
-        """Sends the final response and counts it, in `metric` by request class and in the records by outcome."""
+        """Sends the final response; counts it in `metric` by request class and in the records by outcome."""
         self._mark_finished(request)
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
