--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -1,13 +1,13 @@
-"""A request that the router holds, its attempts, and where its one answer goes. No decisions, no sockets.
+"""The state of a request in flight: its attempts, and the sink of its response. No decisions, no sockets.
 
 Life cycle of a request:
 
-    OPEN --final answer given, or its client has left--> FINISHED
+    OPEN --final response sent, or its client has left--> FINISHED
      |
      '--a long value begins to arrive--> RELAYING --relay over--> FINISHED
 
-A request stays in the router's table until it is FINISHED and none of its attempts is in flight: an attempt
-whose client has left runs on, so that its connection can be used again.
+A request stays in the driver's table until it is FINISHED and has no attempt in flight: an attempt whose
+client has left runs on, so that its connection can be reused.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 
 
 class InFlightState(Enum):
-    """Where a request stands with its client; see the module's docstring.
+    """The state of a request towards its client; see the module's docstring.
 
-    What it waits for is the decisions' to know: `policy/pending_request.py` `RequestState`.
+    The Balancer tracks what the request is waiting for, as `RequestState` in `policy/pending_request.py`.
     """
 
     OPEN = "open"
@@ -34,30 +34,30 @@
     FINISHED = "finished"
 
 
-# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+# Python 3.11 looks up enum members slowly through their class: code that runs per request uses these names.
 REQUEST_OPEN = InFlightState.OPEN
 REQUEST_FINISHED = InFlightState.FINISHED
 
 
 class ResponseSink(Protocol):
-    """Where a request's one answer goes: `fill` or `start_relay` is called once."""
+    """The destination of a request's single response: either `fill` or `start_relay` is called, once."""
 
     def fill(self, answer: bytes) -> None:
-        """Takes the answer as it goes to the client."""
+        """Takes the encoded response to send to the client."""
 
     def start_relay(self, relay: Relay) -> None:
-        """Takes a long value, which is passed on piece by piece as it arrives."""
+        """Takes the relay of a long value, which is sent to the client in pieces as it arrives."""
 
     def form(self, value: object) -> bytes:
         """Encodes a RESP3 value in the client's protocol version."""
 
     def gone(self) -> bool:
-        """Whether the client has left, also where its end has not been read yet."""
+        """Returns whether the client has left, even if the end of its stream has not been read yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedAttempt:
-    """An attempt that has ended, as a `bad` record reports it."""
+    """An attempt that has ended, as reported in a `bad` record."""
 
     server: str
     status: AttemptStatus
@@ -69,41 +69,41 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt in flight: it is its request's `attempt` until it has ended."""
+    """An attempt, which is its request's `attempt` until it has ended."""
 
     request: "InFlightRequest"
-    number: int  # from 0, within its request
+    number: int  # index within its request, from 0
     server: str
     started_at_ns: int
     connection: UpstreamConnection | None = None
     timeout_timer: asyncio.TimerHandle | None = None
-    grace_given: bool = False  # it timed out with an answer unread, and got the time to read it
+    grace_given: bool = False  # whether it timed out with a response unread and got more time to read it
 
     def is_in_flight(self) -> bool:
-        """Whether this attempt has not ended yet."""
+        """Returns whether this attempt has not ended yet."""
         return self.request.attempt is self
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request and what is known of it."""
+    """A request in flight, with its response sink, its deadlines and its attempts."""
 
     id: str
     client_request: ClientRequest
     sink: ResponseSink
-    deadline_ns: int  # by when the router answers
-    client_deadline_ns: int  # when its client stops waiting
+    deadline_ns: int  # time by which the router responds
+    client_deadline_ns: int  # time at which the client stops waiting
     state: InFlightState = REQUEST_OPEN
     attempts_started: int = 0
     attempt: Attempt | None = None
     deadline_timer: asyncio.TimerHandle | None = None
-    relay: Relay | None = None  # its long value, while RELAYING
+    relay: Relay | None = None  # the relay of its long value, while RELAYING
     finished_attempts: list[FinishedAttempt] = field(default_factory=list)
 
     def is_open(self) -> bool:
-        """Whether it still needs its final answer."""
+        """Returns whether the request still needs its final response."""
         return self.state is REQUEST_OPEN
 
     def may_be_forgotten(self) -> bool:
-        """Whether it is over and nothing of it is in flight."""
+        """Returns whether the request is finished and has no attempt in flight."""
         return self.state is REQUEST_FINISHED and self.attempt is None
