--- a/rainhitch/node/upstream_socket.py
+++ b/rainhitch/node/upstream_socket.py
@@ -1,4 +1,4 @@
-"""The socket of a connection to a server: whether it is up, what the system says of it, and its close."""
+"""The socket of a server connection: whether it is connected, whether it has unread data, and its close."""
 
 import asyncio
 from enum import Enum
@@ -10,27 +10,27 @@
     """Whether an idle connection can carry an attempt."""
 
     REUSABLE = "reusable"
-    BUSY = "busy"  # not now, and it is to stay: what waits to be read may be a push
-    UNUSABLE = "unusable"  # it is to be closed
+    BUSY = "busy"  # not at present, but the connection is kept: its unread data may be a push
+    UNUSABLE = "unusable"  # the connection must be closed
 
 
-# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+# Python 3.11 looks up enum members slowly through their class: code that runs per request uses these names.
 REUSABLE = IdleState.REUSABLE
 BUSY = IdleState.BUSY
 UNUSABLE = IdleState.UNUSABLE
 
 
 class UpstreamSocket(asyncio.Protocol):
-    """A connection's socket; what it carries is the subclass's."""
+    """The socket of a connection; the subclass defines the protocol spoken over it."""
 
     def __init__(self, system: System) -> None:
         self.system = system
-        self.transport: asyncio.Transport | None = None  # None: it is not up
+        self.transport: asyncio.Transport | None = None  # None until connected
         self.connecting: asyncio.Task[None] | None = None
-        self.is_closed = False  # closed or given up, also where it comes up later
+        self.is_closed = False  # closed, or cancelled while connecting, even if the connect still completes
 
     def pause_reading(self) -> None:
-        """Pauses reading: the relay's client is slower than the server."""
+        """Pauses reading, for a relay whose client is slower than the server."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
@@ -40,21 +40,21 @@
             self.transport.resume_reading()
 
     def has_unread_bytes(self) -> bool:
-        """Whether something has come that was not read yet; False where the connection is not up."""
+        """Returns whether received data is still unread; False if the socket is not connected."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
         return self.system.readable(transport)
 
     def idle_state(self) -> IdleState:
-        """Whether this connection, which is idle, can carry an attempt."""
+        """Returns whether this idle connection can carry an attempt."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return UNUSABLE
         return UNUSABLE if self.system.readable(transport) else REUSABLE
 
     def shut(self) -> None:
-        """Closes at once, in both directions, or gives up the connect."""
+        """Closes the socket at once, in both directions, or cancels the connect."""
         self.is_closed = True
         if self.transport is None:
             if self.connecting is not None:
