--- a/rainhitch/node/exchange.py
+++ b/rainhitch/node/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at a client's command as a connection to a server sees it, and that attempt's result."""
+"""An attempt at a client's command as seen by a server connection, and the attempt's result."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,20 +13,20 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended; it has a value only where it was served."""
+    """The result of an attempt; it has a value only if the status is OK."""
 
     status: AttemptStatus
-    value: object = b""  # bytes, or a value of RESP3
-    answer_note: int = NOTE_NONE  # how the server came by its answer: one of interface.NOTE_...
+    value: object = b""  # bytes, or a RESP3 value
+    answer_note: int = NOTE_NONE  # hit, miss or pending miss, as the server reports it: interface.NOTE_...
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One attempt as a connection sees it."""
+    """An attempt as seen by its connection, with the callbacks that report its progress."""
 
     client_request: ClientRequest
-    deadline_ns: int  # monotonic, until when the router waits
+    deadline_ns: int  # monotonic time until which the router waits
     on_finished: Callable[[AttemptResult], None]
-    # Called with the size in bytes of a long value: where to pass it on, or None where nobody wants it.
+    # Called with a long value's size in bytes; returns its relay, or None if the value is no longer needed.
     on_long_value: "Callable[[Source, int], Relay | None]"
     may_write: Callable[[], bool] = lambda: True  # called right before the first byte is written
