--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -1,11 +1,11 @@
-"""Starts, times and ends the attempts of the requests in flight; which attempts is the Balancer's to choose.
+"""Starts, times out and ends the attempts of the requests in flight, as the Balancer decides.
 
 Life cycle of an attempt:
 
     not started --> in flight --the connection reports a result--> ended
-                        |--------its time is over----------------> ended: its connection is closed first
-                        |--------cancelled, before its last byte is written: it never began--> ended
-                        '--------a long value begins-------------> ended: its relay goes on alone
+                        |--------it times out--------------------> ended: its connection is closed first
+                        |--------abandoned before its last byte is written: it never ran--> ended
+                        '--------a long value begins-------------> ended: its relay continues on its own
 """
 
 import asyncio
@@ -22,27 +22,27 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-UNREAD_ANSWER_GRACE_S = 0.005  # in which the loop reads what waits in the sockets
+UNREAD_ANSWER_GRACE_S = 0.005  # time for the event loop to read what is pending in the sockets
 log = logging.getLogger("rainhitch")
 
 
 class RequestOwner(Protocol):
-    """What an attempt's end means for its request."""
+    """The owner of the requests, which is told how their attempts proceed."""
 
     def served(self, request: InFlightRequest, value: object) -> None:
-        """Answers the client with the value."""
+        """Sends the value to the client."""
 
     def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
-        """Passes a long value on to the client as it arrives."""
+        """Starts to relay a long value to the client as it arrives."""
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """The client has left."""
+        """Withdraws a request whose client has left."""
 
     def deadline_passed(self, request: InFlightRequest) -> None:
-        """The request's time is over."""
+        """Fails a request whose deadline has passed."""
 
     def forget_if_over(self, request: InFlightRequest) -> None:
-        """Drops the request if it is over and nothing of it is in flight."""
+        """Removes the request if it is finished and has no attempt in flight."""
 
 
 class AttemptRunner:
@@ -63,7 +63,7 @@
         self.loop = asyncio.get_running_loop()
 
     def start(self, request: InFlightRequest, action: api.StartAttempt) -> None:
-        """Starts an attempt; one that can't begin any more ends at once as ABANDONED."""
+        """Starts an attempt; if it is too late for that, the attempt ends at once as ABANDONED."""
         now = self.clock.now()
         number = request.attempts_started
         request.attempts_started += 1
@@ -82,8 +82,8 @@
             self.counts.add("again", request.finished_attempts[-1].status.value)
         attempt.timeout_timer = self.loop.call_later(timeout_ns / NS_PER_S, self.time_out, attempt)
         if 0 < action.write_within_ns < timeout_ns:
-            # Guards against a retry that begins within its window and is written whole after it: it might run
-            # a second time.
+            # A retry is safe only within its window: one that starts in the window but is written in full
+            # after it might run a second time.
             self.loop.call_later(action.write_within_ns / NS_PER_S, self.take_back, attempt)
         write_by_ns = now + (action.write_within_ns or timeout_ns)
         exchange = Exchange(
@@ -98,7 +98,7 @@
             self.ended(attempt, AttemptResult(api.AttemptStatus.NO_LOCAL_CONNECTION))
 
     def take_back(self, attempt: Attempt) -> None:
-        """Ends an attempt that is not written whole: it begins at its server with its last byte only."""
+        """Ends an attempt that is not yet written in full: a server runs a request on its last byte only."""
         if (
             attempt.is_in_flight()
             and attempt.connection is not None
@@ -107,9 +107,9 @@
             self.ended(attempt, AttemptResult(api.AttemptStatus.ABANDONED))
 
     def time_out(self, attempt: Attempt) -> None:
-        """Ends an attempt whose time is over.
+        """Ends an attempt that has timed out.
 
-        Its connection is closed before the decisions know, so that no second copy is ever in flight.
+        Its connection is closed before the Balancer is told, so that two copies are never in flight.
         """
         if not attempt.is_in_flight() or self.give_grace(attempt):
             return
@@ -119,10 +119,10 @@
             self.ended(attempt, AttemptResult(status))
 
     def give_grace(self, attempt: Attempt) -> bool:
-        """Whether an attempt whose time is over has its answer unread; it gets a moment more, once.
+        """Gives an attempt that timed out with a response still unread time to read it, once.
 
-        Guards answers that arrived in time against a late loop, whose timers fire before its sockets are
-        read.
+        Returns whether the time was extended. When the event loop is late, its timers fire before its sockets
+        are read, so that a response that arrived in time would be lost.
         """
         if attempt.grace_given or attempt.connection is None or not attempt.connection.has_unread_answer():
             return False
@@ -138,7 +138,7 @@
         return True
 
     def ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Takes in an attempt's result; nothing where it has ended already."""
+        """Handles an attempt's result; does nothing if the attempt has already ended."""
         request = attempt.request
         if not attempt.is_in_flight():
             return
@@ -151,22 +151,23 @@
         self.owner.forget_if_over(request)
 
     def _may_write(self, attempt: Attempt, write_by_ns: int) -> bool:
-        """Whether the first byte may be written.
+        """Returns whether the attempt's first byte may be written.
 
-        Guards against a retry that is written after its window, and servers against work for clients that
-        left while the attempt waited for a connection.
+        False for a retry whose window is over, and for a client that left while the attempt waited for a
+        connection, so that the server does no work for it.
         """
         request = attempt.request
         in_time = self.clock.now() < write_by_ns
-        # Asked last: the clock's reading may be old by a delay of this process, the client's end is not.
+        # Checked last: after a delay of this process the clock reading above is out of date, whereas the
+        # state of the client's stream is current.
         if request.state is REQUEST_OPEN and request.sink.gone():
             self.owner.withdraw(request)
         return in_time and request.state is REQUEST_OPEN and attempt.is_in_flight()
 
     def _long_value_began(self, attempt: Attempt, source: Source, size_bytes: int) -> Relay | None:
-        """A long value begins to arrive; None where nobody wants it.
+        """Starts the relay of a long value; returns None if the request no longer needs the value.
 
-        From here on there is no other attempt, and no time limit but the relay's.
+        From then on the request has no further attempts, and no time limit except the relay's.
         """
         request = attempt.request
         if not attempt.is_in_flight() or request.state is not REQUEST_OPEN:
@@ -180,8 +181,8 @@
         return None if relay.is_over() else relay
 
     def _report(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Counts an ended attempt and reports it to the decisions."""
-        # Guards servers against this router's own pause taken for their latency: it is looked for first.
+        """Counts an ended attempt and reports it to the Balancer."""
+        # A pause of this router is detected first, so that it does not count as the server's latency.
         self.decisions.detect_pause()
         request = attempt.request
         elapsed_ns = self.decisions.pause_detector.running_time_ns(self.clock.now(), attempt.started_at_ns)
