--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers: RESP2, one command active at a time, since answers come in order."""
+"""Connections to cache servers over RESP2, with one command at a time, since responses come in order."""
 
 import re
 
@@ -12,23 +12,23 @@
 
 NOTES = {b"hit": NOTE_HIT, b"miss": NOTE_MISS, b"pending": NOTE_MISS_PENDING}
 
-# The error lines of a cache server, each with a load report or nothing behind it. A report that can't be read
-# spoils nothing but itself, as long as it is text in one piece.
+# The error lines of a cache server, each optionally followed by a load report. An unreadable report is
+# ignored, as long as it is printable ASCII without spaces.
 BUSY_LINE = re.compile(rb"BUSY(?: [!-~]+)?")
 FAILED_LINE = re.compile(rb"ERR failed(?: [!-~]+)?")
 
 
 def result_of_error(text: bytes) -> AttemptResult | None:
-    """What an error line says; None for one that is none of a cache server's."""
+    """Returns the result that an error line means; None if it is no error line of a cache server."""
     if BUSY_LINE.fullmatch(text):
         return AttemptResult(AttemptStatus.FULL)
     return AttemptResult(AttemptStatus.ERROR) if FAILED_LINE.fullmatch(text) else None
 
 
 def result_of_answer(answer: object) -> AttemptResult | None:
-    """What a cache server's answer says; None for one that no command of ours can have.
+    """Returns the result that a cache server's response means; None if it fits none of the router's commands.
 
-    Guards against noise: only the exact words prove that a request never ran.
+    Only the exact error texts prove that a request never ran; corrupted data must not pass for them.
     """
     if isinstance(answer, bytes):
         return result_of_error(answer)
@@ -51,14 +51,14 @@
         self.reader: resp.ReplyReader = Resp2Reader(reads_replies=True)
 
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
-        """The command as the client sent it, with another info list."""
+        """Returns the client's command with the info list replaced."""
         parts = [client_request.command, client_request.key, client_request.id, info]
         if client_request.value is not None:
             parts.append(client_request.value)
         return resp.command(*parts)
 
     def read(self, data: bytes) -> None:
-        """Takes in what came while an attempt is active."""
+        """Handles data received for the active attempt."""
         self.reader.feed(data)
         try:
             answer = self.next_answer()
@@ -69,7 +69,7 @@
             self._end(answer)
 
     def next_answer(self) -> object:
-        """The active attempt's answer, once it is whole; what there is of a long value goes on."""
+        """Returns the active attempt's response once it is complete, or NEED_DATA; relays a long value."""
         answer = self.reader.next() if self.relay is None else self._pass_on(self.relay)
         if isinstance(answer, resp.LongValue):
             self.start_relay(answer.size_bytes)
@@ -77,18 +77,18 @@
         return answer
 
     def _pass_on(self, relay: Relay) -> object:
-        """Passes on what has come of a long value; gives what stands behind it, once that is here."""
+        """Relays what has arrived of a long value; returns the response once all of it is here."""
         piece = self.reader.read_long_value()
         if piece:
             relay.feed(piece)
-        # Guards against a client that has left meanwhile: then this connection is closed.
+        # If the client has left meanwhile, this connection is closed and has no relay.
         return (
             resp.NEED_DATA if self.reader.long_value_bytes_left or self.relay is None else self.reader.next()
         )
 
     def _end(self, answer: object) -> None:
         if self.relay is not None and isinstance(answer, list):
-            answer[0] = b""  # its value has been passed on
+            answer[0] = b""  # the value has been relayed
         result = self.result_of(answer)
         if result is None:
             self.fail_protocol()
@@ -96,9 +96,9 @@
             self.finish(result, reusable=self.is_sound())
 
     def result_of(self, answer: object) -> AttemptResult | None:
-        """What an answer says; None for one that no command of ours can have."""
+        """Returns the result that a response means; None if it fits none of the router's commands."""
         return result_of_answer(answer)
 
     def is_sound(self) -> bool:
-        """Whether nothing stands behind the answer that can't."""
+        """Returns whether the connection can be reused: no data may follow the response."""
         return not self.reader.buffer
