--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -1,17 +1,18 @@
-"""One connection to a server: it carries one attempt at a time. What it speaks is the subclass's.
+"""A connection to a server, which carries one attempt at a time; subclasses implement the protocol.
 
 Life cycle of a connection:
 
-    CONNECTING --up--> IDLE <--attempt ended-- ACTIVE --a long value begins--> RELAYING
-        |               |  '---next attempt------> |                               |
-        '---------------'-- lost, closed, or answered badly -----------------------'
+    CONNECTING --connected--> IDLE <--attempt ended-- ACTIVE --a long value begins--> RELAYING
+        |                      |  '---next attempt------> |                               |
+        '----------------------'-- lost, closed, or invalid response ---------------------'
                                         |
                                         v
                                       CLOSED
 
-CONNECTING has no transport yet, ACTIVE has an exchange, RELAYING has a relay too. An attempt may wait for the
-connection to come up. How much of an attempt the system has taken is `WriteProgress`: a server begins a
-request with its last byte, so that an attempt which is not WRITTEN has never run.
+In CONNECTING there is no transport yet, in ACTIVE there is an exchange, in RELAYING also a relay. An attempt
+may wait for the connection to be established. `WriteProgress` says how much of an attempt the operating
+system has accepted: a server runs a request once it has the last byte, so an attempt that is not WRITTEN has
+never run.
 """
 
 import asyncio
@@ -30,33 +31,33 @@
 from rainhitch.system import System
 from rainhitch.telemetry.counts import Counts
 
-# What the system may hold for us on a connection that is not read; it takes twice that for its own use.
+# Receive buffer of a connection that is not being read; the kernel allocates twice the size for its own use.
 READ_PIECE_BYTES = 64 << 10
 log = logging.getLogger("rainhitch")
 
 
 class WriteProgress(Enum):
-    """How much of an attempt's request is with the system."""
+    """How much of an attempt's request the operating system has accepted."""
 
     NOT_WRITTEN = "not written"
     PARTLY_WRITTEN = "partly written"
     WRITTEN = "written"
 
 
-# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+# Python 3.11 looks up enum members slowly through their class: code that runs per request uses these names.
 NOT_WRITTEN = WriteProgress.NOT_WRITTEN
 PARTLY_WRITTEN = WriteProgress.PARTLY_WRITTEN
 WRITTEN = WriteProgress.WRITTEN
 
 
 class UpstreamHost(Protocol):
-    """What all connections of a router share."""
+    """The state that all server connections of a router share."""
 
     system: System
     counts: Counts
     connect_timeout_s: float
-    attempts_written: int  # attempts written whole, since the start
-    unknown_pushes: int  # RESP3 pushes of another kind than `invalidate`
+    attempts_written: int  # number of attempts written in full since the start
+    unknown_pushes: int  # number of RESP3 pushes of a kind other than `invalidate`
     loop_lag: LoopLag
     key_invalidations: KeyInvalidations
 
@@ -66,22 +67,22 @@
 
     name: str
     address: Address
-    known_protocol: int  # RESP version that the server's process was found to speak; 0: not known
-    draining: bool  # no further attempt may begin there
+    known_protocol: int  # RESP version that the server process is known to speak; 0 if unknown
+    draining: bool  # whether new attempts are refused
 
     @property
     def host(self) -> UpstreamHost:
-        """What all connections of the router share."""
+        """The state that all server connections of the router share."""
 
     def release(self, connection: "UpstreamConnection") -> None:
         """Takes back a connection that can carry another attempt."""
 
     def drop(self, connection: "UpstreamConnection") -> None:
-        """Forgets a connection that is closed."""
+        """Removes a closed connection."""
 
 
 class UpstreamConnection(UpstreamSocket):
-    """A connection that carries one attempt at a time and reports how it ended."""
+    """A connection that carries one attempt at a time and reports its result."""
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool.host.system)
@@ -90,28 +91,28 @@
         self.exchange: Exchange | None = None
         self.write_progress = NOT_WRITTEN
         self.opened_at_s = 0.0  # loop time
-        self.reused = False  # it has carried more attempts than the one it was opened for
+        self.reused = False  # whether it has carried an attempt besides the one that it was opened for
         self.idle_since_s = 0.0  # loop time
-        self.relay: Relay | None = None  # where a long value is passed on
+        self.relay: Relay | None = None  # the relay of the long value being received
 
     @abstractmethod
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
-        """The bytes to write for an attempt, with the info list that goes on."""
+        """Returns the bytes to write for an attempt, with the info list for the server."""
 
     @abstractmethod
     def read(self, data: bytes) -> None:
-        """Takes in what came while an attempt is active; ends it by `finish` or `fail_protocol`."""
+        """Handles data received for the active attempt; ends the attempt by `finish` or `fail_protocol`."""
 
     def info(self, exchange: Exchange) -> bytes:
-        """The info list that goes beside key and id.
+        """Returns the info list that is sent along with the key and the id.
 
-        Guards against time that has passed, in connecting or in an earlier attempt, passed on as time to work
-        in: what is left counts from here.
+        The server is given the time that is left now, less than the client asked for by the time spent on
+        connecting and on earlier attempts.
         """
         return exchange.client_request.info_for(exchange.deadline_ns - self.system.now())
 
     def start_exchange(self, exchange: Exchange) -> None:
-        """Begins an attempt, or has it wait for the connection to come up."""
+        """Starts an attempt, which waits if the connection is not established yet."""
         self.exchange = exchange
         self.write_progress = NOT_WRITTEN
         if self.transport is not None:
@@ -120,33 +121,33 @@
     def _write(self) -> None:
         assert self.exchange is not None and self.transport is not None
         info = self.info(self.exchange)
-        # Guards against what changed while the connection came up or the process was delayed: the server may
-        # drain by now, the client may have left, and the time in which a retry is harmless may be over.
-        # Asked behind the last reading of the clock, right before the write.
+        # While the connection was established, or the process was delayed, the server may have begun to
+        # drain, the client may have left, and the window in which a retry is safe may have ended. Checked
+        # after the last reading of the clock, right before the write.
         if self.pool.draining or not self.exchange.may_write():
             self.finish(AttemptResult(AttemptStatus.ABANDONED))
             return
         try:
             request = self.encode(self.exchange.client_request, info)
         except Exception:
-            # Protects the connection's other users: the request alone ends, and never began.
+            # A request that can't be encoded ends only its own attempt, which never ran.
             log.exception("attempt could not be encoded server=%s", self.pool.name)
             self.finish(AttemptResult(AttemptStatus.ABANDONED), reusable=False)
             return
-        # Set before the write: the transport calls pause_writing within it where bytes stay behind.
+        # Set before the write: the transport calls pause_writing from within it if bytes remain buffered.
         self.write_progress = WRITTEN
         self.transport.write(request)
         if self.transport.is_closing():
-            # A write that failed at once handed nothing over: what it asked for never ran.
+            # A write that failed at once delivered nothing: the request never ran.
             self.write_progress = PARTLY_WRITTEN
         if self.write_progress is WRITTEN:
             self.host.attempts_written += 1
 
     def close_attempt(self) -> bool:
-        """Ends the attempt and closes the connection; returns whether the attempt may have run.
+        """Ends the attempt, closes the connection and returns whether the attempt may have run.
 
-        Guards against second copies: the system has closed the connection before this returns, and so before
-        anybody may start another attempt.
+        The socket is closed before this returns, and therefore before another attempt of the request can
+        start: two copies are never in flight.
         """
         may_have_run = self.write_progress is WRITTEN
         self.exchange = None
@@ -154,13 +155,13 @@
         return may_have_run
 
     def has_unread_answer(self) -> bool:
-        """Whether something has come for the active attempt that was not read yet."""
+        """Returns whether received data for the active attempt is still unread."""
         return self.exchange is not None and self.has_unread_bytes()
 
     def take_back_unwritten(self) -> bool:
-        """Takes the attempt back if it is not written whole, so that it never began at the server.
+        """Ends the attempt if it is not yet written in full, so that it never runs; returns whether it ended.
 
-        Where nothing of it was written, the connection is kept for the next attempt.
+        If nothing of it was written, the connection is kept for the next attempt.
         """
         if self.exchange is None or self.write_progress is WRITTEN:
             return False
@@ -170,21 +171,21 @@
         return True
 
     def drain(self) -> None:
-        """The server drains: an attempt that waits for the connection ends, to be sent elsewhere."""
+        """Ends an unwritten attempt because the server is draining, so that it can be sent elsewhere."""
         exchange = self.exchange
         if self.take_back_unwritten() and exchange is not None:
             self.close()
             exchange.on_finished(AttemptResult(AttemptStatus.ABANDONED))
 
     def start_relay(self, size_bytes: int) -> None:
-        """A long value begins to arrive; where nobody wants it, the connection is closed."""
+        """Starts the relay of a long value; closes the connection if the value is no longer needed."""
         assert self.exchange is not None
         self.relay = self.exchange.on_long_value(self, size_bytes)
         if self.relay is None:
             self.finish(AttemptResult(AttemptStatus.OK), reusable=False)
 
     def close(self) -> None:
-        """Closes at once, in both directions; no result is reported for the active attempt."""
+        """Closes the connection at once, in both directions, without a result for the active attempt."""
         self._break_relay()
         self.pool.drop(self)
         self.shut()
@@ -196,14 +197,15 @@
             relay.break_off()
 
     def finish(self, result: AttemptResult, reusable: bool = True) -> None:
-        """Ends the attempt; the connection is free before its result is reported."""
+        """Ends the attempt; the connection is released before the result is reported."""
         if self.relay is not None and result.status is AttemptStatus.OK:
             relay = self.relay
             self.relay = None
             relay.finish()
         exchange = self.exchange
         self.exchange = None
-        # Guards the next request against the rest of one that was answered before its last byte was written.
+        # A request may be answered before its last byte is written: the connection is then closed, so that
+        # the rest of the request does not precede the next one.
         if reusable and self.write_progress is not PARTLY_WRITTEN:
             self.pool.release(self)
         else:
@@ -212,17 +214,17 @@
             exchange.on_finished(result)
 
     def fail_protocol(self) -> None:
-        """What came can't be read: the attempt is reset, and the connection closed."""
+        """Ends the attempt as RESET and closes the connection, since the received data is invalid."""
         self.finish(AttemptResult(AttemptStatus.RESET), reusable=False)
 
     def lost(self, never_up: AttemptStatus = AttemptStatus.CONNECT_FAILED) -> None:
-        """The connection is gone or never came up; `never_up` is the status of an attempt that never ran."""
+        """Handles a lost or failed connection; `never_up` is the status of an attempt that never ran."""
         self._break_relay()
         self.is_closed = True
         was_written = self.write_progress is WRITTEN
         status = AttemptStatus.RESET if was_written else never_up
         if self.transport is None:
-            # The record's word for every connection that did not come up, a connect time-out among them.
+            # The records use this word for every connection that failed to open, including by time-out.
             is_refused = status is AttemptStatus.CONNECT_FAILED
             self.host.counts.add("links", "refused" if is_refused else "no room")
         self.pool.drop(self)
@@ -232,48 +234,48 @@
             exchange.on_finished(AttemptResult(status))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Handles the established connection."""
         self.transport = cast(asyncio.Transport, transport)
         if self.is_closed:
-            # Guards against a connect that was given up in the very turn in which it came up.
+            # The connect was cancelled in the same iteration of the event loop in which it completed.
             self.transport.abort()
             return
-        self.transport.set_write_buffer_limits(0)  # so that pause_writing is called for every byte left over
-        # Guards memory: what is read at once is held for each client that reads slowly.
+        self.transport.set_write_buffer_limits(0)  # so that any byte left unwritten calls pause_writing
+        # Limits memory: the data of one read is held for each client that reads slowly.
         self.system.bound_reads(self.transport, READ_PIECE_BYTES)
         self.connected()
 
     def connected(self) -> None:
-        """The connection can carry an attempt; where none waits for it any more, it is idle."""
+        """Writes the waiting attempt, or releases the connection as idle if none is waiting any more."""
         if self.exchange is None:
             self.pool.release(self)
         else:
             self._write()
 
     def pause_writing(self) -> None:
-        """Some of what was written is not with the system yet."""
+        """Notes that the operating system has not accepted all written bytes yet."""
         self.write_progress = PARTLY_WRITTEN
 
     def resume_writing(self) -> None:
-        """All of what was written is with the system."""
+        """Notes that the operating system has accepted all written bytes."""
         if self.write_progress is not WRITTEN:
             self.host.attempts_written += 1
         self.write_progress = WRITTEN
 
     def data_received(self, data: bytes) -> None:
-        """Something has come."""
+        """Handles received data."""
         self.host.loop_lag.callback_begins()
         if self.exchange is None:
-            self.close()  # nothing was asked
+            self.close()  # data without a request
             return
         try:
             self.read(data)
         except Exception:
-            # The outermost frame of a read: protects the router against an answer that no codec foresaw.
+            # The outermost frame of a read: a response that the codec can't handle fails only this attempt.
             log.exception("answer could not be handled server=%s", self.pool.name)
             self.fail_protocol()
         self.host.loop_lag.callback_ends()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Handles the end of the connection."""
         self.lost()
