--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to each server, which of them an attempt uses, and when idle ones are closed."""
+"""Connection pools, one per server: they choose the connection of an attempt and close idle ones."""
 
 import asyncio
 import errno
@@ -16,19 +16,20 @@
 from rainhitch.telemetry.counts import Counts
 
 NS_PER_S = 1_000_000_000
-MAX_IDLE_S = 10.0  # an idle connection that is older than this is surplus
-MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive: closed well before the server does
-REUSE_DELAY_S = 0.005  # after an answer, in which what comes behind it shows
+MAX_IDLE_S = 10.0  # idle time after which a connection is surplus
+MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive, so that the router closes first
+REUSE_DELAY_S = 0.005  # time after a response in which unexpected data behind it shows up
 SWEEP_INTERVAL_S = 1.0
-# The fraction of the cap above which a client may take a connection's place: two integers, since it is exact.
+# Above this fraction of the limit an idle server connection is closed to admit a client. Two integers, so
+# that the fraction is exact.
 SURPLUS_NUMERATOR = 2
 SURPLUS_DENOMINATOR = 3
-# A connect that fails with one of these says nothing of the server: the router itself can open no more.
+# A connect that fails with one of these is no fault of the server: the router itself lacks resources.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class ConnectionPool:
-    """The connections to one server. The newest idle one is used first, so that surplus ones age."""
+    """The connections to one server; the newest idle one is used first, so that surplus ones expire."""
 
     def __init__(
         self,
@@ -41,13 +42,13 @@
         self.name = name
         self.address = address
         self.make_connection = make_connection
-        self.known_protocol = 0  # RESP version that the server's process was found to speak; 0: not known
-        self.idle: list[UpstreamConnection] = []  # the longest idle first
-        self.connections: dict[UpstreamConnection, None] = {}  # in the order in which they were opened
+        self.known_protocol = 0  # RESP version that the server process is known to speak; 0 if unknown
+        self.idle: list[UpstreamConnection] = []  # longest idle first
+        self.connections: dict[UpstreamConnection, None] = {}  # in opening order
         self.draining = False
 
     def start(self, exchange: Exchange) -> UpstreamConnection | None:
-        """Begins an attempt; None where the router may open no more connections."""
+        """Starts an attempt and returns its connection; None if the router may open no more connections."""
         connection = self._take_idle()
         if connection is not None:
             connection.reused = True
@@ -65,12 +66,12 @@
         return connection
 
     def _take_idle(self) -> UpstreamConnection | None:
-        """The newest idle connection that can be used.
+        """Removes and returns the newest usable idle connection; None if there is none.
 
-        Guards against a second copy of an answer behind the first, which would pass for the next one's: a
-        connection rests for REUSE_DELAY_S, then nothing may be there to be read. One that the peer has
-        closed, or is about to, is passed over: the server closes idle connections, and for a short keepalive
-        the sweep comes too late.
+        A duplicate response could be taken for the response to the next request. So a connection is not
+        reused within REUSE_DELAY_S, and after that only if it has no unread data. A connection that the
+        server has closed, or is about to close, is closed here: with a short keepalive the periodic sweep
+        comes too late.
         """
         now_s = asyncio.get_running_loop().time()
         for connection in [one for one in reversed(self.idle) if one.idle_since_s <= now_s - REUSE_DELAY_S]:
@@ -90,7 +91,7 @@
             await loop.create_connection(lambda: connection, *self.address)
         except OSError as problem:
             if connection.transport is None and not connection.is_closed:
-                # Guards a server's estimates: that the router itself can open no more is not its fault.
+                # A shortage of the router's own resources must not count as a failure of the server.
                 is_local = problem.errno in LOCAL_SHORTAGE_ERRNOS
                 connection.lost(
                     AttemptStatus.NO_LOCAL_CONNECTION if is_local else AttemptStatus.CONNECT_FAILED
@@ -99,10 +100,10 @@
             timer.cancel()
 
     def _connect_timed_out(self, connection: UpstreamConnection) -> None:
-        """The time to connect is over.
+        """Fails a connect that has timed out.
 
-        Guards against a time-out in the turn in which a connection comes up: it has not come up, or it
-        carries its attempt, and nothing between.
+        The connect may complete in the same iteration of the event loop as the time-out: then the connection
+        is established and carries its attempt, and the time-out has no effect.
         """
         if connection.transport is None and not connection.is_closed:
             connection.lost()
@@ -119,7 +120,7 @@
         self.host.plan_sweep()
 
     def drop(self, connection: UpstreamConnection) -> None:
-        """Forgets a connection that is closed."""
+        """Removes a closed connection."""
         if connection in self.connections:
             del self.connections[connection]
             self.host.descriptors.upstream_open -= 1
@@ -127,10 +128,10 @@
             self.idle.remove(connection)
 
     def drain(self) -> None:
-        """No further attempt may begin here.
+        """Refuses new attempts and closes the connections.
 
-        Idle connections are closed now, those that wait to come up in the next turn of the loop, when the
-        decisions know, and the others after their answer.
+        Idle connections are closed now; those whose attempt is not written yet, in the next iteration of the
+        event loop, when the Balancer knows of the drain; the others after their response.
         """
         self.draining = True
         for connection in list(self.idle):
@@ -140,7 +141,7 @@
                 asyncio.get_running_loop().call_soon(connection.drain)
 
     def close_opened_before(self, time_s: float) -> None:
-        """The server has restarted at that loop time: connections opened before it lead nowhere."""
+        """Closes the connections opened before a restart of the server; `time_s` is its loop time."""
         self.known_protocol = 0
         for connection in [one for one in self.connections if one.opened_at_s < time_s]:
             exchange = connection.exchange
@@ -153,17 +154,17 @@
 
 
 class ConnectionPools:
-    """All pools: their number of sockets, and the sweep that closes what has idled too long."""
+    """All connection pools, with the limit on open connections and the sweep that closes idle ones."""
 
     def __init__(self, max_open: int, connect_timeout_s: float, keepalive_s: float) -> None:
         self.max_open = max_open
         self.connect_timeout_s = connect_timeout_s
-        self.keepalive_s = keepalive_s  # after which a server closes an idle connection
+        self.keepalive_s = keepalive_s  # idle time after which a server closes a connection
         self.system = system.running()
         self.descriptors = DescriptorBudget()
         self.set_max_idle(MAX_IDLE_S)
         self.pools: dict[str, ConnectionPool] = {}  # by server
-        self.draining_pools: list[ConnectionPool] = []  # replaced, with attempts still active
+        self.draining_pools: list[ConnectionPool] = []  # removed or replaced, with attempts still active
         self.sweep_planned = False
         self.unknown_pushes = 0
         self.attempts_written = 0
@@ -173,8 +174,8 @@
         self.key_invalidations = KeyInvalidations(loop)
 
     def set_max_idle(self, seconds: float) -> None:
-        """Sets for how long a connection may be idle; a server's keepalive bounds it."""
-        # Closed before the server does, also where the process is delayed between the look and the write.
+        """Sets how long a connection may be idle, which the servers' keepalive limits."""
+        # The router closes first, even if it is delayed between checking a connection and writing to it.
         bound_s = min(
             self.keepalive_s * MAX_IDLE_KEEPALIVE_FRACTION, self.keepalive_s - HOST_DELAY_NS / NS_PER_S
         )
@@ -186,7 +187,7 @@
         address: Address,
         make_connection: Callable[[ConnectionPool], UpstreamConnection],
     ) -> ConnectionPool:
-        """The pool of a server; one at another address takes the place of the old."""
+        """Returns the pool of a server; if the address has changed, a new pool replaces the old one."""
         pool = self.pools.get(name)
         if pool is None or pool.address != address:
             self.remove(name)
@@ -196,27 +197,30 @@
         return pool
 
     def remove(self, name: str) -> None:
-        """Retires the pool of a server that has left the list."""
+        """Removes and drains the pool of a server that is no longer on the list."""
         pool = self.pools.pop(name, None)
         if pool is not None:
             pool.drain()
             self.draining_pools = [one for one in self.draining_pools if one.connections] + [pool]
 
     def open_count(self) -> int:
-        """The number of connections that are open, or being opened."""
+        """Returns the number of connections that are open or being opened."""
         return self.descriptors.upstream_open
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one makes room for it."""
+        """Returns whether one more connection may be opened, for which the longest idle one may be closed."""
         return self.open_count() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
-        """Gives up one idle connection for a client, where more than that fraction of the cap are open."""
+        """Closes the longest idle connection to admit a client, if more connections than needed are open.
+
+        Returns whether one was closed.
+        """
         surplus_above = self.max_open * SURPLUS_NUMERATOR // SURPLUS_DENOMINATOR
         return self.open_count() > surplus_above and self.close_oldest()
 
     def close_oldest(self) -> bool:
-        """Closes the connection that has idled longest; False where none is idle."""
+        """Closes the longest idle connection; returns False if no connection is idle."""
         oldest = min(
             (pool.idle[0] for pool in self.pools.values() if pool.idle),
             key=lambda one: one.idle_since_s,
@@ -228,7 +232,7 @@
         return True
 
     def plan_sweep(self) -> None:
-        """Plans to close what is idle for too long, unless that is planned already."""
+        """Schedules the sweep of idle connections, unless it is already scheduled."""
         if not self.sweep_planned:
             self.sweep_planned = True
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
