--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -1,4 +1,4 @@
-"""Connections to the origin: HTTP/1.1."""
+"""Connections to the origin over HTTP/1.1."""
 
 from urllib.parse import quote_from_bytes
 
@@ -11,9 +11,9 @@
 
 
 def result_of_answer(answer: HttpResponse) -> AttemptResult | None:
-    """What the origin's answer says; None for one that it does not give.
+    """Returns the result that a response of the origin means; None for an unexpected status.
 
-    A 503 or 504 proves that the request never ran only where the origin itself says so.
+    A 503 or 504 proves that the request never ran only if the origin itself marks it as rejected.
     """
     if answer.status == 200:
         return AttemptResult(AttemptStatus.OK, bytes(answer.body))
@@ -32,14 +32,14 @@
         )
 
     def encode(self, client_request: ClientRequest, info: bytes) -> bytes:
-        """GET for a read, PUT for a write; id and info list are headers."""
+        """Returns a GET for a read or a PUT for a write, with the id and the info list as headers."""
         headers = [(b"X-Call-Id", client_request.id), (b"X-Call-Info", info)]
         target = f"/{quote_from_bytes(client_request.key, safe='')}".encode()
         method = b"GET" if client_request.value is None else b"PUT"
         return self.http.request(method, target, headers, client_request.value)
 
     def read(self, data: bytes) -> None:
-        """Takes in what came while an attempt is active."""
+        """Handles data received for the active attempt."""
         try:
             answer = self.http.receive(data)
         except HttpError:
@@ -48,7 +48,7 @@
         if self.http.response.long_body_bytes:
             self._pass_on(self.http.response.long_body_bytes)
             if self.relay is None:
-                return  # nobody wants it, or its client has left meanwhile: this connection is closed
+                return  # the value is not needed, or its client has left: this connection is closed
         if answer is not None:
             result = result_of_answer(answer)
             if result is None:
@@ -64,6 +64,6 @@
             self.relay.feed(piece)
 
     def eof_received(self) -> None:
-        """The origin has ended its side."""
+        """Handles the end of the origin's stream."""
         if self.exchange is not None:
-            self.fail_protocol()  # an answer states its length, so that this one is not whole
+            self.fail_protocol()  # responses state their length, so this one is incomplete
