--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -1,10 +1,10 @@
-"""Connections to cache servers that may speak RESP3; imported only where the operator's file asks for it.
+"""Connections to cache servers that may speak RESP3; imported only if the operator's file enables it.
 
-A connection begins with HELLO 3, and nothing else is sent before that is answered: a server that answers
-with neither a greeting nor an error has never been asked for anything. One that answers with an error
-speaks RESP2, and is not greeted again until its process has started anew.
+A connection begins with HELLO 3, and nothing else is sent before the reply: if the reply is neither a
+handshake nor an error, the server has not received any request. A server that replies with an error speaks
+RESP2, and gets no further HELLO until its process has restarted.
 
-Pushes come at any time and are never an answer. Between requests nothing but pushes may come.
+Pushes may come at any time and are never a response. Between requests only pushes may come.
 """
 
 import asyncio
@@ -23,10 +23,10 @@
 
 
 def result_of_answer(answer: object) -> AttemptResult | None:
-    """What a server's answer says: the value, how the read went, and the load report.
+    """Returns the result that a response means: it holds the value, a hit or miss note, and a load report.
 
-    The last two come as strings or in a map. None for an answer that no command of ours can have, or whose
-    value has no form that a client of RESP2 takes for served.
+    Note and load report are strings or fields of a map. None if the response fits none of the router's
+    commands, or if its value has no form that a RESP2 client accepts as a value.
     """
     if isinstance(answer, ErrorReply):
         return result_of_error(answer.text)
@@ -49,24 +49,24 @@
 
 
 def _is_served(text: bytes) -> bool:
-    """Whether a client of RESP2 takes this for a value: a string, or an array that begins with one."""
+    """Returns whether a RESP2 client accepts this as a value: a string, or an array that begins with one."""
     if text[:1] == b"*":
         text = text.partition(b"\r\n")[2]
     return text[:1] == b"$" and text[1:2] != b"-"
 
 
 class Resp3CacheConnection(CacheConnection):
-    """A connection to a cache server, in whichever protocol it speaks."""
+    """A connection to a cache server in RESP3, or in RESP2 if the server does not speak RESP3."""
 
     def __init__(self, pool: OwningPool) -> None:
         super().__init__(pool)
         self.version = 2
-        # Reads the answer to HELLO, in either version; it becomes `reader` where the server speaks RESP3.
+        # Reads the reply to HELLO, in either version; it becomes `reader` if the server speaks RESP3.
         self.resp3_reader = Resp3Reader(relays_long_values=True)
-        self.greeting_timer: asyncio.TimerHandle | None = None  # while HELLO is not answered
+        self.greeting_timer: asyncio.TimerHandle | None = None  # set while the reply to HELLO is pending
 
     def connected(self) -> None:
-        """The connection is up: it begins with HELLO 3, unless the server is known to speak RESP2."""
+        """Sends HELLO 3 on the established connection, unless the server is known to speak RESP2."""
         if self.pool.known_protocol == 2:
             super().connected()
             return
@@ -78,17 +78,17 @@
         self.transport.write(HELLO)
 
     def pause_writing(self) -> None:
-        """Some of what was written is not with the system yet; HELLO is no part of an attempt."""
+        """Notes that the operating system has not accepted all bytes of an attempt; ignored during HELLO."""
         if self.greeting_timer is None:
             super().pause_writing()
 
     def resume_writing(self) -> None:
-        """All of what was written is with the system."""
+        """Notes that the operating system has accepted all bytes of an attempt; ignored during HELLO."""
         if self.greeting_timer is None:
             super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
-        """Something has come: the answer to HELLO, a push, or an answer."""
+        """Handles received data: the reply to HELLO, a push, or a response."""
         if self.greeting_timer is not None:
             self._greeted(data)
         elif self.version == 3 and self.exchange is None:
@@ -129,7 +129,7 @@
             super().connected()
 
     def _fail_greeting(self, status: AttemptStatus) -> None:
-        """The connection never came to a request: its attempt ends with this status."""
+        """Closes a connection whose handshake failed; its attempt, never sent, ends with this status."""
         exchange = self.exchange
         self.exchange = None
         self.close()
@@ -137,35 +137,36 @@
             exchange.on_finished(AttemptResult(status))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Handles the end of the connection."""
         if self.greeting_timer is not None:
             self.greeting_timer.cancel()
         super().connection_lost(exc)
 
     def close(self) -> None:
-        """Closes at once, in both directions."""
+        """Closes the connection at once, in both directions."""
         if self.greeting_timer is not None:
             self.greeting_timer.cancel()
         super().close()
 
     def next_answer(self) -> object:
-        """The active attempt's answer, once it is whole; pushes before it are taken in."""
+        """Returns the active attempt's response once it is complete, or NEED_DATA; handles earlier pushes."""
         while isinstance(answer := super().next_answer(), Push):
             self._pushed(answer)
         return answer
 
     def result_of(self, answer: object) -> AttemptResult | None:
-        """What an answer says; None for one that no command of ours can have."""
+        """Returns the result that a response means; None if it fits none of the router's commands."""
         return result_of_answer(answer) if self.version == 3 else super().result_of(answer)
 
     def is_sound(self) -> bool:
-        """Whether nothing but pushes stands behind the answer."""
+        """Returns whether the connection can be reused: only pushes may follow the response."""
         return self._only_pushes() if self.version == 3 else super().is_sound()
 
     def _only_pushes(self) -> bool:
-        """Whether what has come between answers is pushes, and perhaps the beginning of another.
+        """Handles pushes received between responses; returns whether no other data has come.
 
-        Guards against a second copy of an answer, or noise, that would pass for the next answer.
+        The data may end in an incomplete push. Anything else, such as a duplicate response, could be taken
+        for the response to the next request.
         """
         if not self.resp3_reader.buffer:
             return self.resp3_reader.idle()
@@ -185,11 +186,11 @@
         self.host.key_invalidations.add(self.pool.name, names)
 
     def idle_state(self) -> IdleState:
-        """Whether this connection, which is idle, can carry an attempt."""
+        """Returns whether this idle connection can carry an attempt."""
         if self.version == 2:
             return super().idle_state()
         if self.transport is None or self.transport.is_closing():
             return UNUSABLE
-        # What waits to be read may be a push: the loop reads it soon, and closes on all else.
+        # Unread data may be a push: the event loop reads it soon, and closes the connection on anything else.
         waits = self.host.system.readable(self.transport) or not self.resp3_reader.idle()
         return BUSY if waits else REUSABLE
