--- a/rainhitch/node/endpoint_list.py
+++ b/rainhitch/node/endpoint_list.py
@@ -1,12 +1,13 @@
-"""The codec of discovery's endpoint list: from the platform's words to typed entries, without I/O.
+"""Parses discovery's endpoint list, in the platform's field names, into typed entries. No I/O.
 
 The list is one JSON object:
 
     {"rev": 7, "all": true, "targets": [{"uid": "s-1", "endpoint": "10.0.0.4:6379", "state": "Ready", ...}]}
 
-`node/` reads the platform's words in this module only: `rev`, `all`, `targets`; and of an entry `uid`,
-`boot_ms`, `pod_group`, `az`, `model`, `state`, `endpoint` and `capacity_hint`. `membership/` and `cli/` pass
-rows through and know `uid`, `state`, `targets`; `node/configuration.py` reads the settings' words.
+Within `node/`, only this module reads the platform's field names `rev`, `all` and `targets`, and of an entry
+`uid`, `boot_ms`, `pod_group`, `az`, `model`, `state`, `endpoint` and `capacity_hint`. `membership/` and
+`cli/` pass entries through and use `uid`, `state` and `targets`; `node/configuration.py` reads the settings'
+field names.
 """
 
 from dataclasses import dataclass
@@ -26,12 +27,12 @@
 
 
 class EndpointListError(RainhitchError, ValueError):
-    """An endpoint list, an entry of it or an address that can't be read."""
+    """An invalid endpoint list, list entry or address."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedEntry:
-    """One entry of the list, in the router's terms; `kind` and `zone` are indexes of the settings' names."""
+    """One entry of the list; `kind` and `zone` are indexes into the names in the settings."""
 
     server: str
     state: EndpointState
@@ -39,38 +40,38 @@
     zone: int
     cell: int
     weight: float
-    started_at_unix_ms: int | None  # of its latest start; None: not told
+    started_at_unix_ms: int | None  # time of the server's latest start; None if not stated
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A list or changes of it: `is_whole` says that endpoints which are not named are gone."""
+    """A list, or changes to one; if `is_whole`, endpoints that are not in it are gone."""
 
     version: int
     is_whole: bool
-    rows: list[Any]  # entries as they came, each to be read by `read_entry`
+    rows: list[Any]  # decoded JSON entries, to be parsed by `read_entry`
 
 
 def read_address(text: object) -> Address:
-    """The address that `HOST:PORT` or `[HOST]:PORT` names; raises EndpointListError."""
+    """Returns the address given as `HOST:PORT` or `[HOST]:PORT`; raises EndpointListError."""
     if not isinstance(text, str):
-        raise EndpointListError(f"no address: {text!r}")
+        raise EndpointListError(f"expected HOST:PORT, got {text!r}")
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isdecimal():
-        raise EndpointListError(f"no address: {text!r}")
+        raise EndpointListError(f"expected HOST:PORT, got {text!r}")
     if int(port) >= PORT_LIMIT:
-        raise EndpointListError(f"no address: {text!r}")
+        raise EndpointListError(f"expected a port below {PORT_LIMIT}, got {text!r}")
     return host.strip("[]"), int(port)
 
 
 def read_list(answer: Any) -> EndpointList:
-    """The list that a decoded JSON answer holds; its rows are not read yet.
+    """Returns the list in a decoded JSON response; its rows are not parsed yet.
 
-    Raises EndpointListError where there is no list, or its version is no integer.
+    Raises EndpointListError if there is no list, or if its version is not an integer.
     """
     if not isinstance(answer, dict) or not isinstance(answer.get("targets"), list):
-        raise EndpointListError(f"expected an object with targets, got {type(answer).__name__}")
+        raise EndpointListError(f"expected an object with a list of targets, got {type(answer).__name__}")
     version = answer.get("rev")
     if type(version) is not int:
         raise EndpointListError(f"expected an integer as rev, got {version!r}")
@@ -78,7 +79,7 @@
 
 
 def read_entry(row: Any, names: Names) -> ParsedEntry:
-    """One entry of the list; raises EndpointListError where a field is missing or makes no sense."""
+    """Returns a parsed entry of the list; raises EndpointListError if a field is missing or invalid."""
     try:
         return _entry(row, names)
     except EndpointListError:
