--- a/rainhitch/node/endpoint_directory.py
+++ b/rainhitch/node/endpoint_directory.py
@@ -1,6 +1,6 @@
-"""The endpoint list as this router holds it: its version, its endpoints, and the endpoints cordoned by hand.
+"""The router's current endpoint list: its version, its endpoints, and those cordoned by an operator.
 
-What changes goes to the connection pools first, then to the decisions as an `EndpointUpdate`.
+Changes are applied to the connection pools first and then passed to the Balancer as an `EndpointUpdate`.
 """
 
 import logging
@@ -15,7 +15,7 @@
 from rainhitch.node.origin_connection import OriginConnection
 from rainhitch.settings import Names
 
-NO_VERSION = -1  # below any version of a list
+NO_VERSION = -1  # lower than the version of any list
 STATES_IN_USE = (EndpointState.READY, EndpointState.RETIRING)
 NS_PER_MS = 1_000_000
 log = logging.getLogger("rainhitch")
@@ -23,19 +23,19 @@
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """One entry of the list, and where this router connects to it."""
+    """An entry of the list, with the address to connect to."""
 
     endpoint: Endpoint
     address: Address
-    started_at_s: float  # its latest start on the loop's clock; 0: long ago
-    listed_state: EndpointState = EndpointState.READY  # what the list says, whether it is cordoned or not
+    started_at_s: float  # loop time of the server's latest start; 0 if not stated
+    listed_state: EndpointState = EndpointState.READY  # state in the list, regardless of a cordon
 
 
 class EndpointDirectory:
-    """The list as this router holds it, by the endpoints' names.
+    """The current endpoint list, keyed by the endpoints' names.
 
-    `on_update` is called with each update after the pools have it. `origin_kind` is the origin's index among
-    the kinds, -1 where the router does not connect to the origin.
+    `on_update` is called with each update after it is applied to the pools. `origin_kind` is the index of the
+    origin's kind, or -1 if the router does not connect to the origin.
     """
 
     def __init__(
@@ -51,10 +51,10 @@
         self.on_update = on_update
         self.version = NO_VERSION
         self.cache_connection_class: type[CacheConnection] = CacheConnection
-        self.source_changed = False  # the next list is another source's, whose versions need not compare
+        self.source_changed = False  # the next list is from another source, with versions of its own
         self.targets: dict[str, ListedEndpoint] = {}
-        self.cordoned: set[str] = set()  # taken as draining, whatever the list says
-        # Read once, so that a start which is listed again keeps its time on the router's clock.
+        self.cordoned: set[str] = set()  # treated as draining, whatever state the list gives
+        # Read once, so that a start time that is listed again maps to the same time on the router's clock.
         self.unix_offset_ns = pools.system.unix() - pools.system.now()
 
     @property
@@ -66,14 +66,14 @@
         )
 
     def is_cache(self, name: str) -> bool:
-        """Whether a cache server of that name is on the list."""
+        """Returns whether the list has a cache server of that name."""
         return name in self.targets and self.targets[name].endpoint.kind != self.origin_kind
 
     def apply(self, answer: Any, cached: bool = False) -> bool:
-        """Applies a list or changes of it, unless its version is an older one.
+        """Applies a list or changes to it, unless its version is older than the current one.
 
-        `cached`: it is the list that the configuration holds, and whole. Returns whether the list is as new
-        as the one in use. Raises EndpointListError where it can't be read.
+        `cached` marks the list in the configuration, which is complete. Returns whether the list is at least
+        as new as the current one. Raises EndpointListError if the list is invalid.
         """
         endpoint_list = read_list(answer)
         is_whole = endpoint_list.is_whole or cached
@@ -95,7 +95,7 @@
         return True
 
     def cordon(self, out: set[str], back: set[str]) -> None:
-        """Takes the endpoints `out` as draining, and those in `back` as the list says again."""
+        """Treats the endpoints `out` as draining, and those in `back` as the list states again."""
         self.cordoned = (self.cordoned | out) - back
         changed = []
         for name in sorted(out | back):
@@ -104,9 +104,8 @@
                 continue
             started_at_ns = known.endpoint.started_at_ns
             if name in back:
-                # Guards a server against overload: while it was cordoned it may have restarted, which the
-                # list may not say for seconds. So it counts as started now, and gets the load of a slow
-                # start.
+                # The server may have restarted while it was cordoned, which the list may not state for
+                # seconds. It counts as started now and gets a slow start, so that it is not overloaded.
                 started_at_ns = self.pools.system.now()
             state = self._state(name, known.listed_state)
             endpoint = replace(known.endpoint, state=state, started_at_ns=started_at_ns)
@@ -116,10 +115,10 @@
             self.on_update(EndpointUpdate(EndpointUpdateKind.DELTA, changed))
 
     def _is_news(self, version: int, is_whole: bool) -> bool:
-        """Whether a list of this version is to be applied.
+        """Returns whether a list of this version must be applied.
 
-        A whole list of the version in use is applied again: what was known may have come from the
-        configuration.
+        A complete list of the current version is applied again, because the current list may have come from
+        the configuration.
         """
         if self.source_changed and is_whole:
             return True
@@ -128,7 +127,7 @@
         return version > self.version
 
     def _readable(self, endpoint_list: EndpointList) -> list[ListedEndpoint]:
-        """The entries that can be read; each other one is logged and skipped."""
+        """Returns the valid entries; logs and skips the others."""
         endpoints = []
         for row in endpoint_list.rows:
             try:
@@ -153,12 +152,12 @@
         return ListedEndpoint(endpoint, entry.address, started_at_ns / 1e9, entry.state)
 
     def _state(self, name: str, listed: EndpointState) -> EndpointState:
-        """The state that holds: a cordoned endpoint in use counts as draining."""
+        """Returns the effective state: a cordoned endpoint in use counts as draining."""
         is_cordoned = listed in STATES_IN_USE and name in self.cordoned
         return EndpointState.DRAINING if is_cordoned else listed
 
     def _place(self, one: ListedEndpoint) -> None:
-        """Takes an endpoint into the list, with a pool of connections to its address."""
+        """Adds or replaces an endpoint and its connection pool; removes an endpoint that is gone."""
         name = one.endpoint.server
         if one.endpoint.state is EndpointState.GONE:
             self._drop(name)
