--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -1,9 +1,9 @@
-"""The watch on discovery: HTTP long polls for the endpoint list, and then for what changes in it.
+"""The watch on discovery: HTTP calls for the whole endpoint list and long polls for its changes.
 
-    GET /api/targets                        the whole list, answered at once
-    GET /api/targets?from=7&hold_ms=1500    what changed after version 7, held while that is nothing
+    GET /api/targets                        returns the whole list at once
+    GET /api/targets?from=7&hold_ms=1500    returns the changes after version 7, held while there are none
 
-`PollSchedule` says which call is due; `EndpointDirectory` takes what it brings.
+`PollSchedule` determines which call is due; `EndpointDirectory` applies the result.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 
 LIST_PATH = "/api/targets"
 HTTP_OK = 200
-MAX_LIST_BYTES = 1 << 20  # of a list; an entry has some 150 bytes, and the router's memory is small
-LOOP_TURN_S = 0.001  # after it the loop has read its sockets once more
-MIN_JITTER_FRACTION = 0.5  # of a pause, which is spread so that routers do not ask in step
+MAX_LIST_BYTES = 1 << 20  # limit to protect the router's small memory; an entry has about 150 bytes
+LOOP_TURN_S = 0.001  # time for the event loop to read its sockets once more
+MIN_JITTER_FRACTION = 0.5  # of a pause, so that routers do not call discovery in step
 MAX_JITTER_FRACTION = 1.0
-# The labels under which `second` records count failures: programs read them, so that they outlast the
-# classes' names.
+# The labels under which `second` records count failures. Programs read them, so they stay the same when a
+# class is renamed.
 FAILURE_LABELS = (
     (EndpointListError, "ListError"),
     (HttpError, "HttpError"),
@@ -38,7 +38,7 @@
 
 
 def failure_label(problem: Exception) -> str:
-    """The label of a failed call in `second` records; an OSError goes by the name of its class."""
+    """Returns the label of a failed call in `second` records; for an OSError, the name of its class."""
     for kind, label in FAILURE_LABELS:
         if isinstance(problem, kind):
             return label
@@ -46,10 +46,10 @@
 
 
 async def answer_within(patience_s: float, asking: Coroutine[Any, Any, HttpResponse]) -> HttpResponse:
-    """The answer of `asking`; raises TimeoutError where none has come after `patience_s`.
+    """Returns the response to the call `asking`; raises TimeoutError if there is none after `patience_s`.
 
-    Guards against a late event loop, whose timers run before its sockets are read: a call would fail though
-    its answer has come. So the loop reads its sockets once more before the call counts as failed.
+    When the event loop is late, its timers run before its sockets are read, and a call would fail although
+    its response has arrived. So the loop reads its sockets once more before the call counts as failed.
     """
     task = asyncio.get_running_loop().create_task(asking)
     try:
@@ -57,7 +57,7 @@
         if not finished:
             await asyncio.wait({task}, timeout=LOOP_TURN_S)
         if not task.done():
-            raise TimeoutError("no answer in time")
+            raise TimeoutError(f"no response within {patience_s:g} s")
         return task.result()
     finally:
         task.cancel()
@@ -72,11 +72,11 @@
         self.answer: asyncio.Future[HttpResponse] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Stores the transport of the established connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Takes what came; bytes that no call waits for end the connection."""
+        """Handles received data; closes the connection if no call is waiting for it."""
         if self.answer is None or self.answer.done():
             self.close()
             return
@@ -89,13 +89,13 @@
             self.answer.set_result(answer)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended; a call that waits fails."""
+        """Handles the end of the connection; a waiting call fails."""
         self.transport = None
         if self.answer is not None and not self.answer.done():
             self.answer.set_exception(ConnectionResetError("discovery closed the connection"))
 
     async def get(self, target: str) -> HttpResponse:
-        """The answer to a GET; raises HttpError, or ConnectionResetError where the connection is closed."""
+        """Returns the response to a GET; raises HttpError, or ConnectionResetError if discovery closes."""
         if self.transport is None:
             raise ConnectionResetError("discovery closed the connection")
         self.answer = asyncio.get_running_loop().create_future()
@@ -106,19 +106,19 @@
         return answer
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
 
 
 class WatchState(Enum):
-    """The watch's life, told by its task and by `DiscoveryWatch.stopped`.
+    """The state of the watch, derived from its task and from `DiscoveryWatch.stopped`.
 
     IDLE     --start--> POLLING
-    POLLING  --a call for the whole list failed, and the decisions say when to ask again--> IDLE
+    POLLING  --a call for the whole list failed, and the Balancer schedules the next--> IDLE
     POLLING  --move--> POLLING    at the new address
-    IDLE     --move--> POLLING    where the list is polled, else it stays IDLE
+    IDLE     --move--> POLLING    if the list is polled; otherwise it stays IDLE
     any      --stop--> STOPPED
     """
 
@@ -128,9 +128,9 @@
 
 
 class DiscoveryWatch:
-    """Asks discovery for the list and then for what changes, one call right after the other.
+    """Requests the list from discovery and then its changes, one call right after the other.
 
-    `polled`: after a failure the decisions say when to ask again, by calling `start`.
+    If `polled`, the Balancer schedules the next call after a failed call for the whole list, through `start`.
     """
 
     def __init__(self, address: Address, directory: EndpointDirectory, seed: int, polled: bool) -> None:
@@ -143,22 +143,22 @@
         self.task: asyncio.Task[None] | None = None
         self.stopped = False
         self.counts = directory.pools.counts
-        self.answered_at = 0.0  # when discovery last did, in seconds of the loop's clock; 0: never
+        self.answered_at = 0.0  # loop time of discovery's last successful response, in seconds; 0 if none
 
     @property
     def state(self) -> WatchState:
-        """Where the watch is in its life."""
+        """The current state."""
         if self.task is not None and not self.task.done():
             return WatchState.POLLING
         return WatchState.STOPPED if self.stopped else WatchState.IDLE
 
     def start(self) -> None:
-        """Begins to poll; no effect while it polls already."""
+        """Starts to poll; has no effect while the watch is polling."""
         if self.state is not WatchState.POLLING:
             self.task = asyncio.get_running_loop().create_task(self._run())
 
     def move(self, address: Address) -> None:
-        """Continues at another address with a whole list; until that has come, the list in use stays."""
+        """Continues at another address with a call for the whole list; keeps the current list until then."""
         if address == self.address or self.stopped:
             return
         was_polling = self.state is WatchState.POLLING
@@ -171,7 +171,7 @@
             self.start()
 
     def stop(self) -> None:
-        """Ends the watch for good."""
+        """Stops the watch for good."""
         self.stopped = True
         self._end()
 
@@ -185,7 +185,7 @@
         return self.random.uniform(MIN_JITTER_FRACTION, MAX_JITTER_FRACTION)
 
     async def _run(self) -> None:
-        """Polls until a failure after which the decisions say when to ask again, or until it is cancelled."""
+        """Polls until cancelled, or until a failure after which the Balancer schedules the next call."""
         schedule = PollSchedule(self.times, self.polled, self._jitter)
         while True:
             if await self._succeeds(schedule.call()):
@@ -195,14 +195,14 @@
                 self.connection.close()
             pause_s = schedule.failed()
             if pause_s is None:
-                # The decisions may call `start` as they hear of it: so they hear once this task has ended.
+                # The Balancer may call `start` as soon as it is told: it is told after this task has ended.
                 failed = EndpointUpdate(EndpointUpdateKind.FAILED, [])
                 asyncio.get_running_loop().call_soon(self.directory.on_update, failed)
                 return
             await asyncio.sleep(pause_s)
 
     async def _succeeds(self, call: PollCall) -> bool:
-        """Makes a call and applies its answer; a failure is logged and counted."""
+        """Makes a call and applies its response; logs and counts a failure. Returns whether it succeeded."""
         try:
             await self._call(call)
         except (OSError, TimeoutError, HttpError, EndpointListError, orjson.JSONDecodeError) as problem:
@@ -211,8 +211,8 @@
             self.counts.add("calls", label)
             return False
         except Exception:
-            # The outermost frame of what the pools and the decisions do with a list: a fault there must not
-            # end the watch, after which no change would ever be known.
+            # The outermost frame of applying a list to the pools and the Balancer: a fault there must not end
+            # the watch, because no further change would become known.
             log.exception("endpoint list not applied reason=internal_error")
             return False
         self.counts.add("calls", "ok")
@@ -225,7 +225,7 @@
             target += f"?from={self.directory.version}&hold_ms={int(call.hold_s * 1000)}"
         answer = await answer_within(call.patience_s, self._get(target))
         if answer.status != HTTP_OK:
-            raise HttpError(f"status {answer.status}")
+            raise HttpError(f"expected status {HTTP_OK}, got {answer.status}")
         self.directory.apply(orjson.loads(bytes(answer.body)))
 
     async def _get(self, target: str) -> HttpResponse:
@@ -233,7 +233,7 @@
         return await connection.get(target)
 
     async def _connected(self) -> _DiscoveryConnection:
-        """The open connection, or a new one; raises OSError where it can't be opened."""
+        """Returns the open connection, or a new one; raises OSError if it can't be opened."""
         if self.connection is None or self.connection.transport is None:
             address = self.address
             host, port = address
@@ -242,8 +242,8 @@
                 lambda: _DiscoveryConnection(f"{host}:{port}"), host, port
             )
             if address != self.address or self.stopped:
-                # Guards the new address against a connection to the old one that came up as the watch moved.
+                # The watch moved while this connection to the old address was being established.
                 connection.close()
-                raise ConnectionResetError("the watch has moved")
+                raise ConnectionResetError("the discovery address changed while connecting")
             self.connection = connection
         return self.connection
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -84,9 +84,9 @@
     ("problem", "label"),
     [
         (EndpointListError("no list"), "ListError"),
-        (HttpError("status 503"), "HttpError"),
+        (HttpError("expected status 200, got 503"), "HttpError"),
         (orjson.JSONDecodeError("odd", "{", 0), "JSONDecodeError"),
-        (TimeoutError("no answer in time"), "TimeoutError"),
+        (TimeoutError("no response within 0.6 s"), "TimeoutError"),
         (ConnectionRefusedError(), "ConnectionRefusedError"),
         (ConnectionResetError(), "ConnectionResetError"),
     ],
