--- a/rainhitch/node/polling.py
+++ b/rainhitch/node/polling.py
@@ -1,26 +1,26 @@
-"""Which call to discovery is due, and when: a state machine without sockets and without a clock.
+"""The schedule of calls to discovery: a state machine without I/O and without a clock.
 
-What hosts it performs each call and reports how it ended.
+The caller performs each call and reports whether it succeeded.
 
-Guarantee: a change is known to the router at most `MAX_STALENESS_S` after discovery had it and could be
-reached, whatever failed before. Two cases are the worst, and both sums stay below the guarantee with time
-left for a late event loop:
+Guarantee: the router knows a change at most `MAX_STALENESS_S` after discovery has it and is reachable,
+whatever failed before. There are two worst cases, and both sums stay below the guarantee, with a margin for
+a late event loop:
 
-    a watch that fell silent as it was opened:     hold_s + hold_margin_s + first_pause_s + patience_s
-    a call begun just before discovery came back:  patience_s + max_pause_s + patience_s
+    a watch that gets no response from its start:         hold_s + hold_margin_s + first_pause_s + patience_s
+    a call started just before discovery is reachable:    patience_s + max_pause_s + patience_s
 
-(The last `patience_s` of each is that of the call which brings the change.)
+(The last `patience_s` of each sum is for the call that returns the change.)
 
 States and transitions of `PollSchedule`:
 
     WHOLE_LIST --succeeded--> WATCH        the next call is due at once
     WATCH      --succeeded--> WATCH        the next call is due at once
-    WATCH      --failed-----> WHOLE_LIST   after a pause: the watch alone may have broken
-    WHOLE_LIST --failed-----> WHOLE_LIST   after a pause that doubles, or when the decisions ask
+    WATCH      --failed-----> WHOLE_LIST   after a pause: perhaps only the watch has failed
+    WHOLE_LIST --failed-----> WHOLE_LIST   after a pause that doubles, or when the Balancer requests it
 
-Where discovery is one service for all routers (polled), calls have a price: watches are held longer, and
-after a failed call for the whole list the decisions say when the next one is due, within `max_pause_s`.
-Where an agent on the same host answers (pushed), calls are free, and all times are shorter.
+If discovery is one service for all routers (polled), calls are expensive: watches are held longer, and after
+a failed call for the whole list the Balancer schedules the next one, within `max_pause_s`. If an agent on the
+router's host serves the list (pushed), calls are cheap, and all times are shorter.
 """
 
 from collections.abc import Callable
@@ -32,28 +32,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PollTimes:
-    """The bounds of calls and of pauses between them, in seconds."""
+    """The limits of calls and of the pauses between them, in seconds."""
 
-    hold_s: float  # for which discovery is asked to hold a watch while nothing changes
-    hold_margin_s: float  # past its hold without an answer, a watch has failed
-    patience_s: float  # without an answer for so long, a call that need not wait has failed
+    hold_s: float  # time for which discovery is to hold a watch while nothing changes
+    hold_margin_s: float  # time after its hold at which a watch without a response has failed
+    patience_s: float  # time-out of a call for the whole list
     first_pause_s: float  # after a failed watch, and after the first failed call
-    max_pause_s: float  # the pause doubles with each failure up to this
+    max_pause_s: float  # limit of the pause, which doubles with each failure
 
     def longest(self) -> float:
-        """The longest, in seconds, that a change stays unknown while discovery can be reached."""
+        """Returns the longest time in seconds that a change stays unknown while discovery is reachable."""
         silent_watch_s = self.hold_s + self.hold_margin_s + self.first_pause_s + self.patience_s
         late_call_s = 2 * self.patience_s + self.max_pause_s
         return max(silent_watch_s, late_call_s)
 
 
-# An agent's list is known again within a drain's grace after the agent's return.
+# After an agent's restart its list is known again within the grace period of a drain.
 PUSHED_TIMES = PollTimes(hold_s=1.5, hold_margin_s=0.5, patience_s=0.6, first_pause_s=0.05, max_pause_s=0.3)
 POLLED_TIMES = PollTimes(hold_s=2.9, hold_margin_s=0.6, patience_s=1.6, first_pause_s=0.2, max_pause_s=2.0)
 
 
 class PollState(Enum):
-    """What the next call asks for."""
+    """The kind of the next call."""
 
     WHOLE_LIST = "whole_list"
     WATCH = "watch"
@@ -61,22 +61,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PollCall:
-    """A call that is due; without an answer after `patience_s` it has failed."""
+    """A call that is due; it has failed if there is no response within `patience_s`."""
 
-    hold_s: float  # of a watch; 0: the whole list, answered at once
+    hold_s: float  # hold time of a watch; 0 for the whole list, which is returned at once
     patience_s: float
 
     @property
     def is_watch(self) -> bool:
-        """Whether the call asks for changes, and not for the whole list."""
+        """Whether the call requests changes, not the whole list."""
         return self.hold_s > 0
 
 
 class PollSchedule:
-    """The calls of one router.
+    """The schedule of one router's calls.
 
-    `polled`: after a failed call for the whole list the decisions say when the next one is due. `jitter`
-    returns the fraction of a pause to wait, at most 1.
+    If `polled`, the Balancer schedules the next call after a failed call for the whole list. `jitter` returns
+    the fraction of a pause to wait, at most 1.
     """
 
     def __init__(self, times: PollTimes, polled: bool, jitter: Callable[[], float]) -> None:
@@ -87,19 +87,19 @@
         self.pause_s = times.first_pause_s
 
     def call(self) -> PollCall:
-        """The call that is due now."""
+        """Returns the call that is due now."""
         times = self.times
         if self.state is PollState.WHOLE_LIST:
             return PollCall(0.0, times.patience_s)
         return PollCall(times.hold_s, times.hold_s + times.hold_margin_s)
 
     def succeeded(self) -> None:
-        """The call has brought a list; the next is due at once."""
+        """Records a successful call; the next call is due at once."""
         self.state = PollState.WATCH
         self.pause_s = self.times.first_pause_s
 
     def failed(self) -> float | None:
-        """The call has failed; returns the seconds until the next, None where the decisions say when."""
+        """Records a failed call; returns the seconds until the next, or None if the Balancer schedules it."""
         whole_list_failed = self.state is PollState.WHOLE_LIST
         self.state = PollState.WHOLE_LIST
         if self.polled and whole_list_failed:
