--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -1,8 +1,8 @@
-"""Hosts the Balancer: hands it events in order, carries out its actions, and holds both back after a pause.
+"""Runs the Balancer: passes it events in order, carries out its actions, and defers both after a pause.
 
-A pause is a time in which this process did not run: stopped, swapped out, or on a core that others held.
-When it is over, timers fire before the sockets are read, so that a timer would act for clients that have left
-meanwhile. So events wait for PAUSE_SETTLE_NS, in which the sockets are read.
+During a pause this process did not run: it was stopped, swapped out, or did not get a CPU core. After a pause
+timers fire before the sockets are read, so that the Balancer would start attempts for clients that have
+already left. So events are deferred for PAUSE_SETTLE_NS, during which the sockets are read.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-# Handled first after a pause: who has left, what has been answered, and which servers there are.
+# Events handled first after a pause: departed clients, finished attempts, and changes of the endpoint list.
 FIRST_AFTER_PAUSE = (api.ClientGone, api.AttemptFinished, api.EndpointUpdate)
 log = logging.getLogger("rainhitch")
 
 
 class DecisionLoop:
-    """The queue of events before one Balancer.
+    """The event queue of one Balancer.
 
-    `carry_out` is called with each action; `give_up` with the id of a request whose event or action failed,
-    so that its client is answered all the same.
+    `carry_out` is called with each action. `give_up` is called with the id of a request whose event or action
+    raised an exception, so that its client still gets a response.
     """
 
     def __init__(
@@ -47,10 +47,10 @@
         self.pause_detector = PauseDetector(clock.now())
         self._events: deque[api.Event] = deque()
         self._handling = False
-        self._settling = False  # back from a pause, and the sockets have not been read yet
+        self._settling = False  # whether events are deferred after a pause, until the sockets have been read
 
     def handle(self, event: api.Event) -> None:
-        """Handles an event, and then those that its actions bring about, in order."""
+        """Handles an event and then, in order, the events that its actions cause."""
         self.detect_pause()
         self._events.append(event)
         if self._handling or self._settling:
@@ -58,10 +58,10 @@
         self._handle_all()
 
     def detect_pause(self) -> None:
-        """Looks whether there was a pause until now, and holds the events back after one.
+        """Checks whether a pause has just ended, and if so defers events.
 
-        Called with each event, heartbeat, result and read of a client: where the router was stopped as it
-        waited for its sockets, these are read before any timer fires.
+        Called for each event, heartbeat, attempt result and read from a client: if the process was stopped
+        while it waited for its sockets, these are read before any timer fires.
         """
         pause_ns = self.pause_detector.note_running(self.clock.now())
         if not pause_ns:
@@ -75,7 +75,7 @@
 
     def _settle(self) -> None:
         self._settling = False
-        # The sort is stable: of equal events the first that arrived is handled first.
+        # The sort is stable: within each group, events are handled in the order of arrival.
         self._events = deque(sorted(self._events, key=lambda one: not isinstance(one, FIRST_AFTER_PAUSE)))
         self._handle_all()
 
@@ -91,7 +91,7 @@
         try:
             actions = self.balancer.handle(self.clock.now(), event)
         except Exception:
-            # The outermost frame of a decision: a fault in one request's decision must not end the others.
+            # The outermost frame of a decision: a fault in one request's decision must not affect the others.
             log.exception("event not decided event=%s", type(event).__name__)
             self.give_up(getattr(event, "id", ""))
             return
@@ -99,6 +99,6 @@
             try:
                 self.carry_out(action)
             except Exception:
-                # The outermost frame of an action: the decision's other actions are carried out all the same.
+                # The outermost frame of an action: the decision's other actions are still carried out.
                 log.exception("action not carried out action=%s", type(action).__name__)
                 self.give_up(getattr(action, "id", ""))
