--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration that the router starts with: the platform's file, and the operator's own file.
+"""The router's configuration, read at start from the platform's file and the operator's file.
 
-Each fault of either file is a ConfigurationError of one line, with which the program ends.
+A fault in either file raises ConfigurationError, and the program ends with its text as a one-line error.
 """
 
 import os
@@ -27,29 +27,29 @@
 if TYPE_CHECKING:
     from rainhitch.operator_config import OperatorConfig
 
-# As in operator_config.py, which is imported only where there is a file: that import costs memory.
-DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # in the current folder; RAINHITCH_OPERATOR names another
+# Same value as in operator_config.py, which is imported only if the file exists, because it takes memory.
+DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # in the current directory; RAINHITCH_OPERATOR overrides it
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 192
 MIN_MEMORY_MB = 16
-MEMORY_LIMIT_MB = 1 << 20  # what is configured is below it
+MEMORY_LIMIT_MB = 1 << 20  # exclusive upper limit
 BYTES_PER_MB = 1 << 20
 UNKNOWN_ROUTER = -1
 
 
 class ConfigurationError(RainhitchError, ValueError):
-    """The configuration is missing or makes no sense."""
+    """A missing or invalid configuration."""
 
 
 @dataclass(slots=True)
 class Peering:
-    """The addresses for gossip: where this router listens, and where all routers do, itself included."""
+    """The gossip addresses of this router and of all routers."""
 
-    listen: Address
-    peers: list[Address]  # of all routers, in the order of their numbers
+    listen: Address  # address on which this router listens
+    peers: list[Address]  # addresses of all routers, this one included, in the order of their numbers
     broadcast: Address
-    own_index: int = UNKNOWN_ROUTER  # this router's number
+    own_index: int = UNKNOWN_ROUTER  # number of this router
 
 
 @dataclass(slots=True)
@@ -59,21 +59,21 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
+    sockets: int  # limit of open descriptors
     memory_bytes: int
-    known_list: Json  # an endpoint list to begin with, as discovery sends it
+    known_list: Json  # initial endpoint list, in the format of discovery
     settings: Settings
     names: Names
     ceilings: Ceilings
-    admin: Address | None = None  # of the operators' endpoint
-    peers: Peering | None = None  # where there are other routers, and gossip with them is allowed
-    inherited_fd: int | None = None  # of the clients' listening socket, where the platform holds it
+    admin: Address | None = None  # address of the admin endpoint
+    peers: Peering | None = None  # set if there are other routers and gossip with them is allowed
+    inherited_fd: int | None = None  # descriptor of the clients' listening socket, if inherited
 
 
 def read_configuration(path: str | None) -> Configuration:
-    """Reads the configuration's file; raises ConfigurationError."""
+    """Reads the platform's configuration file; raises ConfigurationError."""
     if not path:
-        raise ConfigurationError("BALANCER_CONFIG names no file")
+        raise ConfigurationError(f"BALANCER_CONFIG: expected the path of a configuration file, got {path!r}")
     try:
         with open(path, "rb") as file:
             document = orjson.loads(file.read())
@@ -83,7 +83,7 @@
 
 
 def parse_configuration(document: Json, path: str) -> Configuration:
-    """The configuration that decoded JSON holds; `path` is for the errors. Raises ConfigurationError."""
+    """Returns the configuration in decoded JSON; `path` is used in errors. Raises ConfigurationError."""
     try:
         return _configuration(document, path)
     except ConfigurationError:
@@ -94,10 +94,12 @@
 
 def _configuration(document: Json, path: str) -> Configuration:
     if not isinstance(document, dict):
-        raise ConfigurationError(f"{path}: not an object")
+        raise ConfigurationError(f"{path}: expected an object, got {type(document).__name__}")
     settings_document = document.get("settings")
     if not isinstance(settings_document, dict):
-        raise ConfigurationError(f"{path}: settings is missing or not an object")
+        raise ConfigurationError(
+            f"{path}: settings: expected an object, got {type(settings_document).__name__}"
+        )
     limits = document.get("limits")
     if not isinstance(limits, dict):
         limits = {}
@@ -120,32 +122,37 @@
 def _sockets(limits: Json, path: str) -> int:
     sockets = limits.get("sockets", DEFAULT_SOCKETS)
     if type(sockets) is not int or sockets < MIN_SOCKETS:
-        raise ConfigurationError(f"{path}: limits.sockets makes no sense: {sockets!r}")
+        raise ConfigurationError(
+            f"{path}: limits.sockets: expected an integer of at least {MIN_SOCKETS}, got {sockets!r}"
+        )
     return sockets
 
 
 def _memory_bytes(limits: Json, path: str) -> int:
     memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
     if type(memory_mb) not in (int, float) or not MIN_MEMORY_MB <= memory_mb < MEMORY_LIMIT_MB:
-        raise ConfigurationError(f"{path}: limits.memory_mb makes no sense: {memory_mb!r}")
+        raise ConfigurationError(
+            f"{path}: limits.memory_mb: expected a number from {MIN_MEMORY_MB} to below {MEMORY_LIMIT_MB}, "
+            f"got {memory_mb!r}"
+        )
     return int(memory_mb * BYTES_PER_MB)
 
 
 def read_admin_address(document: Json) -> Address | None:
-    """The address of the operators' endpoint: the configuration's, else the environment's, else None."""
+    """Returns the admin endpoint's address from the configuration, else the environment, else None."""
     named = document.get("admin_addr") or os.environ.get("BALANCER_ADMIN_ADDR")
     return None if named is None else read_address(named)
 
 
 def read_peers(document: Json, settings_document: Json) -> Peering | None:
-    """The addresses for gossip; None where there are no others, or the settings allow no gossip."""
+    """Returns the gossip addresses; None if there are no other routers or the settings forbid gossip."""
     ceilings = settings_document.get("ceilings")
     is_allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
     if not is_allowed or not document.get("peer_listen") or not document.get("peers_all"):
         return None
     listed = document.get("peers")
     if not isinstance(listed, list):
-        raise EndpointListError("peers is no list")
+        raise EndpointListError(f"peers: expected a list, got {type(listed).__name__}")
     peers = [read_address(one) for one in listed]
     if len(peers) < 2:
         return None
@@ -158,22 +165,24 @@
 
 
 def read_inherited_fd() -> int | None:
-    """The descriptor of the listening socket that all processes of this router inherit, None without one."""
+    """Returns the descriptor of the listening socket that all processes of this router inherit, or None."""
     named = os.environ.get("BALANCER_SOCKET_FD")
     if not named:
         return None
     try:
-        # On a copy of the descriptor, since the copy is closed behind the check.
+        # The check uses a duplicate of the descriptor, because leaving the context closes it.
         with socket.socket(fileno=os.dup(int(named))) as inherited:
             if inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 return int(named)
     except (OSError, ValueError) as problem:
         raise ConfigurationError(f"BALANCER_SOCKET_FD: {named!r}: {problem}") from None
-    raise ConfigurationError(f"BALANCER_SOCKET_FD: {named!r} is no listening socket")
+    raise ConfigurationError(
+        f"BALANCER_SOCKET_FD: expected the descriptor of a listening socket, got {named!r}"
+    )
 
 
 def find_operator_config() -> "OperatorConfig | None":
-    """What the operator's file says; None where there is no file, and then nothing is imported for it."""
+    """Returns the operator's configuration; None if there is no file, and then no module is imported."""
     named = os.environ.get("RAINHITCH_OPERATOR")
     if not named and not os.path.exists(DEFAULT_OPERATOR_FILE):
         return None
@@ -181,7 +190,7 @@
 
 
 def load_operator_config(path: str) -> "OperatorConfig":
-    """What an operator's file says; raises ConfigurationError with a line for each bad key."""
+    """Returns the configuration in an operator's file; raises ConfigurationError, a line per invalid key."""
     from pathlib import Path
 
     from rainhitch.operator_config import read_operator_config
@@ -194,9 +203,9 @@
 
 
 def read_authenticator(user: str, password_path: str) -> Authenticator:
-    """The check of clients' passwords; without a file, clients need none.
+    """Returns the check of the clients' password; without a password file, clients need no password.
 
-    Raises ConfigurationError where the file can't be read or is empty.
+    Raises ConfigurationError if the file can't be read or is empty.
     """
     if not password_path:
         return NO_PASSWORD_NEEDED
@@ -206,5 +215,7 @@
     except OSError as problem:
         raise ConfigurationError(f"clients.password_file = {password_path!r}: {problem.strerror}") from None
     if not password:
-        raise ConfigurationError(f"clients.password_file = {password_path!r}: it holds no password")
+        raise ConfigurationError(
+            f"clients.password_file = {password_path!r}: expected a password, got an empty file"
+        )
     return Authenticator(user.encode(), password)
