--- a/tests/node/test_cache_connection.py
+++ b/tests/node/test_cache_connection.py
@@ -1,4 +1,4 @@
-"""Answers of cache servers, malformed ones too, over loopback sockets."""
+"""Responses of cache servers, valid and malformed, over loopback sockets."""
 
 import pytest
 from peers import router, wait_until
@@ -29,9 +29,10 @@
     ],
 )
 async def test_a_malformed_answer_fails_and_counts_as_perhaps_executed(reply: bytes) -> None:
-    """Noise behind -BUSY passed for proof that nothing ran, and an array of any length for a value.
+    """Guards against a corrupted response taken for a valid one.
 
-    Only the exact words count; all else may have been executed.
+    Once `-BUSY` followed by other bytes proved that nothing ran, and an array of any length was a value. Only
+    the exact texts count; after anything else the request may have been executed.
     """
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
