--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -19,13 +19,13 @@
 
 
 def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
-    """A directory, and the updates that it has published."""
+    """Returns a directory and the list of the updates that it publishes."""
     updates: list[api.EndpointUpdate] = []
     return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append), updates
 
 
 def whole_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
-    """Discovery's answer over HTTP; `whole`: it holds all entries."""
+    """Returns discovery's HTTP response; `whole` says that it has all entries."""
     return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
 
 
@@ -36,7 +36,7 @@
         whole_list(8, c1, whole=False),
         http(503),  # down
         whole_list(9, c0, c1),
-        None,  # silent
+        None,  # no response
         b"garbage\r\n\r\n",
         http(200, b"{not JSON"),
         whole_list(10, c0),
