--- a/tests/node/test_endpoint_directory.py
+++ b/tests/node/test_endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a router holds it: versions, entries, and what its pools do."""
+"""The router's endpoint list: versions, entries, and the effect on the connection pools."""
 
 import time
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
-    """A directory, and the updates that it has published."""
+    """Returns a directory and the list of the updates that it publishes."""
     updates: list[api.EndpointUpdate] = []
     return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append), updates
 
@@ -39,7 +39,7 @@
 
 
 async def test_an_older_version_changes_nothing() -> None:
-    """A delayed answer may hold an older list: it must not bring back endpoints that are gone."""
+    """A delayed response may hold an older list, which must not restore endpoints that are gone."""
     one, updates = directory()
     one.apply(listing(5, entry("c0", "127.0.0.1:1")))
     one.apply(listing(4))
@@ -50,7 +50,7 @@
 async def test_an_unreadable_entry_is_skipped_and_logged_and_the_others_stand(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """One bad entry must not cost the whole list, and an operator must see which one it was."""
+    """One invalid entry must not invalidate the list, and the log must name the entry for the operator."""
     one, updates = directory()
     odd: list[Any] = [
         entry("x1", "127.0.0.1:1", model="m99"),
@@ -73,7 +73,7 @@
 async def test_a_changed_address_or_start_time_drops_the_old_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A server that restarted has lost its requests: their clients must get an answer, and not wait."""
+    """A server that restarted has lost its requests, whose clients must get a response at once."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
         caller = await bench.caller()
@@ -84,7 +84,7 @@
         boot = time.time_ns() // 1_000_000 + 1
         change = entry("c0", bench.cache.address, boot_ms=boot)
         bench.directory.apply(listing(6, change, whole=False))
-        # The old process is gone with what it held, which may have run.
+        # The old process is gone with its requests, which may have run.
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.cache.ended == 1)
         second = Cache(lambda asked, line: hit(b"second"))
