--- a/tests/node/test_origin_connection.py
+++ b/tests/node/test_origin_connection.py
@@ -1,4 +1,4 @@
-"""Answers of the origin, malformed ones too, over loopback sockets."""
+"""Responses of the origin, valid and malformed, over loopback sockets."""
 
 import asyncio
 from typing import Any
@@ -21,7 +21,7 @@
     ],
 )
 async def test_a_malformed_answer_of_the_origin_is_a_failure(reply: bytes) -> None:
-    """Without a length, an answer cut short passed for the whole value."""
+    """Guards against a truncated response without a length, which was taken for the whole value."""
 
     def answer(asked: Any, line: asyncio.StreamWriter) -> bytes:
         asyncio.get_running_loop().call_later(0.1, line.close)
