--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -1,7 +1,6 @@
-"""Which call to discovery is due, and when.
+"""The schedule of calls to discovery.
 
-No change stays unknown for as long as MAX_STALENESS_S, whatever failed before, wherever outages and silences
-are.
+Every change is known before MAX_STALENESS_S have passed, whenever discovery is down or does not respond.
 """
 
 import itertools
@@ -15,7 +14,7 @@
 from rainhitch.node.polling import MAX_STALENESS_S, POLLED_TIMES, PUSHED_TIMES, PollSchedule, PollTimes
 from rainhitch.policy.server_registry import MAX_POLL_RETRY_NS
 
-NO_JITTER = 1.0  # the longest that a pause may be
+NO_JITTER = 1.0  # fraction that gives the longest pause
 
 
 def known_after(
@@ -28,10 +27,11 @@
     begin: float = 0.0,
     jitter: float = NO_JITTER,
 ) -> float:
-    """For how long a change stayed unknown since discovery had it and could be reached, s.
+    """Returns the seconds for which a change stays unknown after discovery has it and is reachable.
 
-    That is after the last outage until then. A call that is held at `silent_from` is never answered.
-    Discovery answers at once while it is up, and not at all while it is down, also to calls that it holds.
+    The time counts from the change, from `begin` or from the end of the last outage, whichever is last. A
+    watch that is held at `silent_from` gets no response. While discovery is up it responds at once; while it
+    is down it does not respond, not even to calls that it holds.
     """
 
     def up_at(at: float) -> float:
@@ -48,7 +48,7 @@
         call = polling.call()
         until = now + call.patience_s
         answer = now
-        if call.hold_s:  # answered with the change, at the end of its hold, or never
+        if call.hold_s:  # the response comes with the change, at the end of the hold, or never
             answer = max(now, change) if not known and change <= now + call.hold_s else now + call.hold_s
             if now <= silent_from <= answer:
                 answer = until + 1
@@ -81,7 +81,7 @@
         outages = [(start, start + length), (start + length + 0.3, start + length + 0.9)]
         worst = max(worst, known_after(times, polled, change, outages, silent))
     assert worst <= times.longest() + 1e-9
-    assert worst > times.longest() / 2  # the sum is no idle guess
+    assert worst > times.longest() / 2  # the computed limit is not far above the worst case
 
 
 @given(
@@ -114,7 +114,7 @@
     polling = PollSchedule(POLLED_TIMES, True, lambda: NO_JITTER)
     polling.succeeded()
     assert polling.call().hold_s == POLLED_TIMES.hold_s
-    assert polling.failed() == POLLED_TIMES.first_pause_s  # it may be the watch alone that broke
+    assert polling.failed() == POLLED_TIMES.first_pause_s  # perhaps only the watch has failed
     assert polling.call().hold_s == 0
     assert polling.failed() is None
     polling.succeeded()
