--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The schedule after SIGTERM, for any deadline, and the end of the process."""
+"""The schedule of a graceful shutdown for any deadline, and the exit of the process."""
 
 import asyncio
 import contextlib
@@ -31,15 +31,15 @@
 
 def test_the_schedule_uses_a_long_deadline_and_keeps_within_a_short_one() -> None:
     long, short = shutdown_schedule(5.0), shutdown_schedule(0.5)
-    assert long.all_answered_s > 3.0  # it was 2.2 s for all: requests were cut a second before they had to be
+    assert long.all_answered_s > 3.0  # a fixed 2.2 s ended requests a second earlier than necessary
     assert short.exit_s < 1.2  # where SIGKILL comes at 1.2 s
     assert short.stop_reading_s < 0.8
 
 
 async def test_processes_that_get_many_sigterms_end_with_exit_code_0(tmp_path: Path) -> None:
-    """The program ended with -15 after a second SIGTERM.
+    """Guards against a second SIGTERM that kills the process, which then exits with -15.
 
-    It may come at any time, also between the end of the loop and that of the process.
+    The signal may come at any time, even between the end of the event loop and the exit of the process.
     """
     running = await asyncio.create_subprocess_exec(
         sys.executable,
