--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: its configuration, what it serves, SIGHUP and SIGTERM."""
+"""The program as a process: its configuration, its service, SIGHUP and SIGTERM."""
 
 import asyncio
 import json
@@ -15,12 +15,12 @@
 
 
 def whole_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
-    """Discovery's answer over HTTP; `whole`: it holds all entries."""
+    """Returns discovery's HTTP response; `whole` says that it has all entries."""
     return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
 
 
 async def program(env: dict[str, str]) -> asyncio.subprocess.Process:
-    """Starts the program with this environment."""
+    """Starts the program with an environment."""
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
     )
@@ -93,9 +93,9 @@
 
 
 async def test_sighup_moves_the_discovery_watch_and_nothing_else(tmp_path: Path) -> None:
-    """The program ended on SIGHUP, and all requests in flight were lost.
+    """Guards against SIGHUP ending the program, which loses all requests in flight.
 
-    It moves to the new discovery, which counts its versions anew; a bad file changes nothing.
+    The watch moves to the new discovery, whose versions are its own; an invalid file changes nothing.
     """
     cache = Cache(lambda asked, line: None if asked[2] == b"slow" else hit())
     second = Cache(lambda asked, line: hit(b"second"))
@@ -141,6 +141,6 @@
 
 
 async def pong(caller: Caller) -> Any:
-    """The answer to a PING."""
+    """Returns the response to a PING."""
     caller.send(b"PING")
     return await caller.answer()
