--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection to a server an attempt uses, and what is left of it, over loopback sockets."""
+"""The choice, reuse and release of server connections, over loopback sockets."""
 
 import asyncio
 import socket
@@ -14,13 +14,13 @@
 
 
 async def reused(bench: Bench, behind: bytes) -> Any:
-    """Sends a request, leaves bytes unread behind its answer, and gives the answer to another request."""
+    """Answers a request with unread bytes behind the response; returns the response to a second request."""
     caller = await bench.caller()
     caller.get(name=b"i1")
     assert await caller.answer() == b"i1"
     (idle,) = bench.pools.pools["c0"].idle
     assert idle.transport is not None
-    idle.transport.pause_reading()  # as when it comes between two looks at the sockets
+    idle.transport.pause_reading()  # as if the bytes arrived between two polls of the sockets
     bench.cache.lines[0].write(behind)
     await wait_until(lambda: REAL_SYSTEM.readable(idle.transport))  # type: ignore[arg-type]
     caller.get(name=b"i2")
@@ -38,7 +38,7 @@
 
 
 async def test_a_connection_is_not_reused_right_after_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A second copy may come a little after an answer: a connection rests before it is reused."""
+    """A duplicate of a response may follow shortly after it, so a connection is not reused at once."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 1000.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         caller = await bench.caller()
@@ -51,7 +51,7 @@
 async def test_a_shortage_of_own_descriptors_is_not_counted_against_the_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connect that found no descriptor left counted as a server that is down."""
+    """Guards against a connect that fails for lack of descriptors and counts as a failure of the server."""
     async with router() as bench:
 
         async def none_left(*_: Any, **__: Any) -> None:
@@ -88,7 +88,7 @@
 
 
 async def test_nothing_is_in_flight_once_all_is_answered() -> None:
-    """Attempts end in every way: no connection, request or count stays taken."""
+    """However attempts end, no connection, request or counter is leaked."""
     replies = [hit(), MISS, b"-BUSY\r\n", b"-ERR failed\r\n", b"noise", None]
 
     def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
@@ -132,7 +132,10 @@
 
 
 async def test_a_silent_connection_costs_one_attempt_and_not_the_request() -> None:
-    """A request waited on a silent connection until its time was over; now another server is asked."""
+    """Guards against a request that waits on a silent connection until its deadline.
+
+    The attempt times out earlier, and another server gets the next one.
+    """
     other = Cache(lambda asked, line: hit(b"other"))
     await other.start()
 
