--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -1,4 +1,4 @@
-"""The router over loopback sockets, with scripted peers: requests, attempts and answers."""
+"""The router over loopback sockets with scripted peers: requests, attempts and responses."""
 
 import asyncio
 import gc
@@ -21,11 +21,11 @@
 
 
 def unwanted(source: object, size: int) -> None:
-    """Says that nobody wants a long value."""
+    """Refuses to relay a long value."""
 
 
 def once(wait: int = 9000) -> bytes:
-    """The info list of a request that is not idempotent, whose client waits for so many ms."""
+    """Returns the info list of a request that is not idempotent, with the client's wait in ms."""
     return b"c=once,t=acme,d=%d" % wait
 
 
@@ -39,7 +39,7 @@
         name, key, identity, info = bench.cache.received[0]
         assert (name, key, identity) == (b"C.GET", b"key\xff", b"i1")
         fields = dict(one.split(b"=") for one in info.split(b","))
-        assert 4000 < int(fields.pop(b"d")) <= 5000  # what the first attempt waits, not the client
+        assert 4000 < int(fields.pop(b"d")) <= 5000  # the first attempt's time-out, not the client's wait
         assert fields == {b"c": b"read", b"t": b"acme", b"size": b"7"}
 
 
@@ -57,7 +57,10 @@
 
 
 async def test_a_later_attempt_is_given_no_more_time_than_its_client_has_left() -> None:
-    """639 of 691 later attempts of a run were given 0.15 s more than that, all at the origin."""
+    """Guards against a server that works on for a client that has stopped waiting.
+
+    In one run 639 of 691 later attempts, all at the origin, were given 0.15 s more than the client had left.
+    """
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
         caller.get()
@@ -142,7 +145,7 @@
 
 
 async def test_a_break_before_the_last_byte_means_not_executed() -> None:
-    """A value is larger than the sockets' buffers, and the origin reads none of it before it breaks."""
+    """The value exceeds the sockets' buffers, and the origin reads none of it before it aborts."""
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -326,7 +329,7 @@
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
-        # The timer comes after the decisions' deadline and before the client's.
+        # The timer fires after the Balancer's deadline and before the client's.
         assert held.deadline_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver.deadline_passed(held)
@@ -369,7 +372,7 @@
 
 
 async def test_two_attempts_of_a_request_are_never_in_flight_at_once() -> None:
-    """The second attempt's bytes come only after the end of the first one's connection."""
+    """The second attempt is written only after the first one's connection has ended."""
     order: list[str] = []
 
     class Ordered(Cache):
@@ -403,7 +406,10 @@
 
 
 async def test_thousands_of_commands_at_once_are_all_answered() -> None:
-    """Writing answers made room for commands that had come already, each time one stack frame deeper."""
+    """Guards against unbounded recursion.
+
+    Each response written made room for the next command received, which was handled one stack frame deeper.
+    """
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(resp.command(b"PING") * 40_000)
@@ -413,7 +419,7 @@
 
 @pytest.mark.parametrize("sent", [b"*1\r\n-\xff\xfe\r\n", b"-\xff\r\n"])
 async def test_an_error_line_that_is_no_text_is_a_framing_error(sent: bytes) -> None:
-    """From a client it is a framing error; from a cache server it is an error like others."""
+    """From a client it is a framing error; from a cache server it fails the attempt, as any invalid reply."""
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
         caller.get(info=once())
@@ -424,7 +430,10 @@
 
 
 async def test_the_wait_given_to_a_server_is_what_is_left_when_it_is_written() -> None:
-    """The time of the connect was not taken off: a server worked for an answer that nobody waited for."""
+    """Guards against a wait that includes the time of the connect.
+
+    The server would work on for a client that has stopped waiting.
+    """
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         dial = pool._dial
@@ -442,14 +451,14 @@
 
 
 async def test_a_connection_that_has_just_been_closed_is_not_reused() -> None:
-    """The end of an idle connection is known before the connection is dropped: a write in between failed."""
+    """A closed transport is known before the pool removes the connection: a write in between failed."""
     async with router() as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         assert await caller.answer() == b"v"
         (idle,) = bench.pools.pools["c0"].idle
         assert idle.transport is not None
-        idle.transport.close()  # as the end of the stream does; the rest comes in the next round
+        idle.transport.close()  # as at the end of the stream; connection_lost comes in the next iteration
         endings: list[Any] = []
         call = ClientRequest(b"C.GET", b"k", b"i2", INFO, None, 0, 0, 9000, False)
         pool = bench.pools.pools["c0"]
@@ -459,7 +468,7 @@
 
 
 async def test_answered_requests_leave_no_reference_cycles() -> None:
-    """Values of up to 64 KiB were kept until the garbage collector ran."""
+    """Guards against reference cycles, which kept values of up to 64 KiB until the garbage collector ran."""
 
     def kept() -> list[InFlightRequest]:
         return [one for one in gc.get_objects() if isinstance(one, InFlightRequest)]
