--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -111,7 +111,7 @@
                 connection.connecting.cancel()
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Takes back a connection that can carry another attempt."""
+        """Makes a connection available for another attempt; closes it if the pool is draining."""
         if self.draining or connection not in self.connections:
             connection.close()
             return
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -75,7 +75,7 @@
         """The state that all server connections of the router share."""
 
     def release(self, connection: "UpstreamConnection") -> None:
-        """Takes back a connection that can carry another attempt."""
+        """Makes a connection available for another attempt."""
 
     def drop(self, connection: "UpstreamConnection") -> None:
         """Removes a closed connection."""
