--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -29,10 +29,10 @@
 class RequestOwner(Protocol):
     """The owner of the requests, which is told how their attempts proceed."""
 
-    def served(self, request: InFlightRequest, value: object) -> None:
+    def send_value(self, request: InFlightRequest, value: object) -> None:
         """Sends the value to the client."""
 
-    def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+    def start_relay(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
         """Starts to relay a long value to the client as it arrives."""
 
     def withdraw(self, request: InFlightRequest) -> None:
@@ -41,7 +41,7 @@
     def deadline_passed(self, request: InFlightRequest) -> None:
         """Fails a request whose deadline has passed."""
 
-    def forget_if_over(self, request: InFlightRequest) -> None:
+    def remove_if_finished(self, request: InFlightRequest) -> None:
         """Removes the request if it is finished and has no attempt in flight."""
 
 
@@ -146,9 +146,9 @@
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
         if result.status is api.AttemptStatus.OK and request.state is REQUEST_OPEN:
-            self.owner.served(request, result.value)
+            self.owner.send_value(request, result.value)
         self._report(attempt, result)
-        self.owner.forget_if_over(request)
+        self.owner.remove_if_finished(request)
 
     def _may_write(self, attempt: Attempt, write_by_ns: int) -> bool:
         """Returns whether the attempt's first byte may be written.
@@ -176,7 +176,7 @@
         for timer in (request.deadline_timer, attempt.timeout_timer):
             if timer is not None:
                 timer.cancel()
-        relay = self.owner.relay_started(request, source, size_bytes)
+        relay = self.owner.start_relay(request, source, size_bytes)
         self._report(attempt, AttemptResult(api.AttemptStatus.OK))
         return None if relay.is_over() else relay
 
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -27,8 +27,8 @@
 class DecisionLoop:
     """The event queue of one Balancer.
 
-    `carry_out` is called with each action. `give_up` is called with the id of a request whose event or action
-    raised an exception, so that its client still gets a response.
+    `carry_out` is called with each action. `fail_request` is called with the id of a request whose event or
+    action raised an exception, so that its client still gets a response.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         clock: Clock,
         counts: Counts,
         carry_out: Callable[[api.Action], None],
-        give_up: Callable[[str], None],
+        fail_request: Callable[[str], None],
     ) -> None:
         self.balancer = balancer
         self.clock = clock
         self.counts = counts
         self.carry_out = carry_out
-        self.give_up = give_up
+        self.fail_request = fail_request
         self.pause_detector = PauseDetector(clock.now())
         self._events: deque[api.Event] = deque()
         self._handling = False
@@ -93,7 +93,7 @@
         except Exception:
             # The outermost frame of a decision: a fault in one request's decision must not affect the others.
             log.exception("event not decided event=%s", type(event).__name__)
-            self.give_up(getattr(event, "id", ""))
+            self.fail_request(getattr(event, "id", ""))
             return
         for action in actions:
             try:
@@ -101,4 +101,4 @@
             except Exception:
                 # The outermost frame of an action: the decision's other actions are still carried out.
                 log.exception("action not carried out action=%s", type(action).__name__)
-                self.give_up(getattr(action, "id", ""))
+                self.fail_request(getattr(action, "id", ""))
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -104,6 +104,6 @@
         """Returns whether the request still needs its final response."""
         return self.state is REQUEST_OPEN
 
-    def may_be_forgotten(self) -> bool:
+    def is_removable(self) -> bool:
         """Returns whether the request is finished and has no attempt in flight."""
         return self.state is REQUEST_FINISHED and self.attempt is None
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -31,7 +31,7 @@
 class DriverHost(Protocol):
     """The owner of a driver, which handles what concerns the whole router."""
 
-    def request_taken(self, tenant: int) -> None:
+    def count_request(self, tenant: int) -> None:
         """Counts an accepted request of a tenant."""
 
     def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
@@ -41,10 +41,10 @@
         """Starts the source of the endpoint list."""
 
 
-class NoHost:
+class StandaloneHost:
     """The host of a driver that has neither other routers nor a source of the endpoint list."""
 
-    def request_taken(self, tenant: int) -> None:
+    def count_request(self, tenant: int) -> None:
         """Does nothing."""
 
     def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
@@ -71,7 +71,7 @@
         class_names: list[str] | None = None,
         host: DriverHost | None = None,
     ) -> None:
-        self.host = host or NoHost()
+        self.host = host or StandaloneHost()
         self.balancer = balancer
         self.pools = pools
         self.max_requests = max_requests
@@ -88,7 +88,9 @@
         self.reserve = DelayReserve()
         self.loop_lag = pools.loop_lag
         self.loop_lag.report_to(self._loop_delayed)
-        self.decisions = DecisionLoop(balancer, self.clock, self.counts, self._carry_out, self._give_up_by_id)
+        self.decisions = DecisionLoop(
+            balancer, self.clock, self.counts, self._carry_out, self._fail_request_by_id
+        )
         self.attempts = AttemptRunner(self, self.decisions, pools, self.counts)
         pools.key_invalidations.report_to(self.decisions.handle)
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
@@ -114,7 +116,7 @@
         self.requests[request_id] = request
         self.request_bytes += size_bytes
         self.accounting.accepted(client_request)
-        self.host.request_taken(client_request.tenant)
+        self.host.count_request(client_request.tenant)
         # Calls `deadline_passed` unless the attempt's own timer ends the request first.
         passed_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
         request.deadline_timer = self.loop.call_later(passed_in_ns / NS_PER_S, self.deadline_passed, request)
@@ -133,7 +135,7 @@
         self.decisions.handle(api.ClientGone(request.id))
         if request.attempt is not None:
             self.attempts.take_back(request.attempt)
-        self.forget_if_over(request)
+        self.remove_if_finished(request)
 
     def endpoints_updated(self, event: api.EndpointUpdate) -> None:
         """Passes a change of the endpoint list to the Balancer."""
@@ -142,9 +144,9 @@
     def stop(self, within_s: float) -> None:
         """Answers every request in flight, and every later one, within `within_s` seconds from now."""
         self.reserve.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
-        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._end_all)
+        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._fail_all)
 
-    def _end_all(self) -> None:
+    def _fail_all(self) -> None:
         for request in list(self.requests.values()):
             self.deadline_passed(request)
 
@@ -152,9 +154,9 @@
         """Fails a request whose deadline has passed, unless its attempt has a response to be read."""
         if request.is_open() and request.attempt is not None and self.attempts.give_grace(request.attempt):
             return
-        self._give_up(request)
+        self._fail_request(request)
 
-    def _give_up(self, request: InFlightRequest) -> None:
+    def _fail_request(self, request: InFlightRequest) -> None:
         """Fails a request that the Balancer has not ended.
 
         This answers clients whose request the Balancer has lost or could not decide on, and those whose
@@ -164,12 +166,12 @@
         if request.is_open():
             self._answer(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
             self.decisions.handle(api.ClientGone(request.id))
-            self.forget_if_over(request)
+            self.remove_if_finished(request)
 
-    def _give_up_by_id(self, request_id: str) -> None:
+    def _fail_request_by_id(self, request_id: str) -> None:
         request = self.requests.get(request_id)
         if request is not None:
-            self._give_up(request)
+            self._fail_request(request)
 
     def _loop_delayed(self, delay_ns: int) -> None:
         self.counts.add_lag(delay_ns)
@@ -194,7 +196,7 @@
                 if attempt is not None and attempt.number == action.attempt:
                     self.attempts.time_out(attempt)
             case api.Reject() | api.Fail():
-                self._end_unserved(action)
+                self._reject_or_fail(action)
             case api.SetTimer():
                 fired = api.TimerFired(action.token)
                 self.loop.call_later(action.delay_ns / NS_PER_S, self.decisions.handle, fired)
@@ -205,7 +207,7 @@
             case api.LogLine():
                 log.info("%s", action.text)
 
-    def _end_unserved(self, action: api.Reject | api.Fail) -> None:
+    def _reject_or_fail(self, action: api.Reject | api.Fail) -> None:
         request = self.requests.get(action.id)
         if request is None or not request.is_open():
             return
@@ -215,14 +217,14 @@
             self._answer(request, answer, self.metrics.rejected, REJECTED_PREFIX + action.reason)
         else:
             self._answer(request, resp.FAILED_REPLY, self.metrics.failed, FAILED_PREFIX + action.reason)
-        self.forget_if_over(request)
+        self.remove_if_finished(request)
 
-    def served(self, request: InFlightRequest, value: object) -> None:
+    def send_value(self, request: InFlightRequest, value: object) -> None:
         """Sends the value of a successful attempt to the client."""
         answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
         self._answer(request, answer, self.metrics.served, SERVED)
 
-    def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+    def start_relay(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
         """Starts to relay a long value to the client as it arrives."""
         request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
@@ -234,7 +236,7 @@
         request.state = REQUEST_FINISHED
         request.relay = None
         self.accounting.relay_ended(request, whole)
-        self.forget_if_over(request)
+        self.remove_if_finished(request)
 
     def _answer(self, request: InFlightRequest, answer: bytes, metric: list[int], outcome: str) -> None:
         """Sends the final response; counts it in `metric` by request class and in the records by outcome."""
@@ -250,9 +252,9 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
 
-    def forget_if_over(self, request: InFlightRequest) -> None:
+    def remove_if_finished(self, request: InFlightRequest) -> None:
         """Removes a request that is finished and has no attempt in flight."""
-        if not request.may_be_forgotten():
+        if not request.is_removable():
             return
         if self.requests.pop(request.id, None) is not None:
             self.request_bytes -= request.client_request.size_bytes()
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -128,7 +128,7 @@
         if self.gossip is not None:
             self.gossip.publish(observations)
 
-    def request_taken(self, tenant: int) -> None:
+    def count_request(self, tenant: int) -> None:
         """Counts a tenant's request if the routers share their tenants' usage."""
         if self.tenant_usage is not None:
             self.tenant_usage.add(tenant)
