--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -22,7 +22,7 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-UNREAD_ANSWER_GRACE_S = 0.005  # time for the event loop to read what is pending in the sockets
+UNREAD_RESPONSE_GRACE_S = 0.005  # time for the event loop to read what is pending in the sockets
 log = logging.getLogger("rainhitch")
 
 
@@ -84,25 +84,25 @@
         if 0 < action.write_within_ns < timeout_ns:
             # A retry is safe only within its window: one that starts in the window but is written in full
             # after it might run a second time.
-            self.loop.call_later(action.write_within_ns / NS_PER_S, self.take_back, attempt)
+            self.loop.call_later(action.write_within_ns / NS_PER_S, self.abandon_if_unwritten, attempt)
         write_by_ns = now + (action.write_within_ns or timeout_ns)
         exchange = Exchange(
             request.client_request,
             now + timeout_ns,
             lambda result: self.ended(attempt, result),
-            lambda source, size_bytes: self._long_value_began(attempt, source, size_bytes),
+            lambda source, size_bytes: self._start_relay(attempt, source, size_bytes),
             lambda: self._may_write(attempt, write_by_ns),
         )
         attempt.connection = pool.start(exchange)
         if attempt.connection is None:
             self.ended(attempt, AttemptResult(api.AttemptStatus.NO_LOCAL_CONNECTION))
 
-    def take_back(self, attempt: Attempt) -> None:
+    def abandon_if_unwritten(self, attempt: Attempt) -> None:
         """Ends an attempt that is not yet written in full: a server runs a request on its last byte only."""
         if (
             attempt.is_in_flight()
             and attempt.connection is not None
-            and attempt.connection.take_back_unwritten()
+            and attempt.connection.abandon_if_unwritten()
         ):
             self.ended(attempt, AttemptResult(api.AttemptStatus.ABANDONED))
 
@@ -111,29 +111,33 @@
 
         Its connection is closed before the Balancer is told, so that two copies are never in flight.
         """
-        if not attempt.is_in_flight() or self.give_grace(attempt):
+        if not attempt.is_in_flight() or self.extend_timeout(attempt):
             return
         if attempt.connection is not None:
             may_have_run = attempt.connection.close_attempt()
             status = api.AttemptStatus.TIMEOUT if may_have_run else api.AttemptStatus.ABANDONED
             self.ended(attempt, AttemptResult(status))
 
-    def give_grace(self, attempt: Attempt) -> bool:
+    def extend_timeout(self, attempt: Attempt) -> bool:
         """Gives an attempt that timed out with a response still unread time to read it, once.
 
         Returns whether the time was extended. When the event loop is late, its timers fire before its sockets
         are read, so that a response that arrived in time would be lost.
         """
-        if attempt.grace_given or attempt.connection is None or not attempt.connection.has_unread_answer():
+        if (
+            attempt.timeout_extended
+            or attempt.connection is None
+            or not attempt.connection.has_unread_response()
+        ):
             return False
-        attempt.grace_given = True
+        attempt.timeout_extended = True
         request = attempt.request
         for timer in (attempt.timeout_timer, request.deadline_timer):
             if timer is not None:
                 timer.cancel()
-        attempt.timeout_timer = self.loop.call_later(UNREAD_ANSWER_GRACE_S, self.time_out, attempt)
+        attempt.timeout_timer = self.loop.call_later(UNREAD_RESPONSE_GRACE_S, self.time_out, attempt)
         request.deadline_timer = self.loop.call_later(
-            2 * UNREAD_ANSWER_GRACE_S, self.owner.deadline_passed, request
+            2 * UNREAD_RESPONSE_GRACE_S, self.owner.deadline_passed, request
         )
         return True
 
@@ -164,7 +168,7 @@
             self.owner.withdraw(request)
         return in_time and request.state is REQUEST_OPEN and attempt.is_in_flight()
 
-    def _long_value_began(self, attempt: Attempt, source: Source, size_bytes: int) -> Relay | None:
+    def _start_relay(self, attempt: Attempt, source: Source, size_bytes: int) -> Relay | None:
         """Starts the relay of a long value; returns None if the request no longer needs the value.
 
         From then on the request has no further attempts, and no time limit except the relay's.
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -77,7 +77,7 @@
     started_at_ns: int
     connection: UpstreamConnection | None = None
     timeout_timer: asyncio.TimerHandle | None = None
-    grace_given: bool = False  # whether it timed out with a response unread and got more time to read it
+    timeout_extended: bool = False  # whether it timed out with a response unread and got more time to read it
 
     def is_in_flight(self) -> bool:
         """Returns whether this attempt has not ended yet."""
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -134,7 +134,7 @@
         self.accounting.client_left(request)
         self.decisions.handle(api.ClientGone(request.id))
         if request.attempt is not None:
-            self.attempts.take_back(request.attempt)
+            self.attempts.abandon_if_unwritten(request.attempt)
         self.remove_if_finished(request)
 
     def endpoints_updated(self, event: api.EndpointUpdate) -> None:
@@ -152,7 +152,11 @@
 
     def deadline_passed(self, request: InFlightRequest) -> None:
         """Fails a request whose deadline has passed, unless its attempt has a response to be read."""
-        if request.is_open() and request.attempt is not None and self.attempts.give_grace(request.attempt):
+        if (
+            request.is_open()
+            and request.attempt is not None
+            and self.attempts.extend_timeout(request.attempt)
+        ):
             return
         self._fail_request(request)
 
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -154,11 +154,11 @@
         self.close()
         return may_have_run
 
-    def has_unread_answer(self) -> bool:
+    def has_unread_response(self) -> bool:
         """Returns whether received data for the active attempt is still unread."""
         return self.exchange is not None and self.has_unread_bytes()
 
-    def take_back_unwritten(self) -> bool:
+    def abandon_if_unwritten(self) -> bool:
         """Ends the attempt if it is not yet written in full, so that it never runs; returns whether it ended.
 
         If nothing of it was written, the connection is kept for the next attempt.
@@ -173,7 +173,7 @@
     def drain(self) -> None:
         """Ends an unwritten attempt because the server is draining, so that it can be sent elsewhere."""
         exchange = self.exchange
-        if self.take_back_unwritten() and exchange is not None:
+        if self.abandon_if_unwritten() and exchange is not None:
             self.close()
             exchange.on_finished(AttemptResult(AttemptStatus.ABANDONED))
 
@@ -186,11 +186,11 @@
 
     def close(self) -> None:
         """Closes the connection at once, in both directions, without a result for the active attempt."""
-        self._break_relay()
+        self._abort_relay()
         self.pool.drop(self)
         self.shut()
 
-    def _break_relay(self) -> None:
+    def _abort_relay(self) -> None:
         relay = self.relay
         self.relay = None
         if relay is not None:
@@ -219,7 +219,7 @@
 
     def lost(self, never_up: AttemptStatus = AttemptStatus.CONNECT_FAILED) -> None:
         """Handles a lost or failed connection; `never_up` is the status of an attempt that never ran."""
-        self._break_relay()
+        self._abort_relay()
         self.is_closed = True
         was_written = self.write_progress is WRITTEN
         status = AttemptStatus.RESET if was_written else never_up
