--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -62,7 +62,7 @@
         self.host.counts.add("links", "new")
         connection.exchange = exchange
         connection.opened_at_s = asyncio.get_running_loop().time()
-        connection.connecting = asyncio.get_running_loop().create_task(self._dial(connection))
+        connection.connecting = asyncio.get_running_loop().create_task(self._connect(connection))
         return connection
 
     def _take_idle(self) -> UpstreamConnection | None:
@@ -84,7 +84,7 @@
                 connection.close()
         return None
 
-    async def _dial(self, connection: UpstreamConnection) -> None:
+    async def _connect(self, connection: UpstreamConnection) -> None:
         loop = asyncio.get_running_loop()
         timer = loop.call_later(self.host.connect_timeout_s, self._connect_timed_out, connection)
         try:
@@ -117,7 +117,7 @@
             return
         connection.idle_since_s = asyncio.get_running_loop().time()
         self.idle.append(connection)
-        self.host.plan_sweep()
+        self.host.schedule_sweep()
 
     def drop(self, connection: UpstreamConnection) -> None:
         """Removes a closed connection."""
@@ -165,7 +165,7 @@
         self.set_max_idle(MAX_IDLE_S)
         self.pools: dict[str, ConnectionPool] = {}  # by server
         self.draining_pools: list[ConnectionPool] = []  # removed or replaced, with attempts still active
-        self.sweep_planned = False
+        self.sweep_scheduled = False
         self.unknown_pushes = 0
         self.attempts_written = 0
         self.counts = Counts()
@@ -231,17 +231,17 @@
         oldest.close()
         return True
 
-    def plan_sweep(self) -> None:
+    def schedule_sweep(self) -> None:
         """Schedules the sweep of idle connections, unless it is already scheduled."""
-        if not self.sweep_planned:
-            self.sweep_planned = True
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        self.sweep_planned = False
+        self.sweep_scheduled = False
         before_s = asyncio.get_running_loop().time() - self.max_idle_s
         for pool in self.pools.values():
             for connection in [one for one in pool.idle if one.idle_since_s < before_s]:
                 connection.close()
         if any(pool.idle for pool in self.pools.values()):
-            self.plan_sweep()
+            self.schedule_sweep()
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -436,13 +436,13 @@
     """
     async with router() as bench:
         pool = bench.pools.pools["c0"]
-        dial = pool._dial
+        connect = pool._connect
 
         async def slow(connection: Any) -> None:
             await asyncio.sleep(0.2)
-            await dial(connection)
+            await connect(connection)
 
-        pool._dial = slow  # type: ignore[method-assign]
+        pool._connect = slow  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
