--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -25,7 +25,7 @@
     return AttemptResult(AttemptStatus.ERROR) if FAILED_LINE.fullmatch(text) else None
 
 
-def result_of_answer(answer: object) -> AttemptResult | None:
+def result_of_response(answer: object) -> AttemptResult | None:
     """Returns the result that a cache server's response means; None if it fits none of the router's commands.
 
     Only the exact error texts prove that a request never ran; corrupted data must not pass for them.
@@ -61,22 +61,22 @@
         """Handles data received for the active attempt."""
         self.reader.feed(data)
         try:
-            answer = self.next_answer()
+            answer = self.next_response()
         except resp.FramingError:
             self.fail_protocol()
             return
         if answer is not resp.NEED_DATA:
             self._end(answer)
 
-    def next_answer(self) -> object:
+    def next_response(self) -> object:
         """Returns the active attempt's response once it is complete, or NEED_DATA; relays a long value."""
-        answer = self.reader.next() if self.relay is None else self._pass_on(self.relay)
+        answer = self.reader.next() if self.relay is None else self._feed_relay(self.relay)
         if isinstance(answer, resp.LongValue):
             self.start_relay(answer.size_bytes)
-            answer = resp.NEED_DATA if self.relay is None else self._pass_on(self.relay)
+            answer = resp.NEED_DATA if self.relay is None else self._feed_relay(self.relay)
         return answer
 
-    def _pass_on(self, relay: Relay) -> object:
+    def _feed_relay(self, relay: Relay) -> object:
         """Relays what has arrived of a long value; returns the response once all of it is here."""
         piece = self.reader.read_long_value()
         if piece:
@@ -93,12 +93,12 @@
         if result is None:
             self.fail_protocol()
         else:
-            self.finish(result, reusable=self.is_sound())
+            self.finish(result, reusable=self.is_reusable())
 
     def result_of(self, answer: object) -> AttemptResult | None:
         """Returns the result that a response means; None if it fits none of the router's commands."""
-        return result_of_answer(answer)
+        return result_of_response(answer)
 
-    def is_sound(self) -> bool:
+    def is_reusable(self) -> bool:
         """Returns whether the connection can be reused: no data may follow the response."""
         return not self.reader.buffer
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -10,7 +10,7 @@
 from rainhitch.protocol.resp import MAX_RELAYED_VALUE_BYTES, MAX_VALUE_BYTES
 
 
-def result_of_answer(answer: HttpResponse) -> AttemptResult | None:
+def result_of_response(answer: HttpResponse) -> AttemptResult | None:
     """Returns the result that a response of the origin means; None for an unexpected status.
 
     A 503 or 504 proves that the request never ran only if the origin itself marks it as rejected.
@@ -46,17 +46,17 @@
             self.fail_protocol()
             return
         if self.http.response.long_body_bytes:
-            self._pass_on(self.http.response.long_body_bytes)
+            self._feed_relay(self.http.response.long_body_bytes)
             if self.relay is None:
                 return  # the value is not needed, or its client has left: this connection is closed
         if answer is not None:
-            result = result_of_answer(answer)
+            result = result_of_response(answer)
             if result is None:
                 self.fail_protocol()
             else:
                 self.finish(result, self.http.reset_for_next_request())
 
-    def _pass_on(self, size_bytes: int) -> None:
+    def _feed_relay(self, size_bytes: int) -> None:
         if self.relay is None:
             self.start_relay(size_bytes)
         piece = self.http.read_body()
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -22,7 +22,7 @@
 HELLO = resp.command(b"HELLO", b"3")
 
 
-def result_of_answer(answer: object) -> AttemptResult | None:
+def result_of_response(answer: object) -> AttemptResult | None:
     """Returns the result that a response means: it holds the value, a hit or miss note, and a load report.
 
     Note and load report are strings or fields of a map. None if the response fits none of the router's
@@ -43,12 +43,12 @@
         return None
     if value is None:
         return AttemptResult(AttemptStatus.MISS, answer_note=number)
-    if isinstance(value, bytes) or _is_served(encode(value, 2)):
+    if isinstance(value, bytes) or _is_resp2_value(encode(value, 2)):
         return AttemptResult(AttemptStatus.OK, value, number)
     return None
 
 
-def _is_served(text: bytes) -> bool:
+def _is_resp2_value(text: bytes) -> bool:
     """Returns whether a RESP2 client accepts this as a value: a string, or an array that begins with one."""
     if text[:1] == b"*":
         text = text.partition(b"\r\n")[2]
@@ -63,7 +63,7 @@
         self.version = 2
         # Reads the reply to HELLO, in either version; it becomes `reader` if the server speaks RESP3.
         self.resp3_reader = Resp3Reader(relays_long_values=True)
-        self.greeting_timer: asyncio.TimerHandle | None = None  # set while the reply to HELLO is pending
+        self.handshake_timer: asyncio.TimerHandle | None = None  # set while the reply to HELLO is pending
 
     def connected(self) -> None:
         """Sends HELLO 3 on the established connection, unless the server is known to speak RESP2."""
@@ -72,39 +72,39 @@
             return
         assert self.transport is not None
         loop = asyncio.get_running_loop()
-        self.greeting_timer = loop.call_later(
-            self.host.connect_timeout_s, self._fail_greeting, AttemptStatus.CONNECT_FAILED
+        self.handshake_timer = loop.call_later(
+            self.host.connect_timeout_s, self._fail_handshake, AttemptStatus.CONNECT_FAILED
         )
         self.transport.write(HELLO)
 
     def pause_writing(self) -> None:
         """Notes that the operating system has not accepted all bytes of an attempt; ignored during HELLO."""
-        if self.greeting_timer is None:
+        if self.handshake_timer is None:
             super().pause_writing()
 
     def resume_writing(self) -> None:
         """Notes that the operating system has accepted all bytes of an attempt; ignored during HELLO."""
-        if self.greeting_timer is None:
+        if self.handshake_timer is None:
             super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
         """Handles received data: the reply to HELLO, a push, or a response."""
-        if self.greeting_timer is not None:
-            self._greeted(data)
+        if self.handshake_timer is not None:
+            self._read_handshake(data)
         elif self.version == 3 and self.exchange is None:
             self.resp3_reader.feed(data)
-            if not self._only_pushes():
+            if not self._handle_pushes():
                 self.close()
         else:
             super().data_received(data)
 
-    def _greeted(self, data: bytes) -> None:
+    def _read_handshake(self, data: bytes) -> None:
         self.resp3_reader.feed(data)
         try:
             while isinstance(answer := self.resp3_reader.next(), Push):
                 pass
         except resp.FramingError:
-            self._fail_greeting(AttemptStatus.CONNECT_FAILED)
+            self._fail_handshake(AttemptStatus.CONNECT_FAILED)
             return
         if answer is resp.NEED_DATA:
             return
@@ -113,22 +113,22 @@
             self.version = 3
             self.reader = self.resp3_reader
         elif error is not None and error.status is AttemptStatus.FULL:
-            self._fail_greeting(AttemptStatus.FULL)
+            self._fail_handshake(AttemptStatus.FULL)
             return
         elif isinstance(answer, ErrorReply) and self.resp3_reader.idle():
             self.pool.known_protocol = 2
         else:
-            self._fail_greeting(AttemptStatus.CONNECT_FAILED)
+            self._fail_handshake(AttemptStatus.CONNECT_FAILED)
             return
-        if self.greeting_timer is not None:
-            self.greeting_timer.cancel()
-        self.greeting_timer = None
-        if self.version == 3 and not self._only_pushes():
-            self._fail_greeting(AttemptStatus.CONNECT_FAILED)
+        if self.handshake_timer is not None:
+            self.handshake_timer.cancel()
+        self.handshake_timer = None
+        if self.version == 3 and not self._handle_pushes():
+            self._fail_handshake(AttemptStatus.CONNECT_FAILED)
         else:
             super().connected()
 
-    def _fail_greeting(self, status: AttemptStatus) -> None:
+    def _fail_handshake(self, status: AttemptStatus) -> None:
         """Closes a connection whose handshake failed; its attempt, never sent, ends with this status."""
         exchange = self.exchange
         self.exchange = None
@@ -138,31 +138,31 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Handles the end of the connection."""
-        if self.greeting_timer is not None:
-            self.greeting_timer.cancel()
+        if self.handshake_timer is not None:
+            self.handshake_timer.cancel()
         super().connection_lost(exc)
 
     def close(self) -> None:
         """Closes the connection at once, in both directions."""
-        if self.greeting_timer is not None:
-            self.greeting_timer.cancel()
+        if self.handshake_timer is not None:
+            self.handshake_timer.cancel()
         super().close()
 
-    def next_answer(self) -> object:
+    def next_response(self) -> object:
         """Returns the active attempt's response once it is complete, or NEED_DATA; handles earlier pushes."""
-        while isinstance(answer := super().next_answer(), Push):
-            self._pushed(answer)
+        while isinstance(answer := super().next_response(), Push):
+            self._handle_push(answer)
         return answer
 
     def result_of(self, answer: object) -> AttemptResult | None:
         """Returns the result that a response means; None if it fits none of the router's commands."""
-        return result_of_answer(answer) if self.version == 3 else super().result_of(answer)
+        return result_of_response(answer) if self.version == 3 else super().result_of(answer)
 
-    def is_sound(self) -> bool:
+    def is_reusable(self) -> bool:
         """Returns whether the connection can be reused: only pushes may follow the response."""
-        return self._only_pushes() if self.version == 3 else super().is_sound()
+        return self._handle_pushes() if self.version == 3 else super().is_reusable()
 
-    def _only_pushes(self) -> bool:
+    def _handle_pushes(self) -> bool:
         """Handles pushes received between responses; returns whether no other data has come.
 
         The data may end in an incomplete push. Anything else, such as a duplicate response, could be taken
@@ -172,12 +172,12 @@
             return self.resp3_reader.idle()
         try:
             while isinstance(more := self.resp3_reader.next(), Push):
-                self._pushed(more)
+                self._handle_push(more)
         except resp.FramingError:
             return False
         return more is resp.NEED_DATA and (self.resp3_reader.idle() or self.resp3_reader.in_push())
 
-    def _pushed(self, push: Push) -> None:
+    def _handle_push(self, push: Push) -> None:
         keys = push.items[1] if len(push.items) == 2 else 0
         if text_of(push.items[0]) != b"invalidate" or not (keys is None or isinstance(keys, list)):
             self.host.unknown_pushes += 1
