--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -25,22 +25,22 @@
     return AttemptResult(AttemptStatus.ERROR) if FAILED_LINE.fullmatch(text) else None
 
 
-def result_of_response(answer: object) -> AttemptResult | None:
+def result_of_response(response: object) -> AttemptResult | None:
     """Returns the result that a cache server's response means; None if it fits none of the router's commands.
 
     Only the exact error texts prove that a request never ran; corrupted data must not pass for them.
     """
-    if isinstance(answer, bytes):
-        return result_of_error(answer)
-    if not isinstance(answer, list):
+    if isinstance(response, bytes):
+        return result_of_error(response)
+    if not isinstance(response, list):
         return None
-    value, note, _ = answer
-    number = NOTE_NONE if note is None else NOTES.get(note)
-    if number is None or (value is None and number == NOTE_HIT):
+    value, note, _ = response
+    note_code = NOTE_NONE if note is None else NOTES.get(note)
+    if note_code is None or (value is None and note_code == NOTE_HIT):
         return None
     if value is None:
-        return AttemptResult(AttemptStatus.MISS, answer_note=number)
-    return AttemptResult(AttemptStatus.OK, value, number)
+        return AttemptResult(AttemptStatus.MISS, answer_note=note_code)
+    return AttemptResult(AttemptStatus.OK, value, note_code)
 
 
 class CacheConnection(UpstreamConnection):
@@ -61,20 +61,20 @@
         """Handles data received for the active attempt."""
         self.reader.feed(data)
         try:
-            answer = self.next_response()
+            response = self.next_response()
         except resp.FramingError:
             self.fail_protocol()
             return
-        if answer is not resp.NEED_DATA:
-            self._end(answer)
+        if response is not resp.NEED_DATA:
+            self._end(response)
 
     def next_response(self) -> object:
         """Returns the active attempt's response once it is complete, or NEED_DATA; relays a long value."""
-        answer = self.reader.next() if self.relay is None else self._feed_relay(self.relay)
-        if isinstance(answer, resp.LongValue):
-            self.start_relay(answer.size_bytes)
-            answer = resp.NEED_DATA if self.relay is None else self._feed_relay(self.relay)
-        return answer
+        response = self.reader.next() if self.relay is None else self._feed_relay(self.relay)
+        if isinstance(response, resp.LongValue):
+            self.start_relay(response.size_bytes)
+            response = resp.NEED_DATA if self.relay is None else self._feed_relay(self.relay)
+        return response
 
     def _feed_relay(self, relay: Relay) -> object:
         """Relays what has arrived of a long value; returns the response once all of it is here."""
@@ -86,18 +86,18 @@
             resp.NEED_DATA if self.reader.long_value_bytes_left or self.relay is None else self.reader.next()
         )
 
-    def _end(self, answer: object) -> None:
-        if self.relay is not None and isinstance(answer, list):
-            answer[0] = b""  # the value has been relayed
-        result = self.result_of(answer)
+    def _end(self, response: object) -> None:
+        if self.relay is not None and isinstance(response, list):
+            response[0] = b""  # the value has been relayed
+        result = self.result_of(response)
         if result is None:
             self.fail_protocol()
         else:
             self.finish(result, reusable=self.is_reusable())
 
-    def result_of(self, answer: object) -> AttemptResult | None:
+    def result_of(self, response: object) -> AttemptResult | None:
         """Returns the result that a response means; None if it fits none of the router's commands."""
-        return result_of_response(answer)
+        return result_of_response(response)
 
     def is_reusable(self) -> bool:
         """Returns whether the connection can be reused: no data may follow the response."""
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -10,16 +10,16 @@
 from rainhitch.protocol.resp import MAX_RELAYED_VALUE_BYTES, MAX_VALUE_BYTES
 
 
-def result_of_response(answer: HttpResponse) -> AttemptResult | None:
+def result_of_response(response: HttpResponse) -> AttemptResult | None:
     """Returns the result that a response of the origin means; None for an unexpected status.
 
     A 503 or 504 proves that the request never ran only if the origin itself marks it as rejected.
     """
-    if answer.status == 200:
-        return AttemptResult(AttemptStatus.OK, bytes(answer.body))
-    if answer.status in (503, 504) and answer.headers.get(b"x-rejected") == b"1":
+    if response.status == 200:
+        return AttemptResult(AttemptStatus.OK, bytes(response.body))
+    if response.status in (503, 504) and response.headers.get(b"x-rejected") == b"1":
         return AttemptResult(AttemptStatus.FULL)
-    return AttemptResult(AttemptStatus.ERROR) if answer.status == 500 else None
+    return AttemptResult(AttemptStatus.ERROR) if response.status == 500 else None
 
 
 class OriginConnection(UpstreamConnection):
@@ -41,7 +41,7 @@
     def read(self, data: bytes) -> None:
         """Handles data received for the active attempt."""
         try:
-            answer = self.http.receive(data)
+            response = self.http.receive(data)
         except HttpError:
             self.fail_protocol()
             return
@@ -49,8 +49,8 @@
             self._feed_relay(self.http.response.long_body_bytes)
             if self.relay is None:
                 return  # the value is not needed, or its client has left: this connection is closed
-        if answer is not None:
-            result = result_of_response(answer)
+        if response is not None:
+            result = result_of_response(response)
             if result is None:
                 self.fail_protocol()
             else:
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -22,29 +22,29 @@
 HELLO = resp.command(b"HELLO", b"3")
 
 
-def result_of_response(answer: object) -> AttemptResult | None:
+def result_of_response(response: object) -> AttemptResult | None:
     """Returns the result that a response means: it holds the value, a hit or miss note, and a load report.
 
     Note and load report are strings or fields of a map. None if the response fits none of the router's
     commands, or if its value has no form that a RESP2 client accepts as a value.
     """
-    if isinstance(answer, ErrorReply):
-        return result_of_error(answer.text)
-    if not isinstance(answer, list) or len(answer) not in (2, 3):
+    if isinstance(response, ErrorReply):
+        return result_of_error(response.text)
+    if not isinstance(response, list) or len(response) not in (2, 3):
         return None
-    value = answer[0]
-    note = answer[1]
-    if len(answer) == 2 and not isinstance(note, Map):
+    value = response[0]
+    note = response[1]
+    if len(response) == 2 and not isinstance(note, Map):
         return None
     if isinstance(note, Map):
         note = note.get(b"note")
-    number = NOTE_NONE if note is None else NOTES.get(text_of(note) or b"")
-    if number is None or (value is None and number == NOTE_HIT):
+    note_code = NOTE_NONE if note is None else NOTES.get(text_of(note) or b"")
+    if note_code is None or (value is None and note_code == NOTE_HIT):
         return None
     if value is None:
-        return AttemptResult(AttemptStatus.MISS, answer_note=number)
+        return AttemptResult(AttemptStatus.MISS, answer_note=note_code)
     if isinstance(value, bytes) or _is_resp2_value(encode(value, 2)):
-        return AttemptResult(AttemptStatus.OK, value, number)
+        return AttemptResult(AttemptStatus.OK, value, note_code)
     return None
 
 
@@ -101,21 +101,21 @@
     def _read_handshake(self, data: bytes) -> None:
         self.resp3_reader.feed(data)
         try:
-            while isinstance(answer := self.resp3_reader.next(), Push):
+            while isinstance(response := self.resp3_reader.next(), Push):
                 pass
         except resp.FramingError:
             self._fail_handshake(AttemptStatus.CONNECT_FAILED)
             return
-        if answer is resp.NEED_DATA:
+        if response is resp.NEED_DATA:
             return
-        error = result_of_error(answer.text) if isinstance(answer, ErrorReply) else None
-        if isinstance(answer, Map) and answer.get(b"proto") == 3:
+        error = result_of_error(response.text) if isinstance(response, ErrorReply) else None
+        if isinstance(response, Map) and response.get(b"proto") == 3:
             self.version = 3
             self.reader = self.resp3_reader
         elif error is not None and error.status is AttemptStatus.FULL:
             self._fail_handshake(AttemptStatus.FULL)
             return
-        elif isinstance(answer, ErrorReply) and self.resp3_reader.idle():
+        elif isinstance(response, ErrorReply) and self.resp3_reader.idle():
             self.pool.known_protocol = 2
         else:
             self._fail_handshake(AttemptStatus.CONNECT_FAILED)
@@ -150,13 +150,13 @@
 
     def next_response(self) -> object:
         """Returns the active attempt's response once it is complete, or NEED_DATA; handles earlier pushes."""
-        while isinstance(answer := super().next_response(), Push):
-            self._handle_push(answer)
-        return answer
+        while isinstance(response := super().next_response(), Push):
+            self._handle_push(response)
+        return response
 
-    def result_of(self, answer: object) -> AttemptResult | None:
+    def result_of(self, response: object) -> AttemptResult | None:
         """Returns the result that a response means; None if it fits none of the router's commands."""
-        return result_of_response(answer) if self.version == 3 else super().result_of(answer)
+        return result_of_response(response) if self.version == 3 else super().result_of(response)
 
     def is_reusable(self) -> bool:
         """Returns whether the connection can be reused: only pushes may follow the response."""
