--- a/rainhitch/node/endpoint_directory.py
+++ b/rainhitch/node/endpoint_directory.py
@@ -61,60 +61,60 @@
     def can_serve(self) -> bool:
         """Whether any cache server is ready."""
         return any(
-            one.endpoint.state is EndpointState.READY and one.endpoint.kind != self.origin_kind
-            for one in self.targets.values()
+            listed.endpoint.state is EndpointState.READY and listed.endpoint.kind != self.origin_kind
+            for listed in self.targets.values()
         )
 
     def is_cache(self, name: str) -> bool:
         """Returns whether the list has a cache server of that name."""
         return name in self.targets and self.targets[name].endpoint.kind != self.origin_kind
 
-    def apply(self, answer: Any, cached: bool = False) -> bool:
+    def apply(self, document: Any, cached: bool = False) -> bool:
         """Applies a list or changes to it, unless its version is older than the current one.
 
         `cached` marks the list in the configuration, which is complete. Returns whether the list is at least
         as new as the current one. Raises EndpointListError if the list is invalid.
         """
-        endpoint_list = read_list(answer)
+        endpoint_list = read_list(document)
         is_whole = endpoint_list.is_whole or cached
-        if not self._is_news(endpoint_list.version, is_whole):
+        if not self._must_apply(endpoint_list.version, is_whole):
             return endpoint_list.version == self.version
         self.version = endpoint_list.version
         self.source_changed = False
-        endpoints = self._readable(endpoint_list)
+        endpoints = self._parse_entries(endpoint_list)
         if is_whole:
-            self._drop_all_but({one.endpoint.server for one in endpoints})
+            self._remove_all_except({listed.endpoint.server for listed in endpoints})
         elif not endpoints:
             return True
-        for one in endpoints:
-            self._place(one)
+        for listed in endpoints:
+            self._put(listed)
         kind = EndpointUpdateKind.FULL if is_whole else EndpointUpdateKind.DELTA
         if cached:
             kind = EndpointUpdateKind.CACHED
-        self.on_update(EndpointUpdate(kind, [one.endpoint for one in endpoints]))
+        self.on_update(EndpointUpdate(kind, [listed.endpoint for listed in endpoints]))
         return True
 
-    def cordon(self, out: set[str], back: set[str]) -> None:
-        """Treats the endpoints `out` as draining, and those in `back` as the list states again."""
-        self.cordoned = (self.cordoned | out) - back
+    def cordon(self, cordoned: set[str], uncordoned: set[str]) -> None:
+        """Treats the endpoints `cordoned` as draining, and `uncordoned` as the list states again."""
+        self.cordoned = (self.cordoned | cordoned) - uncordoned
         changed = []
-        for name in sorted(out | back):
+        for name in sorted(cordoned | uncordoned):
             known = self.targets.get(name)
             if known is None:
                 continue
             started_at_ns = known.endpoint.started_at_ns
-            if name in back:
+            if name in uncordoned:
                 # The server may have restarted while it was cordoned, which the list may not state for
                 # seconds. It counts as started now and gets a slow start, so that it is not overloaded.
                 started_at_ns = self.pools.system.now()
-            state = self._state(name, known.listed_state)
+            state = self._effective_state(name, known.listed_state)
             endpoint = replace(known.endpoint, state=state, started_at_ns=started_at_ns)
-            self._place(replace(known, endpoint=endpoint))
+            self._put(replace(known, endpoint=endpoint))
             changed.append(endpoint)
         if changed:
             self.on_update(EndpointUpdate(EndpointUpdateKind.DELTA, changed))
 
-    def _is_news(self, version: int, is_whole: bool) -> bool:
+    def _must_apply(self, version: int, is_whole: bool) -> bool:
         """Returns whether a list of this version must be applied.
 
         A complete list of the current version is applied again, because the current list may have come from
@@ -126,23 +126,23 @@
             return is_whole
         return version > self.version
 
-    def _readable(self, endpoint_list: EndpointList) -> list[ListedEndpoint]:
+    def _parse_entries(self, endpoint_list: EndpointList) -> list[ListedEndpoint]:
         """Returns the valid entries; logs and skips the others."""
         endpoints = []
         for row in endpoint_list.rows:
             try:
-                endpoints.append(self._listed(read_entry(row, self.names)))
+                endpoints.append(self._listed_endpoint(read_entry(row, self.names)))
             except EndpointListError as problem:
                 log.warning("endpoint list entry skipped reason=%s", problem)
         return endpoints
 
-    def _listed(self, entry: ParsedEntry) -> ListedEndpoint:
+    def _listed_endpoint(self, entry: ParsedEntry) -> ListedEndpoint:
         started_at_ns = 0
         if entry.started_at_unix_ms is not None:
             started_at_ns = max(1, entry.started_at_unix_ms * NS_PER_MS - self.unix_offset_ns)
         endpoint = Endpoint(
             server=entry.server,
-            state=self._state(entry.server, entry.state),
+            state=self._effective_state(entry.server, entry.state),
             kind=entry.kind,
             zone=entry.zone,
             cell=entry.cell,
@@ -151,31 +151,31 @@
         )
         return ListedEndpoint(endpoint, entry.address, started_at_ns / 1e9, entry.state)
 
-    def _state(self, name: str, listed: EndpointState) -> EndpointState:
+    def _effective_state(self, name: str, listed_state: EndpointState) -> EndpointState:
         """Returns the effective state: a cordoned endpoint in use counts as draining."""
-        is_cordoned = listed in STATES_IN_USE and name in self.cordoned
-        return EndpointState.DRAINING if is_cordoned else listed
+        is_cordoned = listed_state in STATES_IN_USE and name in self.cordoned
+        return EndpointState.DRAINING if is_cordoned else listed_state
 
-    def _place(self, one: ListedEndpoint) -> None:
+    def _put(self, listed: ListedEndpoint) -> None:
         """Adds or replaces an endpoint and its connection pool; removes an endpoint that is gone."""
-        name = one.endpoint.server
-        if one.endpoint.state is EndpointState.GONE:
-            self._drop(name)
+        name = listed.endpoint.server
+        if listed.endpoint.state is EndpointState.GONE:
+            self._remove(name)
             return
-        is_origin = one.endpoint.kind == self.origin_kind
+        is_origin = listed.endpoint.kind == self.origin_kind
         connection_class = OriginConnection if is_origin else self.cache_connection_class
-        pool = self.pools.add(name, one.address, connection_class)
+        pool = self.pools.add(name, listed.address, connection_class)
         known = self.targets.get(name)
-        if known is not None and known.started_at_s != one.started_at_s:
-            pool.close_opened_before(one.started_at_s)
-        if one.endpoint.state not in STATES_IN_USE:
+        if known is not None and known.started_at_s != listed.started_at_s:
+            pool.close_opened_before(listed.started_at_s)
+        if listed.endpoint.state not in STATES_IN_USE:
             pool.drain()
-        self.targets[name] = one
+        self.targets[name] = listed
 
-    def _drop_all_but(self, kept: set[str]) -> None:
+    def _remove_all_except(self, kept: set[str]) -> None:
         for name in [name for name in self.targets if name not in kept]:
-            self._drop(name)
+            self._remove(name)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self.targets.pop(name, None)
         self.pools.remove(name)
--- a/rainhitch/node/endpoint_list.py
+++ b/rainhitch/node/endpoint_list.py
@@ -65,17 +65,17 @@
     return host.strip("[]"), int(port)
 
 
-def read_list(answer: Any) -> EndpointList:
+def read_list(document: Any) -> EndpointList:
     """Returns the list in a decoded JSON response; its rows are not parsed yet.
 
     Raises EndpointListError if there is no list, or if its version is not an integer.
     """
-    if not isinstance(answer, dict) or not isinstance(answer.get("targets"), list):
-        raise EndpointListError(f"expected an object with a list of targets, got {type(answer).__name__}")
-    version = answer.get("rev")
+    if not isinstance(document, dict) or not isinstance(document.get("targets"), list):
+        raise EndpointListError(f"expected an object with a list of targets, got {type(document).__name__}")
+    version = document.get("rev")
     if type(version) is not int:
         raise EndpointListError(f"expected an integer as rev, got {version!r}")
-    return EndpointList(version, answer.get("all") is True, answer["targets"])
+    return EndpointList(version, document.get("all") is True, document["targets"])
 
 
 def read_entry(row: Any, names: Names) -> ParsedEntry:
