--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -24,7 +24,7 @@
 LIST_PATH = "/api/targets"
 HTTP_OK = 200
 MAX_LIST_BYTES = 1 << 20  # limit to protect the router's small memory; an entry has about 150 bytes
-LOOP_TURN_S = 0.001  # time for the event loop to read its sockets once more
+LOOP_ITERATION_S = 0.001  # time for the event loop to read its sockets once more
 MIN_JITTER_FRACTION = 0.5  # of a pause, so that routers do not call discovery in step
 MAX_JITTER_FRACTION = 1.0
 # The labels under which `second` records count failures. Programs read them, so they stay the same when a
@@ -45,19 +45,19 @@
     return type(problem).__name__
 
 
-async def answer_within(patience_s: float, asking: Coroutine[Any, Any, HttpResponse]) -> HttpResponse:
-    """Returns the response to the call `asking`; raises TimeoutError if there is none after `patience_s`.
+async def wait_for_response(timeout_s: float, call: Coroutine[Any, Any, HttpResponse]) -> HttpResponse:
+    """Returns the response to `call`; raises TimeoutError if there is none after `timeout_s`.
 
     When the event loop is late, its timers run before its sockets are read, and a call would fail although
     its response has arrived. So the loop reads its sockets once more before the call counts as failed.
     """
-    task = asyncio.get_running_loop().create_task(asking)
+    task = asyncio.get_running_loop().create_task(call)
     try:
-        finished, _ = await asyncio.wait({task}, timeout=patience_s)
+        finished, _ = await asyncio.wait({task}, timeout=timeout_s)
         if not finished:
-            await asyncio.wait({task}, timeout=LOOP_TURN_S)
+            await asyncio.wait({task}, timeout=LOOP_ITERATION_S)
         if not task.done():
-            raise TimeoutError(f"no response within {patience_s:g} s")
+            raise TimeoutError(f"no response within {timeout_s:g} s")
         return task.result()
     finally:
         task.cancel()
@@ -69,7 +69,7 @@
     def __init__(self, host: str) -> None:
         self.http = HttpClientCodec(host, MAX_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[HttpResponse] | None = None
+        self.response: asyncio.Future[HttpResponse] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport of the established connection."""
@@ -77,33 +77,33 @@
 
     def data_received(self, data: bytes) -> None:
         """Handles received data; closes the connection if no call is waiting for it."""
-        if self.answer is None or self.answer.done():
+        if self.response is None or self.response.done():
             self.close()
             return
         try:
-            answer = self.http.receive(data)
+            response = self.http.receive(data)
         except HttpError as problem:
-            self.answer.set_exception(problem)
+            self.response.set_exception(problem)
             return
-        if answer is not None:
-            self.answer.set_result(answer)
+        if response is not None:
+            self.response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Handles the end of the connection; a waiting call fails."""
         self.transport = None
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(ConnectionResetError("discovery closed the connection"))
+        if self.response is not None and not self.response.done():
+            self.response.set_exception(ConnectionResetError("discovery closed the connection"))
 
     async def get(self, target: str) -> HttpResponse:
         """Returns the response to a GET; raises HttpError, or ConnectionResetError if discovery closes."""
         if self.transport is None:
             raise ConnectionResetError("discovery closed the connection")
-        self.answer = asyncio.get_running_loop().create_future()
+        self.response = asyncio.get_running_loop().create_future()
         self.transport.write(self.http.request(b"GET", target.encode()))
-        answer = await self.answer
+        response = await self.response
         if not self.http.reset_for_next_request():
             self.close()
-        return answer
+        return response
 
     def close(self) -> None:
         """Closes the connection."""
@@ -162,7 +162,7 @@
         if address == self.address or self.stopped:
             return
         was_polling = self.state is WatchState.POLLING
-        self._end()
+        self._stop_polling()
         self.address = address
         self.connection = None
         self.directory.source_changed = True
@@ -173,9 +173,9 @@
     def stop(self) -> None:
         """Stops the watch for good."""
         self.stopped = True
-        self._end()
+        self._stop_polling()
 
-    def _end(self) -> None:
+    def _stop_polling(self) -> None:
         if self.task is not None:
             self.task.cancel()
         if self.connection is not None:
@@ -223,10 +223,10 @@
         target = LIST_PATH
         if call.is_watch:
             target += f"?from={self.directory.version}&hold_ms={int(call.hold_s * 1000)}"
-        answer = await answer_within(call.patience_s, self._get(target))
-        if answer.status != HTTP_OK:
-            raise HttpError(f"expected status {HTTP_OK}, got {answer.status}")
-        self.directory.apply(orjson.loads(bytes(answer.body)))
+        response = await wait_for_response(call.timeout_s, self._get(target))
+        if response.status != HTTP_OK:
+            raise HttpError(f"expected status {HTTP_OK}, got {response.status}")
+        self.directory.apply(orjson.loads(bytes(response.body)))
 
     async def _get(self, target: str) -> HttpResponse:
         connection = await self._connected()
--- a/rainhitch/node/polling.py
+++ b/rainhitch/node/polling.py
@@ -6,10 +6,10 @@
 whatever failed before. There are two worst cases, and both sums stay below the guarantee, with a margin for
 a late event loop:
 
-    a watch that gets no response from its start:         hold_s + hold_margin_s + first_pause_s + patience_s
-    a call started just before discovery is reachable:    patience_s + max_pause_s + patience_s
+    a watch that gets no response from its start:         hold_s + hold_margin_s + first_pause_s + timeout_s
+    a call started just before discovery is reachable:    timeout_s + max_pause_s + timeout_s
 
-(The last `patience_s` of each sum is for the call that returns the change.)
+(The last `timeout_s` of each sum is for the call that returns the change.)
 
 States and transitions of `PollSchedule`:
 
@@ -36,20 +36,20 @@
 
     hold_s: float  # time for which discovery is to hold a watch while nothing changes
     hold_margin_s: float  # time after its hold at which a watch without a response has failed
-    patience_s: float  # time-out of a call for the whole list
+    timeout_s: float  # time-out of a call for the whole list
     first_pause_s: float  # after a failed watch, and after the first failed call
     max_pause_s: float  # limit of the pause, which doubles with each failure
 
     def longest(self) -> float:
         """Returns the longest time in seconds that a change stays unknown while discovery is reachable."""
-        silent_watch_s = self.hold_s + self.hold_margin_s + self.first_pause_s + self.patience_s
-        late_call_s = 2 * self.patience_s + self.max_pause_s
+        silent_watch_s = self.hold_s + self.hold_margin_s + self.first_pause_s + self.timeout_s
+        late_call_s = 2 * self.timeout_s + self.max_pause_s
         return max(silent_watch_s, late_call_s)
 
 
 # After an agent's restart its list is known again within the grace period of a drain.
-PUSHED_TIMES = PollTimes(hold_s=1.5, hold_margin_s=0.5, patience_s=0.6, first_pause_s=0.05, max_pause_s=0.3)
-POLLED_TIMES = PollTimes(hold_s=2.9, hold_margin_s=0.6, patience_s=1.6, first_pause_s=0.2, max_pause_s=2.0)
+PUSHED_TIMES = PollTimes(hold_s=1.5, hold_margin_s=0.5, timeout_s=0.6, first_pause_s=0.05, max_pause_s=0.3)
+POLLED_TIMES = PollTimes(hold_s=2.9, hold_margin_s=0.6, timeout_s=1.6, first_pause_s=0.2, max_pause_s=2.0)
 
 
 class PollState(Enum):
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PollCall:
-    """A call that is due; it has failed if there is no response within `patience_s`."""
+    """A call that is due; it has failed if there is no response within `timeout_s`."""
 
     hold_s: float  # hold time of a watch; 0 for the whole list, which is returned at once
-    patience_s: float
+    timeout_s: float
 
     @property
     def is_watch(self) -> bool:
@@ -90,7 +90,7 @@
         """Returns the call that is due now."""
         times = self.times
         if self.state is PollState.WHOLE_LIST:
-            return PollCall(0.0, times.patience_s)
+            return PollCall(0.0, times.timeout_s)
         return PollCall(times.hold_s, times.hold_s + times.hold_margin_s)
 
     def succeeded(self) -> None:
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -46,9 +46,7 @@
     one, updates = directory()
     host, _, port = web.address.partition(":")
     watch = DiscoveryWatch((host, int(port)), one, 1, polled=False)
-    watch.times = PollTimes(
-        hold_s=0.1, hold_margin_s=0.3, patience_s=0.3, first_pause_s=0.05, max_pause_s=1.0
-    )
+    watch.times = PollTimes(hold_s=0.1, hold_margin_s=0.3, timeout_s=0.3, first_pause_s=0.05, max_pause_s=1.0)
     watch.start()
     await wait_until(lambda: one.version == 10 and len(web.received) > 8)
     targets = [asked[1] for asked in web.received[:9]]
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -46,7 +46,7 @@
     polling, now, known = PollSchedule(times, polled, lambda: jitter), begin, False
     while True:
         call = polling.call()
-        until = now + call.patience_s
+        until = now + call.timeout_s
         answer = now
         if call.hold_s:  # the response comes with the change, at the end of the hold, or never
             answer = max(now, change) if not known and change <= now + call.hold_s else now + call.hold_s
@@ -107,7 +107,7 @@
 
 
 def test_an_agent_that_returns_is_asked_again_within_a_drains_grace() -> None:
-    assert PUSHED_TIMES.patience_s + PUSHED_TIMES.max_pause_s < 1.0
+    assert PUSHED_TIMES.timeout_s + PUSHED_TIMES.max_pause_s < 1.0
 
 
 def test_a_failed_watch_is_followed_by_a_call_for_the_whole_list_even_where_polled() -> None:
