--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -143,7 +143,7 @@
         self.task: asyncio.Task[None] | None = None
         self.stopped = False
         self.counts = directory.pools.counts
-        self.answered_at = 0.0  # loop time of discovery's last successful response, in seconds; 0 if none
+        self.last_response_at_s = 0.0  # loop time of discovery's last successful response, in seconds; 0 if none
 
     @property
     def state(self) -> WatchState:
@@ -216,7 +216,7 @@
             log.exception("endpoint list not applied reason=internal_error")
             return False
         self.counts.add("calls", "ok")
-        self.answered_at = asyncio.get_running_loop().time()
+        self.last_response_at_s = asyncio.get_running_loop().time()
         return True
 
     async def _call(self, call: PollCall) -> None:
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -204,8 +204,8 @@
         if record is not None:
             record.open = self.pools.open_count()
             record.rate = 0.0 if throttle is None else round(throttle.rate_per_s, 1)
-            if self.watch.answered_at:
-                record.list_age = round(loop.time() - self.watch.answered_at, 2)
+            if self.watch.last_response_at_s:
+                record.list_age = round(loop.time() - self.watch.last_response_at_s, 2)
             write_record(record)
         for bad in self.pools.counts.take_bad_requests():
             write_record(bad)
