--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -47,7 +47,7 @@
 GENERATION_UNIT_NS = 250_000_000
 GENERATION_MASK = 0xFFFFFFFF
 RECORD_INTERVAL_S = 1.0
-RECORD_WORDS = {kind: word for word, kind in WORDS.items()}
+RECORD_LABELS = {kind: label for label, kind in WORDS.items()}
 log = logging.getLogger("rainhitch")
 
 
@@ -87,7 +87,7 @@
         self.etcd: EtcdSource | None = None
         self.tenant_usage: TenantUsage | None = None
         self.pools = make_pools(configuration)
-        buffer_bytes = buffer_share(configuration.memory_bytes)
+        buffer_bytes = buffer_limit_bytes(configuration.memory_bytes)
         self.overload = OverloadController(
             settings, configuration.seed, None if operator is None else operator.storms.options()
         )
@@ -97,7 +97,7 @@
             self.balancer, self.pools, max_requests, buffer_bytes, class_names=list(names.classes), host=self
         )
         self.driver.accounting.tenant_names.update((number, name) for name, number in names.tenants.items())
-        _, max_clients = socket_caps(configuration.sockets)
+        _, max_clients = connection_limits(configuration.sockets)
         self.clients = ClientConnections(
             self.driver, names, max_clients, buffer_bytes, can_serve=self.can_serve, overload=self.overload
         )
@@ -237,20 +237,20 @@
         log.info("router stopping")
         self.stopping = True
         begun_at_s = loop.time()
-        times = shutdown_schedule(
+        schedule = shutdown_schedule(
             max(one.deadline_ns for one in self.configuration.settings.classes) / NS_PER_S
         )
-        self.clients.schedule = times
-        self.driver.stop(times.all_answered_s)
+        self.clients.schedule = schedule
+        self.driver.stop(schedule.all_answered_s)
         self.clients.drain()
         if self.admin is not None:
             self.admin.stop()
         if self.configuration.inherited_fd is None:
-            await asyncio.sleep(times.stop_accepting_s)
+            await asyncio.sleep(schedule.stop_accepting_s)
             if self.clients.listener is not None:
                 await self.clients.listener.accept_backlog()
         self.clients.close()
-        await self.clients.emptied(begun_at_s + times.exit_s - loop.time())
+        await self.clients.emptied(begun_at_s + schedule.exit_s - loop.time())
         if self.admin is not None:
             self.admin.close()
         self.watch.stop()
@@ -262,7 +262,7 @@
 
 def write_record(record: Second | Bad) -> None:
     """Logs a record as a line that `rainhitch logs` can parse."""
-    log.info("%s %s", RECORD_WORDS[type(record)], orjson.dumps(record).decode())
+    log.info("%s %s", RECORD_LABELS[type(record)], orjson.dumps(record).decode())
 
 
 def apply_operator_config(
@@ -287,12 +287,12 @@
 
 def make_pools(configuration: Configuration) -> ConnectionPools:
     """Returns the server connection pools, with their share of the descriptors."""
-    max_open, _ = socket_caps(configuration.sockets)
+    max_open, _ = connection_limits(configuration.sockets)
     ceilings = configuration.ceilings
     return ConnectionPools(max_open, ceilings.connect_timeout_ns / NS_PER_S, ceilings.keepalive_ns / NS_PER_S)
 
 
-def buffer_share(memory_bytes: int) -> int:
+def buffer_limit_bytes(memory_bytes: int) -> int:
     """Returns the limit in bytes of requests in flight, which is also that of the clients' buffers.
 
     The clients' buffers hold unfinished commands and unread responses. Each of the two gets a quarter of the
@@ -301,14 +301,14 @@
     return max(MIN_BUFFER_BYTES, (memory_bytes - IDLE_PROGRAM_BYTES) // 4)
 
 
-def socket_caps(sockets: int) -> tuple[int, int]:
+def connection_limits(sockets: int) -> tuple[int, int]:
     """Returns the limits of server connections and of client connections for a number of descriptors."""
     return sockets * 3 // 8, sockets // 2
 
 
 def split_descriptors(sockets: int, pools: ConnectionPools, clients: ClientConnections) -> None:
     """Splits the descriptors of this process between client and server connections."""
-    pools.max_open, clients.max_open = socket_caps(sockets)
+    pools.max_open, clients.max_open = connection_limits(sockets)
     pools.descriptors.shared = sockets - SPARE_DESCRIPTORS
 
 
@@ -319,9 +319,9 @@
 
     The limits apply to all processes of the router together.
     """
-    each = sockets // process_count
-    log.info("descriptors split between processes processes=%d descriptors_each=%d", process_count, each)
-    split_descriptors(each, pools, clients)
+    share = sockets // process_count
+    log.info("descriptors split between processes processes=%d descriptors_each=%d", process_count, share)
+    split_descriptors(share, pools, clients)
 
 
 def make_gossip_exchange(
