--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -114,7 +114,7 @@
         names=read_names(settings_document),
         ceilings=read_ceilings(settings_document),
         admin=read_admin_address(document),
-        peers=read_peers(document, settings_document),
+        peers=read_peering(document, settings_document),
         inherited_fd=read_inherited_fd(),
     )
 
@@ -144,7 +144,7 @@
     return None if named is None else read_address(named)
 
 
-def read_peers(document: Json, settings_document: Json) -> Peering | None:
+def read_peering(document: Json, settings_document: Json) -> Peering | None:
     """Returns the gossip addresses; None if there are no other routers or the settings forbid gossip."""
     ceilings = settings_document.get("ceilings")
     is_allowed = isinstance(ceilings, dict) and ceilings.get("mayTell") is True
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -42,7 +42,7 @@
 class ResponseSink(Protocol):
     """The destination of a request's single response: either `fill` or `start_relay` is called, once."""
 
-    def fill(self, answer: bytes) -> None:
+    def fill(self, response: bytes) -> None:
         """Takes the encoded response to send to the client."""
 
     def start_relay(self, relay: Relay) -> None:
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -118,8 +118,8 @@
         self.accounting.accepted(client_request)
         self.host.count_request(client_request.tenant)
         # Calls `deadline_passed` unless the attempt's own timer ends the request first.
-        passed_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
-        request.deadline_timer = self.loop.call_later(passed_in_ns / NS_PER_S, self.deadline_passed, request)
+        delay_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
+        request.deadline_timer = self.loop.call_later(delay_ns / NS_PER_S, self.deadline_passed, request)
         self.decisions.handle(_request_event(request))
         return request
 
@@ -168,7 +168,7 @@
         left, so that it takes no further action for the request.
         """
         if request.is_open():
-            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
+            self._respond(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
             self.decisions.handle(api.ClientGone(request.id))
             self.remove_if_finished(request)
 
@@ -217,16 +217,16 @@
             return
         if isinstance(action, api.Reject):
             retry_after_ms = -(-action.retry_after_ns // NS_PER_MS)  # rounded up
-            answer = resp.busy_reply(retry_after_ms)
-            self._answer(request, answer, self.metrics.rejected, REJECTED_PREFIX + action.reason)
+            response = resp.busy_reply(retry_after_ms)
+            self._respond(request, response, self.metrics.rejected, REJECTED_PREFIX + action.reason)
         else:
-            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, FAILED_PREFIX + action.reason)
+            self._respond(request, resp.FAILED_REPLY, self.metrics.failed, FAILED_PREFIX + action.reason)
         self.remove_if_finished(request)
 
     def send_value(self, request: InFlightRequest, value: object) -> None:
         """Sends the value of a successful attempt to the client."""
-        answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
-        self._answer(request, answer, self.metrics.served, SERVED)
+        response = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
+        self._respond(request, response, self.metrics.served, SERVED)
 
     def start_relay(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
         """Starts to relay a long value to the client as it arrives."""
@@ -242,13 +242,13 @@
         self.accounting.relay_ended(request, whole)
         self.remove_if_finished(request)
 
-    def _answer(self, request: InFlightRequest, answer: bytes, metric: list[int], outcome: str) -> None:
+    def _respond(self, request: InFlightRequest, response: bytes, metric: list[int], outcome: str) -> None:
         """Sends the final response; counts it in `metric` by request class and in the records by outcome."""
         self._mark_finished(request)
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
         self.accounting.answered(request, metric, outcome, is_over_quota)
-        request.sink.fill(answer)
+        request.sink.fill(response)
 
     def _mark_finished(self, request: InFlightRequest) -> None:
         request.state = REQUEST_FINISHED
