--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -20,11 +20,11 @@
 INFO = b"c=read,t=acme,d=9000"
 
 
-def unwanted(source: object, size: int) -> None:
+def refuse_relay(source: object, size: int) -> None:
     """Refuses to relay a long value."""
 
 
-def once(wait: int = 9000) -> bytes:
+def non_idempotent_info(wait: int = 9000) -> bytes:
     """Returns the info list of a request that is not idempotent, with the client's wait in ms."""
     return b"c=once,t=acme,d=%d" % wait
 
@@ -122,24 +122,24 @@
         assert len(bench.cache.received) == 1 and not bench.driver.requests
 
 
-@pytest.mark.parametrize("info", [once(), INFO])
+@pytest.mark.parametrize("info", [non_idempotent_info(), INFO])
 async def test_a_refused_connect_means_not_executed(info: bytes) -> None:
-    def nowhere(cache: Cache, origin: HttpPeer) -> list[dict[str, Any]]:
+    def unreachable(cache: Cache, origin: HttpPeer) -> list[dict[str, Any]]:
         return [entry("c0", "127.0.0.1:1"), entry("o", origin.address, model="origin")]
 
-    async with router(entries=nowhere) as bench:
+    async with router(entries=unreachable) as bench:
         caller = await bench.caller()
         caller.get(info=info)
         assert str(await caller.answer()).startswith("BUSY")
 
 
 async def test_a_break_after_the_last_byte_means_perhaps_executed() -> None:
-    def cut(asked: Any, line: asyncio.StreamWriter) -> None:
+    def abort(asked: Any, line: asyncio.StreamWriter) -> None:
         line.transport.abort()
 
-    async with router(cut) as bench:
+    async with router(abort) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=non_idempotent_info())
         assert str(await caller.answer()) == "ERR failed"
         assert len(bench.cache.received) == 1
 
@@ -147,7 +147,7 @@
 async def test_a_break_before_the_last_byte_means_not_executed() -> None:
     """The value exceeds the sockets' buffers, and the origin reads none of it before it aborts."""
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def read_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.1)
         writer.transport.abort()
@@ -155,10 +155,10 @@
     statuses: list[api.AttemptStatus] = []
     async with router() as bench:
         pool = bench.pools.pools["o"]
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(read_nothing, "127.0.0.1", 0, limit=1024)
         pool.address = server.sockets[0].getsockname()[:2]
         call = ClientRequest(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, 0, 9000, False)
-        pool.start(Exchange(call, 9000, lambda ending: statuses.append(ending.status), unwanted))
+        pool.start(Exchange(call, 9000, lambda ending: statuses.append(ending.status), refuse_relay))
         await wait_until(lambda: statuses)
         assert statuses == [api.AttemptStatus.CONNECT_FAILED]
         server.close()
@@ -170,7 +170,7 @@
 async def test_an_answer_that_cannot_be_read_is_a_reset_and_ends_the_connection(reply: bytes) -> None:
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=non_idempotent_info())
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.cache.ended == 1)
 
@@ -196,7 +196,7 @@
 async def test_only_the_origins_own_rejection_means_not_executed(reply: bytes, answer: str) -> None:
     async with router(origin=lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.send(b"C.SET", b"k", b"w1", once(900), b"value")
+        caller.send(b"C.SET", b"k", b"w1", non_idempotent_info(900), b"value")
         assert str(await caller.answer()) == answer
         await wait_until(lambda: not bench.driver.requests)
 
@@ -344,7 +344,7 @@
         assert await caller.answer() == b"v"
         bench.cache.lines[0].close()
         await wait_until(lambda: not bench.pools.pools["c0"].connections)
-        caller.get(name=b"i2", info=once())
+        caller.get(name=b"i2", info=non_idempotent_info())
         assert await caller.answer() == b"v"
 
 
@@ -390,14 +390,14 @@
     async with router(entries=lambda _, origin: two) as bench:
         handle = bench.driver.balancer.handle
 
-        def impatient(now: int, event: api.Event) -> list[api.Action]:
+        def shorten_first_timeout(now: int, event: api.Event) -> list[api.Action]:
             actions = handle(now, event)
             for action in actions:
                 if isinstance(action, api.StartAttempt) and len(order) == 0:
                     action.timeout_ns = 200_000_000
             return actions
 
-        bench.driver.balancer.handle = impatient  # type: ignore[method-assign]
+        bench.driver.balancer.handle = shorten_first_timeout  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
@@ -422,7 +422,7 @@
     """From a client it is a framing error; from a cache server it fails the attempt, as any invalid reply."""
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=non_idempotent_info())
         assert str(await caller.answer()) == "ERR failed"
         caller.writer.write(sent)
         assert str(await caller.answer()).startswith("ERR Protocol error")
@@ -462,7 +462,7 @@
         endings: list[Any] = []
         call = ClientRequest(b"C.GET", b"k", b"i2", INFO, None, 0, 0, 9000, False)
         pool = bench.pools.pools["c0"]
-        pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, endings.append, unwanted))
+        pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, endings.append, refuse_relay))
         await wait_until(lambda: endings)
         assert endings[0].status is api.AttemptStatus.OK
 
@@ -470,7 +470,7 @@
 async def test_answered_requests_leave_no_reference_cycles() -> None:
     """Guards against reference cycles, which kept values of up to 64 KiB until the garbage collector ran."""
 
-    def kept() -> list[InFlightRequest]:
+    def live_requests() -> list[InFlightRequest]:
         return [one for one in gc.get_objects() if isinstance(one, InFlightRequest)]
 
     async with router(lambda asked, line: None) as bench:
@@ -480,10 +480,10 @@
         try:
             caller.get()
             await wait_until(lambda: bench.cache.received)
-            assert len(kept()) == 1
+            assert len(live_requests()) == 1
             bench.cache.lines[0].write(hit())
             assert await caller.answer() == b"v"
-            assert not kept()
+            assert not live_requests()
         finally:
             gc.enable()
 
@@ -509,7 +509,7 @@
         caller = await bench.caller()
         caller.get(name=b"i1")
         await wait_until(lambda: bench.cache.received)
-        caller.get(name=b"i2", info=once())
+        caller.get(name=b"i2", info=non_idempotent_info())
         await wait_until(lambda: len(bench.driver.requests) == 1)
         bench.cache.lines[0].write(hit())
         assert await caller.answer() == b"v"
