--- a/tests/node/test_cache_connection.py
+++ b/tests/node/test_cache_connection.py
@@ -3,7 +3,7 @@
 import pytest
 from peers import router, wait_until
 
-ONCE = b"c=once,t=acme,d=9000"
+NON_IDEMPOTENT_INFO = b"c=once,t=acme,d=9000"
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
     """
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=ONCE)
+        caller.get(info=NON_IDEMPOTENT_INFO)
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.cache.ended == 1)
         assert len(bench.cache.received) == 1
@@ -53,7 +53,7 @@
 async def test_an_answer_with_an_unreadable_load_report_is_used(reply: bytes, answer: str) -> None:
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=ONCE)
+        caller.get(info=NON_IDEMPOTENT_INFO)
         received = await caller.answer()
         assert (received.decode() if isinstance(received, bytes) else str(received)) == answer
         assert bench.cache.ended == 0
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -10,10 +10,10 @@
 from rainhitch.node import connection_pool
 from rainhitch.system import REAL_SYSTEM
 
-ONCE = b"c=once,t=acme,d=9000"
+NON_IDEMPOTENT_INFO = b"c=once,t=acme,d=9000"
 
 
-async def reused(bench: Bench, behind: bytes) -> Any:
+async def second_response(bench: Bench, trailing: bytes) -> Any:
     """Answers a request with unread bytes behind the response; returns the response to a second request."""
     caller = await bench.caller()
     caller.get(name=b"i1")
@@ -21,19 +21,19 @@
     (idle,) = bench.pools.pools["c0"].idle
     assert idle.transport is not None
     idle.transport.pause_reading()  # as if the bytes arrived between two polls of the sockets
-    bench.cache.lines[0].write(behind)
+    bench.cache.lines[0].write(trailing)
     await wait_until(lambda: REAL_SYSTEM.readable(idle.transport))  # type: ignore[arg-type]
     caller.get(name=b"i2")
     return await caller.answer()
 
 
-@pytest.mark.parametrize("behind", [hit(b"i1"), b"\xff"])
+@pytest.mark.parametrize("trailing", [hit(b"i1"), b"\xff"])
 async def test_a_second_copy_behind_an_answer_is_not_the_next_answer(
-    monkeypatch: pytest.MonkeyPatch, behind: bytes
+    monkeypatch: pytest.MonkeyPatch, trailing: bytes
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
-        assert await reused(bench, behind) == b"i2"
+        assert await second_response(bench, trailing) == b"i2"
         assert len(bench.cache.lines) == 2
 
 
@@ -59,7 +59,7 @@
 
         caller = await bench.caller()
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", none_left)
-        caller.get(info=ONCE)
+        caller.get(info=NON_IDEMPOTENT_INFO)
         assert str(await caller.answer()).startswith("BUSY")
         assert bench.driver.balancer.servers.servers["c0"].connection.consecutive_failures == 0
         assert not bench.pools.pools["c0"].connections
@@ -117,7 +117,7 @@
 
 
 def test_a_socket_that_is_closed_by_its_peer_is_readable() -> None:
-    class Bare:
+    class FakeTransport:
         def __init__(self, one: socket.socket) -> None:
             self.one = one
 
@@ -126,9 +126,9 @@
 
     one, other = socket.socketpair()
     with one, other:
-        assert not REAL_SYSTEM.readable(Bare(one))  # type: ignore[arg-type]
+        assert not REAL_SYSTEM.readable(FakeTransport(one))  # type: ignore[arg-type]
         other.shutdown(socket.SHUT_RDWR)
-        assert REAL_SYSTEM.readable(Bare(one))  # type: ignore[arg-type]
+        assert REAL_SYSTEM.readable(FakeTransport(one))  # type: ignore[arg-type]
 
 
 async def test_a_silent_connection_costs_one_attempt_and_not_the_request() -> None:
--- a/tests/node/test_origin_connection.py
+++ b/tests/node/test_origin_connection.py
@@ -6,7 +6,7 @@
 import pytest
 from peers import FETCHED, MISS, http, router, wait_until
 
-ONCE = b"c=once,t=acme,d=9000"
+NON_IDEMPOTENT_INFO = b"c=once,t=acme,d=9000"
 
 
 @pytest.mark.parametrize(
@@ -29,7 +29,7 @@
 
     async with router(origin=answer) as bench:
         caller = await bench.caller()
-        caller.send(b"C.SET", b"k", b"w", ONCE, b"value")
+        caller.send(b"C.SET", b"k", b"w", NON_IDEMPOTENT_INFO, b"value")
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.origin.ended == 1)
         assert len(bench.origin.received) == 1
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -17,7 +17,7 @@
 NO_JITTER = 1.0  # fraction that gives the longest pause
 
 
-def known_after(
+def staleness_s(
     times: PollTimes,
     polled: bool,
     change: float,
@@ -79,7 +79,7 @@
     worst = 0.0
     for change, start, length, silent in itertools.product(grid, grid, lengths, grid):
         outages = [(start, start + length), (start + length + 0.3, start + length + 0.9)]
-        worst = max(worst, known_after(times, polled, change, outages, silent))
+        worst = max(worst, staleness_s(times, polled, change, outages, silent))
     assert worst <= times.longest() + 1e-9
     assert worst > times.longest() / 2  # the computed limit is not far above the worst case
 
@@ -103,7 +103,7 @@
         if start > end:
             downs.append((start, end := start + length))
     times, polled = kind
-    assert known_after(times, polled, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
+    assert staleness_s(times, polled, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
 
 
 def test_an_agent_that_returns_is_asked_again_within_a_drains_grace() -> None:
