--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -18,7 +18,7 @@
 from rainhitch.settings import read_names
 
 
-def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
+def make_directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
     """Returns a directory and the list of the updates that it publishes."""
     updates: list[api.EndpointUpdate] = []
     return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append), updates
@@ -41,15 +41,15 @@
         http(200, b"{not JSON"),
         whole_list(10, c0),
     ]
-    web = HttpPeer(lambda asked, line: script.pop(0) if script else None)
-    await web.start()
-    one, updates = directory()
-    host, _, port = web.address.partition(":")
-    watch = DiscoveryWatch((host, int(port)), one, 1, polled=False)
+    discovery = HttpPeer(lambda asked, line: script.pop(0) if script else None)
+    await discovery.start()
+    directory, updates = make_directory()
+    host, _, port = discovery.address.partition(":")
+    watch = DiscoveryWatch((host, int(port)), directory, 1, polled=False)
     watch.times = PollTimes(hold_s=0.1, hold_margin_s=0.3, timeout_s=0.3, first_pause_s=0.05, max_pause_s=1.0)
     watch.start()
-    await wait_until(lambda: one.version == 10 and len(web.received) > 8)
-    targets = [asked[1] for asked in web.received[:9]]
+    await wait_until(lambda: directory.version == 10 and len(discovery.received) > 8)
+    targets = [asked[1] for asked in discovery.received[:9]]
     full, after = b"/api/targets", b"/api/targets?from=%d&hold_ms=100"
     assert targets == [full, after % 7, after % 8, full, after % 9, full, full, full, after % 10]
     assert [event.kind for event in updates] == [
@@ -59,23 +59,23 @@
         api.EndpointUpdateKind.FULL,
     ]
     watch.stop()
-    await web.stop()
+    await discovery.stop()
 
 
 async def test_where_lists_are_polled_a_failure_is_reported_to_the_decisions() -> None:
-    web = HttpPeer(lambda asked, line: http(503))
-    await web.start()
-    one, updates = directory()
-    host, _, port = web.address.partition(":")
-    watch = DiscoveryWatch((host, int(port)), one, 1, polled=True)
+    discovery = HttpPeer(lambda asked, line: http(503))
+    await discovery.start()
+    directory, updates = make_directory()
+    host, _, port = discovery.address.partition(":")
+    watch = DiscoveryWatch((host, int(port)), directory, 1, polled=True)
     watch.start()
     await wait_until(lambda: updates)
-    assert updates[0].kind is api.EndpointUpdateKind.FAILED and len(web.received) == 1
+    assert updates[0].kind is api.EndpointUpdateKind.FAILED and len(discovery.received) == 1
     await wait_until(lambda: watch.task is not None and watch.task.done())
     watch.start()
     await wait_until(lambda: len(updates) == 2)
     watch.stop()
-    await web.stop()
+    await discovery.stop()
 
 
 @pytest.mark.parametrize(
--- a/tests/node/test_endpoint_directory.py
+++ b/tests/node/test_endpoint_directory.py
@@ -15,21 +15,21 @@
 from rainhitch.settings import read_names
 
 
-def directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
+def make_directory() -> tuple[EndpointDirectory, list[api.EndpointUpdate]]:
     """Returns a directory and the list of the updates that it publishes."""
     updates: list[api.EndpointUpdate] = []
     return EndpointDirectory(read_names(info()), 1, ConnectionPools(64, 0.25, 60.0), updates.append), updates
 
 
 async def test_a_list_becomes_an_update_with_names_as_indexes_and_start_times_on_the_clock() -> None:
-    one, updates = directory()
+    directory, updates = make_directory()
     boot = time.time_ns() // 1_000_000 - 1000
     entries = (
         entry("c0", "127.0.0.1:1", az="b", pod_group=3, capacity_hint=1.5, boot_ms=boot),
         entry("o", "h:2"),
     )
-    one.apply(listing(1, *entries), cached=True)
-    one.apply(listing(2, *entries))
+    directory.apply(listing(1, *entries), cached=True)
+    directory.apply(listing(2, *entries))
     member = updates[0].entries[0]
     assert (member.server, member.zone, member.cell, member.weight) == ("c0", 1, 3, 1.5)
     assert abs(time.monotonic_ns() - 1_000_000_000 - member.started_at_ns) < PATIENCE * 1e9
@@ -40,18 +40,18 @@
 
 async def test_an_older_version_changes_nothing() -> None:
     """A delayed response may hold an older list, which must not restore endpoints that are gone."""
-    one, updates = directory()
-    one.apply(listing(5, entry("c0", "127.0.0.1:1")))
-    one.apply(listing(4))
-    one.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
-    assert len(updates) == 1 and one.version == 5 and one.can_serve
+    directory, updates = make_directory()
+    directory.apply(listing(5, entry("c0", "127.0.0.1:1")))
+    directory.apply(listing(4))
+    directory.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
+    assert len(updates) == 1 and directory.version == 5 and directory.can_serve
 
 
 async def test_an_unreadable_entry_is_skipped_and_logged_and_the_others_stand(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """One invalid entry must not invalidate the list, and the log must name the entry for the operator."""
-    one, updates = directory()
+    directory, updates = make_directory()
     odd: list[Any] = [
         entry("x1", "127.0.0.1:1", model="m99"),
         entry("x2", "127.0.0.1:1", az="z"),
@@ -61,13 +61,13 @@
         {"uid": "x6"},
         "x7",
     ]
-    one.apply(listing(1, *odd, entry("c0", "127.0.0.1:1")))
+    directory.apply(listing(1, *odd, entry("c0", "127.0.0.1:1")))
     assert [member.server for member in updates[0].entries] == ["c0"]
     assert caplog.text.count("endpoint list entry skipped") == len(odd)
     answers: list[Any] = [None, [], {"targets": []}, {"rev": "1", "targets": []}, {"rev": 2}]
     for bad in answers:
         with pytest.raises(EndpointListError):
-            one.apply(bad)
+            directory.apply(bad)
 
 
 async def test_a_changed_address_or_start_time_drops_the_old_connections(
