--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -68,8 +68,8 @@
         number = request.attempts_started
         request.attempts_started += 1
         attempt = Attempt(request, number, action.server, now)
-        left_ns = request.deadline_ns - now
-        timeout_ns = min(action.timeout_ns, left_ns) if action.timeout_ns else left_ns
+        remaining_ns = request.deadline_ns - now
+        timeout_ns = min(action.timeout_ns, remaining_ns) if action.timeout_ns else remaining_ns
         pool = self.pools.pools.get(action.server)
         max_attempts = self.decisions.balancer.settings.max_attempts
         is_allowed = request.state is REQUEST_OPEN and request.attempt is None and number < max_attempts
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -171,11 +171,11 @@
         if not self.resp3_reader.buffer:
             return self.resp3_reader.idle()
         try:
-            while isinstance(more := self.resp3_reader.next(), Push):
-                self._handle_push(more)
+            while isinstance(message := self.resp3_reader.next(), Push):
+                self._handle_push(message)
         except resp.FramingError:
             return False
-        return more is resp.NEED_DATA and (self.resp3_reader.idle() or self.resp3_reader.in_push())
+        return message is resp.NEED_DATA and (self.resp3_reader.idle() or self.resp3_reader.in_push())
 
     def _handle_push(self, push: Push) -> None:
         keys = push.items[1] if len(push.items) == 2 else 0
@@ -192,5 +192,5 @@
         if self.transport is None or self.transport.is_closing():
             return UNUSABLE
         # Unread data may be a push: the event loop reads it soon, and closes the connection on anything else.
-        waits = self.host.system.readable(self.transport) or not self.resp3_reader.idle()
-        return BUSY if waits else REUSABLE
+        is_busy = self.host.system.readable(self.transport) or not self.resp3_reader.idle()
+        return BUSY if is_busy else REUSABLE
