--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -143,7 +143,7 @@
         self.task: asyncio.Task[None] | None = None
         self.stopped = False
         self.counts = directory.pools.counts
-        self.last_response_at_s = 0.0  # loop time of discovery's last successful response, in seconds; 0 if none
+        self.last_response_at_s = 0.0  # loop time of the last successful response; 0 if none
 
     @property
     def state(self) -> WatchState:
