--- a/tests/virtual/test_explore.py
+++ b/tests/virtual/test_explore.py
@@ -77,7 +77,7 @@
     """Every rejection and failure is marked as answered, and its answer is not sent."""
     from rainhitch.node.request_driver import RequestDriver
 
-    answer = RequestDriver._answer
+    answer = RequestDriver._respond
 
     def forgets(self: RequestDriver, held: Any, text: bytes, counts: list[int], how: str) -> None:
         if counts is not self.metrics.served:
@@ -85,7 +85,7 @@
         else:
             answer(self, held, text, counts, how)
 
-    monkeypatch.setattr(RequestDriver, "_answer", forgets)
+    monkeypatch.setattr(RequestDriver, "_respond", forgets)
     faults = [{"kind": "database-stop", "at_s": 0.2, "for_s": 1.0}]
     result = run_case(fuzz_case({**SMALL_TABLES, "faults": faults}, 1))
     assert any(kind.startswith("lost") for kind in result.failure_kinds)
