--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -63,8 +63,8 @@
     ),
     "a broken connection was never up": Mutant(
         "node/upstream_connection.py",
-        "status = AttemptStatus.RESET if was_written else never_up",
-        "status = never_up",
+        "status = AttemptStatus.RESET if was_written else status_if_unwritten",
+        "status = status_if_unwritten",
     ),
     "the last answer is late": Mutant(
         "node/deadlines.py",
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -217,12 +217,12 @@
         """Ends the attempt as RESET and closes the connection, since the received data is invalid."""
         self.finish(AttemptResult(AttemptStatus.RESET), reusable=False)
 
-    def lost(self, never_up: AttemptStatus = AttemptStatus.CONNECT_FAILED) -> None:
-        """Handles a lost or failed connection; `never_up` is the status of an attempt that never ran."""
+    def lost(self, status_if_unwritten: AttemptStatus = AttemptStatus.CONNECT_FAILED) -> None:
+        """Handles a lost or failed connection; an unwritten attempt ends with `status_if_unwritten`."""
         self._abort_relay()
         self.is_closed = True
         was_written = self.write_progress is WRITTEN
-        status = AttemptStatus.RESET if was_written else never_up
+        status = AttemptStatus.RESET if was_written else status_if_unwritten
         if self.transport is None:
             # The records use this word for every connection that failed to open, including by time-out.
             is_refused = status is AttemptStatus.CONNECT_FAILED
