--- a/rainhitch/node/polling.py
+++ b/rainhitch/node/polling.py
@@ -40,7 +40,7 @@
     first_pause_s: float  # after a failed watch, and after the first failed call
     max_pause_s: float  # limit of the pause, which doubles with each failure
 
-    def longest(self) -> float:
+    def max_staleness_s(self) -> float:
         """Returns the longest time in seconds that a change stays unknown while discovery is reachable."""
         silent_watch_s = self.hold_s + self.hold_margin_s + self.first_pause_s + self.timeout_s
         late_call_s = 2 * self.timeout_s + self.max_pause_s
--- a/tests/ground/test_sites.py
+++ b/tests/ground/test_sites.py
@@ -89,7 +89,7 @@
     assert ceilings.connect_timeout_ns == site["tier"][0]["conn"]["connect_timeout_ms"] * MS
     longest = max(one.deadline_ns for one in settings.classes) / SECOND
     assert shutdown_schedule(longest).exit_s < min(longest, 3) + 0.7
-    assert (POLLED_TIMES if settings.endpoints_polled else PUSHED_TIMES).longest() < 6
+    assert (POLLED_TIMES if settings.endpoints_polled else PUSHED_TIMES).max_staleness_s() < 6
 
 
 def test_each_class_of_a_site_is_served_and_rejected_or_failed_as_its_idempotency_allows(site: Json) -> None:
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize(("times", "polled"), [(PUSHED_TIMES, False), (POLLED_TIMES, True)])
 def test_the_longest_staleness_leaves_time_for_a_late_event_loop(times: PollTimes, polled: bool) -> None:
-    assert times.longest() <= MAX_STALENESS_S - 0.5
+    assert times.max_staleness_s() <= MAX_STALENESS_S - 0.5
     assert times.max_pause_s >= MAX_POLL_RETRY_NS / SECOND or not polled
 
 
@@ -80,8 +80,8 @@
     for change, start, length, silent in itertools.product(grid, grid, lengths, grid):
         outages = [(start, start + length), (start + length + 0.3, start + length + 0.9)]
         worst = max(worst, staleness_s(times, polled, change, outages, silent))
-    assert worst <= times.longest() + 1e-9
-    assert worst > times.longest() / 2  # the computed limit is not far above the worst case
+    assert worst <= times.max_staleness_s() + 1e-9
+    assert worst > times.max_staleness_s() / 2  # the computed limit is not far above the worst case
 
 
 @given(
@@ -103,7 +103,7 @@
         if start > end:
             downs.append((start, end := start + length))
     times, polled = kind
-    assert staleness_s(times, polled, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
+    assert staleness_s(times, polled, change, downs, silent, jitter=jitter) <= times.max_staleness_s() + 1e-9
 
 
 def test_an_agent_that_returns_is_asked_again_within_a_drains_grace() -> None:
