--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -51,13 +51,13 @@
     def __init__(
         self,
         owner: RequestOwner,
-        decisions: DecisionLoop,
+        decision_loop: DecisionLoop,
         pools: ConnectionPools,
         counts: Counts,
     ) -> None:
         self.owner = owner
-        self.decisions = decisions
-        self.clock = decisions.clock
+        self.decision_loop = decision_loop
+        self.clock = decision_loop.clock
         self.pools = pools
         self.counts = counts
         self.loop = asyncio.get_running_loop()
@@ -71,7 +71,7 @@
         remaining_ns = request.deadline_ns - now
         timeout_ns = min(action.timeout_ns, remaining_ns) if action.timeout_ns else remaining_ns
         pool = self.pools.pools.get(action.server)
-        max_attempts = self.decisions.balancer.settings.max_attempts
+        max_attempts = self.decision_loop.balancer.settings.max_attempts
         is_allowed = request.state is REQUEST_OPEN and request.attempt is None and number < max_attempts
         if pool is None or pool.draining or not is_allowed or timeout_ns <= 0:
             self._report(attempt, AttemptResult(api.AttemptStatus.ABANDONED))
@@ -187,12 +187,14 @@
     def _report(self, attempt: Attempt, result: AttemptResult) -> None:
         """Counts an ended attempt and reports it to the Balancer."""
         # A pause of this router is detected first, so that it does not count as the server's latency.
-        self.decisions.detect_pause()
+        self.decision_loop.detect_pause()
         request = attempt.request
-        elapsed_ns = self.decisions.pause_detector.running_time_ns(self.clock.now(), attempt.started_at_ns)
+        elapsed_ns = self.decision_loop.pause_detector.running_time_ns(
+            self.clock.now(), attempt.started_at_ns
+        )
         status = result.status
         request.finished_attempts.append(FinishedAttempt(attempt.server, status, elapsed_ns))
-        origin = self.decisions.balancer.servers.origin
+        origin = self.decision_loop.balancer.servers.origin
         is_origin = origin is not None and origin.endpoint.server == attempt.server
         outcome = f"origin {status.value}" if is_origin else status.value
         self.counts.add("tried", outcome)
@@ -200,7 +202,7 @@
         if status not in (api.AttemptStatus.OK, api.AttemptStatus.MISS):
             self.counts.add("poor", attempt.server)
         reused = attempt.connection is not None and attempt.connection.reused
-        self.decisions.handle(
+        self.decision_loop.handle(
             api.AttemptFinished(
                 request.id,
                 attempt.number,
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -121,7 +121,7 @@
         assert self.transport is not None
         lag = self.host.driver.loop_lag
         lag.callback_begins()
-        self.host.driver.decisions.detect_pause()  # before the read acts on anything
+        self.host.driver.decision_loop.detect_pause()  # before the read acts on anything
         self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
         self.nothing_received = False
         if self.state is CONNECTION_OPEN:
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -88,11 +88,11 @@
         self.reserve = DelayReserve()
         self.loop_lag = pools.loop_lag
         self.loop_lag.report_to(self._loop_delayed)
-        self.decisions = DecisionLoop(
+        self.decision_loop = DecisionLoop(
             balancer, self.clock, self.counts, self._carry_out, self._fail_request_by_id
         )
-        self.attempts = AttemptRunner(self, self.decisions, pools, self.counts)
-        pools.key_invalidations.report_to(self.decisions.handle)
+        self.attempts = AttemptRunner(self, self.decision_loop, pools, self.counts)
+        pools.key_invalidations.report_to(self.decision_loop.handle)
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> InFlightRequest | None:
@@ -120,7 +120,7 @@
         # Calls `deadline_passed` unless the attempt's own timer ends the request first.
         delay_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
         request.deadline_timer = self.loop.call_later(delay_ns / NS_PER_S, self.deadline_passed, request)
-        self.decisions.handle(_request_event(request))
+        self.decision_loop.handle(_request_event(request))
         return request
 
     def withdraw(self, request: InFlightRequest) -> None:
@@ -132,14 +132,14 @@
             return
         self._mark_finished(request)
         self.accounting.client_left(request)
-        self.decisions.handle(api.ClientGone(request.id))
+        self.decision_loop.handle(api.ClientGone(request.id))
         if request.attempt is not None:
             self.attempts.abandon_if_unwritten(request.attempt)
         self.remove_if_finished(request)
 
     def endpoints_updated(self, event: api.EndpointUpdate) -> None:
         """Passes a change of the endpoint list to the Balancer."""
-        self.decisions.handle(event)
+        self.decision_loop.handle(event)
 
     def stop(self, within_s: float) -> None:
         """Answers every request in flight, and every later one, within `within_s` seconds from now."""
@@ -169,7 +169,7 @@
         """
         if request.is_open():
             self._respond(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
-            self.decisions.handle(api.ClientGone(request.id))
+            self.decision_loop.handle(api.ClientGone(request.id))
             self.remove_if_finished(request)
 
     def _fail_request_by_id(self, request_id: str) -> None:
@@ -183,7 +183,7 @@
 
     def _heartbeat(self) -> None:
         self.loop_lag.heartbeat()
-        self.decisions.detect_pause()
+        self.decision_loop.detect_pause()
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def _carry_out(self, action: api.Action) -> None:
@@ -203,7 +203,7 @@
                 self._reject_or_fail(action)
             case api.SetTimer():
                 fired = api.TimerFired(action.token)
-                self.loop.call_later(action.delay_ns / NS_PER_S, self.decisions.handle, fired)
+                self.loop.call_later(action.delay_ns / NS_PER_S, self.decision_loop.handle, fired)
             case api.PublishGossip():
                 self.host.publish_gossip(action.observations)
             case api.WatchEndpoints():
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -177,7 +177,7 @@
         from rainhitch.fleet.gossip_transport import GossipTransport, join
 
         exchange = make_gossip_exchange(self.configuration, peering, self.pools.system, self.fleet_options)
-        deliver = self.driver.decisions.handle
+        deliver = self.driver.decision_loop.handle
         gossip = GossipTransport(exchange, peering.peers, peering.broadcast, deliver)
         if await join(peering.listen, gossip):
             self.gossip = gossip
@@ -191,7 +191,7 @@
     def _end_gossip_interval(self) -> None:
         """Ends a gossip interval and schedules the next one, jittered so that routers are out of step."""
         if self.gossip is not None and not self.gossip.closed:
-            self.driver.decisions.handle(GossipIntervalElapsed())
+            self.driver.decision_loop.handle(GossipIntervalElapsed())
             interval_s = GOSSIP_INTERVAL_NS * self.random.uniform(*GOSSIP_JITTER) / NS_PER_S
             asyncio.get_running_loop().call_later(interval_s, self._end_gossip_interval)
 
