--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -18,7 +18,7 @@
 NS_PER_S = 1_000_000_000
 MAX_IDLE_S = 10.0  # idle time after which a connection is surplus
 MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive, so that the router closes first
-REUSE_DELAY_S = 0.005  # time after a response in which unexpected data behind it shows up
+REUSE_DELAY_S = 0.005  # time after a response for unexpected further data to arrive
 SWEEP_INTERVAL_S = 1.0
 # Above this fraction of the limit an idle server connection is closed to admit a client. Two integers, so
 # that the fraction is exact.
