--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -106,8 +106,8 @@
     def info(self, exchange: Exchange) -> bytes:
         """Returns the info list that is sent along with the key and the id.
 
-        The server is given the time that is left now, less than the client asked for by the time spent on
-        connecting and on earlier attempts.
+        The server is given the time from now to the attempt's deadline, without the time already spent on
+        connecting or on an earlier attempt.
         """
         return exchange.client_request.info_for(exchange.deadline_ns - self.system.now())
 
