--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -1,7 +1,7 @@
-"""The requests that the router holds, from the client's command to its one answer.
+"""Drives the requests in flight, from the client's command to its single response.
 
-Nothing is chosen here: events go to the Balancer (node/decision_loop.py), whose actions are carried out here
-and in node/attempt_runner.py.
+The driver makes no decisions: it passes events to the Balancer (node/decision_loop.py), whose actions are
+carried out here and in node/attempt_runner.py.
 """
 
 import asyncio
@@ -29,22 +29,22 @@
 
 
 class DriverHost(Protocol):
-    """Where the driver passes on what does not concern its requests alone."""
+    """The owner of a driver, which handles what concerns the whole router."""
 
-    def request_taken(self, tenant: int) -> None:
-        """A tenant's request was taken in."""
+    def count_request(self, tenant: int) -> None:
+        """Counts an accepted request of a tenant."""
 
     def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
-        """Tells the other routers, where there are some."""
+        """Publishes observations to the other routers, if there are any."""
 
     def watch_endpoints(self) -> None:
-        """Asks for the endpoint list."""
+        """Starts the source of the endpoint list."""
 
 
-class NoHost:
-    """A driver alone, without other routers and without a source of the list."""
+class StandaloneHost:
+    """The host of a driver that has neither other routers nor a source of the endpoint list."""
 
-    def request_taken(self, tenant: int) -> None:
+    def count_request(self, tenant: int) -> None:
         """Does nothing."""
 
     def publish_gossip(self, observations: list[api.LatencyObservation]) -> None:
@@ -55,9 +55,10 @@
 
 
 class RequestDriver:
-    """The requests in flight of one router, at most `max_requests` of `max_request_bytes` in all.
+    """The requests in flight of one router: at most `max_requests`, with `max_request_bytes` in total.
 
-    `class_names` name the classes in the metrics, in the settings' order; None: by their numbers.
+    `class_names` are the labels of the request classes in the metrics, in the order of the settings; if None,
+    the classes' indexes are used.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         class_names: list[str] | None = None,
         host: DriverHost | None = None,
     ) -> None:
-        self.host = host or NoHost()
+        self.host = host or StandaloneHost()
         self.balancer = balancer
         self.pools = pools
         self.max_requests = max_requests
@@ -87,13 +88,15 @@
         self.reserve = DelayReserve()
         self.loop_lag = pools.loop_lag
         self.loop_lag.report_to(self._loop_delayed)
-        self.decisions = DecisionLoop(balancer, self.clock, self.counts, self._carry_out, self._give_up_by_id)
-        self.attempts = AttemptRunner(self, self.decisions, pools, self.counts)
-        pools.key_invalidations.report_to(self.decisions.handle)
+        self.decision_loop = DecisionLoop(
+            balancer, self.clock, self.counts, self._carry_out, self._fail_request_by_id
+        )
+        self.attempts = AttemptRunner(self, self.decision_loop, pools, self.counts)
+        pools.key_invalidations.report_to(self.decision_loop.handle)
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> InFlightRequest | None:
-        """Takes in a client's command; None where it is answered already."""
+        """Accepts a client's command and returns its request; None if it was answered at once."""
         request_id = client_request.id.decode()
         if request_id in self.requests:
             self.accounting.id_in_use(client_request)
@@ -103,7 +106,7 @@
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
             self.accounting.no_room(client_request)
-            sink.fill(resp.busy_reply(0))  # it has not begun, so that a retry is harmless
+            sink.fill(resp.busy_reply(0))  # the request has not started, so that a retry is safe
             return None
         now = self.clock.now()
         class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
@@ -113,58 +116,66 @@
         self.requests[request_id] = request
         self.request_bytes += size_bytes
         self.accounting.accepted(client_request)
-        self.host.request_taken(client_request.tenant)
-        # So long until `deadline_passed` is called, unless the attempt's own timer ends it before.
-        passed_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
-        request.deadline_timer = self.loop.call_later(passed_in_ns / NS_PER_S, self.deadline_passed, request)
-        self.decisions.handle(_request_event(request))
+        self.host.count_request(client_request.tenant)
+        # Calls `deadline_passed` unless the attempt's own timer ends the request first.
+        delay_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
+        request.deadline_timer = self.loop.call_later(delay_ns / NS_PER_S, self.deadline_passed, request)
+        self.decision_loop.handle(_request_event(request))
         return request
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """The client has left. An attempt that is written whole runs on: its connection stays usable."""
+        """Withdraws a request whose client has left.
+
+        An attempt that is written in full runs on, so that its connection stays usable.
+        """
         if not request.is_open():
             return
         self._mark_finished(request)
         self.accounting.client_left(request)
-        self.decisions.handle(api.ClientGone(request.id))
+        self.decision_loop.handle(api.ClientGone(request.id))
         if request.attempt is not None:
-            self.attempts.take_back(request.attempt)
-        self.forget_if_over(request)
+            self.attempts.abandon_if_unwritten(request.attempt)
+        self.remove_if_finished(request)
 
     def endpoints_updated(self, event: api.EndpointUpdate) -> None:
-        """The endpoint list has changed."""
-        self.decisions.handle(event)
+        """Passes a change of the endpoint list to the Balancer."""
+        self.decision_loop.handle(event)
 
     def stop(self, within_s: float) -> None:
-        """Answers all that is held, and all that comes, within so many seconds from now."""
+        """Answers every request in flight, and every later one, within `within_s` seconds from now."""
         self.reserve.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
-        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._end_all)
+        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._fail_all)
 
-    def _end_all(self) -> None:
+    def _fail_all(self) -> None:
         for request in list(self.requests.values()):
             self.deadline_passed(request)
 
     def deadline_passed(self, request: InFlightRequest) -> None:
-        """Its time is over, and its attempt's timer has not ended it."""
-        if request.is_open() and request.attempt is not None and self.attempts.give_grace(request.attempt):
+        """Fails a request whose deadline has passed, unless its attempt has a response to be read."""
+        if (
+            request.is_open()
+            and request.attempt is not None
+            and self.attempts.extend_timeout(request.attempt)
+        ):
             return
-        self._give_up(request)
+        self._fail_request(request)
 
-    def _give_up(self, request: InFlightRequest) -> None:
-        """Fails a request that the decisions have not ended.
+    def _fail_request(self, request: InFlightRequest) -> None:
+        """Fails a request that the Balancer has not ended.
 
-        Guards clients against a request that the decisions have lost or could not decide on, and against the
-        end of a graceful shutdown. The decisions are told as if its client had left: nothing more is owed.
+        This answers clients whose request the Balancer has lost or could not decide on, and those whose
+        request is still open at the end of a graceful shutdown. The Balancer is told that the client has
+        left, so that it takes no further action for the request.
         """
         if request.is_open():
-            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
-            self.decisions.handle(api.ClientGone(request.id))
-            self.forget_if_over(request)
+            self._respond(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
+            self.decision_loop.handle(api.ClientGone(request.id))
+            self.remove_if_finished(request)
 
-    def _give_up_by_id(self, request_id: str) -> None:
+    def _fail_request_by_id(self, request_id: str) -> None:
         request = self.requests.get(request_id)
         if request is not None:
-            self._give_up(request)
+            self._fail_request(request)
 
     def _loop_delayed(self, delay_ns: int) -> None:
         self.counts.add_lag(delay_ns)
@@ -172,7 +183,7 @@
 
     def _heartbeat(self) -> None:
         self.loop_lag.heartbeat()
-        self.decisions.detect_pause()
+        self.decision_loop.detect_pause()
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
 
     def _carry_out(self, action: api.Action) -> None:
@@ -189,10 +200,10 @@
                 if attempt is not None and attempt.number == action.attempt:
                     self.attempts.time_out(attempt)
             case api.Reject() | api.Fail():
-                self._end_unserved(action)
+                self._reject_or_fail(action)
             case api.SetTimer():
                 fired = api.TimerFired(action.token)
-                self.loop.call_later(action.delay_ns / NS_PER_S, self.decisions.handle, fired)
+                self.loop.call_later(action.delay_ns / NS_PER_S, self.decision_loop.handle, fired)
             case api.PublishGossip():
                 self.host.publish_gossip(action.observations)
             case api.WatchEndpoints():
@@ -200,25 +211,25 @@
             case api.LogLine():
                 log.info("%s", action.text)
 
-    def _end_unserved(self, action: api.Reject | api.Fail) -> None:
+    def _reject_or_fail(self, action: api.Reject | api.Fail) -> None:
         request = self.requests.get(action.id)
         if request is None or not request.is_open():
             return
         if isinstance(action, api.Reject):
             retry_after_ms = -(-action.retry_after_ns // NS_PER_MS)  # rounded up
-            answer = resp.busy_reply(retry_after_ms)
-            self._answer(request, answer, self.metrics.rejected, REJECTED_PREFIX + action.reason)
+            response = resp.busy_reply(retry_after_ms)
+            self._respond(request, response, self.metrics.rejected, REJECTED_PREFIX + action.reason)
         else:
-            self._answer(request, resp.FAILED_REPLY, self.metrics.failed, FAILED_PREFIX + action.reason)
-        self.forget_if_over(request)
+            self._respond(request, resp.FAILED_REPLY, self.metrics.failed, FAILED_PREFIX + action.reason)
+        self.remove_if_finished(request)
 
-    def served(self, request: InFlightRequest, value: object) -> None:
-        """Answers the client with the value of an attempt."""
-        answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
-        self._answer(request, answer, self.metrics.served, SERVED)
+    def send_value(self, request: InFlightRequest, value: object) -> None:
+        """Sends the value of a successful attempt to the client."""
+        response = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
+        self._respond(request, response, self.metrics.served, SERVED)
 
-    def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
-        """Passes a long value on to the client as it arrives."""
+    def start_relay(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+        """Starts to relay a long value to the client as it arrives."""
         request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
         request.relay = relay
@@ -229,15 +240,15 @@
         request.state = REQUEST_FINISHED
         request.relay = None
         self.accounting.relay_ended(request, whole)
-        self.forget_if_over(request)
+        self.remove_if_finished(request)
 
-    def _answer(self, request: InFlightRequest, answer: bytes, metric: list[int], outcome: str) -> None:
-        """Gives the final answer, and counts it in a metric by class and by its outcome."""
+    def _respond(self, request: InFlightRequest, response: bytes, metric: list[int], outcome: str) -> None:
+        """Sends the final response; counts it in `metric` by request class and in the records by outcome."""
         self._mark_finished(request)
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
         self.accounting.answered(request, metric, outcome, is_over_quota)
-        request.sink.fill(answer)
+        request.sink.fill(response)
 
     def _mark_finished(self, request: InFlightRequest) -> None:
         request.state = REQUEST_FINISHED
@@ -245,16 +256,16 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
 
-    def forget_if_over(self, request: InFlightRequest) -> None:
-        """Drops a request that is over and has nothing in flight."""
-        if not request.may_be_forgotten():
+    def remove_if_finished(self, request: InFlightRequest) -> None:
+        """Removes a request that is finished and has no attempt in flight."""
+        if not request.is_removable():
             return
         if self.requests.pop(request.id, None) is not None:
             self.request_bytes -= request.client_request.size_bytes()
 
 
 def _request_event(request: InFlightRequest) -> api.Request:
-    """The request as the decisions see it."""
+    """Returns the event that announces a request to the Balancer."""
     client_request = request.client_request
     return api.Request(
         request.id,
--- a/tests/node/test_cache_connection.py
+++ b/tests/node/test_cache_connection.py
@@ -1,9 +1,9 @@
-"""Answers of cache servers, malformed ones too, over loopback sockets."""
+"""Responses of cache servers, valid and malformed, over loopback sockets."""
 
 import pytest
 from peers import router, wait_until
 
-ONCE = b"c=once,t=acme,d=9000"
+NON_IDEMPOTENT_INFO = b"c=once,t=acme,d=9000"
 
 
 @pytest.mark.parametrize(
@@ -29,13 +29,14 @@
     ],
 )
 async def test_a_malformed_answer_fails_and_counts_as_perhaps_executed(reply: bytes) -> None:
-    """Noise behind -BUSY passed for proof that nothing ran, and an array of any length for a value.
+    """Guards against a corrupted response taken for a valid one.
 
-    Only the exact words count; all else may have been executed.
+    Once `-BUSY` followed by other bytes proved that nothing ran, and an array of any length was a value. Only
+    the exact texts count; after anything else the request may have been executed.
     """
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=ONCE)
+        caller.get(info=NON_IDEMPOTENT_INFO)
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.cache.ended == 1)
         assert len(bench.cache.received) == 1
@@ -52,7 +53,7 @@
 async def test_an_answer_with_an_unreadable_load_report_is_used(reply: bytes, answer: str) -> None:
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=ONCE)
+        caller.get(info=NON_IDEMPOTENT_INFO)
         received = await caller.answer()
         assert (received.decode() if isinstance(received, bytes) else str(received)) == answer
         assert bench.cache.ended == 0
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection to a server an attempt uses, and what is left of it, over loopback sockets."""
+"""The choice, reuse and release of server connections, over loopback sockets."""
 
 import asyncio
 import socket
@@ -10,35 +10,35 @@
 from rainhitch.node import connection_pool
 from rainhitch.system import REAL_SYSTEM
 
-ONCE = b"c=once,t=acme,d=9000"
+NON_IDEMPOTENT_INFO = b"c=once,t=acme,d=9000"
 
 
-async def reused(bench: Bench, behind: bytes) -> Any:
-    """Sends a request, leaves bytes unread behind its answer, and gives the answer to another request."""
+async def second_response(bench: Bench, trailing: bytes) -> Any:
+    """Answers a request with unread bytes behind the response; returns the response to a second request."""
     caller = await bench.caller()
     caller.get(name=b"i1")
     assert await caller.answer() == b"i1"
     (idle,) = bench.pools.pools["c0"].idle
     assert idle.transport is not None
-    idle.transport.pause_reading()  # as when it comes between two looks at the sockets
-    bench.cache.lines[0].write(behind)
+    idle.transport.pause_reading()  # as if the bytes arrived between two polls of the sockets
+    bench.cache.lines[0].write(trailing)
     await wait_until(lambda: REAL_SYSTEM.readable(idle.transport))  # type: ignore[arg-type]
     caller.get(name=b"i2")
     return await caller.answer()
 
 
-@pytest.mark.parametrize("behind", [hit(b"i1"), b"\xff"])
+@pytest.mark.parametrize("trailing", [hit(b"i1"), b"\xff"])
 async def test_a_second_copy_behind_an_answer_is_not_the_next_answer(
-    monkeypatch: pytest.MonkeyPatch, behind: bytes
+    monkeypatch: pytest.MonkeyPatch, trailing: bytes
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
-        assert await reused(bench, behind) == b"i2"
+        assert await second_response(bench, trailing) == b"i2"
         assert len(bench.cache.lines) == 2
 
 
 async def test_a_connection_is_not_reused_right_after_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A second copy may come a little after an answer: a connection rests before it is reused."""
+    """A duplicate of a response may follow shortly after it, so a connection is not reused at once."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 1000.0)
     async with router(lambda asked, line: hit(asked[2])) as bench:
         caller = await bench.caller()
@@ -51,7 +51,7 @@
 async def test_a_shortage_of_own_descriptors_is_not_counted_against_the_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connect that found no descriptor left counted as a server that is down."""
+    """Guards against a connect that fails for lack of descriptors and counts as a failure of the server."""
     async with router() as bench:
 
         async def none_left(*_: Any, **__: Any) -> None:
@@ -59,7 +59,7 @@
 
         caller = await bench.caller()
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", none_left)
-        caller.get(info=ONCE)
+        caller.get(info=NON_IDEMPOTENT_INFO)
         assert str(await caller.answer()).startswith("BUSY")
         assert bench.driver.balancer.servers.servers["c0"].connection.consecutive_failures == 0
         assert not bench.pools.pools["c0"].connections
@@ -88,7 +88,7 @@
 
 
 async def test_nothing_is_in_flight_once_all_is_answered() -> None:
-    """Attempts end in every way: no connection, request or count stays taken."""
+    """However attempts end, no connection, request or counter is leaked."""
     replies = [hit(), MISS, b"-BUSY\r\n", b"-ERR failed\r\n", b"noise", None]
 
     def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
@@ -117,7 +117,7 @@
 
 
 def test_a_socket_that_is_closed_by_its_peer_is_readable() -> None:
-    class Bare:
+    class FakeTransport:
         def __init__(self, one: socket.socket) -> None:
             self.one = one
 
@@ -126,13 +126,16 @@
 
     one, other = socket.socketpair()
     with one, other:
-        assert not REAL_SYSTEM.readable(Bare(one))  # type: ignore[arg-type]
+        assert not REAL_SYSTEM.readable(FakeTransport(one))  # type: ignore[arg-type]
         other.shutdown(socket.SHUT_RDWR)
-        assert REAL_SYSTEM.readable(Bare(one))  # type: ignore[arg-type]
+        assert REAL_SYSTEM.readable(FakeTransport(one))  # type: ignore[arg-type]
 
 
 async def test_a_silent_connection_costs_one_attempt_and_not_the_request() -> None:
-    """A request waited on a silent connection until its time was over; now another server is asked."""
+    """Guards against a request that waits on a silent connection until its deadline.
+
+    The attempt times out earlier, and another server gets the next one.
+    """
     other = Cache(lambda asked, line: hit(b"other"))
     await other.start()
 
--- a/tests/node/test_origin_connection.py
+++ b/tests/node/test_origin_connection.py
@@ -1,4 +1,4 @@
-"""Answers of the origin, malformed ones too, over loopback sockets."""
+"""Responses of the origin, valid and malformed, over loopback sockets."""
 
 import asyncio
 from typing import Any
@@ -6,7 +6,7 @@
 import pytest
 from peers import FETCHED, MISS, http, router, wait_until
 
-ONCE = b"c=once,t=acme,d=9000"
+NON_IDEMPOTENT_INFO = b"c=once,t=acme,d=9000"
 
 
 @pytest.mark.parametrize(
@@ -21,7 +21,7 @@
     ],
 )
 async def test_a_malformed_answer_of_the_origin_is_a_failure(reply: bytes) -> None:
-    """Without a length, an answer cut short passed for the whole value."""
+    """Guards against a truncated response without a length, which was taken for the whole value."""
 
     def answer(asked: Any, line: asyncio.StreamWriter) -> bytes:
         asyncio.get_running_loop().call_later(0.1, line.close)
@@ -29,7 +29,7 @@
 
     async with router(origin=answer) as bench:
         caller = await bench.caller()
-        caller.send(b"C.SET", b"k", b"w", ONCE, b"value")
+        caller.send(b"C.SET", b"k", b"w", NON_IDEMPOTENT_INFO, b"value")
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.origin.ended == 1)
         assert len(bench.origin.received) == 1
--- a/tests/node/test_polling.py
+++ b/tests/node/test_polling.py
@@ -1,7 +1,6 @@
-"""Which call to discovery is due, and when.
+"""The schedule of calls to discovery.
 
-No change stays unknown for as long as MAX_STALENESS_S, whatever failed before, wherever outages and silences
-are.
+Every change is known before MAX_STALENESS_S have passed, whenever discovery is down or does not respond.
 """
 
 import itertools
@@ -15,10 +14,10 @@
 from rainhitch.node.polling import MAX_STALENESS_S, POLLED_TIMES, PUSHED_TIMES, PollSchedule, PollTimes
 from rainhitch.policy.server_registry import MAX_POLL_RETRY_NS
 
-NO_JITTER = 1.0  # the longest that a pause may be
+NO_JITTER = 1.0  # fraction that gives the longest pause
 
 
-def known_after(
+def staleness_s(
     times: PollTimes,
     polled: bool,
     change: float,
@@ -28,10 +27,11 @@
     begin: float = 0.0,
     jitter: float = NO_JITTER,
 ) -> float:
-    """For how long a change stayed unknown since discovery had it and could be reached, s.
+    """Returns the seconds for which a change stays unknown after discovery has it and is reachable.
 
-    That is after the last outage until then. A call that is held at `silent_from` is never answered.
-    Discovery answers at once while it is up, and not at all while it is down, also to calls that it holds.
+    The time counts from the change, from `begin` or from the end of the last outage, whichever is last. A
+    watch that is held at `silent_from` gets no response. While discovery is up it responds at once; while it
+    is down it does not respond, not even to calls that it holds.
     """
 
     def up_at(at: float) -> float:
@@ -46,9 +46,9 @@
     polling, now, known = PollSchedule(times, polled, lambda: jitter), begin, False
     while True:
         call = polling.call()
-        until = now + call.patience_s
+        until = now + call.timeout_s
         answer = now
-        if call.hold_s:  # answered with the change, at the end of its hold, or never
+        if call.hold_s:  # the response comes with the change, at the end of the hold, or never
             answer = max(now, change) if not known and change <= now + call.hold_s else now + call.hold_s
             if now <= silent_from <= answer:
                 answer = until + 1
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize(("times", "polled"), [(PUSHED_TIMES, False), (POLLED_TIMES, True)])
 def test_the_longest_staleness_leaves_time_for_a_late_event_loop(times: PollTimes, polled: bool) -> None:
-    assert times.longest() <= MAX_STALENESS_S - 0.5
+    assert times.max_staleness_s() <= MAX_STALENESS_S - 0.5
     assert times.max_pause_s >= MAX_POLL_RETRY_NS / SECOND or not polled
 
 
@@ -79,9 +79,9 @@
     worst = 0.0
     for change, start, length, silent in itertools.product(grid, grid, lengths, grid):
         outages = [(start, start + length), (start + length + 0.3, start + length + 0.9)]
-        worst = max(worst, known_after(times, polled, change, outages, silent))
-    assert worst <= times.longest() + 1e-9
-    assert worst > times.longest() / 2  # the sum is no idle guess
+        worst = max(worst, staleness_s(times, polled, change, outages, silent))
+    assert worst <= times.max_staleness_s() + 1e-9
+    assert worst > times.max_staleness_s() / 2  # the computed limit is not far above the worst case
 
 
 @given(
@@ -103,18 +103,18 @@
         if start > end:
             downs.append((start, end := start + length))
     times, polled = kind
-    assert known_after(times, polled, change, downs, silent, jitter=jitter) <= times.longest() + 1e-9
+    assert staleness_s(times, polled, change, downs, silent, jitter=jitter) <= times.max_staleness_s() + 1e-9
 
 
 def test_an_agent_that_returns_is_asked_again_within_a_drains_grace() -> None:
-    assert PUSHED_TIMES.patience_s + PUSHED_TIMES.max_pause_s < 1.0
+    assert PUSHED_TIMES.timeout_s + PUSHED_TIMES.max_pause_s < 1.0
 
 
 def test_a_failed_watch_is_followed_by_a_call_for_the_whole_list_even_where_polled() -> None:
     polling = PollSchedule(POLLED_TIMES, True, lambda: NO_JITTER)
     polling.succeeded()
     assert polling.call().hold_s == POLLED_TIMES.hold_s
-    assert polling.failed() == POLLED_TIMES.first_pause_s  # it may be the watch alone that broke
+    assert polling.failed() == POLLED_TIMES.first_pause_s  # perhaps only the watch has failed
     assert polling.call().hold_s == 0
     assert polling.failed() is None
     polling.succeeded()
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -1,4 +1,4 @@
-"""The router over loopback sockets, with scripted peers: requests, attempts and answers."""
+"""The router over loopback sockets with scripted peers: requests, attempts and responses."""
 
 import asyncio
 import gc
@@ -20,12 +20,12 @@
 INFO = b"c=read,t=acme,d=9000"
 
 
-def unwanted(source: object, size: int) -> None:
-    """Says that nobody wants a long value."""
+def refuse_relay(source: object, size: int) -> None:
+    """Refuses to relay a long value."""
 
 
-def once(wait: int = 9000) -> bytes:
-    """The info list of a request that is not idempotent, whose client waits for so many ms."""
+def non_idempotent_info(wait: int = 9000) -> bytes:
+    """Returns the info list of a request that is not idempotent, with the client's wait in ms."""
     return b"c=once,t=acme,d=%d" % wait
 
 
@@ -39,7 +39,7 @@
         name, key, identity, info = bench.cache.received[0]
         assert (name, key, identity) == (b"C.GET", b"key\xff", b"i1")
         fields = dict(one.split(b"=") for one in info.split(b","))
-        assert 4000 < int(fields.pop(b"d")) <= 5000  # what the first attempt waits, not the client
+        assert 4000 < int(fields.pop(b"d")) <= 5000  # the first attempt's time-out, not the client's wait
         assert fields == {b"c": b"read", b"t": b"acme", b"size": b"7"}
 
 
@@ -57,7 +57,10 @@
 
 
 async def test_a_later_attempt_is_given_no_more_time_than_its_client_has_left() -> None:
-    """639 of 691 later attempts of a run were given 0.15 s more than that, all at the origin."""
+    """Guards against a server that works on for a client that has stopped waiting.
+
+    In one run 639 of 691 later attempts, all at the origin, were given 0.15 s more than the client had left.
+    """
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
         caller.get()
@@ -119,32 +122,32 @@
         assert len(bench.cache.received) == 1 and not bench.driver.requests
 
 
-@pytest.mark.parametrize("info", [once(), INFO])
+@pytest.mark.parametrize("info", [non_idempotent_info(), INFO])
 async def test_a_refused_connect_means_not_executed(info: bytes) -> None:
-    def nowhere(cache: Cache, origin: HttpPeer) -> list[dict[str, Any]]:
+    def unreachable(cache: Cache, origin: HttpPeer) -> list[dict[str, Any]]:
         return [entry("c0", "127.0.0.1:1"), entry("o", origin.address, model="origin")]
 
-    async with router(entries=nowhere) as bench:
+    async with router(entries=unreachable) as bench:
         caller = await bench.caller()
         caller.get(info=info)
         assert str(await caller.answer()).startswith("BUSY")
 
 
 async def test_a_break_after_the_last_byte_means_perhaps_executed() -> None:
-    def cut(asked: Any, line: asyncio.StreamWriter) -> None:
+    def abort(asked: Any, line: asyncio.StreamWriter) -> None:
         line.transport.abort()
 
-    async with router(cut) as bench:
+    async with router(abort) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=non_idempotent_info())
         assert str(await caller.answer()) == "ERR failed"
         assert len(bench.cache.received) == 1
 
 
 async def test_a_break_before_the_last_byte_means_not_executed() -> None:
-    """A value is larger than the sockets' buffers, and the origin reads none of it before it breaks."""
+    """The value exceeds the sockets' buffers, and the origin reads none of it before it aborts."""
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def read_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.1)
         writer.transport.abort()
@@ -152,10 +155,10 @@
     statuses: list[api.AttemptStatus] = []
     async with router() as bench:
         pool = bench.pools.pools["o"]
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(read_nothing, "127.0.0.1", 0, limit=1024)
         pool.address = server.sockets[0].getsockname()[:2]
         call = ClientRequest(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, 0, 9000, False)
-        pool.start(Exchange(call, 9000, lambda ending: statuses.append(ending.status), unwanted))
+        pool.start(Exchange(call, 9000, lambda ending: statuses.append(ending.status), refuse_relay))
         await wait_until(lambda: statuses)
         assert statuses == [api.AttemptStatus.CONNECT_FAILED]
         server.close()
@@ -167,7 +170,7 @@
 async def test_an_answer_that_cannot_be_read_is_a_reset_and_ends_the_connection(reply: bytes) -> None:
     async with router(lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=non_idempotent_info())
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.cache.ended == 1)
 
@@ -193,7 +196,7 @@
 async def test_only_the_origins_own_rejection_means_not_executed(reply: bytes, answer: str) -> None:
     async with router(origin=lambda asked, line: reply) as bench:
         caller = await bench.caller()
-        caller.send(b"C.SET", b"k", b"w1", once(900), b"value")
+        caller.send(b"C.SET", b"k", b"w1", non_idempotent_info(900), b"value")
         assert str(await caller.answer()) == answer
         await wait_until(lambda: not bench.driver.requests)
 
@@ -326,7 +329,7 @@
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
-        # The timer comes after the decisions' deadline and before the client's.
+        # The timer fires after the Balancer's deadline and before the client's.
         assert held.deadline_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver.deadline_passed(held)
@@ -341,7 +344,7 @@
         assert await caller.answer() == b"v"
         bench.cache.lines[0].close()
         await wait_until(lambda: not bench.pools.pools["c0"].connections)
-        caller.get(name=b"i2", info=once())
+        caller.get(name=b"i2", info=non_idempotent_info())
         assert await caller.answer() == b"v"
 
 
@@ -369,7 +372,7 @@
 
 
 async def test_two_attempts_of_a_request_are_never_in_flight_at_once() -> None:
-    """The second attempt's bytes come only after the end of the first one's connection."""
+    """The second attempt is written only after the first one's connection has ended."""
     order: list[str] = []
 
     class Ordered(Cache):
@@ -387,14 +390,14 @@
     async with router(entries=lambda _, origin: two) as bench:
         handle = bench.driver.balancer.handle
 
-        def impatient(now: int, event: api.Event) -> list[api.Action]:
+        def shorten_first_timeout(now: int, event: api.Event) -> list[api.Action]:
             actions = handle(now, event)
             for action in actions:
                 if isinstance(action, api.StartAttempt) and len(order) == 0:
                     action.timeout_ns = 200_000_000
             return actions
 
-        bench.driver.balancer.handle = impatient  # type: ignore[method-assign]
+        bench.driver.balancer.handle = shorten_first_timeout  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
@@ -403,7 +406,10 @@
 
 
 async def test_thousands_of_commands_at_once_are_all_answered() -> None:
-    """Writing answers made room for commands that had come already, each time one stack frame deeper."""
+    """Guards against unbounded recursion.
+
+    Each response written made room for the next command received, which was handled one stack frame deeper.
+    """
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(resp.command(b"PING") * 40_000)
@@ -413,10 +419,10 @@
 
 @pytest.mark.parametrize("sent", [b"*1\r\n-\xff\xfe\r\n", b"-\xff\r\n"])
 async def test_an_error_line_that_is_no_text_is_a_framing_error(sent: bytes) -> None:
-    """From a client it is a framing error; from a cache server it is an error like others."""
+    """From a client it is a framing error; from a cache server it fails the attempt, as any invalid reply."""
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=non_idempotent_info())
         assert str(await caller.answer()) == "ERR failed"
         caller.writer.write(sent)
         assert str(await caller.answer()).startswith("ERR Protocol error")
@@ -424,16 +430,19 @@
 
 
 async def test_the_wait_given_to_a_server_is_what_is_left_when_it_is_written() -> None:
-    """The time of the connect was not taken off: a server worked for an answer that nobody waited for."""
+    """Guards against a wait that includes the time of the connect.
+
+    The server would work on for a client that has stopped waiting.
+    """
     async with router() as bench:
         pool = bench.pools.pools["c0"]
-        dial = pool._dial
+        connect = pool._connect
 
         async def slow(connection: Any) -> None:
             await asyncio.sleep(0.2)
-            await dial(connection)
+            await connect(connection)
 
-        pool._dial = slow  # type: ignore[method-assign]
+        pool._connect = slow  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
@@ -442,26 +451,26 @@
 
 
 async def test_a_connection_that_has_just_been_closed_is_not_reused() -> None:
-    """The end of an idle connection is known before the connection is dropped: a write in between failed."""
+    """A closed transport is known before the pool removes the connection: a write in between failed."""
     async with router() as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         assert await caller.answer() == b"v"
         (idle,) = bench.pools.pools["c0"].idle
         assert idle.transport is not None
-        idle.transport.close()  # as the end of the stream does; the rest comes in the next round
+        idle.transport.close()  # as at the end of the stream; connection_lost comes in the next iteration
         endings: list[Any] = []
         call = ClientRequest(b"C.GET", b"k", b"i2", INFO, None, 0, 0, 9000, False)
         pool = bench.pools.pools["c0"]
-        pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, endings.append, unwanted))
+        pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, endings.append, refuse_relay))
         await wait_until(lambda: endings)
         assert endings[0].status is api.AttemptStatus.OK
 
 
 async def test_answered_requests_leave_no_reference_cycles() -> None:
-    """Values of up to 64 KiB were kept until the garbage collector ran."""
+    """Guards against reference cycles, which kept values of up to 64 KiB until the garbage collector ran."""
 
-    def kept() -> list[InFlightRequest]:
+    def live_requests() -> list[InFlightRequest]:
         return [one for one in gc.get_objects() if isinstance(one, InFlightRequest)]
 
     async with router(lambda asked, line: None) as bench:
@@ -471,10 +480,10 @@
         try:
             caller.get()
             await wait_until(lambda: bench.cache.received)
-            assert len(kept()) == 1
+            assert len(live_requests()) == 1
             bench.cache.lines[0].write(hit())
             assert await caller.answer() == b"v"
-            assert not kept()
+            assert not live_requests()
         finally:
             gc.enable()
 
@@ -500,7 +509,7 @@
         caller = await bench.caller()
         caller.get(name=b"i1")
         await wait_until(lambda: bench.cache.received)
-        caller.get(name=b"i2", info=once())
+        caller.get(name=b"i2", info=non_idempotent_info())
         await wait_until(lambda: len(bench.driver.requests) == 1)
         bench.cache.lines[0].write(hit())
         assert await caller.answer() == b"v"
