--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -1,4 +1,4 @@
-"""What each client's connection waits for, and since when: a command, nothing, or its end."""
+"""Tracks what each client connection waits for and since when: a command, the next request, or its close."""
 
 import asyncio
 from collections.abc import Iterator
@@ -8,25 +8,25 @@
 
 
 class ClientActivity:
-    """Three groups of connections, in each the longest waiting first; values are loop times in seconds."""
+    """Three groups of connections, longest waiting first; values are loop times in seconds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.awaited: dict[ClientConnection, float] = {}  # a command is incomplete, or the first has not come
-        self.idle: dict[ClientConnection, float] = {}  # all is answered, and nothing has come since
-        self.lingering: dict[ClientConnection, float] = {}  # half closed
+        self.awaited: dict[ClientConnection, float] = {}  # waiting for the first command or the rest of one
+        self.idle: dict[ClientConnection, float] = {}  # all commands answered and nothing received since
+        self.lingering: dict[ClientConnection, float] = {}  # half closed, waiting for the client to close
 
     def connected(self, client: ClientConnection) -> None:
-        """A connection is open, and its first command is awaited."""
+        """Records a new connection, which waits for its first command."""
         self.awaited[client] = self.loop.time()
 
     def command_received(self, client: ClientConnection) -> None:
-        """A whole command has come: what the connection waits for next counts from then."""
+        """Records that a complete command was received: the next waiting period starts then."""
         self.awaited.pop(client, None)
         self.idle.pop(client, None)
 
     def classify(self, client: ClientConnection) -> None:
-        """Notes what a connection waits for."""
+        """Puts a connection into the group that matches its current state, or into none."""
         responses = client.responses
         is_blocked = responses.write_buffer_full or client.flow.turn_over
         takes_commands = client.state is CONNECTION_OPEN and not is_blocked
@@ -45,7 +45,10 @@
                 self.lingering[client] = self.loop.time()
 
     def unused(self, group: dict[ClientConnection, float], for_s: float) -> Iterator[ClientConnection]:
-        """Who is in a group for so many seconds and has nothing in work or unread; the longest first."""
+        """Yields connections that have been in a group for `for_s` seconds and are unused, longest first.
+
+        Unused means: no command in progress and no buffered or unread bytes.
+        """
         before_s = self.loop.time() - for_s
         for client, since_s in group.items():
             if since_s > before_s:
@@ -54,11 +57,11 @@
                 yield client
 
     def incomplete(self, for_s: float) -> list[ClientConnection]:
-        """Whose command is awaited for longer than so many seconds."""
+        """Returns the connections that have waited for a complete command for more than `for_s` seconds."""
         now_s = self.loop.time()
         return [client for client, since_s in self.awaited.items() if since_s < now_s - for_s]
 
     def forget(self, client: ClientConnection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection from all groups."""
         for group in (self.awaited, self.idle, self.lingering):
             group.pop(client, None)
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -1,4 +1,4 @@
-"""What becomes of one command of a client: a request for the router, or an answer at once."""
+"""Handles each command of a client: passes it to the router as a request, or answers it at once."""
 
 import contextlib
 import logging
@@ -19,18 +19,18 @@
 
 
 class CommandHost(Protocol):
-    """What commands need of the router."""
+    """The parts of the router that command handling uses."""
 
     driver: RequestDriver
     names: Names
     events: ClientEvents
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command answered -BUSY before any decision: no room, or its connection ends."""
+        """Counts a command answered -BUSY without a routing decision: no room, or connection closing."""
 
 
 class ClientCommands:
-    """The commands of one connection; each appends its answer's slot to the queue."""
+    """Handles the commands of one connection; each command appends a slot to the response queue."""
 
     __slots__ = ("host", "only_set_up", "responses", "session")
 
@@ -38,10 +38,10 @@
         self.host = host
         self.session = session
         self.responses = responses
-        self.only_set_up = True  # no command yet but those in GREETINGS
+        self.only_set_up = True  # no command received yet except those in GREETINGS
 
     def handle(self, parts: list[bytes], unread_ms: int) -> bool:
-        """Handles a command that may have been unread for so long; gives whether it is the client's last."""
+        """Handles a command that may have been unread for `unread_ms`; returns whether it is the last one."""
         name = parts[0].upper() if parts else b""
         self.only_set_up = self.only_set_up and name in GREETINGS
         if name in REQUEST_COMMANDS and self.session.authenticated:
@@ -59,13 +59,14 @@
         return False
 
     def put(self, answer: bytes) -> None:
-        """Appends an answer that is ready."""
+        """Appends a response that is ready."""
         self.responses.put(answer, self.session.version)
 
     def reject_rest(self, reader: Resp2Reader) -> bytes:
-        """The answers to commands that were read and not handled: they are rejected.
+        """Returns -BUSY responses to the commands that were received but not handled.
 
-        They do not cross the end of the connection, and nothing of them has begun.
+        They were received before the connection was closed, so the client expects a response to each of them.
+        None of them has been started, so that the client can safely retry.
         """
         answers = []
         with contextlib.suppress(resp.FramingError):
@@ -90,7 +91,7 @@
         try:
             request = self.host.driver.accept(client_request, slot)
         except Exception:
-            # Protects the connection's other commands: this one alone fails.
+            # Confines the failure to this command, so that the connection's other commands are still served.
             log.exception("request could not be accepted id=%s", client_request.id.decode())
             slot.fill(resp.FAILED_REPLY)
             return
--- a/rainhitch/node/client_events.py
+++ b/rainhitch/node/client_events.py
@@ -1,4 +1,4 @@
-"""What happens to clients that is worth a line for the operators now and then."""
+"""Counts events on client connections and logs the totals at intervals."""
 
 import asyncio
 import logging
@@ -10,7 +10,7 @@
 
 
 class ClientEvent(StrEnum):
-    """What is counted; the names of the fields in the log line."""
+    """The counted events; each value is the name of the event's field in the log line."""
 
     BAD_COMMAND = "bad_commands"
     CLOSED_IDLE = "closed_idle"
@@ -19,7 +19,7 @@
 
 
 class ClientEvents:
-    """Counts of events; LOG_INTERVAL_S after the first there is one line, however many they are."""
+    """Counts events and logs their totals in one line, LOG_INTERVAL_S after the first of them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -1,4 +1,4 @@
-"""A client's command: how it is read and checked."""
+"""Parses and validates a client's request commands, C.GET and C.SET."""
 
 import re
 from dataclasses import dataclass
@@ -7,22 +7,22 @@
 from rainhitch.node.errors import NodeError
 from rainhitch.settings import Names
 
-PRINTABLE = re.compile(rb"[!-~]+")  # safe in a list of names and values, and in an HTTP header
-MAX_NAME_BYTES = 256  # of a key, which the decisions remember, or of an id
+PRINTABLE = re.compile(rb"[!-~]+")  # safe in a list of names and values and in an HTTP header
+MAX_NAME_BYTES = 256  # maximum length of a key, which the policy layer stores, and of an id
 MAX_INFO_BYTES = 1024
-MAX_WAIT_DIGITS = 7  # of the wait in ms
-TEXT_FIELDS = frozenset("ctkdr")  # fields of the info list that are no numbers, or are checked on their own
+MAX_WAIT_DIGITS = 7  # maximum length of the wait in ms, in digits
+TEXT_FIELDS = frozenset("ctkdr")  # fields of the info list that are not numbers or are checked separately
 NUMBER = re.compile(r"\d{1,15}(?:\.\d{1,9})?")
 NS_PER_MS = 1_000_000
 
 
 class ClientRequestError(NodeError, ValueError):
-    """A command that is framed well but not valid; its text goes to the client."""
+    """A command that is correctly framed but not valid; the client receives the text."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One command of a client; key, id, info and value are passed on as they arrived."""
+    """A request command of a client; key, id, info and value are forwarded as received."""
 
     command: bytes  # C.GET or C.SET
     key: bytes
@@ -31,27 +31,27 @@
     value: bytes | None
     class_index: int
     tenant: int
-    wait_ms: int  # until the client gives up, from when it sent the command
+    wait_ms: int  # from when the client sent the command; ClientCommands subtracts unread_ms
     is_client_retry: bool
     idempotency_key: str = ""
-    unread_ms: int = 0  # for which it may have been lying unread before it was read
-    connection_id: int = 0  # of its client's connection
+    unread_ms: int = 0  # for how long the command may have been in the socket before it was read
+    connection_id: int = 0  # id of the client's connection
 
     def size_bytes(self) -> int:
-        """What the command holds in memory, in bytes."""
+        """Returns the memory that the command occupies, in bytes."""
         return len(self.key) + len(self.id) + len(self.info) + len(self.value or b"")
 
     def info_for(self, wait_ns: int) -> bytes:
-        """The info list with the time that the router will wait, in place of the client's own wait."""
+        """Returns the info list with the client's wait replaced by `wait_ns`, the time the router waits."""
         wait_field = b"d=%d" % max(1, wait_ns // NS_PER_MS)
         fields = self.info.split(b",")
         return b",".join(wait_field if one.startswith(b"d=") else one for one in fields)
 
 
 def parse_client_request(parts: list[bytes], names: Names) -> ClientRequest:
-    """Reads C.GET key id info, or C.SET key id info value; raises ClientRequestError.
+    """Parses `C.GET key id info` or `C.SET key id info value`; raises ClientRequestError.
 
-    Guards the cache servers: what the protocol does not allow is rejected here and passed no further.
+    Protects the cache servers: a command that the protocol does not allow is not forwarded.
     """
     command = parts[0].upper()
     if len(parts) != (5 if command == b"C.SET" else 4):
@@ -91,9 +91,10 @@
 
 
 def _check_idempotency(command: bytes, idempotency: Idempotency, fields: dict[str, str]) -> None:
-    """Checks that the class fits the command; raises ClientRequestError.
+    """Checks that the command may be used with its class; raises ClientRequestError.
 
-    An idempotent class reads and one with an idempotency key writes; one that is not idempotent does either.
+    An idempotent class allows reads only, a class with an idempotency key allows writes only, and a class
+    that is not idempotent allows both.
     """
     is_read = command != b"C.SET"
     is_idempotent = idempotency is Idempotency.IDEMPOTENT
@@ -104,7 +105,7 @@
 
 
 def _parse_info(info: bytes) -> dict[str, str]:
-    """Reads the list of names and values; all but the text fields have to be numbers."""
+    """Parses the list of names and values; all values except those of the text fields must be numbers."""
     if len(info) > MAX_INFO_BYTES or not PRINTABLE.fullmatch(info):
         raise ClientRequestError("invalid list of names and values")
     fields: dict[str, str] = {}
--- a/rainhitch/node/client_socket.py
+++ b/rainhitch/node/client_socket.py
@@ -1,7 +1,7 @@
-"""The socket of a client's connection: what the system says of it, and how it is closed.
+"""The socket of a client connection: its state as the system reports it, and how it is closed.
 
-Guards the last answer: a close with bytes unread is a reset, which can reach a client that is still sending
-before the answer does. So a connection is half closed first, and lingers: what comes is read and thrown away.
+Closing a socket that has unread bytes sends a reset, which can reach a client that is still sending before
+the last response does. A connection is therefore half closed first and lingers: what arrives is discarded.
 """
 
 import asyncio
@@ -14,36 +14,37 @@
 
 
 class SocketHost(CloseTimerHost, Protocol):
-    """What a client's socket needs of the router."""
+    """The parts of the router that a client socket uses."""
 
     system: System
 
 
 class ClientSocket(asyncio.Protocol):
-    """A client's socket and the reason of its end; what is read and written is the subclass's."""
+    """A client's socket and the reason for its close; subclasses handle reading and writing."""
 
     def __init__(self, host: SocketHost) -> None:
         self.system = host.system
-        self.transport: asyncio.Transport | None = None  # None: the connection is gone
+        self.transport: asyncio.Transport | None = None  # None once the connection is closed
         self.close_reason: CloseReason | None = None
         self.close_timer = CloseTimer(host, self.abort)
-        self.lingered_bytes = 0  # read since it was half closed
+        self.lingered_bytes = 0  # bytes read since the half close
 
     def note_close_reason(self, reason: CloseReason) -> None:
-        """Notes why the connection ends; the first reason stands."""
+        """Records why the connection is closed; only the first reason is kept."""
         if self.close_reason is None:
             self.close_reason = reason
 
     def abort(self, reason: CloseReason = CloseReason.LINGERED) -> None:
-        """Closes at once; what was not sent yet is lost."""
+        """Closes the connection at once; unsent data is lost."""
         self.note_close_reason(reason)
         if self.transport is not None:
             self.transport.abort()
 
     def gone(self) -> bool:
-        """Whether the client's end has come, also behind what was not read.
+        """Returns whether the client has closed or reset its side, even with unread bytes before that.
 
-        While reading is paused the event loop does not report it. Then the connection is closed here too.
+        The event loop does not report the end while reading is paused. If the client has closed its side, the
+        connection is closed here too.
         """
         if self.transport is None or self.transport.is_closing():
             return True
@@ -53,20 +54,21 @@
         return False
 
     def has_unread_bytes(self) -> bool:
-        """Whether something has come that was not read yet."""
+        """Returns whether bytes, or the end of the stream, are waiting in the socket."""
         return self.transport is not None and self.system.readable(self.transport)
 
     def start_lingering(self) -> None:
-        """Ends the sending, and gives the client a while to close its side."""
+        """Half closes the connection and allows the client a limited time to close its side."""
         assert self.transport is not None
         if self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
         self.close_timer.start_for_lingering(self.transport)
 
     def throw_away(self, data: bytes) -> None:
-        """Counts what came while the connection lingers.
+        """Counts and discards data that arrives while the connection lingers.
 
-        Guards memory and CPU against a client that goes on at full speed: the rest stays unread.
+        Limits memory and CPU use if the client keeps sending at full speed: beyond MAX_LINGER_BYTES, data
+        stays unread.
         """
         self.lingered_bytes += len(data)
         if self.lingered_bytes > MAX_LINGER_BYTES and self.transport is not None:
