--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -1,14 +1,15 @@
-"""One connection of a client: commands in, answers out in their order.
+"""A client connection: reads commands and writes their responses in command order.
 
 Life cycle:
 
-    OPEN --QUIT, an error, or the router ends--> LAST_COMMAND_READ --all is answered--> HALF_CLOSED --> CLOSED
-     |                                                                                       ^
-     |--idle, evicted, or drained behind an answer-------------------------------------------'
+    OPEN --QUIT, an error, or shutdown--> LAST_COMMAND_READ --all commands answered--> HALF_CLOSED --> CLOSED
+     |                                                                                      ^
+     |--idle, evicted, or drained after a response------------------------------------------'
      '--not admitted--> REJECTED --> CLOSED
 
-Any state ends in CLOSED when the client leaves or the connection is aborted. The reason of the end is noted
-once (node/close_reason.py). Apart from that state, reading may be paused, and the write buffer may be full.
+Every state changes to CLOSED when the client disconnects or the connection is aborted. The first reason for
+the close is recorded (node/close_reason.py). Independently of the state, reading may be paused and the write
+buffer may be full.
 """
 
 import asyncio
@@ -28,21 +29,21 @@
 from rainhitch.protocol import resp
 from rainhitch.protocol.resp2_reader import Resp2Reader
 
-MAX_COMMANDS_PER_TURN = 16  # of one connection before others have their turn
+MAX_COMMANDS_PER_TURN = 16  # commands of one connection handled before other callbacks run
 NS_PER_MS = 1_000_000
 
 
 class ConnectionState(Enum):
-    """Where a connection stands; see the module's docstring."""
+    """The state of a connection; the module's docstring has the transitions."""
 
     OPEN = "open"
-    LAST_COMMAND_READ = "last command read"  # nothing more is read; closed once all is answered
-    HALF_CLOSED = "half closed"  # all is answered; what still comes is read and thrown away for a while
+    LAST_COMMAND_READ = "last command read"  # no more commands are read; closed once all are answered
+    HALF_CLOSED = "half closed"  # all commands are answered; incoming data is discarded for a while
     REJECTED = "rejected"
     CLOSED = "closed"
 
 
-# Python 3.11 reads an enum's member through its class slowly: what runs for each request uses these names.
+# Enum member access through the class is slow in Python 3.11; per-request code uses these names instead.
 CONNECTION_OPEN = ConnectionState.OPEN
 LAST_COMMAND_READ = ConnectionState.LAST_COMMAND_READ
 HALF_CLOSED = ConnectionState.HALF_CLOSED
@@ -50,17 +51,17 @@
 
 
 class ActivityObserver(Protocol):
-    """Who notes what each connection waits for."""
+    """Tracks what each connection is waiting for."""
 
     def command_received(self, client: "ClientConnection") -> None:
-        """A whole command has come."""
+        """Records that a complete command was received."""
 
     def classify(self, client: "ClientConnection") -> None:
-        """What the connection waits for may have changed."""
+        """Updates the group of a connection after a change."""
 
 
 class ClientHost(SocketHost, CommandHost, BufferLimits, Protocol):
-    """What a connection needs of the router."""
+    """The parts of the router that a client connection uses."""
 
     authenticator: Authenticator
     can_serve: Callable[[], bool]
@@ -69,23 +70,23 @@
 
     @property
     def activity(self) -> ActivityObserver:
-        """Who notes what each connection waits for."""
+        """The tracker of what each connection is waiting for."""
 
     def next_connection_id(self) -> int:
-        """A number of its own for a new connection."""
+        """Returns a unique id for a new connection."""
 
     def accept_age(self, now: int) -> int:
-        """For how long a connection that is accepted now may have waited for that, ns."""
+        """Returns for how long a connection accepted now may have waited to be accepted, in ns."""
 
     def admit(self, client: "ClientConnection") -> bool:
-        """Takes in a new connection; False where there is no room."""
+        """Admits a new connection; returns False if there is no room."""
 
     def connection_lost(self, client: "ClientConnection") -> None:
-        """The connection is closed, or is being aborted."""
+        """Removes a connection that is closed or being aborted."""
 
 
 class ClientConnection(ClientSocket):
-    """One connection of a client: reads its commands and writes their answers."""
+    """A client connection: reads commands and writes their responses."""
 
     def __init__(self, host: ClientHost) -> None:
         super().__init__(host)
@@ -96,16 +97,16 @@
         self.session = Session(host.next_connection_id(), host.authenticator, host.can_serve)
         self.responses = ResponseQueue(self, host)
         self.commands = ClientCommands(host, self.session, self.responses)
-        self.command_count = 0  # whole commands
+        self.command_count = 0  # complete commands received
         self.unread_age = UnreadAge(self.system, host.driver.loop_lag)
-        self.unread_ms = 0  # for which what has come last may have been unread
+        self.unread_ms = 0  # for how long the last received data may have been unread
         self.nothing_received = True
         self.flow = ReadFlow(host, self.reader, self.responses, self.unread_age)
         self.is_advancing = False
         self.rejected: RejectedConnection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection was accepted."""
+        """Admits or rejects a connection that was just accepted."""
         self.transport = cast(asyncio.Transport, transport)
         self.responses.transport = self.transport
         self.host.driver.loop_lag.callback_begins()
@@ -117,11 +118,11 @@
             self.rejected = RejectedConnection(self.host.rejected, self.transport)
 
     def data_received(self, data: bytes) -> None:
-        """Something has come from the client."""
+        """Handles data received from the client."""
         assert self.transport is not None
         lag = self.host.driver.loop_lag
         lag.callback_begins()
-        self.host.driver.decisions.detect_pause()  # before the read acts on anything
+        self.host.driver.decisions.detect_pause()  # before anything is decided on the data
         self.unread_ms = self.unread_age.age_ns(self.transport, self.nothing_received) // NS_PER_MS
         self.nothing_received = False
         if self.state is CONNECTION_OPEN:
@@ -134,7 +135,7 @@
         lag.callback_ends()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: what is in flight for it is withdrawn."""
+        """Releases a closed connection and withdraws its requests in flight."""
         self.transport = None
         self.state = ConnectionState.CLOSED
         self.note_close_reason(CloseReason.BY_CLIENT)
@@ -149,21 +150,21 @@
                 self.host.driver.withdraw(slot.request)
 
     def pause_writing(self) -> None:
-        """The client reads too slowly: nothing more is written or read for now."""
+        """Stops writing and reading: the client reads too slowly."""
         self.responses.write_buffer_full = True
         self.close_timer.start_for_unread_answers()
         self._pause_or_resume_reading()
 
     def resume_writing(self) -> None:
-        """The client has read what was written."""
+        """Continues once the client has read what was written."""
         self.responses.write_buffer_full = False
         self.close_timer.cancel()
         self.advance()
 
     def advance(self) -> None:
-        """Handles commands and writes answers, in turn, as far as both go.
+        """Alternates between handling commands and writing responses until neither can proceed.
 
-        Guards against recursion: an answer that is ready at once, or comes while this runs, is written by
+        Prevents recursion: a response that is ready at once, or that arrives while this runs, is written by
         this loop.
         """
         if self.is_advancing or self.transport is None or self.state in ANSWERED_STATES:
@@ -183,7 +184,7 @@
             self.half_close(CloseReason.SHUTDOWN)
         else:
             if commands_left == 0 and self.reader.buffer and not self.flow.turn_over:
-                # Guards the others against a client that sends hundreds of commands at once.
+                # A client that sends hundreds of commands at once must not starve other clients.
                 self.flow.turn_over = True
                 self.host.loop.call_soon(self._next_turn)
             self._pause_or_resume_reading()
@@ -193,7 +194,7 @@
         self.advance()
 
     def _handle_commands(self, max_commands: int) -> int:
-        """Handles the commands that have come, as many as may be in work at once; gives their number."""
+        """Handles up to `max_commands` received commands; returns how many were handled."""
         handled = 0
         responses = self.responses
         try:
@@ -209,40 +210,40 @@
                 if self.commands.handle(cast(list[bytes], parts), self.unread_ms):
                     self._read_no_more()
         except resp.FramingError as problem:
-            # Where the next command begins is lost: what came before is answered, then this one, last.
+            # The start of the next command is unknown: the error is sent after all earlier responses.
             self.end(f"Protocol error: {problem}", CloseReason.PROTOCOL_ERROR)
         return handled
 
     def end(self, problem: str, reason: CloseReason) -> None:
-        """Reads no more: what has been read is answered, then the problem is, then all is closed."""
+        """Stops reading; answers the commands in progress, then sends `problem`, then closes."""
         self.note_close_reason(reason)
         self.host.events.count(ClientEvent.ENDED_ON_ERROR)
         self._read_no_more()
         self.commands.put(resp.error_reply(problem))
 
     def finish(self) -> None:
-        """Reads no more: what has been read is answered, then all is closed."""
+        """Stops reading and closes once the commands in progress are answered; buffered ones are rejected."""
         self.note_close_reason(CloseReason.SHUTDOWN)
         self._read_no_more()
         self.advance()
 
     def end_unfinished(self) -> None:
-        """Its command has been incomplete for too long."""
+        """Closes a connection whose command has been incomplete for too long."""
         self.end("no whole command in time", CloseReason.UNFINISHED)
         self.advance()
 
     def _may_be_drained(self) -> bool:
-        """Whether a close behind the last answer would cross no command.
+        """Returns whether the connection can be closed after the last response without losing a command.
 
-        Guards a client's first request, which comes right behind its HELLO: a client that has only greeted is
-        not closed behind that answer, but when it has idled.
+        A client's first request directly follows its handshake (such as HELLO). A connection with nothing but
+        a handshake is therefore not closed after that response, but only once it has been idle.
         """
         return not self.commands.only_set_up and not self.reader.buffer and not self.has_unread_bytes()
 
     def half_close(self, reason: CloseReason) -> None:
-        """Ends the sending and reads on for a while, so that the close is no reset.
+        """Stops sending but keeps reading for a while, so that the close does not become a reset.
 
-        What comes from now on crosses this end, and is never handled: the client sends it again elsewhere.
+        Data that arrives from now on is never handled: the client sends it again on another connection.
         """
         assert self.transport is not None
         if self.state is HALF_CLOSED or self.transport.is_closing():
@@ -260,7 +261,7 @@
         self.start_lingering()
 
     def _pause_or_resume_reading(self) -> None:
-        """Pauses or resumes reading; ends the connection where memory is short."""
+        """Pauses or resumes reading; ends the connection if buffer memory is exhausted."""
         if self.transport is None or self.transport.is_closing():
             return
         self.flow.pause_or_resume(self.transport, self.state is LAST_COMMAND_READ, self.state is HALF_CLOSED)
@@ -270,7 +271,7 @@
             self._drop_input()
 
     def _drop_input(self) -> None:
-        """Memory is short: ends the connection where what its client has sent is a good part of that."""
+        """Ends the connection to free memory if it holds more than a small amount of unparsed input."""
         if len(self.reader.buffer) > SMALL_ANSWER_BYTES and self.state is CONNECTION_OPEN:
             self.reader.buffer.clear()
             self.end("out of memory", CloseReason.OUT_OF_MEMORY)
@@ -281,5 +282,5 @@
             self.state = LAST_COMMAND_READ
 
     def update_buffered_bytes(self) -> None:
-        """Counts the bytes that the connection holds anew."""
+        """Updates the number of bytes counted as buffered for this connection."""
         self.flow.update_buffered_bytes(self.transport)
