--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -1,7 +1,7 @@
-"""The clients' side: the listener, its connections, and which of them are closed to make room.
+"""Accepts client connections, closes idle ones to make room for new ones, and drains them at shutdown.
 
-Drain: each connection is half closed behind its next answer, idle ones after DRAIN_IDLE_S, all the others by
-the shutdown's schedule. Newcomers are admitted all the same until the router closes its listener.
+Drain: each connection is half closed after its next response, idle ones after DRAIN_IDLE_S, and all others
+according to the shutdown schedule. New connections are admitted until the router closes its listener.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 if TYPE_CHECKING:
     from rainhitch.overload.controller import OverloadController
 
-UNREAD_ANSWERS_LIMIT_S = 10.0  # for which a client may leave answers unread
-UNFINISHED_COMMAND_LIMIT_S = 2.6  # for which a command may be incomplete, the first from the connect on
-IDLE_GRACE_S = 2.0  # for which the sweep leaves an idle connection alone
-IDLE_GRACE_NEAR_CAP_S = 0.025  # for which it is left alone when a newcomer finds little room
-DRAIN_IDLE_S = 0.05  # without a request, after which a connection counts as idle in a drain
+UNREAD_ANSWERS_LIMIT_S = 10.0  # for how long a client may leave responses unread
+UNFINISHED_COMMAND_LIMIT_S = 2.6  # maximum time until a command is complete, for the first from the connect on
+IDLE_GRACE_S = 2.0  # an idle connection is not swept before it has been idle for this long
+IDLE_GRACE_NEAR_CAP_S = 0.025  # minimum idle time before a connection is closed for a new one
+DRAIN_IDLE_S = 0.05  # time without a request after which a draining connection counts as idle
 SWEEP_INTERVAL_S = 0.2
 DRAIN_INTERVAL_S = SWEEP_INTERVAL_S / 2
 NS_PER_MS = 1_000_000
@@ -37,7 +37,7 @@
 
 
 class ClientConnections:
-    """The listener and its connections, `max_open` at least; `can_serve` says how PING is answered."""
+    """The listener and its connections; the cap is at least `max_open`; `can_serve` sets PING's reply."""
 
     def __init__(
         self,
@@ -58,19 +58,19 @@
         self.overload = overload
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.system = system.of(self.loop)
-        self.connections: dict[ClientConnection, None] = {}  # in the order in which they came
+        self.connections: dict[ClientConnection, None] = {}  # in the order in which they were accepted
         self.activity = ClientActivity(self.loop)
         self.idle_grace_s = IDLE_GRACE_S
         self.idle_grace_near_cap_s = IDLE_GRACE_NEAR_CAP_S
         self.unfinished_command_limit_s = UNFINISHED_COMMAND_LIMIT_S
         self.unread_answers_limit_s = UNREAD_ANSWERS_LIMIT_S
-        self.authenticator = NO_PASSWORD_NEEDED  # who may come in
+        self.authenticator = NO_PASSWORD_NEEDED  # checks the clients' user and password
         self.last_connection_id = 0
-        self.buffered_bytes = 0  # that clients have not finished sending or reading
+        self.buffered_bytes = 0  # total bytes that clients have not finished sending or reading
         self.closing = False
         self.draining = False
         self.sweep_planned = False
-        # Of a drain; where the router ends, the settings' own.
+        # Schedule of a drain; replaced by the one from the settings at shutdown.
         self.schedule = shutdown_schedule(MAX_DEADLINE_WAIT_S)
         self.drain_started_at_s = 0.0
         self.events = ClientEvents(self.loop)
@@ -81,23 +81,24 @@
         self.listener: Listener | None = None
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> tuple[str, int]:
-        """Begins to accept on an address, or on an inherited socket; gives the address. Raises OSError."""
+        """Starts accepting on an address or on an inherited socket; returns the address. Raises OSError."""
         self.listener = Listener(self.loop, lambda: ClientConnection(self), host, port, inherited)
         return await self.listener.open()
 
     def admit(self, client: ClientConnection) -> bool:
-        """Takes in a new connection; at the cap only where another can be closed."""
+        """Admits a new connection; at the cap only if another one can be closed."""
         self._pace_accepts()
         if len(self.connections) >= self.descriptors.max_clients(self.max_open):
             if not self._make_room():
                 return False
         elif len(self.connections) > self.max_open // 2:
-            # Guards clients that keep what they opened against a lack of connections of their own, long
-            # before the cap: the protocol lets a router close between requests, and one is closed for each
-            # new one.
+            # Clients may run out of connections of their own if they keep all that they opened, long before
+            # the cap is reached here. The protocol lets a router close connections between requests, so one
+            # idle connection is closed for each new one.
             closed = self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
             if closed is not None and closed.command_count == 1:
-                # Guards against clients that ask once and stay: with one for one they would never be fewer.
+                # Clients that stay connected after one request would make up for each close with a new
+                # connection: closing two for one reduces their number.
                 self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
         self.connections[client] = None
         self.descriptors.clients_open = len(self.connections)
@@ -108,7 +109,7 @@
         return True
 
     def _pace_accepts(self) -> None:
-        """Pauses accepting for as long as the overload control says."""
+        """Pauses accepting for as long as the overload controller requests."""
         if self.overload is None or self.listener is None:
             return
         pause_ns = self.overload.connection_accepted(self.system.now(), len(self.connections))
@@ -118,30 +119,31 @@
             self.driver.counts.add("accepts", "ms", pause_ns // NS_PER_MS)
 
     def next_connection_id(self) -> int:
-        """A number of its own for a new connection."""
+        """Returns a unique id for a new connection."""
         self.last_connection_id += 1
         return self.last_connection_id
 
     def _retry_after_ns(self) -> int:
-        """After what time a client for which there is no room now should come back, ns."""
+        """Returns the retry delay for a client that is rejected for lack of room, in ns."""
         return 0 if self.overload is None else self.overload.connection_rejected(self.system.now())
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command answered -BUSY before any decision: no room, or its connection ends."""
+        """Counts a command answered -BUSY without a routing decision: no room, or connection closing."""
         with contextlib.suppress(ClientRequestError, IndexError):
             class_index = parse_client_request(parts, self.names).class_index
             self.driver.metrics.rejected[class_index] += 1
 
     def accept_age(self, now: int) -> int:
-        """For how long a connection that is accepted now may have waited for that, ns."""
+        """Returns for how long a connection accepted now may have waited to be accepted, in ns."""
         waited_ns = 0 if self.listener is None else self.listener.age(now)
         return max(waited_ns, self.driver.loop_lag.age_ns())
 
     def _make_room(self) -> bool:
-        """Closes who lingers longest, or has been silent or idle longest; False where nobody can be closed.
+        """Makes room for a new client by closing one connection; returns False if none can be closed.
 
-        Guards newcomers against connections that asked once and stay, and requests against a close: no
-        connection is closed with a request in work or bytes unread.
+        Closes the one that has lingered longest, else the one that has sent no command or been idle longest, else
+        an idle connection to a server. Clients that stay connected after one request do not keep others out. No
+        request is lost: no client connection is closed with a request in progress or with unread bytes.
         """
         for client in self.activity.lingering:
             client.abort(CloseReason.LINGERED)
@@ -167,11 +169,14 @@
         client.half_close(CloseReason.IDLE)
 
     def _sweep(self) -> None:
-        """Guards against clients that connect and say nothing, stop half-way or send a byte now and then."""
+        """Ends connections with an overdue command and closes idle ones if more than half the cap is used.
+
+        Limits the time of clients that send nothing, half a command, or a byte now and then.
+        """
         for client in self.activity.incomplete(self.unfinished_command_limit_s):
             client.end_unfinished()
         if len(self.connections) > self.max_open // 2:
-            # Guards clients against a lack of connections of their own, long before the cap is reached.
+            # Clients may run out of connections of their own long before the cap is reached here.
             for client in list(self.activity.unused(self.activity.idle, self.idle_grace_s)):
                 self._retire(client)
         self.sweep_planned = bool(self.connections)
@@ -179,7 +184,7 @@
             self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_lost(self, client: ClientConnection) -> None:
-        """A connection is closed, or is being aborted."""
+        """Removes a connection that is closed or being aborted."""
         if client in self.connections and client.close_reason is not None:
             self.driver.counts.add("closed", client.close_reason.value)
         self.connections.pop(client, None)
@@ -191,10 +196,10 @@
             self._all_closed.set()
 
     def drain(self) -> None:
-        """Has each connection end after its next answer, and idle ones in a while; newcomers are admitted.
+        """Closes each connection after its next response and idle ones after a while; still admits new ones.
 
-        Guards clients against a close that crosses their request: it comes right behind an answer, when a
-        client has nothing in flight, for as long as there is time for that.
+        Prevents a close from colliding with a request: for as long as the schedule allows, a connection is
+        closed directly after a response, when the client has no request in flight.
         """
         if not self.draining:
             self.draining = True
@@ -202,7 +207,7 @@
             self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, self.drain_started_at_s)
 
     def cancel_drain(self) -> None:
-        """Goes on serving: connections stay open again."""
+        """Cancels a drain: connections stay open again."""
         self.draining = False
 
     def _drain_step(self, started_at_s: float) -> None:
@@ -214,7 +219,7 @@
                 for client in list(self.activity.unused(group, DRAIN_IDLE_S)):
                     self._retire(client)
         if elapsed_s >= self.schedule.stop_reading_s:
-            # Who has half a command on its way has a little longer to send the rest.
+            # Connections with an incomplete command get a little longer to receive the rest.
             is_late = elapsed_s >= self.schedule.all_answered_s
             still_open = [one for one in self.connections if one.state is ConnectionState.OPEN]
             for client in [one for one in still_open if one.responses.slots or is_late]:
@@ -222,7 +227,7 @@
         self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, started_at_s)
 
     def close(self) -> None:
-        """Stops listening, and drains the connections."""
+        """Stops listening and drains the connections."""
         self.closing = True
         self.drain()
         if self.listener is not None:
@@ -231,6 +236,6 @@
             self._all_closed.set()
 
     async def emptied(self, max_wait_s: float) -> None:
-        """Waits until every connection is closed, or for so many seconds."""
+        """Waits until all connections are closed, for at most `max_wait_s`."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._all_closed.wait(), max_wait_s)
