--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -26,7 +26,7 @@
     from rainhitch.overload.controller import OverloadController
 
 UNREAD_ANSWERS_LIMIT_S = 10.0  # for how long a client may leave responses unread
-UNFINISHED_COMMAND_LIMIT_S = 2.6  # maximum time until a command is complete, for the first from the connect on
+UNFINISHED_COMMAND_LIMIT_S = 2.6  # for how long a command may be incomplete; the first is timed from connect
 IDLE_GRACE_S = 2.0  # an idle connection is not swept before it has been idle for this long
 IDLE_GRACE_NEAR_CAP_S = 0.025  # minimum idle time before a connection is closed for a new one
 DRAIN_IDLE_S = 0.05  # time without a request after which a draining connection counts as idle
@@ -37,7 +37,7 @@
 
 
 class ClientConnections:
-    """The listener and its connections; the cap is at least `max_open`; `can_serve` sets PING's reply."""
+    """The listener and its connections, at least `max_open`; `can_serve` determines the response to PING."""
 
     def __init__(
         self,
@@ -141,9 +141,9 @@
     def _make_room(self) -> bool:
         """Makes room for a new client by closing one connection; returns False if none can be closed.
 
-        Closes the one that has lingered longest, else the one that has sent no command or been idle longest, else
-        an idle connection to a server. Clients that stay connected after one request do not keep others out. No
-        request is lost: no client connection is closed with a request in progress or with unread bytes.
+        Closes the one that has lingered longest, else the one that has sent no command or been idle longest,
+        else an idle connection to a server. Clients that stay connected after one request do not keep others
+        out, and no request is lost: no client connection with a request in progress or unread bytes is closed.
         """
         for client in self.activity.lingering:
             client.abort(CloseReason.LINGERED)
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -1,4 +1,4 @@
-"""The answers of one client's connection, in the order of their commands, and the memory they hold."""
+"""The responses of one client connection, in command order, and the memory that they occupy."""
 
 import asyncio
 from collections import deque
@@ -10,27 +10,27 @@
 from rainhitch.node.upstream_connection import READ_PIECE_BYTES
 from rainhitch.protocol import resp
 
-SMALL_ANSWER_BYTES = 1024  # an answer that is kept however little memory is left
+SMALL_ANSWER_BYTES = 1024  # responses up to this size are kept even if buffer memory is exhausted
 
 
 class QueueOwner(SlotOwner, Protocol):
     """The connection that a queue belongs to."""
 
     def abort(self, reason: CloseReason) -> None:
-        """Closes at once."""
+        """Closes the connection at once."""
 
     def update_buffered_bytes(self) -> None:
-        """Counts the bytes that the connection holds anew."""
+        """Updates the number of bytes counted as buffered for the connection."""
 
 
 class GoneOwner:
-    """In place of a connection that is gone: answers that still come for it go nowhere."""
+    """Replaces the owner of a queue whose connection is closed; late responses are discarded."""
 
     def advance(self) -> None:
         """Does nothing."""
 
     def gone(self) -> bool:
-        """The client has left."""
+        """Returns True: the client has disconnected."""
         return True
 
     def abort(self, reason: CloseReason) -> None:
@@ -44,14 +44,14 @@
 
 
 class BufferLimits(Protocol):
-    """The memory that all connections of clients share."""
+    """The memory limit that all client connections share."""
 
-    buffered_bytes: int  # that clients have not finished sending or reading
+    buffered_bytes: int  # total bytes that clients have not finished sending or reading
     max_buffered_bytes: int
 
 
 class ResponseQueue:
-    """The slots of the commands in work, first come first."""
+    """The slots of the commands in progress, in the order of arrival."""
 
     __slots__ = ("limits", "owner", "slots", "transport", "waiting_bytes", "write_buffer_full")
 
@@ -60,13 +60,13 @@
         self.limits = limits
         self.slots: deque[ResponseSlot] = deque()
         self.transport: asyncio.Transport | None = None
-        self.write_buffer_full = False  # the client reads too slowly: nothing more is written for now
-        self.waiting_bytes = 0  # in answers whose turn has not come
+        self.write_buffer_full = False  # the client reads too slowly: writing is paused
+        self.waiting_bytes = 0  # size of the responses that are held until they can be written
 
     def connection_lost(self) -> list[ResponseSlot]:
-        """The connection is gone; gives the slots that were in work.
+        """Detaches the queue from its closed connection; returns the slots of commands in progress.
 
-        The connection is let go of, so that the two are no cycle for the garbage collector.
+        Drops the references to the connection: a reference cycle would keep memory until garbage collection.
         """
         slots = list(self.slots)
         self.transport = None
@@ -75,19 +75,19 @@
         return slots
 
     def put(self, answer: bytes, version: int) -> None:
-        """Appends an answer that is ready."""
+        """Appends a response that is ready."""
         slot = ResponseSlot(self, version)
         slot.answer = answer
         self.slots.append(slot)
 
     def keep(self, slot: ResponseSlot, answer: bytes) -> bytes:
-        """The answer to hold until its turn comes. Guards memory: where there is no room it is an error."""
+        """Returns the response to hold until it can be written; an error if there is no memory for it."""
         if len(answer) > SMALL_ANSWER_BYTES and not self.has_room(slot, len(answer)):
             return resp.FAILED_REPLY
         return answer
 
     def has_room(self, slot: ResponseSlot, size_bytes: int) -> bool:
-        """Whether so many bytes may be held until the slot's turn comes; counts them if they may."""
+        """Returns whether `size_bytes` may be held until the slot can be written; if so, counts them."""
         if self.transport is None:
             return True
         goes_out_at_once = not self.write_buffer_full and self.slots[0] is slot
@@ -100,7 +100,7 @@
         return True
 
     def write_ready(self) -> bool:
-        """Writes the answers whose turn has come; whether any was written whole."""
+        """Writes all responses that are next in order; returns whether any was written completely."""
         wrote = False
         ready: list[bytes] = []
         while self.slots and not self.write_buffer_full and self.transport is not None:
@@ -127,10 +127,10 @@
         return wrote
 
     def _pass_on(self, relay: Relay, before: bytes) -> bool:
-        """Writes what there is of a long value, behind what stands before it; whether that was the rest."""
+        """Writes `before` and the available part of a long value; returns whether the value is complete."""
         assert self.transport is not None
         if relay.is_broken():
-            # Guards the client against half a value taken for the whole: the connection ends in its middle.
+            # A truncated value must not look complete to the client: the connection is aborted within it.
             self.transport.write(before)
             self.owner.abort(CloseReason.VALUE_CUT_OFF)
             return False
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -1,4 +1,4 @@
-"""The place of one answer on its client's connection: answers go out in the order of their commands."""
+"""The place of one response in its client connection's queue; responses are written in command order."""
 
 from typing import Protocol
 
@@ -12,28 +12,28 @@
     """The connection that a slot belongs to."""
 
     def advance(self) -> None:
-        """Writes the answers whose turn has come, and goes on with the commands behind them."""
+        """Writes the responses that are next in order, then handles further commands."""
 
     def gone(self) -> bool:
-        """Whether the client has left, also where its end has not been read yet."""
+        """Returns whether the client has disconnected, even if the end of its stream is not read yet."""
 
 
 class SlotQueue(Protocol):
-    """The queue of answers that a slot stands in."""
+    """The queue that a slot belongs to."""
 
     @property
     def owner(self) -> SlotOwner:
-        """The connection."""
+        """The connection of the queue."""
 
     def keep(self, slot: "ResponseSlot", answer: bytes) -> bytes:
-        """The answer to hold until its turn comes; an error where there is no memory for it."""
+        """Returns the response to hold until it can be written; an error if there is no memory for it."""
 
     def has_room(self, slot: "ResponseSlot", size_bytes: int) -> bool:
-        """Whether so many bytes may be held until the slot's turn comes."""
+        """Returns whether `size_bytes` may be held until the slot can be written."""
 
 
 class ResponseSlot:
-    """The place of one answer; the ResponseSink of its request."""
+    """The place of one response; the ResponseSink of its request."""
 
     __slots__ = ("answer", "queue", "relay", "request", "version")
 
@@ -41,29 +41,29 @@
         self.queue = queue
         self.answer: bytes | None = None
         self.request: InFlightRequest | None = None
-        self.relay: Relay | None = None  # a long value, while it is passed on
-        self.version = version  # RESP version in force when its command was read
+        self.relay: Relay | None = None  # set if the response is a long value that is relayed as it arrives
+        self.version = version  # RESP version in force when the command was read
 
     def fill(self, answer: bytes) -> None:
-        """Takes the answer as it goes to the client."""
+        """Sets the response, encoded as the client receives it."""
         if self.answer is None:
             self.answer = self.queue.keep(self, answer)
-            # Each holds the other: guards memory against waiting for the garbage collector.
+            # Slot and request refer to each other: a cycle would keep memory until garbage collection.
             self.request = None
             self.queue.owner.advance()
 
     def gone(self) -> bool:
-        """Whether the client has left, also where its end has not been read yet."""
+        """Returns whether the client has disconnected, even if the end of its stream is not read yet."""
         return self.queue.owner.gone()
 
     def form(self, value: object) -> bytes:
         """Encodes a RESP3 value in the client's protocol version."""
-        from rainhitch.protocol.resp3_writer import encode  # only where a server speaks RESP3
+        from rainhitch.protocol.resp3_writer import encode  # imported only if a server speaks RESP3
 
         return encode(value, self.version)
 
     def start_relay(self, relay: Relay) -> None:
-        """Takes a long value, which is passed on as it arrives once its turn has come."""
+        """Sets a long value as the response; it is relayed as it arrives once it is next in order."""
         if not self.queue.has_room(self, READ_PIECE_BYTES):
             self.fill(resp.FAILED_REPLY)
             relay.client_left()
--- a/rainhitch/node/session.py
+++ b/rainhitch/node/session.py
@@ -1,8 +1,8 @@
-"""What a client's connection says of itself: protocol version, name, password. No sockets.
+"""Connection-level state and commands of a client: protocol version, name, password. Does no I/O.
 
-`Session.command` answers the commands that client libraries send at connect and between requests; the
-requests themselves are handled elsewhere. An answer is in the protocol version in force when its command was
-read, which for HELLO and RESET is the one that they switch to.
+`Session.command` answers the commands that client libraries send at connect time and between requests;
+requests are handled elsewhere. A response is encoded for the protocol version in force when its command was
+read; for HELLO and RESET that is the version they switch to.
 """
 
 from collections.abc import Callable
@@ -11,26 +11,26 @@
 from rainhitch import __version__
 from rainhitch.protocol.resp import bulk_string
 
-MAX_NAME_BYTES = 128  # of a client's name, and of what its library says of itself
+MAX_NAME_BYTES = 128  # maximum length of a client name and of library info
 NO_AUTH = b"-NOAUTH Authentication required.\r\n"
 WRONG_PASS = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"
-GREETINGS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))  # before any request
+GREETINGS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))  # precede any request
 BEFORE_AUTH = frozenset((b"HELLO", b"AUTH", b"QUIT"))
 OK = b"+OK\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class Authenticator:
-    """The user and password that clients have to give; an empty password admits everybody."""
+    """The user and password that clients must give; an empty password disables authentication."""
 
     user: bytes = b"default"
     password: bytes = b""
 
     def admits(self, user: bytes, password: bytes) -> bool:
-        """Whether these are the user and the password."""
-        import hmac  # only where there is a password
+        """Returns whether the user and the password match."""
+        import hmac  # imported only if a password is set
 
-        # Guards the password against being guessed byte by byte from the time that a rejection takes.
+        # Constant-time comparison: the time of a rejection must not reveal how much of the password matches.
         is_user = hmac.compare_digest(user, self.user)
         return hmac.compare_digest(password, self.password) and is_user
 
@@ -43,7 +43,7 @@
 
 
 class Session:
-    """What one connection has said of itself; `can_serve` says how PING is answered."""
+    """The connection-level state of one client; `can_serve` determines the response to PING."""
 
     __slots__ = ("authenticated", "authenticator", "can_serve", "id", "name", "version")
 
@@ -51,12 +51,12 @@
         self.id = id
         self.authenticator = authenticator
         self.can_serve = can_serve
-        self.version = 2  # of RESP
+        self.version = 2  # RESP protocol version
         self.name = b""
         self.authenticated = not authenticator.password
 
     def command(self, parts: list[bytes]) -> bytes | None:
-        """The answer to a command; None where it is none of these."""
+        """Returns the response to a command, or None if it is not a connection-level command."""
         name = parts[0].upper() if parts else b""
         if not self.authenticated and name not in BEFORE_AUTH:
             return NO_AUTH
@@ -124,7 +124,7 @@
         return self._greeting()
 
     def _greeting(self) -> bytes:
-        """What libraries read from HELLO: a map, as an array of twice as many items in protocol 2."""
+        """Returns the response to HELLO: a map, or in protocol 2 an array with twice as many items."""
         pairs = (
             (b"server", bulk_string(b"rainhitch")),
             (b"version", bulk_string(__version__.encode())),
