--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -143,7 +143,7 @@
 
         Closes the one that has lingered longest, else the one that has sent no command or been idle longest,
         else an idle connection to a server. Clients that stay connected after one request do not keep others
-        out, and no request is lost: no client connection with a request in progress or unread bytes is closed.
+        out, and no request is lost: no client connection with a request in progress or unread bytes closes.
         """
         for client in self.activity.lingering:
             client.abort(CloseReason.LINGERED)
--- a/rainhitch/node/read_flow.py
+++ b/rainhitch/node/read_flow.py
@@ -1,4 +1,4 @@
-"""Whether a client's connection is read, and how many bytes the router holds for it."""
+"""Pauses and resumes reading of a client connection and counts the bytes buffered for it."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 from rainhitch.node.unread_age import UnreadAge
 from rainhitch.protocol.resp2_reader import Resp2Reader
 
-MAX_PIPELINED_COMMANDS = 32  # of one connection in work; those behind wait unread
+MAX_PIPELINED_COMMANDS = 32  # maximum commands in progress on one connection; further ones stay unread
 
 
 class ReadFlow:
-    """Flow control of one connection. Guards memory against clients that send much or read nothing."""
+    """Flow control of one connection: limits the memory used by clients that send much or read nothing."""
 
     __slots__ = ("buffered_bytes", "limits", "paused", "reader", "responses", "turn_over", "unread_age")
 
@@ -21,16 +21,16 @@
         self.reader = reader
         self.responses = responses
         self.unread_age = unread_age
-        self.paused = False  # reading is
-        self.turn_over = False  # others have their turn before more commands are handled
-        self.buffered_bytes = 0  # as they are counted in the sum of all connections
+        self.paused = False  # whether reading is paused
+        self.turn_over = False  # command handling has yielded to other callbacks until the next turn
+        self.buffered_bytes = 0  # the connection's share of `limits.buffered_bytes`
 
     def pause_or_resume(
         self, transport: asyncio.Transport, no_more_commands: bool, is_lingering: bool
     ) -> None:
         """Pauses or resumes reading.
 
-        A lingering client is read on, whatever is in work, so that its close is no reset.
+        A lingering connection is always read, unless its write buffer is full, so that its close is no reset.
         """
         is_full = self.turn_over or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
         takes_no_more = (is_full or no_more_commands) and not is_lingering
@@ -44,7 +44,7 @@
         self.paused = paused
 
     def update_buffered_bytes(self, transport: asyncio.Transport | None) -> None:
-        """Counts the bytes that are held for the connection anew."""
+        """Updates the number of bytes counted as buffered for the connection."""
         unsent_bytes = 0 if transport is None else transport.get_write_buffer_size()
         held_bytes = len(self.reader.buffer) + unsent_bytes + self.responses.waiting_bytes
         self.limits.buffered_bytes += held_bytes - self.buffered_bytes
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -1,7 +1,7 @@
-"""Clients' connections for which there was no room: each gets one answer, and is closed without a reset.
+"""Client connections that were not admitted: each gets one response and is closed without a reset.
 
-Guards that one answer: a close with the client's first command unread is a reset, which can reach the client
-before the answer does.
+Closing a socket with the client's first command unread sends a reset, which can reach the client before the
+response does.
 """
 
 import asyncio
@@ -12,17 +12,17 @@
 from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.system import System
 
-LINGER_S = 1.0  # for which a client that has its last answer may go on sending
-MAX_LINGER_BYTES = 256 << 10  # of what it sends meanwhile that are read
-MAX_REJECTED_CONNECTIONS = 8  # that are kept until they have read their answer
+LINGER_S = 1.0  # for how long a client that has its last response may keep sending
+MAX_LINGER_BYTES = 256 << 10  # how much of that is read
+MAX_REJECTED_CONNECTIONS = 8  # kept open until they have read their response
 NS_PER_MS = 1_000_000
 
 
 class RejectedConnections:
-    """The rejected connections that are not closed yet.
+    """The rejected connections that are still open.
 
-    `retry_after_ns` gives after what time a client that is rejected now should come back, ns;
-    `count_command` is called with each command that such a client has sent.
+    `retry_after_ns` returns the retry delay for a client rejected now, in ns; `count_command` is called with
+    each command received from a rejected client.
     """
 
     def __init__(
@@ -38,26 +38,26 @@
         self.events = events
         self.retry_after_ns = retry_after_ns
         self.count_command = count_command
-        self.connections: dict[RejectedConnection, None] = {}  # the first to come first
+        self.connections: dict[RejectedConnection, None] = {}  # in the order of arrival
 
     def answer(self) -> bytes:
-        """The answer to a newcomer without room: nothing of it was begun, so that a retry is harmless."""
+        """Returns the response to a rejected client: nothing has been started, so a retry is safe."""
         return resp.busy_reply(-(-self.retry_after_ns() // NS_PER_MS))  # rounded up
 
     def add(self, connection: "RejectedConnection") -> None:
-        """Counts a connection; only a few are kept, out of the spare descriptors."""
+        """Adds a connection; closes the oldest if too many are open, as few descriptors are spare."""
         self.events.count(ClientEvent.REJECTED)
         self.connections[connection] = None
         if len(self.connections) > MAX_REJECTED_CONNECTIONS:
             next(iter(self.connections)).drain_now()
 
     def remove(self, connection: "RejectedConnection") -> None:
-        """A connection is closed, or is being closed."""
+        """Removes a connection that is closed or being closed."""
         self.connections.pop(connection, None)
 
 
 class RejectedConnection:
-    """What is left to do for a connection that was not admitted."""
+    """A connection that was not admitted: sends its response, then closes."""
 
     def __init__(self, owner: RejectedConnections, transport: asyncio.Transport) -> None:
         self.owner = owner
@@ -69,7 +69,7 @@
         owner.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Once its one command has been read, nothing is left that would make of the close a reset."""
+        """Closes the connection once one command has been read: it then closes without a reset."""
         self.reader.feed(data)
         try:
             parts = self.reader.next()
@@ -81,9 +81,9 @@
             self.transport.close()
 
     def drain_now(self) -> None:
-        """Others wait for its place: what has come is read past the event loop, then all is closed.
+        """Closes at once to make room for another connection, after a direct read of the received data.
 
-        An abort would throw away what was not sent yet, and be a reset.
+        An abort would lose unsent data and send a reset.
         """
         self.owner.remove(self)
         if not self.transport.is_closing():
@@ -91,6 +91,6 @@
             self.transport.close()
 
     def connection_lost(self) -> None:
-        """The connection is closed."""
+        """Releases a closed connection."""
         self.owner.remove(self)
         self.linger_timer.cancel()
--- a/rainhitch/node/unread_age.py
+++ b/rainhitch/node/unread_age.py
@@ -1,4 +1,4 @@
-"""For how long what is read from a client may have been lying unread in the system. No decisions."""
+"""Estimates for how long data read from a client may have been unread in the system. Makes no decisions."""
 
 import asyncio
 
@@ -6,16 +6,16 @@
 from rainhitch.system import System
 
 NS_PER_MS = 1_000_000
-# What is read within this time after an accept, and is the first, had come with its connection.
+# The first data, if read within this time after the accept, counts as having arrived with the connection.
 CAME_WITH_CONNECTION_NS = 20 * NS_PER_MS
 
 
 class UnreadAge:
-    """The age of the unread bytes of one client's connection.
+    """The age of the unread bytes of one client connection.
 
-    Guards deadlines against the time in which the process was delayed or a newcomer waited in the backlog,
-    which is its client's time too. The system does not report the age everywhere; there the delays of the
-    event loop count.
+    Time in which the process was delayed or a new connection waited in the backlog is part of the client's
+    wait and must count against its deadline. Not every system reports the age of unread bytes, so the delays
+    of the event loop are the minimum.
     """
 
     __slots__ = ("accepted_at_ns", "loop_lag", "reading_resumed_at_ns", "system", "waited_for_accept_ns")
@@ -28,16 +28,16 @@
         self.waited_for_accept_ns = 0
 
     def accepted(self, now: int, waited_ns: int) -> None:
-        """The connection was accepted, and may have waited for that in the backlog for so long."""
+        """Records that the connection was accepted after up to `waited_ns` in the backlog."""
         self.accepted_at_ns = now
         self.waited_for_accept_ns = waited_ns
 
     def reading_resumed(self) -> None:
-        """Reading goes on after a pause: what lay meanwhile waited for the client's own earlier commands."""
+        """Records that reading resumed: until then, data waited for the client's own earlier commands."""
         self.reading_resumed_at_ns = self.system.now()
 
     def age_ns(self, transport: asyncio.Transport, is_first: bool) -> int:
-        """For how long what has just been read may have been unread, ns; `is_first`: nothing came before."""
+        """Returns for how long the data just read may have been unread, ns; `is_first`: it is the first."""
         now = self.system.now()
         reported_ns = self.system.unread_ms(transport) * NS_PER_MS
         since_resumed_ns = now - self.reading_resumed_at_ns
