--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -1,4 +1,4 @@
-"""The timer that ends a client's connection by force: its answers stay unread, or it lingers half closed."""
+"""Aborts client connections whose responses stay unread or that linger too long after a half close."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,18 +9,18 @@
 
 
 class CloseTimerHost(Protocol):
-    """What the timer needs of the router."""
+    """The parts of the router that the timer uses."""
 
     loop: asyncio.AbstractEventLoop
-    unread_answers_limit_s: float  # for which a client may leave answers unread
+    unread_answers_limit_s: float  # for how long a client may leave responses unread
 
 
 def _do_nothing(reason: CloseReason) -> None:
-    """In place of the abort of a connection that is gone."""
+    """Replaces the abort of a connection that is already closed."""
 
 
 class CloseTimer:
-    """One timer of a connection; `abort` ends the connection."""
+    """The timer of one connection; `abort` closes the connection."""
 
     __slots__ = ("abort", "host", "is_lost", "timer")
 
@@ -28,33 +28,33 @@
         self.host = host
         self.abort = abort
         self.timer: asyncio.TimerHandle | None = None
-        self.is_lost = False  # the connection is
+        self.is_lost = False  # whether the connection is closed
 
     def start_for_unread_answers(self) -> None:
-        """The client reads too slowly: it has `unread_answers_limit_s` to read what was written."""
+        """Starts the time limit `unread_answers_limit_s` for a client that reads too slowly."""
         self.timer = self.host.loop.call_later(
             self.host.unread_answers_limit_s, self.abort, CloseReason.UNREAD_ANSWERS
         )
 
     def start_for_lingering(self, transport: asyncio.Transport) -> None:
-        """The connection is half closed: the client has LINGER_S to close its side."""
+        """Starts the time limit LINGER_S for the client to close its side after a half close."""
         self.cancel()
         loop = self.host.loop
         self.timer = loop.call_later(LINGER_S, self._linger_over, transport, loop.time())
 
     def cancel(self) -> None:
-        """The client has read its answers."""
+        """Stops the timer, as when the client has read its responses."""
         if self.timer is not None:
             self.timer.cancel()
 
     def connection_lost(self) -> None:
-        """The connection is gone; it is let go of, so that the two are no cycle for the garbage collector."""
+        """Stops the timer and drops the reference to the connection, so that no reference cycle is left."""
         self.is_lost = True
         self.abort = _do_nothing
         self.cancel()
 
     def _linger_over(self, transport: asyncio.Transport, since_s: float) -> None:
-        """Guards a client that reads slowly: what is left to send has the time that answers have."""
+        """Aborts a lingering connection; while data is unsent, only after `unread_answers_limit_s`."""
         if self.is_lost:
             return
         loop = self.host.loop
--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -1,49 +1,49 @@
-"""How much of a client's wait a router may use. No clock.
+"""Calculates how much of a client's wait the router may use. Reads no clock.
 
-Theory of operation. A client's wait runs from when it sent its request until its answer is there. The router
-reads its clock somewhere in between, and may be delayed between any reading and the write that follows it:
+Theory of operation. A client's wait runs from when it sends a request until it receives the response. The
+router reads its clock at some point in between, and may be delayed between any reading of the clock and the
+write that follows:
 
-    sent ---- read ------------------------------ deadline -------- client's end
-         age       what the router works with             reserve
+    sent ---- read ------------------------------ deadline -------- end of the client's wait
+         age       time available to the router            reserve
 
-The age of what is read is known but for what a heartbeat can't tell (node/loop_lag.py), which the protocol's
-slack on each time limit bears. The reserve is for a delay between the deadline and the final answer. Each
-request that reaches its deadline pays for it with time in which it might have been served, so that it is kept
-only while delays are found: for DELAY_MEMORY_NS after the last one, as long as the longest of them and
-HOST_DELAY_NS at the least. A short wait keeps a part of itself only: a reserve that uses all of it would
-serve nobody.
-"""
+The age of the data read is known except for delays that the heartbeat cannot detect (node/loop_lag.py); these
+are covered by the protocol's slack on each time limit. The reserve covers a delay between the deadline and
+the final response. It costs each request that reaches its deadline time in which it might have been served,
+so it is kept only while delays are detected, for DELAY_MEMORY_NS after the last one. It is sized for the
+longest of them, and at least for HOST_DELAY_NS, less the protocol's slack. A short wait gives up only a part
+of itself: a reserve that used all of it would leave no time to serve anything.
 
 NS_PER_MS = 1_000_000
-HOST_DELAY_NS = 150 * NS_PER_MS  # the longest for which a healthy host delays the process
-PROTOCOL_SLACK_NS = 50 * NS_PER_MS  # by which each of the protocol's time limits is longer
-ANSWER_DELIVERY_NS = 8 * NS_PER_MS  # that the final answer takes to its client
-MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS  # while delays are found
+HOST_DELAY_NS = 150 * NS_PER_MS  # longest delay of the process on a healthy host
+PROTOCOL_SLACK_NS = 50 * NS_PER_MS  # added by the protocol to each of its time limits
+ANSWER_DELIVERY_NS = 8 * NS_PER_MS  # time for the final response to reach the client
+MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS  # while delays are detected
 MAX_RESERVE_NS = 300 * NS_PER_MS
-MAX_RESERVE_DIVISOR = 4  # of what is left of a wait, one part in so many is kept at the most
-MIN_NOTICED_DELAY_NS = 25 * NS_PER_MS  # of the event loop, from which the reserve is kept
+MAX_RESERVE_DIVISOR = 4  # the reserve is at most this part (1/n) of the remaining wait
+MIN_NOTICED_DELAY_NS = 25 * NS_PER_MS  # event loop delays from this length on are remembered
 DELAY_MEMORY_NS = 30_000 * NS_PER_MS
 
 
 def client_wait_ns(wait_ms: int, unread_ms: int, class_deadline_ns: int) -> int:
-    """For how long a client goes on waiting from now, ns: no longer than its class may.
+    """Returns for how long the client waits from now, in ns, limited by the deadline of the request's class.
 
-    `wait_ms` is what it asked for, without the time for which its command may have been unread.
+    `wait_ms` is the requested wait less the time for which the command may have been unread.
     """
     left_of_class_ns = max(NS_PER_MS, class_deadline_ns - unread_ms * NS_PER_MS)
     return min(wait_ms * NS_PER_MS, left_of_class_ns)
 
 
 class DelayReserve:
-    """By when one router answers: what it keeps of its clients' waits for delays of its own; times are ns."""
+    """Sets the deadlines of one router, with a reserve for delays of its own process; times are in ns."""
 
     def __init__(self) -> None:
-        self.answer_by_ns = 0  # when all must be answered, once the router stops; 0: it runs on
-        self.longest_delay_ns = 0  # of those that are remembered
+        self.answer_by_ns = 0  # when all requests must be answered at shutdown; 0 before that
+        self.longest_delay_ns = 0  # longest of the delays that are still remembered
         self.remembered_until_ns = 0
 
     def delay_found(self, now: int, delay_ns: int) -> None:
-        """The event loop was late by so much."""
+        """Records that the event loop was delayed by `delay_ns`."""
         if delay_ns < MIN_NOTICED_DELAY_NS:
             return
         remembered_ns = self.longest_delay_ns if now < self.remembered_until_ns else 0
@@ -51,14 +51,14 @@
         self.remembered_until_ns = now + DELAY_MEMORY_NS
 
     def deadline_ns(self, now: int, wait_ns: int) -> int:
-        """By when the router answers: with a reserve before the client's end, and before the router's own."""
+        """Returns the router's deadline: the reserve before the client stops waiting, or the shutdown's end."""
         deadline_ns = now + wait_ns - self.reserve_ns(now, wait_ns)
         if self.answer_by_ns:
             return min(deadline_ns, self.answer_by_ns - ANSWER_DELIVERY_NS)
         return deadline_ns
 
     def reserve_ns(self, now: int, left_ns: int) -> int:
-        """What is kept of `left_ns` of a client's wait, ns."""
+        """Returns the reserve for a client that still waits for `left_ns`, in ns."""
         if now >= self.remembered_until_ns:
             return ANSWER_DELIVERY_NS
         for_longest_ns = self.longest_delay_ns - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS
--- a/rainhitch/node/listener.py
+++ b/rainhitch/node/listener.py
@@ -1,16 +1,16 @@
-"""Accepting clients. It can pause: newcomers wait in the system's backlog meanwhile."""
+"""Accepts client connections. Accepting can be paused; new connections then wait in the system's backlog."""
 
 import asyncio
 
 from rainhitch import system
 from rainhitch.system import ProtocolFactory
 
-MAX_ACCEPTS_PER_TURN = 16  # so that the cap on connections is looked at between them
-BACKLOG = 1024  # newcomers that the system holds
+MAX_ACCEPTS_PER_TURN = 16  # low, so that the cap on connections is checked in between
+BACKLOG = 1024  # maximum connections that wait to be accepted
 
 
 class Listener:
-    """Accepts connections on an address until it is closed; `make_protocol` gives each its protocol."""
+    """Accepts connections on an address until closed; `make_protocol` creates the protocol of each."""
 
     def __init__(
         self,
@@ -23,15 +23,15 @@
         self.loop = loop
         self.make_protocol = make_protocol
         self.socket = system.of(loop).open_listener(host, port, inherited)
-        self.server: asyncio.AbstractServer | None = None  # None while it is paused
+        self.server: asyncio.AbstractServer | None = None  # None while accepting is paused
         self.resuming: asyncio.Task[None] | None = None
         self.draining = False
         self.pauses = 0
-        # When the last pause began, while somebody may still wait in the backlog since; 0: nobody.
+        # Start of the last pause, as long as connections may have been waiting since then; 0: none are.
         self.backlog_since_ns = 0
 
     async def open(self) -> tuple[str, int]:
-        """Begins to accept; gives the address."""
+        """Starts accepting; returns the address."""
         await self._accept()
         return self.socket.address
 
@@ -39,14 +39,14 @@
         self.server = await self.socket.accept(self.make_protocol, MAX_ACCEPTS_PER_TURN, BACKLOG)
 
     def pause(self, seconds: float) -> None:
-        """Accepts nobody for so long; does nothing while a pause is on, nor once the listener drains."""
+        """Pauses accepting for `seconds`; does nothing if already paused or if the listener is draining."""
         if self.resuming is None and self.server is not None and not self.draining:
             self.pauses += 1
             self.backlog_since_ns = system.of(self.loop).now()
             self.resuming = self.loop.create_task(self._resume(seconds))
 
     def age(self, now: int) -> int:
-        """For how long a client that is accepted now may have waited in the backlog behind a pause, ns."""
+        """Returns for how long a connection accepted now may have waited because of a pause, in ns."""
         if not self.backlog_since_ns:
             return 0
         age_ns = now - self.backlog_since_ns
@@ -63,10 +63,10 @@
         await self._accept()
 
     async def accept_backlog(self) -> None:
-        """Accepts all who wait in the backlog.
+        """Accepts all connections that wait in the backlog.
 
-        Guards newcomers against a late loop, whose timers fire before its sockets are read, and against a
-        pause: for a client to whom the system has connected, a close is a reset.
+        When the listener is closed, the system resets connections that the router has not accepted. There are
+        some after a pause, and when the event loop is late, as it runs timers before it reads sockets.
         """
         self.draining = True
         if self.resuming is not None:
@@ -80,7 +80,7 @@
             await asyncio.sleep(0)
 
     def close(self) -> None:
-        """Accepts nobody any more; the system resets who waits, unless others hold the socket."""
+        """Stops accepting; the system resets the backlog unless another process has the socket open."""
         if self.resuming is not None:
             self.resuming.cancel()
         if self.server is not None:
