--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -51,7 +51,7 @@
         self.remembered_until_ns = now + DELAY_MEMORY_NS
 
     def deadline_ns(self, now: int, wait_ns: int) -> int:
-        """Returns the router's deadline: the reserve before the client stops waiting, or the shutdown's end."""
+        """Returns the router's deadline: before the client stops waiting and before the shutdown ends."""
         deadline_ns = now + wait_ns - self.reserve_ns(now, wait_ns)
         if self.answer_by_ns:
             return min(deadline_ns, self.answer_by_ns - ANSWER_DELIVERY_NS)
--- a/rainhitch/node/descriptors.py
+++ b/rainhitch/node/descriptors.py
@@ -1,29 +1,29 @@
-"""How the two sides of a router, its clients and its servers, share the descriptors of its process."""
+"""Divides the file descriptors of the process between client connections and server connections."""
 
 from dataclasses import dataclass
 
-RESERVED_UPSTREAM_DESCRIPTORS = 16  # that servers' connections may want before clients have made room
+RESERVED_UPSTREAM_DESCRIPTORS = 16  # kept free for server connections, until clients can be closed
 
 
 @dataclass(slots=True)
 class DescriptorBudget:
-    """What each side holds now, and what it may take of what the other leaves.
+    """The descriptors in use on each side, and the limit of each side given the use of the other.
 
-    Guards newcomers against a crowd that says little: what the servers' side does not use is the clients',
-    but for what it may soon want, and both stay under what the process may hold.
+    New clients are not rejected while descriptors are free: clients may use those that server connections do
+    not use, less a reserve for server connections opened soon. Both sides stay within the process limit.
     """
 
-    shared: int | None = None  # descriptors of both sides together; None: each has its own cap only
+    shared: int | None = None  # descriptors for both sides together; None: each side has only its own cap
     reserved_upstream: int = RESERVED_UPSTREAM_DESCRIPTORS
-    upstream_open: int = 0  # connections to servers that are open, or being opened
+    upstream_open: int = 0  # server connections that are open or being opened
     clients_open: int = 0
 
     def max_upstream(self, cap: int) -> int:
-        """The most connections to servers that may be open now; `cap` is that side's own."""
+        """Returns how many server connections may be open now; `cap` is the limit of that side."""
         return cap if self.shared is None else min(cap, self.shared - self.clients_open)
 
     def max_clients(self, cap: int) -> int:
-        """The most clients that may be connected now; `cap` is that side's own, which it has in any case."""
+        """Returns how many clients may be connected now, at least `cap`, the limit of that side."""
         if self.shared is None:
             return cap
         return max(cap, self.shared - self.reserved_upstream - self.upstream_open)
--- a/rainhitch/node/key_invalidations.py
+++ b/rainhitch/node/key_invalidations.py
@@ -1,4 +1,4 @@
-"""Gathers servers' notices of invalidated keys, so that the decisions get them once a turn of the loop."""
+"""Batches the key invalidations received from servers: decisions handle them once per event loop turn."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,22 +7,22 @@
 
 
 class KeyInvalidations:
-    """The notices of one turn of the event loop, reported once for each server in them.
+    """The key invalidations of one event loop turn, reported once for each server.
 
-    Guards answers against a flood of such notices.
+    Batching keeps a burst of invalidations from delaying responses.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self._report: Callable[[KeysInvalidated], None] = lambda event: None
-        self._keys: dict[str, list[str] | None] = {}  # by server; None: all of its keys
+        self._keys: dict[str, list[str] | None] = {}  # by server; None: all keys of the server
 
     def report_to(self, report: Callable[[KeysInvalidated], None]) -> None:
-        """Has the notices reported from now on; to one place."""
+        """Sets the one function that is called with each server's invalidations."""
         self._report = report
 
     def add(self, server: str, keys: list[bytes] | None) -> None:
-        """A server holds these keys no more; None: it holds none at all."""
+        """Adds the keys that a server has invalidated; None: all of its keys."""
         if not self._keys:
             self.loop.call_soon(self._report_all)
         if keys is None:
--- a/rainhitch/node/loop_lag.py
+++ b/rainhitch/node/loop_lag.py
@@ -1,67 +1,66 @@
-"""How late the event loop is, and so how old what it reads may be.
+"""Measures how late the event loop is, and from that how old the data it reads may be.
 
-Theory of operation. A router reads its clock when it handles what it reads, and that may be long after the
-bytes came: the process was delayed (stopped, without its core, in a system call that took long), or its own
-callbacks took long. The kernel reports the age of unread bytes (TCP_INFO), but not on every host. Two bounds
-hold without it:
+Theory of operation. A router reads its clock when it handles data, which may be long after the data arrived:
+the process was delayed (stopped, without a core, in a slow system call), or its own callbacks were slow. The
+kernel reports the age of unread bytes (TCP_INFO), but not on every host. Two bounds hold without it:
 
     poll -- callbacks of turn k -- poll -- callbacks of turn k+1 -- poll ...
 
-What is read in turn k+1, behind a callback of turn k that took long, may have come when that callback began.
-And where the heartbeat is overdue, the process was delayed since it was last known to run: the poll would
-have returned for it. What is read then, and in the next turn, may have come at any time since.
+Data read in turn k+1, after a slow callback in turn k, may have arrived when that callback began. And if the
+heartbeat is overdue, the process has been delayed since it was last known to run, as otherwise the poll would
+have returned for the heartbeat. Data read then, or in the next turn, may have arrived at any time since.
 
-The event loop in service reads its time anew with each call, so that it can't be asked when its poll
-returned. A delay in the poll that ends before the next heartbeat is due is not seen.
+The event loop in use (uvloop) reads its time anew on each call, so the time at which the poll returned is not
+available. A delay during the poll that ends before the next heartbeat is due is not detected.
 """
 
 import asyncio
 from collections.abc import Callable
 
 NS_PER_S = 1_000_000_000
-SLOW_CALLBACK_NS = 2_000_000  # from which a callback has kept what came meanwhile waiting
+SLOW_CALLBACK_NS = 2_000_000  # a callback that takes longer than this delays data that arrives meanwhile
 HEARTBEAT_NS = NS_PER_S // 40
-HEARTBEAT_TOLERANCE_NS = NS_PER_S // 100  # by which the heartbeat of a loop that is not delayed may come late
+HEARTBEAT_TOLERANCE_NS = NS_PER_S // 100  # how late the heartbeat may be without a delay
 
 
 class LoopLag:
-    """The lag of one event loop."""
+    """Detects the delays of one event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now: Callable[[], int]) -> None:
         self.loop = loop
         self.now = now
         self._on_delay: Callable[[int], None] = lambda delay_ns: None
-        self.ran_at_ns = now()  # when the process was last known to run, and nothing older to be unread
+        self.ran_at_ns = now()  # when the process was last known to run with no older data unread
         self.heartbeat_due_at_ns = self.ran_at_ns + HEARTBEAT_NS
-        self._delayed_since_ns: int | None = None  # begin of the delay found in this turn
-        self._delayed_before_ns: int | None = None  # and in the one before it
+        self._delayed_since_ns: int | None = None  # start of the delay detected in this turn
+        self._delayed_before_ns: int | None = None  # start of the delay detected in the previous turn
         self._watches_turns = False
 
     def report_to(self, on_delay: Callable[[int], None]) -> None:
-        """Has each delay reported from now on, in ns; to one place."""
+        """Sets the one function that is called with each detected delay, in ns."""
         self._on_delay = on_delay
 
     def heartbeat(self) -> None:
-        """To be called every HEARTBEAT_NS, by a timer."""
+        """Records a heartbeat; a timer must call this every HEARTBEAT_NS."""
         self.callback_begins()
         self.heartbeat_due_at_ns = self.ran_at_ns + HEARTBEAT_NS
 
     def callback_begins(self) -> None:
-        """To be called as a callback begins."""
+        """Records the start of a callback; each callback that reads data must call this first."""
         now = self.now()
         if now > self.heartbeat_due_at_ns + HEARTBEAT_TOLERANCE_NS:
             self._delayed(now, self.ran_at_ns)
         self.ran_at_ns = now
 
     def callback_ends(self) -> None:
-        """To be called as a callback ends."""
+        """Records the end of a callback; each callback that reads data must call this last."""
         now = self.now()
         if now - self.ran_at_ns > SLOW_CALLBACK_NS:
             self._delayed(now, self.ran_at_ns)
         self.ran_at_ns = now
 
     def age_ns(self) -> int:
-        """For how long what is read now may have been there, ns; 0 where the loop is in time."""
+        """Returns for how long data read now may have been unread, in ns; 0 if the loop is not late."""
         since_ns = self._delayed_since_ns if self._delayed_before_ns is None else self._delayed_before_ns
         return 0 if since_ns is None else self.now() - since_ns
 
@@ -71,14 +70,14 @@
             self._delayed_since_ns = since_ns
         else:
             self._delayed_since_ns = min(self._delayed_since_ns, since_ns)
-        # A heartbeat that is overdue reports one delay.
+        # An overdue heartbeat must be reported as one delay only.
         self.heartbeat_due_at_ns = max(self.heartbeat_due_at_ns, now)
         if not self._watches_turns:
             self._watches_turns = True
             self.loop.call_soon(self._next_turn)
 
     def _next_turn(self) -> None:
-        """Runs between two turns: before the sockets are looked at again."""
+        """Makes the delay of this turn that of the previous turn; runs before sockets are polled again."""
         self._delayed_before_ns = self._delayed_since_ns
         self._delayed_since_ns = None
         self._watches_turns = self._delayed_before_ns is not None
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -1,18 +1,18 @@
-"""A long value on its way from a server's connection to a client's, a piece at a time.
+"""Relays a long value from a server connection to a client connection, piece by piece.
 
-Theory. An answer up to MAX_VALUE_BYTES is read whole before any of it goes on, so that one that is spoilt
-costs an attempt and no more. A longer one is not kept: it goes on as it arrives, and from its first byte on
-there is no other attempt. So the last byte is held back until what stands behind the value has been found
-good, and until then a client can tell that it has not got the whole.
+Theory of operation. A value of up to MAX_VALUE_BYTES is read whole before any of it is forwarded, so that
+a malformed one costs only an attempt. A longer value is not stored: it is forwarded as it arrives, and there
+can be no other attempt once its first byte is forwarded. The last byte is held back until the data after the
+value is known to be valid; until then the client can tell that the value is incomplete.
 
-    RECEIVING --what stands behind it is good--> COMPLETE --all passed on--> PASSED
+    RECEIVING --data after the value is valid--> COMPLETE --all forwarded--> PASSED
        |                                            |
-       |--the source breaks, or stalls--> BROKEN    |  the client's connection ends in the middle of the value
+       |--the source fails or stalls--> BROKEN      |  the client's connection is closed within the value
        |                                            |
-       '--the client leaves-------------------------'--> CLIENT_LEFT   the source is closed
+       '--the client disconnects--------------------'--> CLIENT_LEFT   the source is closed
 
-Memory: what a client has not read pauses the reading from the source, so that one piece, as large as the
-system hands over at a time, is held for each.
+Memory: reading from the source is paused while data is waiting for the client, so that at most one piece, as
+large as the system delivers at once, is held for each relay.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 from enum import Enum
 from typing import Protocol
 
-STALL_LIMIT_S = 10.0  # for which a source may send nothing while its client would read
+STALL_LIMIT_S = 10.0  # for how long a source may send nothing while the client would read
 
 
 class RelayState(Enum):
-    """Where a relay stands; see the module's docstring."""
+    """The state of a relay; the module's docstring has the transitions."""
 
     RECEIVING = "receiving"
     COMPLETE = "complete"
@@ -37,20 +37,20 @@
 
 
 class Source(Protocol):
-    """The server's side."""
+    """The server's side of a relay."""
 
     def pause_reading(self) -> None:
-        """Reads no more for now."""
+        """Pauses reading from the server."""
 
     def resume_reading(self) -> None:
-        """Reads on."""
+        """Resumes reading from the server."""
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection to the server."""
 
 
 class Relay:
-    """One long value of `size_bytes`; `on_end` is called once with whether all of it was passed on."""
+    """Relays one value of `size_bytes`; calls `on_end` once, with whether all of it was forwarded."""
 
     def __init__(
         self,
@@ -63,41 +63,41 @@
         self.source = source
         self.size_bytes = size_bytes
         self.on_end = on_end
-        self.wake: Callable[[], None] = lambda: None  # tells the client's side that there is something to do
+        self.wake: Callable[[], None] = lambda: None  # set by the client's side; called when it has work
         self.state = RelayState.RECEIVING
         self.pending = bytearray()
-        self.taken_bytes = 0  # that the client's side has
+        self.taken_bytes = 0  # bytes that the client's side has taken
         self.source_paused = False
-        self.head_written = False  # the client's side has begun to write
-        self.received_at_s = loop.time()  # when something last came, or could not
+        self.head_written = False  # whether the client's side has started to write
+        self.received_at_s = loop.time()  # when data last arrived or the source was last known to be paused
         self.stall_timer = loop.call_later(STALL_LIMIT_S, self._check_stall)
 
     def feed(self, data: bytes) -> None:
-        """Some of the value has come."""
+        """Accepts a part of the value from the source."""
         if self.is_over():
             return
         self.received_at_s = self.loop.time()
         self.pending += data
         self.wake()
-        # The last byte may have to wait: one byte pauses nothing.
+        # The last byte may have to be held back, so a single byte does not pause the source.
         if len(self.pending) > 1 and not self.is_over():
             self.source_paused = True
             self.source.pause_reading()
 
     def finish(self) -> None:
-        """The value is whole, and what stands behind it is good."""
+        """Records that the value is complete and that the data after it is valid."""
         if self.state is RelayState.RECEIVING:
             self.state = RelayState.COMPLETE
         self.wake()
 
     def break_off(self) -> None:
-        """The source is gone, or what it sent is spoilt."""
+        """Ends the relay because the source is closed or its data is malformed."""
         if self.state is RelayState.RECEIVING:
             self._end(RelayState.BROKEN)
             self.wake()
 
     def take(self) -> bytes:
-        """What may go on to the client now."""
+        """Returns the data that may be forwarded to the client now, and removes it."""
         all_arrived = self.taken_bytes + len(self.pending) == self.size_bytes
         is_last_byte_held = all_arrived and self.state is not RelayState.COMPLETE
         data = bytes(self.pending[:-1] if is_last_byte_held else self.pending)
@@ -110,24 +110,24 @@
         return data
 
     def is_broken(self) -> bool:
-        """Whether the rest will never come."""
+        """Returns whether the rest of the value will never arrive."""
         return self.state is RelayState.BROKEN
 
     def is_over(self) -> bool:
-        """Whether nothing more is passed on."""
+        """Returns whether nothing more will be forwarded."""
         return self.state not in UNFINISHED_STATES
 
     def is_taken_whole(self) -> bool:
-        """Whether the client's side has all of it."""
+        """Returns whether the client's side has taken the complete value."""
         return self.state is RelayState.COMPLETE and self.taken_bytes == self.size_bytes
 
     def passed(self) -> None:
-        """All of it is with the client's connection."""
+        """Records that the client's connection has the complete value."""
         if not self.is_over():
             self._end(RelayState.PASSED)
 
     def client_left(self) -> None:
-        """The client has gone, or can't be served."""
+        """Ends the relay because the client has disconnected or cannot be served."""
         if not self.is_over():
             self._end(RelayState.CLIENT_LEFT)
             self.source.close()
@@ -140,11 +140,11 @@
         self.on_end(state is RelayState.PASSED)
 
     def _check_stall(self) -> None:
-        """Guards a client, and the descriptors, against a server that stops in the middle of a value."""
+        """Ends the relay if the source stalls, which frees the client and the descriptors."""
         if self.source_paused:
             self.received_at_s = (
                 self.loop.time()
-            )  # it waits for the client, which has a time limit of its own
+            )  # the source waits for the client, which has a time limit of its own
         left_s = self.received_at_s + STALL_LIMIT_S - self.loop.time()
         if left_s > 0:
             self.stall_timer = self.loop.call_later(left_s, self._check_stall)
--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -1,4 +1,4 @@
-"""Counts each request and how it ended: in the metrics, in the `second` record, and in a `bad` record."""
+"""Counts each request and its outcome in the metrics, the `second` record and the `bad` record."""
 
 from collections import defaultdict
 
@@ -11,31 +11,31 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-# A client that leaves with less of its wait left than this seems to have given up waiting.
+# A client that disconnects with less than this left of its wait counts as having given up waiting.
 GAVE_UP_WAITING_NS = 150 * NS_PER_MS
 
 
 class RequestAccounting:
-    """The counts of one router; outcomes are texts as `telemetry/records.py` has them."""
+    """The request counts of one router; the outcomes are the texts in `telemetry/records.py`."""
 
     def __init__(self, clock: Clock, class_names: list[str], counts: Counts) -> None:
         self.clock = clock
         self.metrics = RouterMetrics(class_names)
         self.counts = counts
-        self.tenant_names: dict[int, str] = defaultdict(str)  # by the tenant's number
+        self.tenant_names: dict[int, str] = defaultdict(str)  # by tenant index
 
     def accepted(self, client_request: ClientRequest) -> None:
-        """A request was taken in."""
+        """Counts a request that was accepted."""
         self.metrics.in_flight += 1
         self.counts.taken += 1
         self.counts.add_unread(client_request.unread_ms)
 
     def id_in_use(self, client_request: ClientRequest) -> None:
-        """A request failed at once, since another with its id is in flight."""
+        """Counts a request that failed at once because another with the same id is in flight."""
         self.metrics.failed[client_request.class_index] += 1
 
     def no_room(self, client_request: ClientRequest) -> None:
-        """A request was rejected at once, since the router holds as many as it may."""
+        """Counts a request that was rejected because the router is at its limit of requests or bytes."""
         self.metrics.rejected[client_request.class_index] += 1
         self.counts.taken += 1
         self.counts.add("ended", ROUTER_FULL)
@@ -43,7 +43,7 @@
     def answered(
         self, request: InFlightRequest, metric: list[int], outcome: str, is_over_quota: bool
     ) -> None:
-        """A request has its final answer; it counts in a metric by class."""
+        """Counts a request that got its final response, also in `metric`, a list by class."""
         metric[request.client_request.class_index] += 1
         self.counts.add("ended", outcome)
         tenant = self.tenant_names[request.client_request.tenant]
@@ -53,14 +53,14 @@
             self._note_bad(request, outcome)
 
     def relay_ended(self, request: InFlightRequest, whole: bool) -> None:
-        """A long value was passed on, or cut off."""
+        """Counts a long value that was forwarded completely or cut off."""
         self.metrics.in_flight -= 1
         metric = self.metrics.served if whole else self.metrics.failed
         metric[request.client_request.class_index] += 1
         self.counts.add("ended", SERVED if whole else CUT_OFF)
 
     def client_left(self, request: InFlightRequest) -> None:
-        """A client left before its answer."""
+        """Counts a request whose client disconnected before the response."""
         gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
         outcome = CLIENT_GAVE_UP if gave_up else CLIENT_LEFT
         self.counts.add("ended", outcome)
