--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: turns, memory, and what comes after the last answer, over loopback sockets."""
+"""One client connection over loopback sockets: fairness, memory limits, and data after the last response."""
 
 import pytest
 from peers import hit, router, wait_until
@@ -10,7 +10,10 @@
 
 
 async def test_what_is_read_after_the_last_answer_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that went on sending after its last answer was read at full speed for a second."""
+    """A client that kept sending after its last response must not be read without limit.
+
+    The router read it at full speed for a second.
+    """
     monkeypatch.setattr(client_socket, "MAX_LINGER_BYTES", 1 << 16)
     async with router() as bench:
         caller = await bench.caller()
@@ -24,7 +27,7 @@
 
 
 async def test_hundreds_of_commands_at_once_do_not_starve_other_clients() -> None:
-    """A client sends a thousand commands at once: no more than a few of them are handled in one turn."""
+    """A client sends 1000 commands at once: only a few of them may be handled in each event loop turn."""
     async with router() as bench:
         greedy, usual = await bench.caller(), await bench.caller()
         usual.send(b"PING")
@@ -47,9 +50,9 @@
 
 
 async def test_answers_whose_turn_has_not_come_are_counted_and_bounded() -> None:
-    """Behind one slow answer, others piled up uncounted.
+    """Responses held behind a slow one must count against the memory limit.
 
-    They count against the limit, and those for which there is no memory fail.
+    Uncounted, they could use any amount of memory. Responses beyond the limit fail.
     """
     value = bytes(60_000)
 
--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Which clients are admitted and which connections are closed to make room, over loopback sockets."""
+"""Admission of clients and the closing of connections to make room, over loopback sockets."""
 
 import asyncio
 
@@ -17,9 +17,9 @@
 async def test_a_client_that_sends_no_whole_command_gets_an_error_in_time(
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    """Connections that sent nothing, or half a command, were kept for good.
+    """Connections that sent nothing or an incomplete command were kept open forever.
 
-    Such a client gets an error within the limit; another one is served meanwhile.
+    Such a client gets an error within the time limit; other clients are served meanwhile.
     """
     monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
@@ -52,9 +52,9 @@
 
 
 async def test_at_the_cap_the_longest_idle_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new client was rejected while others had sent one request and stayed.
+    """A new client was rejected while other clients stayed connected after a single request.
 
-    The longest idle connection is closed for it; one with a request in flight is not.
+    The connection that has been idle longest is closed for it; one with a request in flight is not closed.
     """
     monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=3) as bench:
@@ -76,9 +76,9 @@
 
 
 async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients ran out of connections of their own while those they had were idle here.
+    """Clients ran out of connections of their own while the ones they had open here were idle.
 
-    Past half of the cap, idle connections are closed.
+    Idle connections are closed once more than half of the cap is in use.
     """
     monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.2)
     async with router(lambda asked, line: None if asked[2] == b"open" else hit(), sockets=6) as bench:
@@ -95,12 +95,12 @@
 
 
 async def test_clients_may_use_the_descriptors_that_the_servers_side_leaves() -> None:
-    """Clients were rejected at half of the descriptors while a third of them was free.
+    """Clients were rejected at half of the file descriptors while a third of them was free.
 
-    Clients may use what the servers' side leaves, and both sides together no more than there are.
+    Clients may use the descriptors that server connections leave, within the total of both sides.
     """
     async with router(sockets=2) as bench:
-        # who is idle makes room for nobody
+        # no idle connection is closed to make room
         bench.clients.idle_grace_s = bench.clients.idle_grace_near_cap_s = 3600
         bench.pools.descriptors.shared = 4
         bench.pools.descriptors.reserved_upstream = 0
@@ -109,7 +109,7 @@
             one.send(b"PING")
             assert await one.answer() == b"PONG"
         assert str(await (await bench.caller()).answer()) == "BUSY"
-        many[0].get(info=ONCE)  # nothing is left for a connection to a server
+        many[0].get(info=ONCE)  # no descriptor is left for a server connection
         assert str(await many[0].answer()).startswith("BUSY") and not bench.cache.lines
         many[1].writer.close()
         await wait_until(lambda: len(bench.clients.connections) == 3)
@@ -121,27 +121,27 @@
 async def test_an_idle_connection_to_a_server_makes_room_for_a_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """New clients were rejected while half of the connections to servers were idle.
+    """New clients were rejected while half of the server connections were idle.
 
-    One of those is closed for a new client, down to two thirds of their cap.
+    An idle server connection is closed for a new client while more than two thirds of their cap are open.
     """
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 60.0)  # so that each request opens another
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 60.0)  # so that each request opens a new connection
     async with router(sockets=3) as bench:
-        bench.pools.descriptors.shared = 6  # as many as both sides' caps, and no more for either
+        bench.pools.descriptors.shared = 6  # the sum of the caps of both sides
         for n in range(3):
             caller = await bench.caller()
             caller.get(name=b"i%d" % n)
             assert await caller.answer() == b"v"
         assert bench.pools.open_count() == 3
         await (await bench.caller()).answer_to_ping()
-        assert bench.pools.open_count() == 2  # and no more than two thirds are given up
+        assert bench.pools.open_count() == 2  # two thirds of the cap: no more are closed
         assert str(await (await bench.caller()).answer()) == "BUSY"
 
 
 async def test_a_connection_with_unread_bytes_is_not_closed_to_make_room(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request that lay unread in the socket would be lost with its connection."""
+    """A request that is unread in the socket would be lost if its connection were closed."""
     monkeypatch.setattr(client_connections, "IDLE_GRACE_S", 0.0)
     async with router(sockets=1) as bench:
         caller = await bench.caller()
--- a/tests/node/test_client_request.py
+++ b/tests/node/test_client_request.py
@@ -1,4 +1,4 @@
-"""What a client's command must look like."""
+"""Validation of client request commands."""
 
 from typing import Any
 
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of a process that may be delayed at any reading of its clock; some over loopback sockets."""
+"""Deadlines when the process may be delayed after any reading of its clock; partly over loopback sockets."""
 
 import asyncio
 import socket
@@ -30,11 +30,11 @@
 
 
 NOW = 10**12
-MAX_UNDETECTED_NS = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS  # the longest delay that no heartbeat detects
+MAX_UNDETECTED_NS = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS  # the longest delay that heartbeats miss
 
 
 def delayed(*delays: int) -> DelayReserve:
-    """The reserve after such delays, ns, all at NOW."""
+    """Returns the reserve after delays of these lengths in ns, all recorded at NOW."""
     made = DelayReserve()
     for delay in delays:
         made.delay_found(NOW, delay)
@@ -89,23 +89,23 @@
     made = delayed(HOST_DELAY_NS)
     assert made.reserve_ns(NOW + DELAY_MEMORY_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
     assert made.reserve_ns(NOW + DELAY_MEMORY_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
-    made.delay_found(NOW + DELAY_MEMORY_NS, MIN_NOTICED_DELAY_NS)  # the longer one is forgotten
+    made.delay_found(NOW + DELAY_MEMORY_NS, MIN_NOTICED_DELAY_NS)  # the longer delay is no longer remembered
     assert made.longest_delay_ns == MIN_NOTICED_DELAY_NS
 
 
 class ClockReadings:
-    """Counts the readings of a router's clock, and calls `act` right after the reading numbered `at`."""
+    """Counts the readings of a router's clock and calls `act` directly after reading number `at`."""
 
     def __init__(self, bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
         self.count = 0
-        self.at = 0  # 0: never
+        self.at = 0  # 0: `act` is never called
         self.act: Callable[[], None] = lambda: None
         self.now = bench.driver.clock.now
         monkeypatch.setattr(bench.driver.clock, "now", self.read)
         monkeypatch.setattr(bench.pools.system, "now", self.read)
 
     def read(self) -> int:
-        """The time, ns."""
+        """Returns the time in ns."""
         now_ns = self.now()
         self.count += 1
         if self.count == self.at:
@@ -114,7 +114,7 @@
 
 
 async def newcomer(bench: Bench) -> tuple[socket.socket, ClientConnection]:
-    """A client, and its connection at the router."""
+    """Connects a client; returns its socket and its connection at the router."""
     before = set(bench.clients.connections)
     raw = socket.create_connection(("127.0.0.1", bench.port))
     await wait_until(lambda: len(bench.clients.connections) > len(before))
@@ -125,14 +125,14 @@
 async def test_no_attempt_starts_for_a_client_that_leaves_after_any_reading_of_the_clock(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process may be delayed after each reading of the clock: what was found out before is old then."""
+    """The process may be delayed after any reading of the clock; checks made before it are then outdated."""
     async with router() as bench:
         warm = await bench.caller()
         warm.get(name=b"warm")
         assert await warm.answer() == b"v"
         left_before = 0
         for at in range(1, 40):
-            await asyncio.sleep(0.01)  # the connection to the cache server may be used again
+            await asyncio.sleep(0.01)  # until the connection to the cache server may be reused
             raw, client = await newcomer(bench)
             written = bench.pools.attempts_written
             seen: list[int] = []
@@ -146,7 +146,7 @@
                 readings.at, readings.act = at, leave
                 client.data_received(command(b"C.GET", b"k", b"leaves%d" % at, INFO % 900))
             raw.close()
-            if seen == [written]:  # it left before anything was written
+            if seen == [written]:  # it disconnected before anything was written
                 left_before += 1
                 assert bench.pools.attempts_written == written, f"reading {at}"
             await wait_until(lambda: not bench.driver.requests)
@@ -168,10 +168,10 @@
             [held] = bench.driver.requests.values()
             assert (
                 held.client_request.unread_ms >= 190 and held.client_request.wait_ms <= 900 - 190
-            )  # a timer may be early by its rounding
+            )  # a timer may fire early by its rounding
             assert held.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
-            await asyncio.sleep(0.05)  # nobody waits any more: what it says later is new
+            await asyncio.sleep(0.05)  # the backlog is empty: data sent later has no age
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
             held = await wait_until(lambda: bench.driver.requests.get("comes"))
             assert held.client_request.wait_ms > 900 - 100
@@ -186,9 +186,9 @@
 async def test_a_command_left_unread_by_flow_control_is_not_charged_with_that_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client sends more at once than may be in work.
+    """A client sends more commands at once than may be in progress.
 
-    What lies unread behind its own earlier commands waits for these, and is not old for that.
+    The time for which a command is unread because of the client's own earlier commands must not count as age.
     """
     async with router(lambda asked, line: None if asked[2] == b"first" else hit()) as bench:
         raw, client = await newcomer(bench)
@@ -197,7 +197,7 @@
         raw.sendall(b"".join(command(b"PING") for _ in range(MAX_PIPELINED_COMMANDS)))
         await wait_until(lambda: client.flow.paused)
         raw.sendall(command(b"C.GET", b"k", b"behind", INFO % 900))
-        await asyncio.sleep(0.1)  # it lies unread
+        await asyncio.sleep(0.1)  # the command stays unread
         [line] = bench.cache.lines
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 700)
         line.write(hit())
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -1,4 +1,4 @@
-"""Leaks: what long use leaves behind, by counts of objects, connections, timers and descriptors."""
+"""Leaks of objects, connections, timers and descriptors after long use."""
 
 import asyncio
 import gc
@@ -43,15 +43,15 @@
 
 
 def alive() -> Counter[str]:
-    """How many objects of each of KINDS there are."""
+    """Returns the number of live objects of each class in KINDS."""
     gc.collect()
     return Counter(kind.__name__ for one in gc.get_objects() for kind in KINDS if isinstance(one, kind))
 
 
 async def churn(bench: Bench, rounds: range) -> None:
-    """Plays rounds: a server leaves, a new one is at its address, and attempts end in every way.
+    """Plays rounds in which a server is replaced at the same address and attempts end in every way.
 
-    Ids, keys and clients are new in each.
+    Each round has new ids, keys and clients.
     """
     for n in rounds:
         new = entry(f"c{n}", bench.cache.address, boot_ms=1)
@@ -103,13 +103,13 @@
             and clients.buffered_bytes == 0
         )
         grown = {name: (before[name], many) for name, many in alive().items() if many > before[name] + 8}
-        # Timers hold PendingRequests until their latency objective is over, and no longer: time bounds them,
-        # not this test.
+        # Timers hold PendingRequests until the latency objective expires, so their number is limited by time
+        # and not checked here.
         assert grown.keys() <= {"PendingRequest"}
 
 
 async def test_a_connect_that_never_comes_up_leaves_no_descriptor() -> None:
-    """A server's backlog is full, so that the system drops what would connect: no descriptor may be lost."""
+    """The server's backlog is full and the system drops connects: no descriptor may be leaked."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = full.getsockname()
         queued = [socket.socket() for _ in range(4)]
@@ -170,15 +170,15 @@
 
 
 async def test_each_client_of_a_burst_is_answered_though_descriptors_are_short(tmp_path: Path) -> None:
-    """Requests were lost: beyond its last descriptor a listener accepts and closes, with no answer.
+    """Without a free descriptor a listener accepts and closes connections, and their requests were lost.
 
-    Each client of a burst must get one.
+    Each client of a burst must get a response.
     """
 
     def few() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
-    operator = tmp_path / "operator.toml"  # on a slow machine the first ones idle for long, and are to stay
+    operator = tmp_path / "operator.toml"  # so that the first clients stay, however slow the machine
     operator.write_text("[clients]\nidle_s = 3600\nat_need_s = 3600\n")
     env = {**configuration(tmp_path, limits={"sockets": 64}), "RAINHITCH_OPERATOR": str(operator)}
     running = await asyncio.create_subprocess_exec(
@@ -191,7 +191,7 @@
     for reader, writer in kept:
         writer.write(command(b"PING"))
         assert (await asyncio.wait_for(reader.readline(), PATIENCE)).startswith((b"+PONG", b"-LOADING"))
-    late = [socket.create_connection(address) for _ in range(150)]  # all at once, and slow to speak
+    late = [socket.create_connection(address) for _ in range(150)]  # a burst of clients that send nothing yet
     for one in late:
         one.settimeout(PATIENCE)
     answers = [await asyncio.to_thread(one.recv, 64) for one in late]
--- a/tests/node/test_loop_lag.py
+++ b/tests/node/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""How late an event loop is found to be. The loop is scripted: its clock, and what it calls next turn."""
+"""Detection of event loop delays, on a scripted loop with its own clock and turns."""
 
 from collections.abc import Callable
 from typing import Any, cast
@@ -12,7 +12,7 @@
 
 
 class ScriptedLoop:
-    """A loop whose turns and delays are the test's; its heartbeat comes when the loop can run it."""
+    """A loop whose turns and delays are set by the test; it runs its heartbeat as soon as it can."""
 
     def __init__(self) -> None:
         self.now = 10**12
@@ -22,14 +22,14 @@
         self.lag.report_to(self.delays.append)
 
     def call_soon(self, callback: Callable[[], Any]) -> None:
-        """Keeps a callback for the next turn."""
+        """Schedules a callback for the next turn."""
         self.soon.append(callback)
 
     def turn(self, waited: int = 0, held_up: int = 0) -> None:
-        """Ends a turn and polls for the next one; times are ns.
+        """Ends a turn and polls for the next one; times are in ns.
 
-        `waited` is for how long the poll waits in time, `held_up` for how long the process is delayed then:
-        what is read comes before the timers.
+        The poll waits for `waited` and heartbeats run in time; then the process is delayed by `held_up`.
+        Sockets are read before timers run.
         """
         ready, self.soon = self.soon, []
         for callback in ready:
@@ -41,7 +41,7 @@
         self.now += waited + held_up
 
     def read(self, takes: int = 0) -> int:
-        """Runs a callback for so many ns; gives the age of what it reads, ns."""
+        """Runs a callback that takes `takes` ns; returns the age of the data it reads, in ns."""
         self.lag.callback_begins()
         age = self.lag.age_ns()
         self.now += takes
@@ -63,7 +63,7 @@
     assert loop.read(takes=120 * MILLI) == 0
     assert loop.read() == 120 * MILLI
     loop.turn()
-    assert loop.read() == 120 * MILLI  # it may have come as that callback began
+    assert loop.read() == 120 * MILLI  # the data may have arrived when that callback began
     loop.turn()
     assert loop.read() == 0
     assert loop.delays == [120 * MILLI]
@@ -93,9 +93,9 @@
 def test_an_age_is_never_less_than_the_detected_delay(
     turns: list[tuple[int, int, list[int]]],
 ) -> None:
-    """What comes as the poll or a callback begins is at least as old as the delay behind it.
+    """Data that arrives as the poll or a callback begins must get at least the age of the delay after it.
 
-    Delays that no heartbeat detects are left out.
+    Delays that the heartbeat does not detect are excluded.
     """
     loop = ScriptedLoop()
     for waited, held_up, callbacks in turns:
