--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -1,7 +1,7 @@
-"""Processes of the program that are delayed: stopped by a signal, or between the poll and a callback.
+"""Router processes that are delayed, either stopped by a signal or between the poll and a callback.
 
-What lies in their sockets meanwhile ages, and its client waits no longer for it. Each delay is HELD s long
-and each wait WAIT s; an answer is in time up to IN_TIME, far from both a router that counts the delay and one
+Data in their sockets ages meanwhile, and the clients' waits go on. Each delay lasts HELD s and each wait WAIT
+s. A response is in time up to IN_TIME, with a wide margin both to a router that counts the delay and to one
 that does not.
 """
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class Router:
-    """One process of the program."""
+    """A running router process."""
 
     running: asyncio.subprocess.Process
     address: tuple[str, int]
@@ -37,7 +37,7 @@
         return Caller(*await asyncio.open_connection(*self.address))
 
     async def held_up(self, seconds: float = HELD) -> None:
-        """Stops the process for so long."""
+        """Stops the process for `seconds`."""
         self.running.send_signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
@@ -47,7 +47,7 @@
 
 @contextlib.asynccontextmanager
 async def routers(tmp_path: Path, cache: Cache, number: int, faults: str = "") -> AsyncIterator[list[Router]]:
-    """So many processes with the same cache server."""
+    """Runs `number` router processes with the same cache server."""
     await cache.start()
     made: list[Router] = []
     drains: list[asyncio.Task[Any]] = []
@@ -75,12 +75,12 @@
 
 
 def silent_but_for_warm() -> Cache:
-    """Answers for one key and says nothing for all others."""
+    """Returns a cache server that answers requests for one key and none for all others."""
     return Cache(lambda asked, line: hit() if asked[1] == b"warm" else None)
 
 
 async def warm(router: Router) -> Caller:
-    """A connection that has carried a request before."""
+    """Returns a connection that has already carried a request."""
     caller = await router.caller()
     caller.get(b"warm", b"first")
     assert await caller.answer() == b"v"
@@ -88,7 +88,7 @@
 
 
 async def seconds_to_answer(caller: Caller, key: bytes, name: bytes) -> float:
-    """How long a client waits for a final answer to a request that no server answers."""
+    """Returns how long a client waits for the final response to a request that no server answers."""
     sent = time.monotonic()
     caller.get(key, name, INFO)
     assert await asyncio.wait_for(caller.answer(), PATIENCE) is not None
@@ -99,16 +99,16 @@
 async def test_processes_a_stopped_router_answers_what_lay_unread_within_its_clients_wait(
     tmp_path: Path, faults: str
 ) -> None:
-    """Clients had left when their answers came, after their router had been stopped for a moment.
+    """A router that had been stopped for a moment answered after its clients had disconnected.
 
-    It timed what lay unread from when it read it. Two routers run, one of them stopped for less than it takes
-    to detect a pause: each client must be answered within its wait.
+    It measured the age of unread requests from when it read them. One of two routers is stopped, for too short
+    a time to detect a pause: each client must be answered within its wait.
     """
     async with routers(tmp_path, silent_but_for_warm(), 2, faults) as (stopped, other):
         callers = [await warm(one) for one in (stopped, other)]
         newcomer = await stopped.caller()
         stop = asyncio.create_task(stopped.held_up())
-        await asyncio.sleep(0.02)  # it has stopped
+        await asyncio.sleep(0.02)  # until the process has stopped
         times = await asyncio.gather(
             seconds_to_answer(callers[0], b"k", b"kept"),
             seconds_to_answer(newcomer, b"k", b"new"),
@@ -121,7 +121,7 @@
 async def test_processes_a_router_delayed_after_its_poll_answers_within_its_clients_wait(
     tmp_path: Path,
 ) -> None:
-    """Neither the request that it was reading nor one that came meanwhile may be answered late."""
+    """Neither the request being read nor one that arrived during the delay may be answered late."""
     async with routers(tmp_path, silent_but_for_warm(), 1, "blind late") as (router,):
         first, second = await warm(router), await warm(router)
         held = asyncio.create_task(seconds_to_answer(first, LATE, b"held"))
@@ -133,9 +133,9 @@
 async def test_processes_an_answer_that_came_in_time_is_used_though_its_timeout_fires_first(
     tmp_path: Path,
 ) -> None:
-    """Answers that had come in time were thrown away, and their servers counted as silent.
+    """Responses that had arrived in time were discarded, and their servers counted as silent.
 
-    A late loop runs its timers before it reads its sockets.
+    A late event loop runs timers before it reads sockets.
     """
     asked_first: list[asyncio.StreamWriter] = []
 
@@ -150,7 +150,7 @@
         first.get(b"k", b"in-time", INFO)
         await wait_until(lambda: asked_first)
         await asyncio.sleep(sent + HELD - 0.1 - time.monotonic())
-        second.get(LATE, b"second", INFO)  # the router reads this until the first one's time is over
+        second.get(LATE, b"second", INFO)  # keeps the router busy until the first request's timeout
         await asyncio.sleep(0.05)
         asked_first[0].write(hit(b"in time"))
         assert await asyncio.wait_for(first.answer(), PATIENCE) == b"in time"
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -1,4 +1,4 @@
-"""Values too long to be kept: relayed as they arrive, over loopback sockets with scripted peers."""
+"""Values too long to be stored are relayed as they arrive, over loopback sockets with scripted peers."""
 
 import asyncio
 import itertools
@@ -24,7 +24,7 @@
 
 
 def silent_script() -> tuple[list[asyncio.StreamWriter], Script]:
-    """A script that sends nothing, and the connections on which it was asked."""
+    """Returns a script that sends nothing and the list of connections on which it received a request."""
     asked: list[asyncio.StreamWriter] = []
 
     def answer(parts: object, line: asyncio.StreamWriter) -> None:
@@ -34,13 +34,13 @@
 
 
 async def raw(caller: Caller, size: int) -> bytes:
-    """The next `size` bytes that come."""
+    """Returns the next `size` bytes received."""
     async with asyncio.timeout(PATIENCE):
         return await caller.reader.readexactly(size)
 
 
 async def rest(caller: Caller) -> bytes:
-    """All that comes until the router ends the connection."""
+    """Returns everything received until the router closes the connection."""
     got = b""
     async with asyncio.timeout(PATIENCE):
         try:
@@ -64,7 +64,7 @@
         assert bench.driver.metrics.in_flight == 1 and bench.driver.metrics.served == [0, 0, 0]
         line.write(VALUE[70_000:] + TAIL)
         assert await raw(caller, SIZE - 70_000 + 2) == VALUE[70_000:] + b"\r\n"
-        caller.get(name=b"i2")  # over the same connections
+        caller.get(name=b"i2")  # on the same connections
         (_, again) = await wait_until(lambda: asked[1:] and asked)
         assert again is line
         again.write(hit(b"short"))
@@ -79,14 +79,14 @@
         for name in (b"i1", b"i2"):
             caller.get(name=name)
             assert await caller.answer() == VALUE
-        assert len(bench.origin.lines) == 1  # its connection was of use again
+        assert len(bench.origin.lines) == 1  # the connection was reused
 
 
 @pytest.mark.parametrize(
     "sent",
     [
-        HEAD + VALUE + b"x" + TAIL,  # longer than it says
-        HEAD + VALUE[:-1] + TAIL,  # shorter
+        HEAD + VALUE + b"x" + TAIL,  # longer than its length says
+        HEAD + VALUE[:-1] + TAIL,  # shorter than its length says
         HEAD + VALUE + b"\r\n$3\r\nhut\r\n$-1\r\n",
         HEAD + VALUE + b"\r\n-ERR failed\r\n",
         HEAD + VALUE + b"\r\n$70000\r\n",
@@ -96,7 +96,7 @@
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
         caller.get()
-        assert len(await rest(caller)) < len(b"$%d\r\n" % SIZE) + SIZE  # not even its last byte
+        assert len(await rest(caller)) < len(b"$%d\r\n" % SIZE) + SIZE  # without the last byte
         await wait_until(lambda: not bench.driver.requests and not bench.pools.open_count())
         assert bench.driver.metrics.failed[0] == 1 and not bench.driver.metrics.served[0]
 
@@ -154,7 +154,7 @@
 
 
 async def slow_caller(bench: Bench) -> tuple[Caller, socket.socket]:
-    """A client whose receive buffers hold next to nothing, and its socket."""
+    """Connects a client with very small receive buffers; returns it and its socket."""
     small = socket.socket()
     small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     small.setblocking(False)
@@ -165,7 +165,7 @@
 
 
 async def test_memory_for_a_slow_reader_is_bounded_by_a_piece_of_the_value() -> None:
-    long = VALUE * 13  # near 4 MiB
+    long = VALUE * 13  # almost 4 MiB
     sent = b"*3\r\n$%d\r\n%b%b" % (len(long), long, TAIL)
     async with router(lambda asked, line: sent) as bench:
         callers = [(await slow_caller(bench))[0] for _ in range(4)]
@@ -174,11 +174,11 @@
         await wait_until(
             lambda: sum(one.responses.write_buffer_full for one in bench.clients.connections) == 4
         )
-        await asyncio.sleep(0.2)  # so that all would come that is going to come
+        await asyncio.sleep(0.2)  # time for all data to arrive that is not held back
         relays = [held.relay for held in bench.driver.requests.values() if held.relay is not None]
         assert len(relays) == 4 and all(one.source_paused for one in relays)
         kept = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
-        assert kept < len(long)  # of four such values
+        assert kept < len(long)  # less than one value, for four clients
         for caller in callers:
             assert await caller.answer() == long
 
