--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -101,8 +101,8 @@
 ) -> None:
     """A router that had been stopped for a moment answered after its clients had disconnected.
 
-    It measured the age of unread requests from when it read them. One of two routers is stopped, for too short
-    a time to detect a pause: each client must be answered within its wait.
+    It measured the age of unread requests from when it read them. One of two routers is stopped, too briefly
+    for a pause to be detected: each client must be answered within its wait.
     """
     async with routers(tmp_path, silent_but_for_warm(), 2, faults) as (stopped, other):
         callers = [await warm(one) for one in (stopped, other)]
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -1,6 +1,6 @@
-"""Races: two events that may come in either order, or in the same turn of the loop, over loopback sockets.
+"""Races over loopback sockets: two events that may occur in either order, or in the same event loop turn.
 
-Each test brings the second event about right behind the first. docs/design/acceptance.md lists these races.
+Each test makes the second event follow closely after the first. docs/design/acceptance.md lists these races.
 """
 
 import asyncio
@@ -39,15 +39,14 @@
 
 
 def get(name: bytes, info: bytes = READ) -> bytes:
-    """A C.GET command with this id."""
+    """Returns a C.GET command with this id."""
     return command(b"C.GET", b"k", name, info)
 
 
 class DelayedConnects:
-    """Delays the connections that a router opens to a server until `let_through`.
+    """Delays the connections that a router opens to a server until `let_through` is called.
 
-    A connect that was given up meanwhile comes up all the same, in the turn in which that happens. `waiting`
-    has the delayed connects.
+    A connect that is abandoned meanwhile still completes then. `waiting` lists the delayed connects.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: Peer) -> None:
@@ -70,7 +69,7 @@
         return await self.connect(*args)
 
     async def let_through(self) -> None:
-        """Has all delayed connections come up, and waits until they have."""
+        """Completes all delayed connects and waits until that is done."""
         self.open.set()
         await asyncio.gather(*self.waiting)
 
@@ -79,9 +78,9 @@
 async def two_servers(
     monkeypatch: pytest.MonkeyPatch, dial: int = 10_000_000_000
 ) -> AsyncIterator[tuple[Bench, Cache, DelayedConnects]]:
-    """A router with one listed cache server, whose connections come up late, and another not listed yet.
+    """Runs a router with one listed cache server, with delayed connects, and another server not yet listed.
 
-    `dial` is the connect timeout, ns.
+    `dial` is the connect timeout in ns.
     """
     second = Cache(lambda asked, line: hit(b"second"))
     await second.start()
@@ -94,7 +93,7 @@
 
 
 def send_all(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Makes the decisions start an attempt for each request, and another one where that was not answered."""
+    """Makes the policy start an attempt for a request and another after each attempt without a response."""
 
     def decide(at: int, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request) or (
@@ -106,7 +105,7 @@
     monkeypatch.setattr(bench.driver.balancer, "handle", decide)
 
 
-# A connection comes up late
+# A connection completes late
 
 
 @pytest.mark.parametrize("news", ["drains", "gone", "moved"])
@@ -124,7 +123,7 @@
             address = {"drains": bench.cache.address, "moved": second.address}[news]
             others.append(entry("c0", address, state=state))
         bench.directory.apply(listing(6, *others))
-        await connects.let_through()  # in the same turn, before the decisions could do anything about it
+        await connects.let_through()  # in the same turn, before any decision about the change
         assert await caller.answer() == b"second"
         await wait_until(lambda: bench.cache.ended == 1)
         assert not bench.cache.received
@@ -151,10 +150,10 @@
 async def test_a_retry_whose_connection_comes_up_after_its_dedup_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a retry that was written near the end of its window, and another one after it.
+    """A retry must not be written after the end of its dedup window.
 
-    The first was decided 0.68 s after the first attempt and written at 0.92 s, in a dedup window of 1 s. What
-    can't be written within the window must never be: its server may have forgotten the first attempt.
+    A retry that was decided 0.68 s after the first attempt was written at 0.92 s, in a dedup window of 1 s,
+    and another retry followed it. After the window the server may have forgotten the first attempt.
     """
     async with two_servers(monkeypatch) as (bench, _, connects):
         now, events = [bench.driver.clock.now()], []
@@ -175,7 +174,7 @@
         assert str(await caller.answer()) == "ERR failed"
         assert not bench.cache.received
         outcome = next(event for event in events if isinstance(event, api.AttemptFinished))
-        assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
+        assert outcome.status is api.AttemptStatus.ABANDONED  # the attempt never ran
 
 
 async def test_a_connect_given_up_in_the_turn_in_which_it_comes_up_carries_nothing_and_is_closed(
@@ -184,7 +183,7 @@
     async with two_servers(monkeypatch, dial=1_000_000) as (bench, _, connects):
         caller = await bench.caller()
         caller.get()
-        assert str(await caller.answer()) == "BUSY"  # never up in time, and nowhere else to go
+        assert str(await caller.answer()) == "BUSY"  # the connect timed out, and no other server is listed
         await connects.let_through()
         await wait_until(lambda: bench.cache.lines and bench.cache.ended == len(bench.cache.lines))
         assert (
@@ -197,9 +196,9 @@
 async def test_a_connect_that_comes_up_as_its_timeout_fires_carries_its_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A timeout that is delivered to a connect which has just succeeded closes its socket, with no error.
+    """A timeout delivered to a connect that has just succeeded closes its socket without an error.
 
-    Such a connect has either not come up, or it carries its attempt.
+    Such a connect must either count as failed or carry its attempt.
     """
     async with two_servers(monkeypatch) as (bench, _, connects):
         made = upstream_connection.UpstreamConnection.connection_made
@@ -217,11 +216,11 @@
         assert len(bench.cache.received) == 1
 
 
-# A client leaves while it is not read
+# A client disconnects while reading is paused
 
 
 async def with_many_in_work(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> socket.socket:
-    """A client with as many commands in work as it may have, unanswered, and eight more behind them."""
+    """Connects a client with the maximum of commands in progress, unanswered, and eight more behind them."""
     send_all(bench, monkeypatch)
     bench.cache.answer = lambda asked, line: None
     raw = socket.create_connection(("127.0.0.1", bench.port))
@@ -234,16 +233,16 @@
 async def test_no_attempt_starts_for_a_client_that_left_while_its_reading_was_paused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reading is paused at so many commands, so that the loop does not report the end behind them.
+    """At the limit of commands in progress, reading is paused and the loop does not report a disconnect.
 
-    Before an attempt the system is asked for it.
+    The system must be asked for it before an attempt is started.
     """
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
         raw.close()
         bench.cache.answer = lambda asked, line: hit()
-        bench.cache.lines[0].write(hit())  # makes room for the next of its commands
-        bench.cache.lines[1].transport.abort()  # asks for a further attempt
+        bench.cache.lines[0].write(hit())  # makes room for one more command
+        bench.cache.lines[1].transport.abort()  # requires another attempt
         await wait_until(lambda: not bench.clients.connections and not bench.driver.requests)
         assert len(bench.cache.received) == MAX_PIPELINED_COMMANDS
 
@@ -251,25 +250,25 @@
 async def test_commands_read_from_a_client_that_has_left_start_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client sends 64 commands and closes at once: none of them may reach a server."""
+    """A client sends 64 commands and disconnects at once: none of them may reach a server."""
     async with router() as bench:
         send_all(bench, monkeypatch)
         raw = socket.create_connection(("127.0.0.1", bench.port))
         await wait_until(lambda: bench.clients.connections)
         raw.sendall(b"".join(get(b"n%d" % n) for n in range(64)))
-        raw.close()  # before the router has read any of it
+        raw.close()  # before the router has read anything
         await wait_until(lambda: not bench.clients.connections)
         assert not bench.driver.requests and not bench.cache.received
 
 
-# A request is still being written
+# A request is being written
 
 
 LARGE = b"x" * 60_000
 
 
 class NotReading:
-    """A server that accepts connections and reads nothing: a large request is written in part only."""
+    """A server that accepts connections but reads nothing, so that a large request is written only partly."""
 
     def __init__(self, bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
         self.bench = bench
@@ -288,7 +287,7 @@
         bench.directory.apply(listing(6, entry("c0", self.address)))
 
     def writing(self) -> list[upstream_connection.UpstreamConnection]:
-        """The connections on which a request is written in part."""
+        """Returns the connections on which a request is partly written."""
         return [
             one
             for one in self.bench.pools.pools["c0"].connections
@@ -296,14 +295,14 @@
         ]
 
     async def half_written(self) -> Caller:
-        """A client whose request has been written in part."""
+        """Returns a client whose request is partly written."""
         caller = await self.bench.caller()
         caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=o1", LARGE)
         await wait_until(self.writing)
         return caller
 
     def got(self) -> int:
-        """How many bytes came on the one connection, once it has ended."""
+        """Returns how many bytes arrived on the one connection, once it is closed."""
         line, _ = self.listener.accept()
         with line:
             line.settimeout(PATIENCE)
@@ -313,14 +312,14 @@
 async def test_a_request_whose_client_leaves_while_it_is_written_is_not_written_whole(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request begins at its server with its last byte, which may come seconds after its client has left."""
+    """A server starts a request at its last byte, which may arrive seconds after the client disconnected."""
     async with router() as bench:
         send_all(bench, monkeypatch)
         server = NotReading(bench, monkeypatch)
         caller = await server.half_written()
         caller.writer.transport.abort()
         await wait_until(lambda: not bench.clients.connections)
-        assert not bench.driver.requests and not bench.pools.open_count()  # at once
+        assert not bench.driver.requests and not bench.pools.open_count()  # without any delay
         assert await asyncio.to_thread(server.got) < len(LARGE)
         server.listener.close()
 
@@ -340,12 +339,12 @@
         monkeypatch.setattr(bench.driver.balancer, "handle", decide)
         monkeypatch.setattr(
             bench.driver.attempts, "time_out", lambda attempt: None
-        )  # the window alone ends it
+        )  # so that only the dedup window ends the attempt
         server = NotReading(bench, monkeypatch)
         caller = await server.half_written()
         assert str(await caller.answer()) == "ERR failed"
         outcome = next(event for event in events if isinstance(event, api.AttemptFinished))
-        assert outcome.status is api.AttemptStatus.ABANDONED  # it never ran
+        assert outcome.status is api.AttemptStatus.ABANDONED  # the attempt never ran
         assert await asyncio.to_thread(server.got) < len(LARGE)
         server.listener.close()
 
@@ -353,7 +352,7 @@
 async def test_a_connection_that_answers_before_the_last_byte_is_written_is_not_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The rest of the first request would be read as the beginning of the next one."""
+    """The rest of the first request would be read as the start of the next one."""
     async with router() as bench:
         send_all(bench, monkeypatch)
         server = NotReading(bench, monkeypatch)
@@ -366,7 +365,7 @@
         server.listener.close()
 
 
-# A connection is closed as something comes on it
+# A connection is closed while data arrives on it
 
 
 async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_end_and_no_reset() -> None:
@@ -377,17 +376,17 @@
         assert (await asyncio.to_thread(raw.recv, 64)).startswith(b"$1")
         await wait_until(lambda: bench.clients.activity.idle)
         [client] = bench.clients.connections
-        raw.sendall(get(b"crosses"))  # lies unread as the close comes, in one turn
+        raw.sendall(get(b"crosses"))  # unread when the connection is closed, in the same turn
         bench.clients._retire(client)
-        assert await asyncio.to_thread(raw.recv, 64) == b""  # so that it is sent again elsewhere
-        raw.sendall(get(b"later"))  # who goes on sending is read, and not answered
+        assert await asyncio.to_thread(raw.recv, 64) == b""  # so that the client sends it again elsewhere
+        raw.sendall(get(b"later"))  # further data is read but not answered
         raw.close()
         await wait_until(lambda: not bench.clients.connections)
         assert [asked[2] for asked in bench.cache.received] == [b"first"]
 
 
 async def test_a_connection_that_its_server_is_about_to_close_carries_nothing() -> None:
-    """Where a keepalive is short, the sweep comes too late: what has idled too long is passed over."""
+    """With a short keepalive the sweep is too late: a connection that has idled too long must be skipped."""
     async with router() as bench:
         caller = await bench.caller()
         for name in (b"one", b"two"):
@@ -402,7 +401,7 @@
 async def test_commands_read_and_not_handled_are_rejected_when_the_connection_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They lay behind those in work: to the client they did not cross the end, so each has to be answered."""
+    """The client sent them before the connection was closed, so each of them must be answered."""
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
         [client] = bench.clients.connections
@@ -434,7 +433,7 @@
         raw.sendall(get(b"one"))
         await wait_until(lambda: client.transport and client.transport.get_write_buffer_size())
         client.half_close(CloseReason.IDLE)
-        await asyncio.sleep(0.2)  # several times for which one that has its answer may linger
+        await asyncio.sleep(0.2)  # several times LINGER_S
         got = b""
         while piece := await asyncio.to_thread(raw.recv, 65536):
             got += piece
@@ -442,15 +441,15 @@
         raw.close()
 
 
-# The router was stopped, and its sockets are read before its timers
+# The router was stopped, and sockets are read before timers run
 
 
 async def test_an_answer_read_first_after_a_pause_does_not_count_the_pause_as_latency(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reads were rejected for a second after a router had been stopped for 4 s.
+    """After a router had been stopped for 4 s, reads were rejected for a second.
 
-    Its origin had answered at once, and the answer counted as one of 4 s.
+    The origin had answered at once, but the attempt counted as one of 4 s.
     """
     async with router(lambda asked, line: None) as bench:
         now = [bench.driver.clock.now()]
@@ -489,7 +488,7 @@
         assert bench.driver.requests["late"].client_request.wait_ms == 9000 - 3500
 
 
-# The watch moves
+# The watch moves to another address
 
 
 async def test_a_connection_to_discovery_that_comes_up_as_the_watch_moves_is_not_used(
@@ -505,7 +504,7 @@
         watch.start()
         await wait_until(lambda: connects.waiting)
         connects.open.set()
-        await connects.waiting[0]  # up; who waits for it goes on in this turn or the next
+        await connects.waiting[0]  # connected; the waiting task continues in this turn or the next
         watch.move(second)
         await wait_until(lambda: new.received)
         await wait_until(lambda: old.ended == len(old.lines) == 1)
@@ -516,15 +515,15 @@
     await new.stop()
 
 
-# Idle clients, and discovery that is down
+# Idle clients while discovery is down
 
 
 async def test_processes_discovery_and_servers_get_descriptors_though_idle_clients_fill_the_cap(
     tmp_path: Path,
 ) -> None:
-    """Idle clients fill the cap while discovery is down.
+    """Idle clients reach the cap on connections while discovery is down.
 
-    The call that reaches discovery again, and connections to servers, must still get descriptors.
+    The call that reaches discovery again, and server connections, must still get file descriptors.
     """
 
     def few() -> None:
@@ -532,9 +531,9 @@
 
     cache = Cache(lambda asked, line: hit())
     await cache.start()
-    operator = tmp_path / "operator.toml"  # they are idle and stay
+    operator = tmp_path / "operator.toml"  # so that idle clients are not closed
     operator.write_text("[clients]\nidle_s = 3600\nat_need_s = 3600\nunfinished_s = 60\n")
-    place = socket.create_server(("127.0.0.1", 0))  # where discovery will be: until then it is silent
+    place = socket.create_server(("127.0.0.1", 0))  # the address of discovery, which is silent until later
     discovery = f"127.0.0.1:{place.getsockname()[1]}"
     env = configuration(
         tmp_path,
@@ -557,7 +556,7 @@
     is_rejected = False
     for one in idle:
         one.settimeout(PATIENCE)
-    while not is_rejected:  # until the cap is reached: who comes then is rejected
+    while not is_rejected:  # until the cap is reached and new clients are rejected
         idle.append(late := socket.create_connection(address))
         late.settimeout(PATIENCE)
         late.sendall(command(b"PING"))
@@ -580,13 +579,13 @@
     await web.stop()
 
 
-# The end of the program
+# Shutdown
 
 
 async def test_with_short_deadlines_the_shutdown_ends_before_sigkill() -> None:
-    """SIGKILL comes the longest deadline and 0.7 s after SIGTERM.
+    """SIGKILL follows SIGTERM after the longest deadline and 0.7 s.
 
-    With a deadline of half a second that was before the 2.2 s for which the router went on taking requests.
+    With a deadline of 0.5 s that was before the end of the 2.2 s for which the router accepted requests.
     """
     configured = info()
     for one in configured["classes"]:
@@ -604,9 +603,10 @@
 async def test_a_client_in_the_backlog_of_a_late_loop_is_answered_when_the_router_stops_listening(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A late loop runs its timers before it reads its sockets.
+    """A late event loop runs timers before it reads sockets.
 
-    Who connected while it was late would be reset in the backlog: the listener is read before it is closed.
+    Clients that connected while it was late would be reset in the backlog: the router must accept the backlog
+    before it closes the listener.
     """
     service = Router(parse_configuration({**CONFIG, "settings": info()}, "x"))
     await service.start()
@@ -617,7 +617,7 @@
     def late(one: Any, data: bytes) -> None:
         came.append(socket.create_connection(address))
         came[0].sendall(command(b"PING"))
-        time.sleep(service.clients.schedule.stop_accepting_s)  # what it read keeps the loop this long
+        time.sleep(service.clients.schedule.stop_accepting_s)  # until the listener is due to close
 
     monkeypatch.setattr(client_module.ClientConnection, "data_received", late)
     first = socket.create_connection(address)
@@ -648,6 +648,6 @@
         raw.settimeout(PATIENCE)
         raw.sendall(command(b"PING"))
         assert await asyncio.to_thread(raw.recv, 64)
-    listener.pause(3600)  # a storm at the end pauses nothing
+    listener.pause(3600)  # a connection storm during shutdown must not pause accepting
     assert listener.resuming is None
     await ending
