--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -401,7 +401,7 @@
 async def test_commands_read_and_not_handled_are_rejected_when_the_connection_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client sent them before the connection was closed, so each of them must be answered."""
+    """The client sent these commands before the connection was closed, so each must be answered."""
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
         [client] = bench.clients.connections
