--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -12,17 +12,17 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.awaited: dict[ClientConnection, float] = {}  # waiting for the first command or the rest of one
+        self.awaiting_command: dict[ClientConnection, float] = {}  # waiting for the first command or the rest of one
         self.idle: dict[ClientConnection, float] = {}  # all commands answered and nothing received since
         self.lingering: dict[ClientConnection, float] = {}  # half closed, waiting for the client to close
 
     def connected(self, client: ClientConnection) -> None:
         """Records a new connection, which waits for its first command."""
-        self.awaited[client] = self.loop.time()
+        self.awaiting_command[client] = self.loop.time()
 
     def command_received(self, client: ClientConnection) -> None:
         """Records that a complete command was received: the next waiting period starts then."""
-        self.awaited.pop(client, None)
+        self.awaiting_command.pop(client, None)
         self.idle.pop(client, None)
 
     def classify(self, client: ClientConnection) -> None:
@@ -30,21 +30,21 @@
         responses = client.responses
         is_blocked = responses.write_buffer_full or client.flow.turn_over
         takes_commands = client.state is CONNECTION_OPEN and not is_blocked
-        in_work = len(responses.slots)
+        in_progress = len(responses.slots)
         expects_command = bool(client.reader.buffer) or not client.command_count
-        if takes_commands and expects_command and in_work < MAX_PIPELINED_COMMANDS:
+        if takes_commands and expects_command and in_progress < MAX_PIPELINED_COMMANDS:
             self.idle.pop(client, None)
-            self.awaited.setdefault(client, self.loop.time())
-        elif takes_commands and not in_work:
-            self.awaited.pop(client, None)
+            self.awaiting_command.setdefault(client, self.loop.time())
+        elif takes_commands and not in_progress:
+            self.awaiting_command.pop(client, None)
             self.idle.setdefault(client, self.loop.time())
         else:
-            self.awaited.pop(client, None)
+            self.awaiting_command.pop(client, None)
             self.idle.pop(client, None)
             if client.state is HALF_CLOSED:
                 self.lingering[client] = self.loop.time()
 
-    def unused(self, group: dict[ClientConnection, float], for_s: float) -> Iterator[ClientConnection]:
+    def iter_unused(self, group: dict[ClientConnection, float], for_s: float) -> Iterator[ClientConnection]:
         """Yields connections that have been in a group for `for_s` seconds and are unused, longest first.
 
         Unused means: no command in progress and no buffered or unread bytes.
@@ -56,12 +56,12 @@
             if not client.responses.slots and not client.reader.buffer and not client.has_unread_bytes():
                 yield client
 
-    def incomplete(self, for_s: float) -> list[ClientConnection]:
+    def overdue(self, for_s: float) -> list[ClientConnection]:
         """Returns the connections that have waited for a complete command for more than `for_s` seconds."""
         now_s = self.loop.time()
-        return [client for client, since_s in self.awaited.items() if since_s < now_s - for_s]
+        return [client for client, since_s in self.awaiting_command.items() if since_s < now_s - for_s]
 
-    def forget(self, client: ClientConnection) -> None:
+    def remove(self, client: ClientConnection) -> None:
         """Removes a closed connection from all groups."""
-        for group in (self.awaited, self.idle, self.lingering):
+        for group in (self.awaiting_command, self.idle, self.lingering):
             group.pop(client, None)
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -149,7 +149,7 @@
             client.abort(CloseReason.LINGERED)
             self.connection_lost(client)
             return True
-        if self._close_unused(self.activity.awaited, self.idle_grace_s) is not None:
+        if self._close_unused(self.activity.awaiting_command, self.idle_grace_s) is not None:
             return True
         if self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s)) is not None:
             return True
@@ -159,7 +159,7 @@
         return self._close_unused(self.activity.idle, for_s)
 
     def _close_unused(self, group: dict[ClientConnection, float], for_s: float) -> ClientConnection | None:
-        client = next(self.activity.unused(group, for_s), None)
+        client = next(self.activity.iter_unused(group, for_s), None)
         if client is not None:
             self._retire(client)
         return client
@@ -173,11 +173,11 @@
 
         Limits the time of clients that send nothing, half a command, or a byte now and then.
         """
-        for client in self.activity.incomplete(self.unfinished_command_limit_s):
+        for client in self.activity.overdue(self.unfinished_command_limit_s):
             client.end_unfinished()
         if len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own long before the cap is reached here.
-            for client in list(self.activity.unused(self.activity.idle, self.idle_grace_s)):
+            for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
                 self._retire(client)
         self.sweep_planned = bool(self.connections)
         if self.sweep_planned:
@@ -189,7 +189,7 @@
             self.driver.counts.add("closed", client.close_reason.value)
         self.connections.pop(client, None)
         self.descriptors.clients_open = len(self.connections)
-        self.activity.forget(client)
+        self.activity.remove(client)
         self.buffered_bytes -= client.flow.buffered_bytes
         client.flow.buffered_bytes = 0
         if self.closing and not self.connections:
@@ -215,8 +215,8 @@
             return
         elapsed_s = self.loop.time() - started_at_s
         if elapsed_s >= self.schedule.close_idle_s:
-            for group in (self.activity.awaited, self.activity.idle):
-                for client in list(self.activity.unused(group, DRAIN_IDLE_S)):
+            for group in (self.activity.awaiting_command, self.activity.idle):
+                for client in list(self.activity.iter_unused(group, DRAIN_IDLE_S)):
                     self._retire(client)
         if elapsed_s >= self.schedule.stop_reading_s:
             # Connections with an incomplete command get a little longer to receive the rest.
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -97,7 +97,7 @@
         assert len(balancer.placement.ranges.chains) <= 2
         assert len(bench.pools.draining_pools) <= 1 and bench.driver.request_bytes == 0
         assert (
-            not clients.activity.awaited
+            not clients.activity.awaiting_command
             and not clients.activity.idle
             and not clients.activity.lingering
             and clients.buffered_bytes == 0
