--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -12,7 +12,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.awaiting_command: dict[ClientConnection, float] = {}  # waiting for the first command or the rest of one
+        self.awaiting_command: dict[ClientConnection, float] = {}  # first command or rest of one is due
         self.idle: dict[ClientConnection, float] = {}  # all commands answered and nothing received since
         self.lingering: dict[ClientConnection, float] = {}  # half closed, waiting for the client to close
 
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -9,7 +9,7 @@
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.response_queue import ResponseQueue
 from rainhitch.node.response_slot import ResponseSlot
-from rainhitch.node.session import GREETINGS, Session
+from rainhitch.node.session import HANDSHAKE_COMMANDS, Session
 from rainhitch.protocol import resp
 from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.settings import Names
@@ -38,31 +38,31 @@
         self.host = host
         self.session = session
         self.responses = responses
-        self.only_set_up = True  # no command received yet except those in GREETINGS
+        self.only_set_up = True  # no command received yet except those in HANDSHAKE_COMMANDS
 
     def handle(self, parts: list[bytes], unread_ms: int) -> bool:
         """Handles a command that may have been unread for `unread_ms`; returns whether it is the last one."""
         name = parts[0].upper() if parts else b""
-        self.only_set_up = self.only_set_up and name in GREETINGS
+        self.only_set_up = self.only_set_up and name in HANDSHAKE_COMMANDS
         if name in REQUEST_COMMANDS and self.session.authenticated:
             self._request(parts, unread_ms)
             return False
         if name == b"QUIT":
-            self.put(b"+OK\r\n")
+            self.append_response(b"+OK\r\n")
             return True
-        answer = self.session.command(parts)
+        answer = self.session.handle(parts)
         if answer is not None:
-            self.put(answer)
+            self.append_response(answer)
         else:
             self.host.events.count(ClientEvent.BAD_COMMAND)
-            self.put(resp.error_reply("unknown command"))
+            self.append_response(resp.error_reply("unknown command"))
         return False
 
-    def put(self, answer: bytes) -> None:
+    def append_response(self, answer: bytes) -> None:
         """Appends a response that is ready."""
-        self.responses.put(answer, self.session.version)
+        self.responses.append(answer, self.session.version)
 
-    def reject_rest(self, reader: Resp2Reader) -> bytes:
+    def reject_buffered_commands(self, reader: Resp2Reader) -> bytes:
         """Returns -BUSY responses to the commands that were received but not handled.
 
         They were received before the connection was closed, so the client expects a response to each of them.
@@ -81,7 +81,7 @@
             client_request = parse_client_request(parts, self.host.names)
         except ClientRequestError as problem:
             self.host.events.count(ClientEvent.BAD_COMMAND)
-            self.put(resp.error_reply(str(problem)))
+            self.append_response(resp.error_reply(str(problem)))
             return
         client_request.wait_ms = max(1, client_request.wait_ms - unread_ms)
         client_request.unread_ms = unread_ms
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -219,7 +219,7 @@
         self.note_close_reason(reason)
         self.host.events.count(ClientEvent.ENDED_ON_ERROR)
         self._read_no_more()
-        self.commands.put(resp.error_reply(problem))
+        self.commands.append_response(resp.error_reply(problem))
 
     def finish(self) -> None:
         """Stops reading and closes once the commands in progress are answered; buffered ones are rejected."""
@@ -250,7 +250,7 @@
             return
         self.note_close_reason(reason)
         self.state = HALF_CLOSED
-        answers = self.commands.reject_rest(self.reader)
+        answers = self.commands.reject_buffered_commands(self.reader)
         if answers:
             self.transport.write(answers)
         self.activity.classify(self)
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -74,7 +74,7 @@
         self.slots.clear()
         return slots
 
-    def put(self, answer: bytes, version: int) -> None:
+    def append(self, answer: bytes, version: int) -> None:
         """Appends a response that is ready."""
         slot = ResponseSlot(self, version)
         slot.answer = answer
--- a/rainhitch/node/session.py
+++ b/rainhitch/node/session.py
@@ -1,6 +1,6 @@
 """Connection-level state and commands of a client: protocol version, name, password. Does no I/O.
 
-`Session.command` answers the commands that client libraries send at connect time and between requests;
+`Session.handle` answers the commands that client libraries send at connect time and between requests;
 requests are handled elsewhere. A response is encoded for the protocol version in force when its command was
 read; for HELLO and RESET that is the version they switch to.
 """
@@ -14,8 +14,9 @@
 MAX_NAME_BYTES = 128  # maximum length of a client name and of library info
 NO_AUTH = b"-NOAUTH Authentication required.\r\n"
 WRONG_PASS = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"
-GREETINGS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))  # precede any request
-BEFORE_AUTH = frozenset((b"HELLO", b"AUTH", b"QUIT"))
+# Commands that clients send before their first request.
+HANDSHAKE_COMMANDS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))
+ALLOWED_BEFORE_AUTH = frozenset((b"HELLO", b"AUTH", b"QUIT"))
 OK = b"+OK\r\n"
 
 
@@ -38,7 +39,7 @@
 NO_PASSWORD_NEEDED = Authenticator()
 
 
-def _plain(text: bytes) -> bool:
+def _is_printable(text: bytes) -> bool:
     return len(text) <= MAX_NAME_BYTES and all(33 <= byte <= 126 for byte in text)
 
 
@@ -55,30 +56,30 @@
         self.name = b""
         self.authenticated = not authenticator.password
 
-    def command(self, parts: list[bytes]) -> bytes | None:
+    def handle(self, parts: list[bytes]) -> bytes | None:
         """Returns the response to a command, or None if it is not a connection-level command."""
         name = parts[0].upper() if parts else b""
-        if not self.authenticated and name not in BEFORE_AUTH:
+        if not self.authenticated and name not in ALLOWED_BEFORE_AUTH:
             return NO_AUTH
         handler = HANDLERS.get(name)
         return None if handler is None else handler(self, parts[1:])
 
     def _ping(self, arguments: list[bytes]) -> bytes:
         if len(arguments) > 1:
-            return _arguments(b"ping")
+            return _wrong_argument_count(b"ping")
         if not self.can_serve():
             return b"-LOADING no server list yet\r\n"
         return bulk_string(arguments[0]) if arguments else b"+PONG\r\n"
 
     def _echo(self, arguments: list[bytes]) -> bytes:
-        return bulk_string(arguments[0]) if len(arguments) == 1 else _arguments(b"echo")
+        return bulk_string(arguments[0]) if len(arguments) == 1 else _wrong_argument_count(b"echo")
 
     def _select(self, arguments: list[bytes]) -> bytes:
         return OK if arguments == [b"0"] else b"-ERR DB index is out of range\r\n"
 
     def _auth(self, arguments: list[bytes]) -> bytes:
         if not 1 <= len(arguments) <= 2:
-            return _arguments(b"auth")
+            return _wrong_argument_count(b"auth")
         if not self.authenticator.password:
             return b"-ERR AUTH called without any password configured\r\n"
         user = arguments[0] if len(arguments) == 2 else self.authenticator.user
@@ -109,7 +110,7 @@
             elif word == b"SETNAME" and len(arguments) >= 2:
                 name = arguments[1]
                 arguments = arguments[2:]
-                if not _plain(name):
+                if not _is_printable(name):
                     return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
             else:
                 return b"-ERR Syntax error in HELLO\r\n"
@@ -121,9 +122,9 @@
             return b"-NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time\r\n"  # noqa: E501
         self.version = version
         self.name = name
-        return self._greeting()
+        return self._hello_response()
 
-    def _greeting(self) -> bytes:
+    def _hello_response(self) -> bytes:
         """Returns the response to HELLO: a map, or in protocol 2 an array with twice as many items."""
         pairs = (
             (b"server", bulk_string(b"rainhitch")),
@@ -139,7 +140,7 @@
 
     def _reset(self, arguments: list[bytes]) -> bytes:
         if arguments:
-            return _arguments(b"reset")
+            return _wrong_argument_count(b"reset")
         self.version = 2
         self.name = b""
         self.authenticated = not self.authenticator.password
@@ -155,14 +156,14 @@
                 return bulk_string(self.name)
             return b"_\r\n" if self.version == 3 else b"$-1\r\n"
         if word == b"SETNAME" and len(rest) == 1:
-            if not _plain(rest[0]):
+            if not _is_printable(rest[0]):
                 return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
             self.name = rest[0]
             return OK
         if word == b"SETINFO" and len(rest) == 2:
             if rest[0].upper() not in (b"LIB-NAME", b"LIB-VER"):
                 return b"-ERR Unrecognized option\r\n"
-            return OK if _plain(rest[1]) else b"-ERR lib info cannot contain spaces or newlines\r\n"
+            return OK if _is_printable(rest[1]) else b"-ERR lib info cannot contain spaces or newlines\r\n"
         if word in (b"NO-EVICT", b"NO-TOUCH") and len(rest) == 1 and rest[0].upper() in (b"ON", b"OFF"):
             return OK
         return b"-ERR unknown subcommand or wrong number of arguments for 'client'\r\n"
@@ -188,5 +189,5 @@
 }
 
 
-def _arguments(name: bytes) -> bytes:
+def _wrong_argument_count(name: bytes) -> bytes:
     return b"-ERR wrong number of arguments for '%b' command\r\n" % name
