--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -28,7 +28,7 @@
     def classify(self, client: ClientConnection) -> None:
         """Puts a connection into the group that matches its current state, or into none."""
         responses = client.responses
-        is_blocked = responses.write_buffer_full or client.flow.turn_over
+        is_blocked = responses.write_buffer_full or client.flow.has_yielded
         takes_commands = client.state is CONNECTION_OPEN and not is_blocked
         in_progress = len(responses.slots)
         expects_command = bool(client.reader.buffer) or not client.command_count
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -113,7 +113,7 @@
         now = self.host.system.now()
         self.unread_age.accepted(now, self.host.accept_age(now))
         if not self.host.admit(self):
-            self.note_close_reason(CloseReason.NO_ROOM)
+            self.record_close_reason(CloseReason.NO_ROOM)
             self.state = ConnectionState.REJECTED
             self.rejected = RejectedConnection(self.host.rejected, self.transport)
 
@@ -131,14 +131,14 @@
         elif self.rejected is not None:
             self.rejected.data_received(data)
         elif self.state is HALF_CLOSED:
-            self.throw_away(data)
+            self.discard(data)
         lag.callback_ends()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Releases a closed connection and withdraws its requests in flight."""
         self.transport = None
         self.state = ConnectionState.CLOSED
-        self.note_close_reason(CloseReason.BY_CLIENT)
+        self.record_close_reason(CloseReason.BY_CLIENT)
         self.host.connection_lost(self)
         if self.rejected is not None:
             self.rejected.connection_lost()
@@ -170,7 +170,7 @@
         if self.is_advancing or self.transport is None or self.state in ANSWERED_STATES:
             return
         self.is_advancing = True
-        commands_left = 0 if self.flow.turn_over else MAX_COMMANDS_PER_TURN
+        commands_left = 0 if self.flow.has_yielded else MAX_COMMANDS_PER_TURN
         try:
             commands_left -= self._handle_commands(commands_left)
             while self.responses.write_ready() and commands_left > 0 and self.reader.buffer:
@@ -180,17 +180,17 @@
         all_answered = not self.responses.slots
         if all_answered and self.state is not CONNECTION_OPEN:
             self.half_close(CloseReason.LAST_COMMAND)
-        elif all_answered and self.host.draining and self._may_be_drained():
+        elif all_answered and self.host.draining and self._can_close_after_response():
             self.half_close(CloseReason.SHUTDOWN)
         else:
-            if commands_left == 0 and self.reader.buffer and not self.flow.turn_over:
+            if commands_left == 0 and self.reader.buffer and not self.flow.has_yielded:
                 # A client that sends hundreds of commands at once must not starve other clients.
-                self.flow.turn_over = True
+                self.flow.has_yielded = True
                 self.host.loop.call_soon(self._next_turn)
             self._pause_or_resume_reading()
 
     def _next_turn(self) -> None:
-        self.flow.turn_over = False
+        self.flow.has_yielded = False
         self.advance()
 
     def _handle_commands(self, max_commands: int) -> int:
@@ -208,31 +208,31 @@
                 self.command_count += 1
                 self.activity.command_received(self)
                 if self.commands.handle(cast(list[bytes], parts), self.unread_ms):
-                    self._read_no_more()
+                    self._stop_reading_commands()
         except resp.FramingError as problem:
             # The start of the next command is unknown: the error is sent after all earlier responses.
-            self.end(f"Protocol error: {problem}", CloseReason.PROTOCOL_ERROR)
+            self.end_with_error(f"Protocol error: {problem}", CloseReason.PROTOCOL_ERROR)
         return handled
 
-    def end(self, problem: str, reason: CloseReason) -> None:
+    def end_with_error(self, problem: str, reason: CloseReason) -> None:
         """Stops reading; answers the commands in progress, then sends `problem`, then closes."""
-        self.note_close_reason(reason)
+        self.record_close_reason(reason)
         self.host.events.count(ClientEvent.ENDED_ON_ERROR)
-        self._read_no_more()
+        self._stop_reading_commands()
         self.commands.append_response(resp.error_reply(problem))
 
-    def finish(self) -> None:
+    def close_when_answered(self) -> None:
         """Stops reading and closes once the commands in progress are answered; buffered ones are rejected."""
-        self.note_close_reason(CloseReason.SHUTDOWN)
-        self._read_no_more()
+        self.record_close_reason(CloseReason.SHUTDOWN)
+        self._stop_reading_commands()
         self.advance()
 
-    def end_unfinished(self) -> None:
+    def end_incomplete_command(self) -> None:
         """Closes a connection whose command has been incomplete for too long."""
-        self.end("no whole command in time", CloseReason.UNFINISHED)
+        self.end_with_error("no whole command in time", CloseReason.UNFINISHED)
         self.advance()
 
-    def _may_be_drained(self) -> bool:
+    def _can_close_after_response(self) -> bool:
         """Returns whether the connection can be closed after the last response without losing a command.
 
         A client's first request directly follows its handshake (such as HELLO). A connection with nothing but
@@ -248,7 +248,7 @@
         assert self.transport is not None
         if self.state is HALF_CLOSED or self.transport.is_closing():
             return
-        self.note_close_reason(reason)
+        self.record_close_reason(reason)
         self.state = HALF_CLOSED
         answers = self.commands.reject_buffered_commands(self.reader)
         if answers:
@@ -268,16 +268,16 @@
         self.activity.classify(self)
         self.flow.update_buffered_bytes(self.transport)
         if self.host.buffered_bytes > self.host.max_buffered_bytes:
-            self._drop_input()
+            self._end_if_input_large()
 
-    def _drop_input(self) -> None:
+    def _end_if_input_large(self) -> None:
         """Ends the connection to free memory if it holds more than a small amount of unparsed input."""
         if len(self.reader.buffer) > SMALL_ANSWER_BYTES and self.state is CONNECTION_OPEN:
             self.reader.buffer.clear()
-            self.end("out of memory", CloseReason.OUT_OF_MEMORY)
+            self.end_with_error("out of memory", CloseReason.OUT_OF_MEMORY)
             self.advance()
 
-    def _read_no_more(self) -> None:
+    def _stop_reading_commands(self) -> None:
         if self.state is CONNECTION_OPEN:
             self.state = LAST_COMMAND_READ
 
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -174,7 +174,7 @@
         Limits the time of clients that send nothing, half a command, or a byte now and then.
         """
         for client in self.activity.overdue(self.unfinished_command_limit_s):
-            client.end_unfinished()
+            client.end_incomplete_command()
         if len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own long before the cap is reached here.
             for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
@@ -223,7 +223,7 @@
             is_late = elapsed_s >= self.schedule.all_answered_s
             still_open = [one for one in self.connections if one.state is ConnectionState.OPEN]
             for client in [one for one in still_open if one.responses.slots or is_late]:
-                client.finish()
+                client.close_when_answered()
         self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, started_at_s)
 
     def close(self) -> None:
--- a/rainhitch/node/client_socket.py
+++ b/rainhitch/node/client_socket.py
@@ -29,14 +29,14 @@
         self.close_timer = CloseTimer(host, self.abort)
         self.lingered_bytes = 0  # bytes read since the half close
 
-    def note_close_reason(self, reason: CloseReason) -> None:
+    def record_close_reason(self, reason: CloseReason) -> None:
         """Records why the connection is closed; only the first reason is kept."""
         if self.close_reason is None:
             self.close_reason = reason
 
     def abort(self, reason: CloseReason = CloseReason.LINGERED) -> None:
         """Closes the connection at once; unsent data is lost."""
-        self.note_close_reason(reason)
+        self.record_close_reason(reason)
         if self.transport is not None:
             self.transport.abort()
 
@@ -64,7 +64,7 @@
             self.transport.write_eof()
         self.close_timer.start_for_lingering(self.transport)
 
-    def throw_away(self, data: bytes) -> None:
+    def discard(self, data: bytes) -> None:
         """Counts and discards data that arrives while the connection lingers.
 
         Limits memory and CPU use if the client keeps sending at full speed: beyond MAX_LINGER_BYTES, data
--- a/rainhitch/node/read_flow.py
+++ b/rainhitch/node/read_flow.py
@@ -12,7 +12,7 @@
 class ReadFlow:
     """Flow control of one connection: limits the memory used by clients that send much or read nothing."""
 
-    __slots__ = ("buffered_bytes", "limits", "paused", "reader", "responses", "turn_over", "unread_age")
+    __slots__ = ("buffered_bytes", "has_yielded", "limits", "paused", "reader", "responses", "unread_age")
 
     def __init__(
         self, limits: BufferLimits, reader: Resp2Reader, responses: ResponseQueue, unread_age: UnreadAge
@@ -22,7 +22,7 @@
         self.responses = responses
         self.unread_age = unread_age
         self.paused = False  # whether reading is paused
-        self.turn_over = False  # command handling has yielded to other callbacks until the next turn
+        self.has_yielded = False  # command handling has yielded to other callbacks until the next turn
         self.buffered_bytes = 0  # the connection's share of `limits.buffered_bytes`
 
     def pause_or_resume(
@@ -32,7 +32,7 @@
 
         A lingering connection is always read, unless its write buffer is full, so that its close is no reset.
         """
-        is_full = self.turn_over or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
+        is_full = self.has_yielded or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
         takes_no_more = (is_full or no_more_commands) and not is_lingering
         paused = self.responses.write_buffer_full or takes_no_more
         if paused:
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -405,7 +405,7 @@
     async with router() as bench:
         raw = await with_many_in_work(bench, monkeypatch)
         [client] = bench.clients.connections
-        client.finish()
+        client.close_when_answered()
         for line in list(bench.cache.lines):
             line.write(hit())
         answers = b""
