--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -89,17 +89,17 @@
         """Admits a new connection; at the cap only if another one can be closed."""
         self._pace_accepts()
         if len(self.connections) >= self.descriptors.max_clients(self.max_open):
-            if not self._make_room():
+            if not self._evict_connection():
                 return False
         elif len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own if they keep all that they opened, long before
             # the cap is reached here. The protocol lets a router close connections between requests, so one
             # idle connection is closed for each new one.
-            closed = self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
+            closed = self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
             if closed is not None and closed.command_count == 1:
                 # Clients that stay connected after one request would make up for each close with a new
                 # connection: closing two for one reduces their number.
-                self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
+                self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
         self.connections[client] = None
         self.descriptors.clients_open = len(self.connections)
         self.activity.connected(client)
@@ -138,7 +138,7 @@
         waited_ns = 0 if self.listener is None else self.listener.age(now)
         return max(waited_ns, self.driver.loop_lag.age_ns())
 
-    def _make_room(self) -> bool:
+    def _evict_connection(self) -> bool:
         """Makes room for a new client by closing one connection; returns False if none can be closed.
 
         Closes the one that has lingered longest, else the one that has sent no command or been idle longest,
@@ -149,22 +149,22 @@
             client.abort(CloseReason.LINGERED)
             self.connection_lost(client)
             return True
-        if self._close_unused(self.activity.awaiting_command, self.idle_grace_s) is not None:
+        if self._close_longest_unused(self.activity.awaiting_command, self.idle_grace_s) is not None:
             return True
-        if self._close_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s)) is not None:
+        if self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s)) is not None:
             return True
         return self.descriptors.shared is not None and self.driver.pools.close_surplus()
 
-    def _close_idle(self, for_s: float) -> ClientConnection | None:
-        return self._close_unused(self.activity.idle, for_s)
+    def _close_longest_idle(self, for_s: float) -> ClientConnection | None:
+        return self._close_longest_unused(self.activity.idle, for_s)
 
-    def _close_unused(self, group: dict[ClientConnection, float], for_s: float) -> ClientConnection | None:
+    def _close_longest_unused(self, group: dict[ClientConnection, float], for_s: float) -> ClientConnection | None:
         client = next(self.activity.iter_unused(group, for_s), None)
         if client is not None:
-            self._retire(client)
+            self._half_close_idle(client)
         return client
 
-    def _retire(self, client: ClientConnection) -> None:
+    def _half_close_idle(self, client: ClientConnection) -> None:
         self.events.count(ClientEvent.CLOSED_IDLE)
         client.half_close(CloseReason.IDLE)
 
@@ -178,7 +178,7 @@
         if len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own long before the cap is reached here.
             for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
-                self._retire(client)
+                self._half_close_idle(client)
         self.sweep_planned = bool(self.connections)
         if self.sweep_planned:
             self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -217,7 +217,7 @@
         if elapsed_s >= self.schedule.close_idle_s:
             for group in (self.activity.awaiting_command, self.activity.idle):
                 for client in list(self.activity.iter_unused(group, DRAIN_IDLE_S)):
-                    self._retire(client)
+                    self._half_close_idle(client)
         if elapsed_s >= self.schedule.stop_reading_s:
             # Connections with an incomplete command get a little longer to receive the rest.
             is_late = elapsed_s >= self.schedule.all_answered_s
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -377,7 +377,7 @@
         await wait_until(lambda: bench.clients.activity.idle)
         [client] = bench.clients.connections
         raw.sendall(get(b"crosses"))  # unread when the connection is closed, in the same turn
-        bench.clients._retire(client)
+        bench.clients._half_close_idle(client)
         assert await asyncio.to_thread(raw.recv, 64) == b""  # so that the client sends it again elsewhere
         raw.sendall(get(b"later"))  # further data is read but not answered
         raw.close()
