--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -23,7 +23,7 @@
         """Updates the number of bytes counted as buffered for the connection."""
 
 
-class GoneOwner:
+class ClosedOwner:
     """Replaces the owner of a queue whose connection is closed; late responses are discarded."""
 
     def advance(self) -> None:
@@ -40,7 +40,7 @@
         """Does nothing."""
 
 
-GONE_OWNER = GoneOwner()
+CLOSED_OWNER = ClosedOwner()
 
 
 class BufferLimits(Protocol):
@@ -70,7 +70,7 @@
         """
         slots = list(self.slots)
         self.transport = None
-        self.owner = GONE_OWNER
+        self.owner = CLOSED_OWNER
         self.slots.clear()
         return slots
 
@@ -80,18 +80,18 @@
         slot.answer = answer
         self.slots.append(slot)
 
-    def keep(self, slot: ResponseSlot, answer: bytes) -> bytes:
+    def hold(self, slot: ResponseSlot, answer: bytes) -> bytes:
         """Returns the response to hold until it can be written; an error if there is no memory for it."""
-        if len(answer) > SMALL_ANSWER_BYTES and not self.has_room(slot, len(answer)):
+        if len(answer) > SMALL_ANSWER_BYTES and not self.reserve_bytes(slot, len(answer)):
             return resp.FAILED_REPLY
         return answer
 
-    def has_room(self, slot: ResponseSlot, size_bytes: int) -> bool:
+    def reserve_bytes(self, slot: ResponseSlot, size_bytes: int) -> bool:
         """Returns whether `size_bytes` may be held until the slot can be written; if so, counts them."""
         if self.transport is None:
             return True
-        goes_out_at_once = not self.write_buffer_full and self.slots[0] is slot
-        if goes_out_at_once:
+        is_written_at_once = not self.write_buffer_full and self.slots[0] is slot
+        if is_written_at_once:
             return True
         if self.limits.buffered_bytes + size_bytes > self.limits.max_buffered_bytes:
             return False
@@ -109,9 +109,9 @@
                 slot.answer = resp.FAILED_REPLY
                 slot.relay = None
             if slot.relay is not None:
-                is_whole = self._pass_on(slot.relay, b"".join(ready))
+                is_complete = self._write_relay(slot.relay, b"".join(ready))
                 ready = []
-                if not is_whole:
+                if not is_complete:
                     break
             elif slot.answer is None:
                 break
@@ -126,7 +126,7 @@
                 self.transport.write(b"".join(ready))
         return wrote
 
-    def _pass_on(self, relay: Relay, before: bytes) -> bool:
+    def _write_relay(self, relay: Relay, before: bytes) -> bool:
         """Writes `before` and the available part of a long value; returns whether the value is complete."""
         assert self.transport is not None
         if relay.is_broken():
@@ -137,12 +137,12 @@
         head = b"" if relay.head_written else b"$%d\r\n" % relay.size_bytes
         relay.head_written = True
         piece = relay.take()
-        is_whole = relay.is_taken_whole()
-        tail = b"\r\n" if is_whole else b""
+        is_complete = relay.is_taken_whole()
+        tail = b"\r\n" if is_complete else b""
         self.transport.write(b"".join((before, head, piece, tail)))
-        if is_whole:
+        if is_complete:
             relay.passed()
-        return is_whole
+        return is_complete
 
 
 def _held_bytes(slot: ResponseSlot) -> int:
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -25,10 +25,10 @@
     def owner(self) -> SlotOwner:
         """The connection of the queue."""
 
-    def keep(self, slot: "ResponseSlot", answer: bytes) -> bytes:
+    def hold(self, slot: "ResponseSlot", answer: bytes) -> bytes:
         """Returns the response to hold until it can be written; an error if there is no memory for it."""
 
-    def has_room(self, slot: "ResponseSlot", size_bytes: int) -> bool:
+    def reserve_bytes(self, slot: "ResponseSlot", size_bytes: int) -> bool:
         """Returns whether `size_bytes` may be held until the slot can be written."""
 
 
@@ -47,7 +47,7 @@
     def fill(self, answer: bytes) -> None:
         """Sets the response, encoded as the client receives it."""
         if self.answer is None:
-            self.answer = self.queue.keep(self, answer)
+            self.answer = self.queue.hold(self, answer)
             # Slot and request refer to each other: a cycle would keep memory until garbage collection.
             self.request = None
             self.queue.owner.advance()
@@ -64,7 +64,7 @@
 
     def start_relay(self, relay: Relay) -> None:
         """Sets a long value as the response; it is relayed as it arrives once it is next in order."""
-        if not self.queue.has_room(self, READ_PIECE_BYTES):
+        if not self.queue.reserve_bytes(self, READ_PIECE_BYTES):
             self.fill(resp.FAILED_REPLY)
             relay.client_left()
             return
