--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -145,7 +145,7 @@
         self.close_timer.connection_lost()
         for slot in self.responses.connection_lost():
             if slot.relay is not None:
-                slot.relay.client_left()
+                slot.relay.client_disconnected()
             if slot.request is not None:
                 self.host.driver.withdraw(slot.request)
 
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -5,11 +5,11 @@
 can be no other attempt once its first byte is forwarded. The last byte is held back until the data after the
 value is known to be valid; until then the client can tell that the value is incomplete.
 
-    RECEIVING --data after the value is valid--> COMPLETE --all forwarded--> PASSED
+    RECEIVING --data after the value is valid--> COMPLETE --all forwarded--> FORWARDED
        |                                            |
        |--the source fails or stalls--> BROKEN      |  the client's connection is closed within the value
        |                                            |
-       '--the client disconnects--------------------'--> CLIENT_LEFT   the source is closed
+       '--the client disconnects--------------------'--> CLIENT_DISCONNECTED   the source is closed
 
 Memory: reading from the source is paused while data is waiting for the client, so that at most one piece, as
 large as the system delivers at once, is held for each relay.
@@ -28,9 +28,9 @@
 
     RECEIVING = "receiving"
     COMPLETE = "complete"
-    PASSED = "passed"
+    FORWARDED = "passed"
     BROKEN = "broken"
-    CLIENT_LEFT = "client left"
+    CLIENT_DISCONNECTED = "client left"
 
 
 UNFINISHED_STATES = (RelayState.RECEIVING, RelayState.COMPLETE)
@@ -63,7 +63,7 @@
         self.source = source
         self.size_bytes = size_bytes
         self.on_end = on_end
-        self.wake: Callable[[], None] = lambda: None  # set by the client's side; called when it has work
+        self.notify_client: Callable[[], None] = lambda: None  # set by the client's side; called when it has work
         self.state = RelayState.RECEIVING
         self.pending = bytearray()
         self.taken_bytes = 0  # bytes that the client's side has taken
@@ -78,7 +78,7 @@
             return
         self.received_at_s = self.loop.time()
         self.pending += data
-        self.wake()
+        self.notify_client()
         # The last byte may have to be held back, so a single byte does not pause the source.
         if len(self.pending) > 1 and not self.is_over():
             self.source_paused = True
@@ -88,13 +88,13 @@
         """Records that the value is complete and that the data after it is valid."""
         if self.state is RelayState.RECEIVING:
             self.state = RelayState.COMPLETE
-        self.wake()
+        self.notify_client()
 
     def break_off(self) -> None:
         """Ends the relay because the source is closed or its data is malformed."""
         if self.state is RelayState.RECEIVING:
             self._end(RelayState.BROKEN)
-            self.wake()
+            self.notify_client()
 
     def take(self) -> bytes:
         """Returns the data that may be forwarded to the client now, and removes it."""
@@ -117,27 +117,27 @@
         """Returns whether nothing more will be forwarded."""
         return self.state not in UNFINISHED_STATES
 
-    def is_taken_whole(self) -> bool:
+    def is_fully_taken(self) -> bool:
         """Returns whether the client's side has taken the complete value."""
         return self.state is RelayState.COMPLETE and self.taken_bytes == self.size_bytes
 
-    def passed(self) -> None:
+    def mark_forwarded(self) -> None:
         """Records that the client's connection has the complete value."""
         if not self.is_over():
-            self._end(RelayState.PASSED)
+            self._end(RelayState.FORWARDED)
 
-    def client_left(self) -> None:
+    def client_disconnected(self) -> None:
         """Ends the relay because the client has disconnected or cannot be served."""
         if not self.is_over():
-            self._end(RelayState.CLIENT_LEFT)
+            self._end(RelayState.CLIENT_DISCONNECTED)
             self.source.close()
 
     def _end(self, state: RelayState) -> None:
         self.state = state
         self.stall_timer.cancel()
         if state is not RelayState.BROKEN:
-            self.wake = lambda: None
-        self.on_end(state is RelayState.PASSED)
+            self.notify_client = lambda: None
+        self.on_end(state is RelayState.FORWARDED)
 
     def _check_stall(self) -> None:
         """Ends the relay if the source stalls, which frees the client and the descriptors."""
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -137,11 +137,11 @@
         head = b"" if relay.head_written else b"$%d\r\n" % relay.size_bytes
         relay.head_written = True
         piece = relay.take()
-        is_complete = relay.is_taken_whole()
+        is_complete = relay.is_fully_taken()
         tail = b"\r\n" if is_complete else b""
         self.transport.write(b"".join((before, head, piece, tail)))
         if is_complete:
-            relay.passed()
+            relay.mark_forwarded()
         return is_complete
 
 
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -66,9 +66,9 @@
         """Sets a long value as the response; it is relayed as it arrives once it is next in order."""
         if not self.queue.reserve_bytes(self, READ_PIECE_BYTES):
             self.fill(resp.FAILED_REPLY)
-            relay.client_left()
+            relay.client_disconnected()
             return
         self.relay = relay
         self.request = None
-        relay.wake = self.queue.owner.advance
+        relay.notify_client = self.queue.owner.advance
         self.queue.owner.advance()
