--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -158,7 +158,9 @@
     def _close_longest_idle(self, for_s: float) -> ClientConnection | None:
         return self._close_longest_unused(self.activity.idle, for_s)
 
-    def _close_longest_unused(self, group: dict[ClientConnection, float], for_s: float) -> ClientConnection | None:
+    def _close_longest_unused(
+        self, group: dict[ClientConnection, float], for_s: float
+    ) -> ClientConnection | None:
         client = next(self.activity.iter_unused(group, for_s), None)
         if client is not None:
             self._half_close_idle(client)
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -63,7 +63,7 @@
         self.source = source
         self.size_bytes = size_bytes
         self.on_end = on_end
-        self.notify_client: Callable[[], None] = lambda: None  # set by the client's side; called when it has work
+        self.notify_client: Callable[[], None] = lambda: None  # set by the client's side
         self.state = RelayState.RECEIVING
         self.pending = bytearray()
         self.taken_bytes = 0  # bytes that the client's side has taken
