--- a/rainhitch/node/loop_lag.py
+++ b/rainhitch/node/loop_lag.py
@@ -32,8 +32,8 @@
         self._on_delay: Callable[[int], None] = lambda delay_ns: None
         self.ran_at_ns = now()  # when the process was last known to run with no older data unread
         self.heartbeat_due_at_ns = self.ran_at_ns + HEARTBEAT_NS
-        self._delayed_since_ns: int | None = None  # start of the delay detected in this turn
-        self._delayed_before_ns: int | None = None  # start of the delay detected in the previous turn
+        self._delay_start_ns: int | None = None  # start of the delay detected in this turn
+        self._previous_delay_start_ns: int | None = None  # start of the delay detected in the previous turn
         self._watches_turns = False
 
     def report_to(self, on_delay: Callable[[int], None]) -> None:
@@ -49,27 +49,27 @@
         """Records the start of a callback; each callback that reads data must call this first."""
         now = self.now()
         if now > self.heartbeat_due_at_ns + HEARTBEAT_TOLERANCE_NS:
-            self._delayed(now, self.ran_at_ns)
+            self._record_delay(now, self.ran_at_ns)
         self.ran_at_ns = now
 
     def callback_ends(self) -> None:
         """Records the end of a callback; each callback that reads data must call this last."""
         now = self.now()
         if now - self.ran_at_ns > SLOW_CALLBACK_NS:
-            self._delayed(now, self.ran_at_ns)
+            self._record_delay(now, self.ran_at_ns)
         self.ran_at_ns = now
 
     def age_ns(self) -> int:
         """Returns for how long data read now may have been unread, in ns; 0 if the loop is not late."""
-        since_ns = self._delayed_since_ns if self._delayed_before_ns is None else self._delayed_before_ns
+        since_ns = self._delay_start_ns if self._previous_delay_start_ns is None else self._previous_delay_start_ns
         return 0 if since_ns is None else self.now() - since_ns
 
-    def _delayed(self, now: int, since_ns: int) -> None:
+    def _record_delay(self, now: int, since_ns: int) -> None:
         self._on_delay(now - since_ns)
-        if self._delayed_since_ns is None:
-            self._delayed_since_ns = since_ns
+        if self._delay_start_ns is None:
+            self._delay_start_ns = since_ns
         else:
-            self._delayed_since_ns = min(self._delayed_since_ns, since_ns)
+            self._delay_start_ns = min(self._delay_start_ns, since_ns)
         # An overdue heartbeat must be reported as one delay only.
         self.heartbeat_due_at_ns = max(self.heartbeat_due_at_ns, now)
         if not self._watches_turns:
@@ -78,8 +78,8 @@
 
     def _next_turn(self) -> None:
         """Makes the delay of this turn that of the previous turn; runs before sockets are polled again."""
-        self._delayed_before_ns = self._delayed_since_ns
-        self._delayed_since_ns = None
-        self._watches_turns = self._delayed_before_ns is not None
+        self._previous_delay_start_ns = self._delay_start_ns
+        self._delay_start_ns = None
+        self._watches_turns = self._previous_delay_start_ns is not None
         if self._watches_turns:
             self.loop.call_soon(self._next_turn)
