--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -22,13 +22,13 @@
 class CloseTimer:
     """The timer of one connection; `abort` closes the connection."""
 
-    __slots__ = ("abort", "host", "is_lost", "timer")
+    __slots__ = ("abort", "host", "is_closed", "timer")
 
     def __init__(self, host: CloseTimerHost, abort: Callable[[CloseReason], None]) -> None:
         self.host = host
         self.abort = abort
         self.timer: asyncio.TimerHandle | None = None
-        self.is_lost = False  # whether the connection is closed
+        self.is_closed = False  # whether the connection is closed
 
     def start_for_unread_answers(self) -> None:
         """Starts the time limit `unread_answers_limit_s` for a client that reads too slowly."""
@@ -40,7 +40,7 @@
         """Starts the time limit LINGER_S for the client to close its side after a half close."""
         self.cancel()
         loop = self.host.loop
-        self.timer = loop.call_later(LINGER_S, self._linger_over, transport, loop.time())
+        self.timer = loop.call_later(LINGER_S, self._linger_expired, transport, loop.time())
 
     def cancel(self) -> None:
         """Stops the timer, as when the client has read its responses."""
@@ -49,17 +49,17 @@
 
     def connection_lost(self) -> None:
         """Stops the timer and drops the reference to the connection, so that no reference cycle is left."""
-        self.is_lost = True
+        self.is_closed = True
         self.abort = _do_nothing
         self.cancel()
 
-    def _linger_over(self, transport: asyncio.Transport, since_s: float) -> None:
+    def _linger_expired(self, transport: asyncio.Transport, since_s: float) -> None:
         """Aborts a lingering connection; while data is unsent, only after `unread_answers_limit_s`."""
-        if self.is_lost:
+        if self.is_closed:
             return
         loop = self.host.loop
         left_s = since_s + self.host.unread_answers_limit_s - loop.time()
         if transport.get_write_buffer_size() and left_s > 0:
-            self.timer = loop.call_later(min(LINGER_S, left_s), self._linger_over, transport, since_s)
+            self.timer = loop.call_later(min(LINGER_S, left_s), self._linger_expired, transport, since_s)
         else:
             self.abort(CloseReason.LINGERED)
--- a/rainhitch/node/listener.py
+++ b/rainhitch/node/listener.py
@@ -24,7 +24,7 @@
         self.make_protocol = make_protocol
         self.socket = system.of(loop).open_listener(host, port, inherited)
         self.server: asyncio.AbstractServer | None = None  # None while accepting is paused
-        self.resuming: asyncio.Task[None] | None = None
+        self.resume_task: asyncio.Task[None] | None = None
         self.draining = False
         self.pauses = 0
         # Start of the last pause, as long as connections may have been waiting since then; 0: none are.
@@ -40,10 +40,10 @@
 
     def pause(self, seconds: float) -> None:
         """Pauses accepting for `seconds`; does nothing if already paused or if the listener is draining."""
-        if self.resuming is None and self.server is not None and not self.draining:
+        if self.resume_task is None and self.server is not None and not self.draining:
             self.pauses += 1
             self.backlog_since_ns = system.of(self.loop).now()
-            self.resuming = self.loop.create_task(self._resume(seconds))
+            self.resume_task = self.loop.create_task(self._resume(seconds))
 
     def age(self, now: int) -> int:
         """Returns for how long a connection accepted now may have waited because of a pause, in ns."""
@@ -59,7 +59,7 @@
             self.server.close()
             self.server = None
         await asyncio.sleep(seconds)
-        self.resuming = None
+        self.resume_task = None
         await self._accept()
 
     async def accept_backlog(self) -> None:
@@ -69,9 +69,9 @@
         some after a pause, and when the event loop is late, as it runs timers before it reads sockets.
         """
         self.draining = True
-        if self.resuming is not None:
-            self.resuming.cancel()
-            self.resuming = None
+        if self.resume_task is not None:
+            self.resume_task.cancel()
+            self.resume_task = None
             if self.server is None:
                 await self._accept()
         for _ in range(BACKLOG):
@@ -81,8 +81,8 @@
 
     def close(self) -> None:
         """Stops accepting; the system resets the backlog unless another process has the socket open."""
-        if self.resuming is not None:
-            self.resuming.cancel()
+        if self.resume_task is not None:
+            self.resume_task.cancel()
         if self.server is not None:
             self.server.close()
         self.socket.close()
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -49,7 +49,7 @@
         self.events.count(ClientEvent.REJECTED)
         self.connections[connection] = None
         if len(self.connections) > MAX_REJECTED_CONNECTIONS:
-            next(iter(self.connections)).drain_now()
+            next(iter(self.connections)).close_now()
 
     def remove(self, connection: "RejectedConnection") -> None:
         """Removes a connection that is closed or being closed."""
@@ -80,7 +80,7 @@
         if parts is not resp.NEED_DATA:
             self.transport.close()
 
-    def drain_now(self) -> None:
+    def close_now(self) -> None:
         """Closes at once to make room for another connection, after a direct read of the received data.
 
         An abort would lose unsent data and send a reset.
--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -50,7 +50,7 @@
         mark = "+" if is_over_quota else ""
         self.counts.add("customers", f"{tenant}{mark} {outcome.partition(':')[0]}")
         if request.finished_attempts and outcome != SERVED:
-            self._note_bad(request, outcome)
+            self._add_bad_record(request, outcome)
 
     def relay_ended(self, request: InFlightRequest, whole: bool) -> None:
         """Counts a long value that was forwarded completely or cut off."""
@@ -61,24 +61,24 @@
 
     def client_left(self, request: InFlightRequest) -> None:
         """Counts a request whose client disconnected before the response."""
-        gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
-        outcome = CLIENT_GAVE_UP if gave_up else CLIENT_LEFT
+        client_gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
+        outcome = CLIENT_GAVE_UP if client_gave_up else CLIENT_LEFT
         self.counts.add("ended", outcome)
-        if gave_up:
-            self._note_bad(request, outcome)
+        if client_gave_up:
+            self._add_bad_record(request, outcome)
 
-    def _note_bad(self, request: InFlightRequest, outcome: str) -> None:
+    def _add_bad_record(self, request: InFlightRequest, outcome: str) -> None:
         now = self.clock.now()
         client_request = request.client_request
-        tries = [str(one) for one in request.finished_attempts]
+        attempts = [str(one) for one in request.finished_attempts]
         attempt = request.attempt
         if attempt is not None:
-            tries.append(f"{attempt.server} out for {(now - attempt.started_at_ns) // NS_PER_MS} ms")
+            attempts.append(f"{attempt.server} out for {(now - attempt.started_at_ns) // NS_PER_MS} ms")
         record = Bad(
             self.clock.unix() / NS_PER_S,
             request.id,
             outcome,
-            tries,
+            attempts,
             client_request.connection_id,
             client_request.unread_ms,
             (request.client_deadline_ns - now) // NS_PER_MS,
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -649,5 +649,5 @@
         raw.sendall(command(b"PING"))
         assert await asyncio.to_thread(raw.recv, 64)
     listener.pause(3600)  # a connection storm during shutdown must not pause accepting
-    assert listener.resuming is None
+    assert listener.resume_task is None
     await ending
