--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -10,7 +10,7 @@
 The age of the data read is known except for delays that the heartbeat cannot detect (node/loop_lag.py); these
 are covered by the protocol's slack on each time limit. The reserve covers a delay between the deadline and
 the final response. It costs each request that reaches its deadline time in which it might have been served,
-so it is kept only while delays are detected, for DELAY_MEMORY_NS after the last one. It is sized for the
+so it is kept only while delays are detected, for DELAY_RETENTION_NS after the last one. It is sized for the
 longest of them, and at least for HOST_DELAY_NS, less the protocol's slack. A short wait gives up only a part
 of itself: a reserve that used all of it would leave no time to serve anything.
 
@@ -21,8 +21,8 @@
 MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS  # while delays are detected
 MAX_RESERVE_NS = 300 * NS_PER_MS
 MAX_RESERVE_DIVISOR = 4  # the reserve is at most this part (1/n) of the remaining wait
-MIN_NOTICED_DELAY_NS = 25 * NS_PER_MS  # event loop delays from this length on are remembered
-DELAY_MEMORY_NS = 30_000 * NS_PER_MS
+MIN_RECORDED_DELAY_NS = 25 * NS_PER_MS  # shorter event loop delays are ignored
+DELAY_RETENTION_NS = 30_000 * NS_PER_MS
 
 
 def client_wait_ns(wait_ms: int, unread_ms: int, class_deadline_ns: int) -> int:
@@ -39,16 +39,16 @@
 
     def __init__(self) -> None:
         self.answer_by_ns = 0  # when all requests must be answered at shutdown; 0 before that
-        self.longest_delay_ns = 0  # longest of the delays that are still remembered
-        self.remembered_until_ns = 0
+        self.longest_delay_ns = 0  # longest of the recorded delays
+        self.retained_until_ns = 0
 
     def delay_found(self, now: int, delay_ns: int) -> None:
         """Records that the event loop was delayed by `delay_ns`."""
-        if delay_ns < MIN_NOTICED_DELAY_NS:
+        if delay_ns < MIN_RECORDED_DELAY_NS:
             return
-        remembered_ns = self.longest_delay_ns if now < self.remembered_until_ns else 0
-        self.longest_delay_ns = max(delay_ns, remembered_ns)
-        self.remembered_until_ns = now + DELAY_MEMORY_NS
+        retained_ns = self.longest_delay_ns if now < self.retained_until_ns else 0
+        self.longest_delay_ns = max(delay_ns, retained_ns)
+        self.retained_until_ns = now + DELAY_RETENTION_NS
 
     def deadline_ns(self, now: int, wait_ns: int) -> int:
         """Returns the router's deadline: before the client stops waiting and before the shutdown ends."""
@@ -59,7 +59,7 @@
 
     def reserve_ns(self, now: int, left_ns: int) -> int:
         """Returns the reserve for a client that still waits for `left_ns`, in ns."""
-        if now >= self.remembered_until_ns:
+        if now >= self.retained_until_ns:
             return ANSWER_DELIVERY_NS
         for_longest_ns = self.longest_delay_ns - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS
         wanted_ns = max(MIN_RESERVE_NS, min(MAX_RESERVE_NS, for_longest_ns))
--- a/rainhitch/node/unread_age.py
+++ b/rainhitch/node/unread_age.py
@@ -6,8 +6,8 @@
 from rainhitch.system import System
 
 NS_PER_MS = 1_000_000
-# The first data, if read within this time after the accept, counts as having arrived with the connection.
-CAME_WITH_CONNECTION_NS = 20 * NS_PER_MS
+# First data that is read within this time after the accept counts as having arrived with the connection.
+MAX_FIRST_READ_DELAY_NS = 20 * NS_PER_MS
 
 
 class UnreadAge:
@@ -43,6 +43,6 @@
         since_resumed_ns = now - self.reading_resumed_at_ns
         age_ns = max(min(reported_ns, since_resumed_ns), self.loop_lag.age_ns())
         since_accept_ns = now - self.accepted_at_ns
-        if is_first and since_accept_ns < CAME_WITH_CONNECTION_NS:
+        if is_first and since_accept_ns < MAX_FIRST_READ_DELAY_NS:
             return max(age_ns, since_accept_ns + self.waited_for_accept_ns)
         return age_ns
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -12,11 +12,11 @@
 from rainhitch.node.client_connection import ClientConnection
 from rainhitch.node.deadlines import (
     ANSWER_DELIVERY_NS,
-    DELAY_MEMORY_NS,
+    DELAY_RETENTION_NS,
     HOST_DELAY_NS,
     MAX_RESERVE_DIVISOR,
     MAX_RESERVE_NS,
-    MIN_NOTICED_DELAY_NS,
+    MIN_RECORDED_DELAY_NS,
     MIN_RESERVE_NS,
     NS_PER_MS,
     PROTOCOL_SLACK_NS,
@@ -61,7 +61,7 @@
     wait: int, late: int
 ) -> None:
     assert (
-        wait - delayed(MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
+        wait - delayed(MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
         <= wait + PROTOCOL_SLACK_NS
     )
 
@@ -71,7 +71,7 @@
     wait=st.integers(4 * MAX_RESERVE_NS, 10_000 * NS_PER_MS),
 )
 def test_longer_delays_get_a_longer_reserve(longest: int, wait: int) -> None:
-    kept = delayed(MIN_NOTICED_DELAY_NS, longest, MIN_NOTICED_DELAY_NS).reserve_ns(NOW + 1, wait)
+    kept = delayed(MIN_RECORDED_DELAY_NS, longest, MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait)
     assert wait - kept + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
@@ -83,14 +83,14 @@
 def test_without_delays_only_the_answers_delivery_is_reserved() -> None:
     assert (
         DelayReserve().reserve_ns(NOW, 500 * NS_PER_MS)
-        == delayed(MIN_NOTICED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
+        == delayed(MIN_RECORDED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
         == ANSWER_DELIVERY_NS
     )
     made = delayed(HOST_DELAY_NS)
-    assert made.reserve_ns(NOW + DELAY_MEMORY_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
-    assert made.reserve_ns(NOW + DELAY_MEMORY_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
-    made.delay_found(NOW + DELAY_MEMORY_NS, MIN_NOTICED_DELAY_NS)  # the longer delay is no longer remembered
-    assert made.longest_delay_ns == MIN_NOTICED_DELAY_NS
+    assert made.reserve_ns(NOW + DELAY_RETENTION_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
+    assert made.reserve_ns(NOW + DELAY_RETENTION_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
+    made.delay_found(NOW + DELAY_RETENTION_NS, MIN_RECORDED_DELAY_NS)  # the longer delay has expired
+    assert made.longest_delay_ns == MIN_RECORDED_DELAY_NS
 
 
 class ClockReadings:
