--- a/rainhitch/node/loop_lag.py
+++ b/rainhitch/node/loop_lag.py
@@ -33,7 +33,7 @@
         self.ran_at_ns = now()  # when the process was last known to run with no older data unread
         self.heartbeat_due_at_ns = self.ran_at_ns + HEARTBEAT_NS
         self._delay_start_ns: int | None = None  # start of the delay detected in this turn
-        self._previous_delay_start_ns: int | None = None  # start of the delay detected in the previous turn
+        self._prior_delay_start_ns: int | None = None  # start of the delay detected in the previous turn
         self._watches_turns = False
 
     def report_to(self, on_delay: Callable[[int], None]) -> None:
@@ -61,7 +61,7 @@
 
     def age_ns(self) -> int:
         """Returns for how long data read now may have been unread, in ns; 0 if the loop is not late."""
-        since_ns = self._delay_start_ns if self._previous_delay_start_ns is None else self._previous_delay_start_ns
+        since_ns = self._delay_start_ns if self._prior_delay_start_ns is None else self._prior_delay_start_ns
         return 0 if since_ns is None else self.now() - since_ns
 
     def _record_delay(self, now: int, since_ns: int) -> None:
@@ -78,8 +78,8 @@
 
     def _next_turn(self) -> None:
         """Makes the delay of this turn that of the previous turn; runs before sockets are polled again."""
-        self._previous_delay_start_ns = self._delay_start_ns
+        self._prior_delay_start_ns = self._delay_start_ns
         self._delay_start_ns = None
-        self._watches_turns = self._previous_delay_start_ns is not None
+        self._watches_turns = self._prior_delay_start_ns is not None
         if self._watches_turns:
             self.loop.call_soon(self._next_turn)
