--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -50,17 +50,17 @@
         if name == b"QUIT":
             self.append_response(b"+OK\r\n")
             return True
-        answer = self.session.handle(parts)
-        if answer is not None:
-            self.append_response(answer)
+        response = self.session.handle(parts)
+        if response is not None:
+            self.append_response(response)
         else:
             self.host.events.count(ClientEvent.BAD_COMMAND)
             self.append_response(resp.error_reply("unknown command"))
         return False
 
-    def append_response(self, answer: bytes) -> None:
+    def append_response(self, response: bytes) -> None:
         """Appends a response that is ready."""
-        self.responses.append(answer, self.session.version)
+        self.responses.append(response, self.session.version)
 
     def reject_buffered_commands(self, reader: Resp2Reader) -> bytes:
         """Returns -BUSY responses to the commands that were received but not handled.
@@ -68,13 +68,13 @@
         They were received before the connection was closed, so the client expects a response to each of them.
         None of them has been started, so that the client can safely retry.
         """
-        answers = []
+        rejections = []
         with contextlib.suppress(resp.FramingError):
             while isinstance(parts := reader.next(), list):
                 self.host.count_rejected_command(parts)
-                answers.append(resp.busy_reply(0))
+                rejections.append(resp.busy_reply(0))
         reader.buffer.clear()
-        return b"".join(answers)
+        return b"".join(rejections)
 
     def _request(self, parts: list[bytes], unread_ms: int) -> None:
         try:
@@ -95,5 +95,5 @@
             log.exception("request could not be accepted id=%s", client_request.id.decode())
             slot.fill(resp.FAILED_REPLY)
             return
-        is_answered = slot.answer is not None or slot.relay is not None
+        is_answered = slot.response is not None or slot.relay is not None
         slot.request = None if is_answered else request
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -23,7 +23,7 @@
 from rainhitch.node.close_reason import CloseReason
 from rainhitch.node.read_flow import MAX_PIPELINED_COMMANDS, ReadFlow
 from rainhitch.node.rejected_connection import RejectedConnection, RejectedConnections
-from rainhitch.node.response_queue import SMALL_ANSWER_BYTES, BufferLimits, ResponseQueue
+from rainhitch.node.response_queue import SMALL_RESPONSE_BYTES, BufferLimits, ResponseQueue
 from rainhitch.node.session import Authenticator, Session
 from rainhitch.node.unread_age import UnreadAge
 from rainhitch.protocol import resp
@@ -152,7 +152,7 @@
     def pause_writing(self) -> None:
         """Stops writing and reading: the client reads too slowly."""
         self.responses.write_buffer_full = True
-        self.close_timer.start_for_unread_answers()
+        self.close_timer.start_for_unread_responses()
         self._pause_or_resume_reading()
 
     def resume_writing(self) -> None:
@@ -250,9 +250,9 @@
             return
         self.record_close_reason(reason)
         self.state = HALF_CLOSED
-        answers = self.commands.reject_buffered_commands(self.reader)
-        if answers:
-            self.transport.write(answers)
+        rejections = self.commands.reject_buffered_commands(self.reader)
+        if rejections:
+            self.transport.write(rejections)
         self.activity.classify(self)
         if self.nothing_received:
             self.transport.close()
@@ -272,7 +272,7 @@
 
     def _end_if_input_large(self) -> None:
         """Ends the connection to free memory if it holds more than a small amount of unparsed input."""
-        if len(self.reader.buffer) > SMALL_ANSWER_BYTES and self.state is CONNECTION_OPEN:
+        if len(self.reader.buffer) > SMALL_RESPONSE_BYTES and self.state is CONNECTION_OPEN:
             self.reader.buffer.clear()
             self.end_with_error("out of memory", CloseReason.OUT_OF_MEMORY)
             self.advance()
--- a/rainhitch/node/close_reason.py
+++ b/rainhitch/node/close_reason.py
@@ -15,5 +15,5 @@
     IDLE = "idle"  # to make room for another connection, or at shutdown
     LINGERED = "lingered too long"
     SHUTDOWN = "shutdown"
-    UNREAD_ANSWERS = "answers not read in time"
+    UNREAD_RESPONSES = "answers not read in time"
     VALUE_CUT_OFF = "long value cut off"
--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -30,10 +30,10 @@
         self.timer: asyncio.TimerHandle | None = None
         self.is_closed = False  # whether the connection is closed
 
-    def start_for_unread_answers(self) -> None:
+    def start_for_unread_responses(self) -> None:
         """Starts the time limit `unread_answers_limit_s` for a client that reads too slowly."""
         self.timer = self.host.loop.call_later(
-            self.host.unread_answers_limit_s, self.abort, CloseReason.UNREAD_ANSWERS
+            self.host.unread_answers_limit_s, self.abort, CloseReason.UNREAD_RESPONSES
         )
 
     def start_for_lingering(self, transport: asyncio.Transport) -> None:
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -40,7 +40,7 @@
         self.count_command = count_command
         self.connections: dict[RejectedConnection, None] = {}  # in the order of arrival
 
-    def answer(self) -> bytes:
+    def response(self) -> bytes:
         """Returns the response to a rejected client: nothing has been started, so a retry is safe."""
         return resp.busy_reply(-(-self.retry_after_ns() // NS_PER_MS))  # rounded up
 
@@ -63,7 +63,7 @@
         self.owner = owner
         self.transport = transport
         self.reader = Resp2Reader()
-        transport.write(owner.answer())
+        transport.write(owner.response())
         transport.write_eof()
         self.linger_timer = owner.loop.call_later(LINGER_S, transport.abort)
         owner.add(self)
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -10,7 +10,7 @@
 from rainhitch.node.upstream_connection import READ_PIECE_BYTES
 from rainhitch.protocol import resp
 
-SMALL_ANSWER_BYTES = 1024  # responses up to this size are kept even if buffer memory is exhausted
+SMALL_RESPONSE_BYTES = 1024  # responses up to this size are kept even if buffer memory is exhausted
 
 
 class QueueOwner(SlotOwner, Protocol):
@@ -74,17 +74,17 @@
         self.slots.clear()
         return slots
 
-    def append(self, answer: bytes, version: int) -> None:
+    def append(self, response: bytes, version: int) -> None:
         """Appends a response that is ready."""
         slot = ResponseSlot(self, version)
-        slot.answer = answer
+        slot.response = response
         self.slots.append(slot)
 
-    def hold(self, slot: ResponseSlot, answer: bytes) -> bytes:
+    def hold(self, slot: ResponseSlot, response: bytes) -> bytes:
         """Returns the response to hold until it can be written; an error if there is no memory for it."""
-        if len(answer) > SMALL_ANSWER_BYTES and not self.reserve_bytes(slot, len(answer)):
+        if len(response) > SMALL_RESPONSE_BYTES and not self.reserve_bytes(slot, len(response)):
             return resp.FAILED_REPLY
-        return answer
+        return response
 
     def reserve_bytes(self, slot: ResponseSlot, size_bytes: int) -> bool:
         """Returns whether `size_bytes` may be held until the slot can be written; if so, counts them."""
@@ -106,17 +106,17 @@
         while self.slots and not self.write_buffer_full and self.transport is not None:
             slot = self.slots[0]
             if slot.relay is not None and slot.relay.is_broken() and not slot.relay.head_written:
-                slot.answer = resp.FAILED_REPLY
+                slot.response = resp.FAILED_REPLY
                 slot.relay = None
             if slot.relay is not None:
                 is_complete = self._write_relay(slot.relay, b"".join(ready))
                 ready = []
                 if not is_complete:
                     break
-            elif slot.answer is None:
+            elif slot.response is None:
                 break
             else:
-                ready.append(slot.answer)
+                ready.append(slot.response)
             self.slots.popleft()
             wrote = True
         if wrote and self.transport is not None:
@@ -148,4 +148,4 @@
 def _held_bytes(slot: ResponseSlot) -> int:
     if slot.relay is not None:
         return READ_PIECE_BYTES
-    return len(slot.answer or b"")
+    return len(slot.response or b"")
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -25,7 +25,7 @@
     def owner(self) -> SlotOwner:
         """The connection of the queue."""
 
-    def hold(self, slot: "ResponseSlot", answer: bytes) -> bytes:
+    def hold(self, slot: "ResponseSlot", response: bytes) -> bytes:
         """Returns the response to hold until it can be written; an error if there is no memory for it."""
 
     def reserve_bytes(self, slot: "ResponseSlot", size_bytes: int) -> bool:
@@ -35,19 +35,19 @@
 class ResponseSlot:
     """The place of one response; the ResponseSink of its request."""
 
-    __slots__ = ("answer", "queue", "relay", "request", "version")
+    __slots__ = ("queue", "relay", "request", "response", "version")
 
     def __init__(self, queue: SlotQueue, version: int) -> None:
         self.queue = queue
-        self.answer: bytes | None = None
+        self.response: bytes | None = None
         self.request: InFlightRequest | None = None
         self.relay: Relay | None = None  # set if the response is a long value that is relayed as it arrives
         self.version = version  # RESP version in force when the command was read
 
-    def fill(self, answer: bytes) -> None:
+    def fill(self, response: bytes) -> None:
         """Sets the response, encoded as the client receives it."""
-        if self.answer is None:
-            self.answer = self.queue.hold(self, answer)
+        if self.response is None:
+            self.response = self.queue.hold(self, response)
             # Slot and request refer to each other: a cycle would keep memory until garbage collection.
             self.request = None
             self.queue.owner.advance()
