--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -1,8 +1,8 @@
 """Router processes that are delayed, either stopped by a signal or between the poll and a callback.
 
-Data in their sockets ages meanwhile, and the clients' waits go on. Each delay lasts HELD s and each wait WAIT
-s. A response is in time up to IN_TIME, with a wide margin both to a router that counts the delay and to one
-that does not.
+Data in their sockets ages meanwhile, and the clients' waits go on. Each delay lasts DELAY_S, each wait
+WAIT_S. A response is in time up to IN_TIME_S, with a wide margin both to a router that counts the delay and
+to one that does not.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 from peers import PATIENCE, Cache, Caller, entry, hit, wait_until
 from program import ROOT, configuration, listing, started
 
-HELD, WAIT = LATE_S, 0.7
-IN_TIME = WAIT + HELD / 2
-INFO = b"c=read,t=acme,d=%d" % (WAIT * 1000)
+DELAY_S, WAIT_S = LATE_S, 0.7
+IN_TIME_S = WAIT_S + DELAY_S / 2
+INFO = b"c=read,t=acme,d=%d" % (WAIT_S * 1000)
 
 
 @dataclass
@@ -36,7 +36,7 @@
         """Connects a client."""
         return Caller(*await asyncio.open_connection(*self.address))
 
-    async def held_up(self, seconds: float = HELD) -> None:
+    async def stop_for(self, seconds: float = DELAY_S) -> None:
         """Stops the process for `seconds`."""
         self.running.send_signal(signal.SIGSTOP)
         try:
@@ -74,7 +74,7 @@
         await cache.stop()
 
 
-def silent_but_for_warm() -> Cache:
+def cache_that_answers_one_key() -> Cache:
     """Returns a cache server that answers requests for one key and none for all others."""
     return Cache(lambda asked, line: hit() if asked[1] == b"warm" else None)
 
@@ -104,10 +104,10 @@
     It measured the age of unread requests from when it read them. One of two routers is stopped, too briefly
     for a pause to be detected: each client must be answered within its wait.
     """
-    async with routers(tmp_path, silent_but_for_warm(), 2, faults) as (stopped, other):
+    async with routers(tmp_path, cache_that_answers_one_key(), 2, faults) as (stopped, other):
         callers = [await warm(one) for one in (stopped, other)]
         newcomer = await stopped.caller()
-        stop = asyncio.create_task(stopped.held_up())
+        stop = asyncio.create_task(stopped.stop_for())
         await asyncio.sleep(0.02)  # until the process has stopped
         times = await asyncio.gather(
             seconds_to_answer(callers[0], b"k", b"kept"),
@@ -115,19 +115,19 @@
             seconds_to_answer(callers[1], b"k", b"beside"),
         )
         await stop
-        assert max(times) < IN_TIME
+        assert max(times) < IN_TIME_S
 
 
 async def test_processes_a_router_delayed_after_its_poll_answers_within_its_clients_wait(
     tmp_path: Path,
 ) -> None:
     """Neither the request being read nor one that arrived during the delay may be answered late."""
-    async with routers(tmp_path, silent_but_for_warm(), 1, "blind late") as (router,):
+    async with routers(tmp_path, cache_that_answers_one_key(), 1, "blind late") as (router,):
         first, second = await warm(router), await warm(router)
-        held = asyncio.create_task(seconds_to_answer(first, LATE, b"held"))
+        delayed = asyncio.create_task(seconds_to_answer(first, LATE, b"held"))
         await asyncio.sleep(0.02)
         behind = await seconds_to_answer(second, b"k", b"behind")
-        assert max(await held, behind) < IN_TIME
+        assert max(await delayed, behind) < IN_TIME_S
 
 
 async def test_processes_an_answer_that_came_in_time_is_used_though_its_timeout_fires_first(
@@ -149,7 +149,7 @@
         sent = time.monotonic()
         first.get(b"k", b"in-time", INFO)
         await wait_until(lambda: asked_first)
-        await asyncio.sleep(sent + HELD - 0.1 - time.monotonic())
+        await asyncio.sleep(sent + DELAY_S - 0.1 - time.monotonic())
         second.get(LATE, b"second", INFO)  # keeps the router busy until the first request's timeout
         await asyncio.sleep(0.05)
         asked_first[0].write(hit(b"in time"))
