--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -44,7 +44,7 @@
 
 
 class DelayedConnects:
-    """Delays the connections that a router opens to a server until `let_through` is called.
+    """Delays the connections that a router opens to a server until `complete_connects` is called.
 
     A connect that is abandoned meanwhile still completes then. `waiting` lists the delayed connects.
     """
@@ -68,7 +68,7 @@
         await self.open.wait()
         return await self.connect(*args)
 
-    async def let_through(self) -> None:
+    async def complete_connects(self) -> None:
         """Completes all delayed connects and waits until that is done."""
         self.open.set()
         await asyncio.gather(*self.waiting)
@@ -108,9 +108,9 @@
 # A connection completes late
 
 
-@pytest.mark.parametrize("news", ["drains", "gone", "moved"])
+@pytest.mark.parametrize("change", ["drains", "gone", "moved"])
 async def test_a_connection_that_comes_up_after_its_server_left_service_carries_nothing(
-    monkeypatch: pytest.MonkeyPatch, news: str
+    monkeypatch: pytest.MonkeyPatch, change: str
 ) -> None:
     async with two_servers(monkeypatch) as (bench, second, connects):
         caller = await bench.caller()
@@ -118,12 +118,12 @@
         await wait_until(lambda: connects.waiting)
         origin = entry("o", bench.origin.address, model="origin")
         others = [entry("c1", second.address, boot_ms=1), origin]
-        if news != "gone":
-            state = {"drains": "Terminating", "moved": "Ready"}[news]
-            address = {"drains": bench.cache.address, "moved": second.address}[news]
+        if change != "gone":
+            state = {"drains": "Terminating", "moved": "Ready"}[change]
+            address = {"drains": bench.cache.address, "moved": second.address}[change]
             others.append(entry("c0", address, state=state))
         bench.directory.apply(listing(6, *others))
-        await connects.let_through()  # in the same turn, before any decision about the change
+        await connects.complete_connects()  # in the same turn, before any decision about the change
         assert await caller.answer() == b"second"
         await wait_until(lambda: bench.cache.ended == 1)
         assert not bench.cache.received
@@ -139,7 +139,7 @@
         await wait_until(lambda: connects.waiting)
         first.writer.close()
         await wait_until(lambda: not bench.driver.requests)
-        await connects.let_through()
+        await connects.complete_connects()
         await wait_until(lambda: bench.pools.pools["c0"].idle)
         second.get(name=b"stays")
         assert await second.answer() == b"v"
@@ -170,7 +170,7 @@
         caller.get()
         await wait_until(lambda: connects.waiting)
         now[0] += 50_000_000
-        await connects.let_through()
+        await connects.complete_connects()
         assert str(await caller.answer()) == "ERR failed"
         assert not bench.cache.received
         outcome = next(event for event in events if isinstance(event, api.AttemptFinished))
@@ -184,7 +184,7 @@
         caller = await bench.caller()
         caller.get()
         assert str(await caller.answer()) == "BUSY"  # the connect timed out, and no other server is listed
-        await connects.let_through()
+        await connects.complete_connects()
         await wait_until(lambda: bench.cache.lines and bench.cache.ended == len(bench.cache.lines))
         assert (
             not bench.cache.received
@@ -211,7 +211,7 @@
         caller = await bench.caller()
         caller.get()
         await wait_until(lambda: connects.waiting)
-        await connects.let_through()
+        await connects.complete_connects()
         assert await caller.answer() == b"v"
         assert len(bench.cache.received) == 1
 
@@ -219,7 +219,7 @@
 # A client disconnects while reading is paused
 
 
-async def with_many_in_work(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> socket.socket:
+async def connect_with_many_in_progress(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> socket.socket:
     """Connects a client with the maximum of commands in progress, unanswered, and eight more behind them."""
     send_all(bench, monkeypatch)
     bench.cache.answer = lambda asked, line: None
@@ -238,7 +238,7 @@
     The system must be asked for it before an attempt is started.
     """
     async with router() as bench:
-        raw = await with_many_in_work(bench, monkeypatch)
+        raw = await connect_with_many_in_progress(bench, monkeypatch)
         raw.close()
         bench.cache.answer = lambda asked, line: hit()
         bench.cache.lines[0].write(hit())  # makes room for one more command
@@ -264,10 +264,10 @@
 # A request is being written
 
 
-LARGE = b"x" * 60_000
+LARGE_VALUE = b"x" * 60_000
 
 
-class NotReading:
+class NonReadingServer:
     """A server that accepts connections but reads nothing, so that a large request is written only partly."""
 
     def __init__(self, bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -294,14 +294,14 @@
             if one.write_progress is WriteProgress.PARTLY_WRITTEN
         ]
 
-    async def half_written(self) -> Caller:
+    async def client_with_partly_written_request(self) -> Caller:
         """Returns a client whose request is partly written."""
         caller = await self.bench.caller()
-        caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=o1", LARGE)
+        caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=o1", LARGE_VALUE)
         await wait_until(self.writing)
         return caller
 
-    def got(self) -> int:
+    def received_bytes(self) -> int:
         """Returns how many bytes arrived on the one connection, once it is closed."""
         line, _ = self.listener.accept()
         with line:
@@ -315,12 +315,12 @@
     """A server starts a request at its last byte, which may arrive seconds after the client disconnected."""
     async with router() as bench:
         send_all(bench, monkeypatch)
-        server = NotReading(bench, monkeypatch)
-        caller = await server.half_written()
+        server = NonReadingServer(bench, monkeypatch)
+        caller = await server.client_with_partly_written_request()
         caller.writer.transport.abort()
         await wait_until(lambda: not bench.clients.connections)
         assert not bench.driver.requests and not bench.pools.open_count()  # without any delay
-        assert await asyncio.to_thread(server.got) < len(LARGE)
+        assert await asyncio.to_thread(server.received_bytes) < len(LARGE_VALUE)
         server.listener.close()
 
 
@@ -340,12 +340,12 @@
         monkeypatch.setattr(
             bench.driver.attempts, "time_out", lambda attempt: None
         )  # so that only the dedup window ends the attempt
-        server = NotReading(bench, monkeypatch)
-        caller = await server.half_written()
+        server = NonReadingServer(bench, monkeypatch)
+        caller = await server.client_with_partly_written_request()
         assert str(await caller.answer()) == "ERR failed"
         outcome = next(event for event in events if isinstance(event, api.AttemptFinished))
         assert outcome.status is api.AttemptStatus.ABANDONED  # the attempt never ran
-        assert await asyncio.to_thread(server.got) < len(LARGE)
+        assert await asyncio.to_thread(server.received_bytes) < len(LARGE_VALUE)
         server.listener.close()
 
 
@@ -355,8 +355,8 @@
     """The rest of the first request would be read as the start of the next one."""
     async with router() as bench:
         send_all(bench, monkeypatch)
-        server = NotReading(bench, monkeypatch)
-        caller = await server.half_written()
+        server = NonReadingServer(bench, monkeypatch)
+        caller = await server.client_with_partly_written_request()
         line, _ = server.listener.accept()
         line.sendall(hit())
         assert await caller.answer() == b"v"
@@ -403,7 +403,7 @@
 ) -> None:
     """The client sent these commands before the connection was closed, so each must be answered."""
     async with router() as bench:
-        raw = await with_many_in_work(bench, monkeypatch)
+        raw = await connect_with_many_in_progress(bench, monkeypatch)
         [client] = bench.clients.connections
         client.close_when_answered()
         for line in list(bench.cache.lines):
@@ -434,10 +434,10 @@
         await wait_until(lambda: client.transport and client.transport.get_write_buffer_size())
         client.half_close(CloseReason.IDLE)
         await asyncio.sleep(0.2)  # several times LINGER_S
-        got = b""
+        received = b""
         while piece := await asyncio.to_thread(raw.recv, 65536):
-            got += piece
-        assert got == b"$60000\r\n" + value + b"\r\n"
+            received += piece
+        assert received == b"$60000\r\n" + value + b"\r\n"
         raw.close()
 
 
@@ -526,7 +526,7 @@
     The call that reaches discovery again, and server connections, must still get file descriptors.
     """
 
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (96, 96))
 
     cache = Cache(lambda asked, line: hit())
@@ -543,7 +543,7 @@
     )
     env["RAINHITCH_OPERATOR"] = str(operator)
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=few
+        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
     )
     address = await started(running)
     assert running.stderr is not None
@@ -612,11 +612,11 @@
     await service.start()
     assert service.clients.listener is not None
     address = service.clients.listener.socket.address
-    came: list[socket.socket] = []
+    backlogged: list[socket.socket] = []
 
     def late(one: Any, data: bytes) -> None:
-        came.append(socket.create_connection(address))
-        came[0].sendall(command(b"PING"))
+        backlogged.append(socket.create_connection(address))
+        backlogged[0].sendall(command(b"PING"))
         time.sleep(service.clients.schedule.stop_accepting_s)  # until the listener is due to close
 
     monkeypatch.setattr(client_module.ClientConnection, "data_received", late)
@@ -625,11 +625,11 @@
     ending = asyncio.ensure_future(service.stop())
     await asyncio.sleep(0)
     first.sendall(command(b"PING"))
-    await wait_until(lambda: came)
+    await wait_until(lambda: backlogged)
     monkeypatch.undo()
-    came[0].settimeout(PATIENCE)
-    assert await asyncio.to_thread(came[0].recv, 64)
-    for one in (first, *came):
+    backlogged[0].settimeout(PATIENCE)
+    assert await asyncio.to_thread(backlogged[0].recv, 64)
+    for one in (first, *backlogged):
         one.close()
     await ending
 
