--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -41,12 +41,12 @@
         caller.get()
         assert await caller.answer() == b"v"
 
-        async def dribble() -> None:
+        async def send_byte_by_byte() -> None:
             for byte in resp.command(b"C.GET", b"k" * 200, b"i2", INFO):
                 caller.writer.write(bytes([byte]))
                 await asyncio.sleep(0.02)
 
-        task = asyncio.create_task(dribble())
+        task = asyncio.create_task(send_byte_by_byte())
         assert str(await caller.answer()) == "ERR no whole command in time"
         task.cancel()
 
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines when the process may be delayed after any reading of its clock; partly over loopback sockets."""
+"""Deadlines when the process may be reserve_after after any reading of its clock; partly over loopback sockets."""
 
 import asyncio
 import socket
@@ -33,7 +33,7 @@
 MAX_UNDETECTED_NS = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS  # the longest delay that heartbeats miss
 
 
-def delayed(*delays: int) -> DelayReserve:
+def reserve_after(*delays: int) -> DelayReserve:
     """Returns the reserve after delays of these lengths in ns, all recorded at NOW."""
     made = DelayReserve()
     for delay in delays:
@@ -49,8 +49,8 @@
 def test_an_undetected_delay_before_a_read_is_covered_by_the_protocols_slack(
     wait: int, undetected: int, calm: bool
 ) -> None:
-    kept = (DelayReserve() if calm else delayed(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
-    assert undetected + wait - kept + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    reserve_ns = (DelayReserve() if calm else reserve_after(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
+    assert undetected + wait - reserve_ns + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(
@@ -61,7 +61,7 @@
     wait: int, late: int
 ) -> None:
     assert (
-        wait - delayed(MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
+        wait - reserve_after(MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
         <= wait + PROTOCOL_SLACK_NS
     )
 
@@ -71,22 +71,22 @@
     wait=st.integers(4 * MAX_RESERVE_NS, 10_000 * NS_PER_MS),
 )
 def test_longer_delays_get_a_longer_reserve(longest: int, wait: int) -> None:
-    kept = delayed(MIN_RECORDED_DELAY_NS, longest, MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait)
-    assert wait - kept + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    reserve_ns = reserve_after(MIN_RECORDED_DELAY_NS, longest, MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait)
+    assert wait - reserve_ns + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(wait=st.integers(1, 10_000 * NS_PER_MS), delay=st.integers(0, 10_000 * NS_PER_MS))
 def test_the_reserve_leaves_a_short_wait_its_greater_part(wait: int, delay: int) -> None:
-    assert delayed(delay).reserve_ns(NOW + 1, wait) <= max(ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR)
+    assert reserve_after(delay).reserve_ns(NOW + 1, wait) <= max(ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR)
 
 
 def test_without_delays_only_the_answers_delivery_is_reserved() -> None:
     assert (
         DelayReserve().reserve_ns(NOW, 500 * NS_PER_MS)
-        == delayed(MIN_RECORDED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
+        == reserve_after(MIN_RECORDED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
         == ANSWER_DELIVERY_NS
     )
-    made = delayed(HOST_DELAY_NS)
+    made = reserve_after(HOST_DELAY_NS)
     assert made.reserve_ns(NOW + DELAY_RETENTION_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
     assert made.reserve_ns(NOW + DELAY_RETENTION_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
     made.delay_found(NOW + DELAY_RETENTION_NS, MIN_RECORDED_DELAY_NS)  # the longer delay has expired
@@ -113,7 +113,7 @@
         return now_ns
 
 
-async def newcomer(bench: Bench) -> tuple[socket.socket, ClientConnection]:
+async def connect_client(bench: Bench) -> tuple[socket.socket, ClientConnection]:
     """Connects a client; returns its socket and its connection at the router."""
     before = set(bench.clients.connections)
     raw = socket.create_connection(("127.0.0.1", bench.port))
@@ -125,7 +125,7 @@
 async def test_no_attempt_starts_for_a_client_that_leaves_after_any_reading_of_the_clock(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process may be delayed after any reading of the clock; checks made before it are then outdated."""
+    """The process may be reserve_after after any reading of the clock; checks made before it are then outdated."""
     async with router() as bench:
         warm = await bench.caller()
         warm.get(name=b"warm")
@@ -133,7 +133,7 @@
         left_before = 0
         for at in range(1, 40):
             await asyncio.sleep(0.01)  # until the connection to the cache server may be reused
-            raw, client = await newcomer(bench)
+            raw, client = await connect_client(bench)
             written = bench.pools.attempts_written
             seen: list[int] = []
 
@@ -165,16 +165,16 @@
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             raw.sendall(command(b"C.GET", b"k", b"waits", INFO % 900))
             await wait_until(lambda: bench.driver.requests)
-            [held] = bench.driver.requests.values()
+            [in_flight] = bench.driver.requests.values()
             assert (
-                held.client_request.unread_ms >= 190 and held.client_request.wait_ms <= 900 - 190
+                in_flight.client_request.unread_ms >= 190 and in_flight.client_request.wait_ms <= 900 - 190
             )  # a timer may fire early by its rounding
-            assert held.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
+            assert in_flight.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             await asyncio.sleep(0.05)  # the backlog is empty: data sent later has no age
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
-            held = await wait_until(lambda: bench.driver.requests.get("comes"))
-            assert held.client_request.wait_ms > 900 - 100
+            in_flight = await wait_until(lambda: bench.driver.requests.get("comes"))
+            assert in_flight.client_request.wait_ms > 900 - 100
 
 
 async def test_an_idle_connection_is_retired_before_its_server_may_close_it_during_a_delay() -> None:
@@ -191,7 +191,7 @@
     The time for which a command is unread because of the client's own earlier commands must not count as age.
     """
     async with router(lambda asked, line: None if asked[2] == b"first" else hit()) as bench:
-        raw, client = await newcomer(bench)
+        raw, client = await connect_client(bench)
         raw.sendall(command(b"C.GET", b"k", b"first", INFO % 900))
         await wait_until(lambda: bench.driver.requests)
         raw.sendall(b"".join(command(b"PING") for _ in range(MAX_PIPELINED_COMMANDS)))
@@ -201,13 +201,13 @@
         [line] = bench.cache.lines
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 700)
         line.write(hit())
-        held = await wait_until(
+        in_flight = await wait_until(
             lambda: bench.driver.requests.get("behind") or bench.cache.received[-1][2] == b"behind"
         )
         info_list = (
             bench.cache.received[-1][3]
-            if held is True
-            else held.client_request.info_for(held.client_request.wait_ms * NS_PER_MS)
+            if in_flight is True
+            else in_flight.client_request.info_for(in_flight.client_request.wait_ms * NS_PER_MS)
         )
         assert int(info_list.rpartition(b"d=")[2]) > 900 - 100
         raw.close()
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -42,13 +42,13 @@
 )
 
 
-def alive() -> Counter[str]:
+def count_live_objects() -> Counter[str]:
     """Returns the number of live objects of each class in KINDS."""
     gc.collect()
     return Counter(kind.__name__ for one in gc.get_objects() for kind in KINDS if isinstance(one, kind))
 
 
-async def churn(bench: Bench, rounds: range) -> None:
+async def play_churn(bench: Bench, rounds: range) -> None:
     """Plays rounds in which a server is replaced at the same address and attempts end in every way.
 
     Each round has new ids, keys and clients.
@@ -83,9 +83,9 @@
         return reply
 
     async with router(answer) as bench:
-        await churn(bench, range(10))
-        before = alive()
-        await churn(bench, range(10, 70))
+        await play_churn(bench, range(10))
+        before = count_live_objects()
+        await play_churn(bench, range(10, 70))
         await wait_until(lambda: all(not one.connections for one in bench.pools.draining_pools))
         balancer, clients = bench.driver.balancer, bench.clients
         assert len(balancer.servers.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
@@ -102,7 +102,7 @@
             and not clients.activity.lingering
             and clients.buffered_bytes == 0
         )
-        grown = {name: (before[name], many) for name, many in alive().items() if many > before[name] + 8}
+        grown = {name: (before[name], many) for name, many in count_live_objects().items() if many > before[name] + 8}
         # Timers hold PendingRequests until the latency objective expires, so their number is limited by time
         # and not checked here.
         assert grown.keys() <= {"PendingRequest"}
@@ -138,14 +138,14 @@
 
 
 async def test_the_router_recovers_from_a_full_descriptor_table(tmp_path: Path) -> None:
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (30, 30))
 
     cache = Cache(lambda asked, line: hit())
     await cache.start()
     env = configuration(tmp_path, known=listing(3, entry("c0", cache.address)))
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=few
+        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
     )
     address = await started(running)
     assert running.stderr is not None
@@ -175,14 +175,14 @@
     Each client of a burst must get a response.
     """
 
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     operator = tmp_path / "operator.toml"  # so that the first clients stay, however slow the machine
     operator.write_text("[clients]\nidle_s = 3600\nat_need_s = 3600\n")
     env = {**configuration(tmp_path, limits={"sockets": 64}), "RAINHITCH_OPERATOR": str(operator)}
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=few
+        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
     )
     address = await started(running)
     assert running.stderr is not None
--- a/tests/node/test_loop_lag.py
+++ b/tests/node/test_loop_lag.py
@@ -8,7 +8,7 @@
 
 from rainhitch.node.loop_lag import HEARTBEAT_NS, HEARTBEAT_TOLERANCE_NS, SLOW_CALLBACK_NS, LoopLag
 
-MILLI = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class ScriptedLoop:
@@ -25,58 +25,58 @@
         """Schedules a callback for the next turn."""
         self.soon.append(callback)
 
-    def turn(self, waited: int = 0, held_up: int = 0) -> None:
+    def turn(self, wait_ns: int = 0, delay_ns: int = 0) -> None:
         """Ends a turn and polls for the next one; times are in ns.
 
-        The poll waits for `waited` and heartbeats run in time; then the process is delayed by `held_up`.
+        The poll waits for `wait_ns` and heartbeats run in time; then the process is delayed by `delay_ns`.
         Sockets are read before timers run.
         """
         ready, self.soon = self.soon, []
         for callback in ready:
             callback()
-        while self.lag.heartbeat_due_at_ns <= self.now + waited:
-            waited -= max(0, self.lag.heartbeat_due_at_ns - self.now)
+        while self.lag.heartbeat_due_at_ns <= self.now + wait_ns:
+            wait_ns -= max(0, self.lag.heartbeat_due_at_ns - self.now)
             self.now = max(self.now, self.lag.heartbeat_due_at_ns)
             self.lag.heartbeat()
-        self.now += waited + held_up
+        self.now += wait_ns + delay_ns
 
-    def read(self, takes: int = 0) -> int:
-        """Runs a callback that takes `takes` ns; returns the age of the data it reads, in ns."""
+    def read(self, duration_ns: int = 0) -> int:
+        """Runs a callback that duration_ns `duration_ns` ns; returns the age of the data it reads, in ns."""
         self.lag.callback_begins()
         age = self.lag.age_ns()
-        self.now += takes
+        self.now += duration_ns
         self.lag.callback_ends()
         return age
 
 
 def test_what_a_loop_in_time_reads_has_no_age() -> None:
     loop = ScriptedLoop()
-    for waited in (0, MILLI, 20 * MILLI, 90 * MILLI, 450 * MILLI):
-        loop.turn(waited)
-        assert loop.read(takes=SLOW_CALLBACK_NS) == 0
+    for wait_ns in (0, NS_PER_MS, 20 * NS_PER_MS, 90 * NS_PER_MS, 450 * NS_PER_MS):
+        loop.turn(wait_ns)
+        assert loop.read(duration_ns=SLOW_CALLBACK_NS) == 0
     assert not loop.delays
 
 
 def test_a_callback_that_takes_long_counts_for_the_rest_of_its_turn_and_the_next_one() -> None:
     loop = ScriptedLoop()
-    loop.turn(10 * MILLI)
-    assert loop.read(takes=120 * MILLI) == 0
-    assert loop.read() == 120 * MILLI
+    loop.turn(10 * NS_PER_MS)
+    assert loop.read(duration_ns=120 * NS_PER_MS) == 0
+    assert loop.read() == 120 * NS_PER_MS
     loop.turn()
-    assert loop.read() == 120 * MILLI  # the data may have arrived when that callback began
+    assert loop.read() == 120 * NS_PER_MS  # the data may have arrived when that callback began
     loop.turn()
     assert loop.read() == 0
-    assert loop.delays == [120 * MILLI]
+    assert loop.delays == [120 * NS_PER_MS]
 
 
 def test_a_delay_in_the_poll_is_detected_by_the_heartbeat() -> None:
     loop = ScriptedLoop()
     loop.read()
-    held_up = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS + 1
-    loop.turn(HEARTBEAT_NS // 2, held_up)
-    assert loop.read() >= held_up
+    delay_ns = HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS + 1
+    loop.turn(HEARTBEAT_NS // 2, delay_ns)
+    assert loop.read() >= delay_ns
     loop.turn()
-    assert loop.read() >= held_up
+    assert loop.read() >= delay_ns
     loop.turn()
     assert loop.read() == 0
     assert len(loop.delays) == 1
@@ -84,8 +84,8 @@
 
 steps = st.tuples(
     st.integers(0, HEARTBEAT_NS),
-    st.integers(0, 400 * MILLI),
-    st.lists(st.integers(0, 300 * MILLI), max_size=4),
+    st.integers(0, 400 * NS_PER_MS),
+    st.lists(st.integers(0, 300 * NS_PER_MS), max_size=4),
 )
 
 
@@ -98,13 +98,13 @@
     Delays that the heartbeat does not detect are excluded.
     """
     loop = ScriptedLoop()
-    for waited, held_up, callbacks in turns:
-        loop.turn(waited, held_up)
+    for wait_ns, delay_ns, callbacks in turns:
+        loop.turn(wait_ns, delay_ns)
         age = loop.read()
-        assert age >= (held_up if held_up > HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS else 0)
-        for takes in callbacks:
+        assert age >= (delay_ns if delay_ns > HEARTBEAT_NS + HEARTBEAT_TOLERANCE_NS else 0)
+        for duration_ns in callbacks:
             begun = loop.now
-            loop.read(takes)
-            assert loop.read() >= (loop.now - begun if takes > SLOW_CALLBACK_NS else 0)
+            loop.read(duration_ns)
+            assert loop.read() >= (loop.now - begun if duration_ns > SLOW_CALLBACK_NS else 0)
             loop.turn()
-            assert loop.read() >= (loop.now - begun if takes > SLOW_CALLBACK_NS else 0)
+            assert loop.read() >= (loop.now - begun if duration_ns > SLOW_CALLBACK_NS else 0)
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -33,13 +33,13 @@
     return asked, answer
 
 
-async def raw(caller: Caller, size: int) -> bytes:
+async def read_exactly(caller: Caller, size: int) -> bytes:
     """Returns the next `size` bytes received."""
     async with asyncio.timeout(PATIENCE):
         return await caller.reader.readexactly(size)
 
 
-async def rest(caller: Caller) -> bytes:
+async def read_to_end(caller: Caller) -> bytes:
     """Returns everything received until the router closes the connection."""
     got = b""
     async with asyncio.timeout(PATIENCE):
@@ -60,10 +60,10 @@
         (line,) = await wait_until(lambda: asked)
         line.write(HEAD + VALUE[:70_000])
         head = b"$%d\r\n" % SIZE
-        assert await raw(caller, len(head) + 70_000) == head + VALUE[:70_000]
+        assert await read_exactly(caller, len(head) + 70_000) == head + VALUE[:70_000]
         assert bench.driver.metrics.in_flight == 1 and bench.driver.metrics.served == [0, 0, 0]
         line.write(VALUE[70_000:] + TAIL)
-        assert await raw(caller, SIZE - 70_000 + 2) == VALUE[70_000:] + b"\r\n"
+        assert await read_exactly(caller, SIZE - 70_000 + 2) == VALUE[70_000:] + b"\r\n"
         caller.get(name=b"i2")  # on the same connections
         (_, again) = await wait_until(lambda: asked[1:] and asked)
         assert again is line
@@ -96,7 +96,7 @@
     async with router(lambda asked, line: sent) as bench:
         caller = await bench.caller()
         caller.get()
-        assert len(await rest(caller)) < len(b"$%d\r\n" % SIZE) + SIZE  # without the last byte
+        assert len(await read_to_end(caller)) < len(b"$%d\r\n" % SIZE) + SIZE  # without the last byte
         await wait_until(lambda: not bench.driver.requests and not bench.pools.open_count())
         assert bench.driver.metrics.failed[0] == 1 and not bench.driver.metrics.served[0]
 
@@ -108,9 +108,9 @@
         caller.get()
         (line,) = await wait_until(lambda: asked)
         line.write(HEAD + VALUE[:1000])
-        await raw(caller, 500)
+        await read_exactly(caller, 500)
         line.transport.abort()
-        assert len(await rest(caller)) < SIZE
+        assert len(await read_to_end(caller)) < SIZE
         await wait_until(lambda: not bench.driver.requests and not bench.clients.connections)
 
 
@@ -124,7 +124,7 @@
         caller.get()
         (line,) = await wait_until(lambda: asked)
         line.write(HEAD + VALUE[:1000])
-        assert len(await rest(caller)) < SIZE
+        assert len(await read_to_end(caller)) < SIZE
         await wait_until(lambda: not bench.pools.open_count() and not bench.driver.requests)
 
 
@@ -135,7 +135,7 @@
         caller.get()
         (line,) = await wait_until(lambda: asked)
         line.write(HEAD + VALUE[:1000])
-        await raw(caller, 500)
+        await read_exactly(caller, 500)
         caller.writer.transport.abort()
         await wait_until(lambda: not bench.driver.requests and not bench.pools.open_count())
         assert bench.driver.metrics.failed[0] == 1 and bench.driver.metrics.in_flight == 0
@@ -175,10 +175,10 @@
             lambda: sum(one.responses.write_buffer_full for one in bench.clients.connections) == 4
         )
         await asyncio.sleep(0.2)  # time for all data to arrive that is not held back
-        relays = [held.relay for held in bench.driver.requests.values() if held.relay is not None]
+        relays = [in_flight.relay for in_flight in bench.driver.requests.values() if in_flight.relay is not None]
         assert len(relays) == 4 and all(one.source_paused for one in relays)
-        kept = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
-        assert kept < len(long)  # less than one value, for four clients
+        held_bytes = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
+        assert held_bytes < len(long)  # less than one value, for four clients
         for caller in callers:
             assert await caller.answer() == long
 
@@ -196,7 +196,7 @@
         caller = await bench.caller()
         for name in (b"i1", b"i2", b"i3"):
             caller.get(name=name)
-        await wait_until(lambda: any(held.relay is not None for held in bench.driver.requests.values()))
+        await wait_until(lambda: any(in_flight.relay is not None for in_flight in bench.driver.requests.values()))
         first[0].write(hit(b"first"))
         assert [await caller.answer() for _ in range(3)] == [b"first", VALUE, b"third"]
 
