--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines when the process may be reserve_after after any reading of its clock; partly over loopback sockets."""
+"""Deadlines when the process may be delayed after any reading of its clock; partly over loopback sockets."""
 
 import asyncio
 import socket
@@ -49,8 +49,8 @@
 def test_an_undetected_delay_before_a_read_is_covered_by_the_protocols_slack(
     wait: int, undetected: int, calm: bool
 ) -> None:
-    reserve_ns = (DelayReserve() if calm else reserve_after(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
-    assert undetected + wait - reserve_ns + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    reserve = (DelayReserve() if calm else reserve_after(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
+    assert undetected + wait - reserve + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(
@@ -71,13 +71,15 @@
     wait=st.integers(4 * MAX_RESERVE_NS, 10_000 * NS_PER_MS),
 )
 def test_longer_delays_get_a_longer_reserve(longest: int, wait: int) -> None:
-    reserve_ns = reserve_after(MIN_RECORDED_DELAY_NS, longest, MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait)
-    assert wait - reserve_ns + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    reserve = reserve_after(MIN_RECORDED_DELAY_NS, longest, MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait)
+    assert wait - reserve + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(wait=st.integers(1, 10_000 * NS_PER_MS), delay=st.integers(0, 10_000 * NS_PER_MS))
 def test_the_reserve_leaves_a_short_wait_its_greater_part(wait: int, delay: int) -> None:
-    assert reserve_after(delay).reserve_ns(NOW + 1, wait) <= max(ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR)
+    assert reserve_after(delay).reserve_ns(NOW + 1, wait) <= max(
+        ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR
+    )
 
 
 def test_without_delays_only_the_answers_delivery_is_reserved() -> None:
@@ -125,7 +127,7 @@
 async def test_no_attempt_starts_for_a_client_that_leaves_after_any_reading_of_the_clock(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process may be reserve_after after any reading of the clock; checks made before it are then outdated."""
+    """The process may be delayed after any reading of the clock; checks made before it are then outdated."""
     async with router() as bench:
         warm = await bench.caller()
         warm.get(name=b"warm")
@@ -165,16 +167,16 @@
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             raw.sendall(command(b"C.GET", b"k", b"waits", INFO % 900))
             await wait_until(lambda: bench.driver.requests)
-            [in_flight] = bench.driver.requests.values()
+            [request] = bench.driver.requests.values()
             assert (
-                in_flight.client_request.unread_ms >= 190 and in_flight.client_request.wait_ms <= 900 - 190
+                request.client_request.unread_ms >= 190 and request.client_request.wait_ms <= 900 - 190
             )  # a timer may fire early by its rounding
-            assert in_flight.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
+            assert request.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             await asyncio.sleep(0.05)  # the backlog is empty: data sent later has no age
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
-            in_flight = await wait_until(lambda: bench.driver.requests.get("comes"))
-            assert in_flight.client_request.wait_ms > 900 - 100
+            request = await wait_until(lambda: bench.driver.requests.get("comes"))
+            assert request.client_request.wait_ms > 900 - 100
 
 
 async def test_an_idle_connection_is_retired_before_its_server_may_close_it_during_a_delay() -> None:
@@ -201,13 +203,13 @@
         [line] = bench.cache.lines
         monkeypatch.setattr(bench.clients.system, "unread_ms", lambda transport: 700)
         line.write(hit())
-        in_flight = await wait_until(
+        request = await wait_until(
             lambda: bench.driver.requests.get("behind") or bench.cache.received[-1][2] == b"behind"
         )
         info_list = (
             bench.cache.received[-1][3]
-            if in_flight is True
-            else in_flight.client_request.info_for(in_flight.client_request.wait_ms * NS_PER_MS)
+            if request is True
+            else request.client_request.info_for(request.client_request.wait_ms * NS_PER_MS)
         )
         assert int(info_list.rpartition(b"d=")[2]) > 900 - 100
         raw.close()
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -102,7 +102,11 @@
             and not clients.activity.lingering
             and clients.buffered_bytes == 0
         )
-        grown = {name: (before[name], many) for name, many in count_live_objects().items() if many > before[name] + 8}
+        grown = {
+            name: (before[name], many)
+            for name, many in count_live_objects().items()
+            if many > before[name] + 8
+        }
         # Timers hold PendingRequests until the latency objective expires, so their number is limited by time
         # and not checked here.
         assert grown.keys() <= {"PendingRequest"}
@@ -145,7 +149,13 @@
     await cache.start()
     env = configuration(tmp_path, known=listing(3, entry("c0", cache.address)))
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
+        sys.executable,
+        "-m",
+        "rainhitch",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit_descriptors,
     )
     address = await started(running)
     assert running.stderr is not None
@@ -182,7 +192,13 @@
     operator.write_text("[clients]\nidle_s = 3600\nat_need_s = 3600\n")
     env = {**configuration(tmp_path, limits={"sockets": 64}), "RAINHITCH_OPERATOR": str(operator)}
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
+        sys.executable,
+        "-m",
+        "rainhitch",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit_descriptors,
     )
     address = await started(running)
     assert running.stderr is not None
--- a/tests/node/test_loop_lag.py
+++ b/tests/node/test_loop_lag.py
@@ -41,7 +41,7 @@
         self.now += wait_ns + delay_ns
 
     def read(self, duration_ns: int = 0) -> int:
-        """Runs a callback that duration_ns `duration_ns` ns; returns the age of the data it reads, in ns."""
+        """Runs a callback that takes `duration_ns`; returns the age of the data it reads, in ns."""
         self.lag.callback_begins()
         age = self.lag.age_ns()
         self.now += duration_ns
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -543,7 +543,13 @@
     )
     env["RAINHITCH_OPERATOR"] = str(operator)
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
+        sys.executable,
+        "-m",
+        "rainhitch",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit_descriptors,
     )
     address = await started(running)
     assert running.stderr is not None
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -175,7 +175,7 @@
             lambda: sum(one.responses.write_buffer_full for one in bench.clients.connections) == 4
         )
         await asyncio.sleep(0.2)  # time for all data to arrive that is not held back
-        relays = [in_flight.relay for in_flight in bench.driver.requests.values() if in_flight.relay is not None]
+        relays = [request.relay for request in bench.driver.requests.values() if request.relay is not None]
         assert len(relays) == 4 and all(one.source_paused for one in relays)
         held_bytes = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
         assert held_bytes < len(long)  # less than one value, for four clients
@@ -196,7 +196,7 @@
         caller = await bench.caller()
         for name in (b"i1", b"i2", b"i3"):
             caller.get(name=name)
-        await wait_until(lambda: any(in_flight.relay is not None for in_flight in bench.driver.requests.values()))
+        await wait_until(lambda: any(request.relay is not None for request in bench.driver.requests.values()))
         first[0].write(hit(b"first"))
         assert [await caller.answer() for _ in range(3)] == [b"first", VALUE, b"third"]
 
