--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -13,6 +13,7 @@
 so it is kept only while delays are detected, for DELAY_RETENTION_NS after the last one. It is sized for the
 longest of them, and at least for HOST_DELAY_NS, less the protocol's slack. A short wait gives up only a part
 of itself: a reserve that used all of it would leave no time to serve anything.
+"""
 
 NS_PER_MS = 1_000_000
 HOST_DELAY_NS = 150 * NS_PER_MS  # longest delay of the process on a healthy host
