--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -159,7 +159,7 @@
         request = attempt.request
         in_time = self.clock.now() < write_by_ns
         # Asked last: the clock's reading may be old by a delay of this process, the client's end is not.
-        if request.state is REQUEST_OPEN and request.sink.gone():
+        if request.state is REQUEST_OPEN and request.sink.has_disconnected():
             self.owner.withdraw(request)
         return in_time and request.state is REQUEST_OPEN and attempt.is_in_flight()
 
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -93,7 +93,7 @@
         except Exception:
             # Confines the failure to this command, so that the connection's other commands are still served.
             log.exception("request could not be accepted id=%s", client_request.id.decode())
-            slot.fill(resp.FAILED_REPLY)
+            slot.set_response(resp.FAILED_REPLY)
             return
         is_answered = slot.response is not None or slot.relay is not None
         slot.request = None if is_answered else request
--- a/rainhitch/node/client_socket.py
+++ b/rainhitch/node/client_socket.py
@@ -40,7 +40,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Returns whether the client has closed or reset its side, even with unread bytes before that.
 
         The event loop does not report the end while reading is paused. If the client has closed its side, the
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -40,18 +40,18 @@
 
 
 class ResponseSink(Protocol):
-    """Where a request's one answer goes: `fill` or `start_relay` is called once."""
+    """Where a request's one answer goes: `set_response` or `start_relay` is called once."""
 
-    def fill(self, answer: bytes) -> None:
+    def set_response(self, answer: bytes) -> None:
         """Takes the answer as it goes to the client."""
 
     def start_relay(self, relay: Relay) -> None:
         """Takes a long value, which is passed on piece by piece as it arrives."""
 
-    def form(self, value: object) -> bytes:
+    def encode(self, value: object) -> bytes:
         """Encodes a RESP3 value in the client's protocol version."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left, also where its end has not been read yet."""
 
 
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -97,13 +97,13 @@
         request_id = client_request.id.decode()
         if request_id in self.requests:
             self.accounting.id_in_use(client_request)
-            sink.fill(resp.error_reply("this id is in use"))
+            sink.set_response(resp.error_reply("this id is in use"))
             return None
         size_bytes = client_request.size_bytes()
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
             self.accounting.no_room(client_request)
-            sink.fill(resp.busy_reply(0))  # it has not begun, so that a retry is harmless
+            sink.set_response(resp.busy_reply(0))  # it has not begun, so that a retry is harmless
             return None
         now = self.clock.now()
         class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
@@ -214,7 +214,7 @@
 
     def served(self, request: InFlightRequest, value: object) -> None:
         """Answers the client with the value of an attempt."""
-        answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
+        answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.encode(value)
         self._answer(request, answer, self.metrics.served, SERVED)
 
     def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
@@ -237,7 +237,7 @@
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
         self.accounting.answered(request, metric, outcome, is_over_quota)
-        request.sink.fill(answer)
+        request.sink.set_response(answer)
 
     def _mark_finished(self, request: InFlightRequest) -> None:
         request.state = REQUEST_FINISHED
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -29,7 +29,7 @@
     def advance(self) -> None:
         """Does nothing."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Returns True: the client has disconnected."""
         return True
 
--- a/rainhitch/node/response_slot.py
+++ b/rainhitch/node/response_slot.py
@@ -14,7 +14,7 @@
     def advance(self) -> None:
         """Writes the responses that are next in order, then handles further commands."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Returns whether the client has disconnected, even if the end of its stream is not read yet."""
 
 
@@ -44,7 +44,7 @@
         self.relay: Relay | None = None  # set if the response is a long value that is relayed as it arrives
         self.version = version  # RESP version in force when the command was read
 
-    def fill(self, response: bytes) -> None:
+    def set_response(self, response: bytes) -> None:
         """Sets the response, encoded as the client receives it."""
         if self.response is None:
             self.response = self.queue.hold(self, response)
@@ -52,11 +52,11 @@
             self.request = None
             self.queue.owner.advance()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Returns whether the client has disconnected, even if the end of its stream is not read yet."""
-        return self.queue.owner.gone()
+        return self.queue.owner.has_disconnected()
 
-    def form(self, value: object) -> bytes:
+    def encode(self, value: object) -> bytes:
         """Encodes a RESP3 value in the client's protocol version."""
         from rainhitch.protocol.resp3_writer import encode  # imported only if a server speaks RESP3
 
@@ -65,7 +65,7 @@
     def start_relay(self, relay: Relay) -> None:
         """Sets a long value as the response; it is relayed as it arrives once it is next in order."""
         if not self.queue.reserve_bytes(self, READ_PIECE_BYTES):
-            self.fill(resp.FAILED_REPLY)
+            self.set_response(resp.FAILED_REPLY)
             relay.client_disconnected()
             return
         self.relay = relay
