--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -17,7 +17,7 @@
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.exchange import AttemptResult, Exchange
 from rainhitch.node.in_flight_request import REQUEST_OPEN, Attempt, FinishedAttempt, InFlightRequest
-from rainhitch.node.relay import Relay, Source
+from rainhitch.node.relay import Relay, RelaySource
 from rainhitch.telemetry.counts import Counts
 
 NS_PER_MS = 1_000_000
@@ -32,7 +32,7 @@
     def served(self, request: InFlightRequest, value: object) -> None:
         """Answers the client with the value."""
 
-    def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+    def relay_started(self, request: InFlightRequest, source: RelaySource, size_bytes: int) -> Relay:
         """Passes a long value on to the client as it arrives."""
 
     def withdraw(self, request: InFlightRequest) -> None:
@@ -163,7 +163,7 @@
             self.owner.withdraw(request)
         return in_time and request.state is REQUEST_OPEN and attempt.is_in_flight()
 
-    def _long_value_began(self, attempt: Attempt, source: Source, size_bytes: int) -> Relay | None:
+    def _long_value_began(self, attempt: Attempt, source: RelaySource, size_bytes: int) -> Relay | None:
         """A long value begins to arrive; None where nobody wants it.
 
         From here on there is no other attempt, and no time limit but the relay's.
@@ -177,7 +177,7 @@
                 timer.cancel()
         relay = self.owner.relay_started(request, source, size_bytes)
         self._report(attempt, AttemptResult(api.AttemptStatus.OK))
-        return None if relay.is_over() else relay
+        return None if relay.is_finished() else relay
 
     def _report(self, attempt: Attempt, result: AttemptResult) -> None:
         """Counts an ended attempt and reports it to the decisions."""
--- a/rainhitch/node/exchange.py
+++ b/rainhitch/node/exchange.py
@@ -8,7 +8,7 @@
 from rainhitch.node.client_request import ClientRequest
 
 if TYPE_CHECKING:
-    from rainhitch.node.relay import Relay, Source
+    from rainhitch.node.relay import Relay, RelaySource
 
 
 @dataclass(slots=True)
@@ -28,5 +28,5 @@
     deadline_ns: int  # monotonic, until when the router waits
     on_finished: Callable[[AttemptResult], None]
     # Called with the size in bytes of a long value: where to pass it on, or None where nobody wants it.
-    on_long_value: "Callable[[Source, int], Relay | None]"
+    on_long_value: "Callable[[RelaySource, int], Relay | None]"
     may_write: Callable[[], bool] = lambda: True  # called right before the first byte is written
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -36,7 +36,7 @@
 UNFINISHED_STATES = (RelayState.RECEIVING, RelayState.COMPLETE)
 
 
-class Source(Protocol):
+class RelaySource(Protocol):
     """The server's side of a relay."""
 
     def pause_reading(self) -> None:
@@ -55,7 +55,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        source: Source,
+        source: RelaySource,
         size_bytes: int,
         on_end: Callable[[bool], None],
     ) -> None:
@@ -74,13 +74,13 @@
 
     def feed(self, data: bytes) -> None:
         """Accepts a part of the value from the source."""
-        if self.is_over():
+        if self.is_finished():
             return
         self.received_at_s = self.loop.time()
         self.pending += data
         self.notify_client()
         # The last byte may have to be held back, so a single byte does not pause the source.
-        if len(self.pending) > 1 and not self.is_over():
+        if len(self.pending) > 1 and not self.is_finished():
             self.source_paused = True
             self.source.pause_reading()
 
@@ -90,7 +90,7 @@
             self.state = RelayState.COMPLETE
         self.notify_client()
 
-    def break_off(self) -> None:
+    def fail(self) -> None:
         """Ends the relay because the source is closed or its data is malformed."""
         if self.state is RelayState.RECEIVING:
             self._end(RelayState.BROKEN)
@@ -113,7 +113,7 @@
         """Returns whether the rest of the value will never arrive."""
         return self.state is RelayState.BROKEN
 
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Returns whether nothing more will be forwarded."""
         return self.state not in UNFINISHED_STATES
 
@@ -123,12 +123,12 @@
 
     def mark_forwarded(self) -> None:
         """Records that the client's connection has the complete value."""
-        if not self.is_over():
+        if not self.is_finished():
             self._end(RelayState.FORWARDED)
 
     def client_disconnected(self) -> None:
         """Ends the relay because the client has disconnected or cannot be served."""
-        if not self.is_over():
+        if not self.is_finished():
             self._end(RelayState.CLIENT_DISCONNECTED)
             self.source.close()
 
@@ -149,5 +149,5 @@
         if left_s > 0:
             self.stall_timer = self.loop.call_later(left_s, self._check_stall)
         else:
-            self.break_off()
+            self.fail()
             self.source.close()
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -17,7 +17,7 @@
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, InFlightState, ResponseSink
 from rainhitch.node.loop_lag import HEARTBEAT_NS
-from rainhitch.node.relay import Relay, Source
+from rainhitch.node.relay import Relay, RelaySource
 from rainhitch.node.request_accounting import RequestAccounting
 from rainhitch.policy.balancer import Balancer
 from rainhitch.protocol import resp
@@ -217,7 +217,7 @@
         answer = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.encode(value)
         self._answer(request, answer, self.metrics.served, SERVED)
 
-    def relay_started(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+    def relay_started(self, request: InFlightRequest, source: RelaySource, size_bytes: int) -> Relay:
         """Passes a long value on to the client as it arrives."""
         request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -193,7 +193,7 @@
         relay = self.relay
         self.relay = None
         if relay is not None:
-            relay.break_off()
+            relay.fail()
 
     def finish(self, result: AttemptResult, reusable: bool = True) -> None:
         """Ends the attempt; the connection is free before its result is reported."""
