--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -43,7 +43,7 @@
         self.longest_delay_ns = 0  # longest of the recorded delays
         self.retained_until_ns = 0
 
-    def delay_found(self, now: int, delay_ns: int) -> None:
+    def record_delay(self, now: int, delay_ns: int) -> None:
         """Records that the event loop was delayed by `delay_ns`."""
         if delay_ns < MIN_RECORDED_DELAY_NS:
             return
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -168,7 +168,7 @@
 
     def _loop_delayed(self, delay_ns: int) -> None:
         self.counts.add_lag(delay_ns)
-        self.reserve.delay_found(self.clock.now(), delay_ns)
+        self.reserve.record_delay(self.clock.now(), delay_ns)
 
     def _heartbeat(self) -> None:
         self.loop_lag.heartbeat()
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -37,7 +37,7 @@
     """Returns the reserve after delays of these lengths in ns, all recorded at NOW."""
     made = DelayReserve()
     for delay in delays:
-        made.delay_found(NOW, delay)
+        made.record_delay(NOW, delay)
     return made
 
 
@@ -91,7 +91,7 @@
     made = reserve_after(HOST_DELAY_NS)
     assert made.reserve_ns(NOW + DELAY_RETENTION_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
     assert made.reserve_ns(NOW + DELAY_RETENTION_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
-    made.delay_found(NOW + DELAY_RETENTION_NS, MIN_RECORDED_DELAY_NS)  # the longer delay has expired
+    made.record_delay(NOW + DELAY_RETENTION_NS, MIN_RECORDED_DELAY_NS)  # the longer delay has expired
     assert made.longest_delay_ns == MIN_RECORDED_DELAY_NS
 
 
