--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -30,11 +30,11 @@
         self.counts.taken += 1
         self.counts.add_unread(client_request.unread_ms)
 
-    def id_in_use(self, client_request: ClientRequest) -> None:
+    def failed_duplicate_id(self, client_request: ClientRequest) -> None:
         """Counts a request that failed at once because another with the same id is in flight."""
         self.metrics.failed[client_request.class_index] += 1
 
-    def no_room(self, client_request: ClientRequest) -> None:
+    def rejected_at_capacity(self, client_request: ClientRequest) -> None:
         """Counts a request that was rejected because the router is at its limit of requests or bytes."""
         self.metrics.rejected[client_request.class_index] += 1
         self.counts.taken += 1
@@ -59,7 +59,7 @@
         metric[request.client_request.class_index] += 1
         self.counts.add("ended", SERVED if whole else CUT_OFF)
 
-    def client_left(self, request: InFlightRequest) -> None:
+    def client_disconnected(self, request: InFlightRequest) -> None:
         """Counts a request whose client disconnected before the response."""
         client_gave_up = request.client_deadline_ns - self.clock.now() < GAVE_UP_WAITING_NS
         outcome = CLIENT_GAVE_UP if client_gave_up else CLIENT_LEFT
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -96,13 +96,13 @@
         """Takes in a client's command; None where it is answered already."""
         request_id = client_request.id.decode()
         if request_id in self.requests:
-            self.accounting.id_in_use(client_request)
+            self.accounting.failed_duplicate_id(client_request)
             sink.set_response(resp.error_reply("this id is in use"))
             return None
         size_bytes = client_request.size_bytes()
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
-            self.accounting.no_room(client_request)
+            self.accounting.rejected_at_capacity(client_request)
             sink.set_response(resp.busy_reply(0))  # it has not begun, so that a retry is harmless
             return None
         now = self.clock.now()
@@ -125,7 +125,7 @@
         if not request.is_open():
             return
         self._mark_finished(request)
-        self.accounting.client_left(request)
+        self.accounting.client_disconnected(request)
         self.decisions.handle(api.ClientGone(request.id))
         if request.attempt is not None:
             self.attempts.take_back(request.attempt)
