--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -237,7 +237,7 @@
         if not self.connections:
             self._all_closed.set()
 
-    async def emptied(self, max_wait_s: float) -> None:
+    async def wait_until_closed(self, max_wait_s: float) -> None:
         """Waits until all connections are closed, for at most `max_wait_s`."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._all_closed.wait(), max_wait_s)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -250,7 +250,7 @@
             if self.clients.listener is not None:
                 await self.clients.listener.accept_backlog()
         self.clients.close()
-        await self.clients.emptied(begun_at_s + times.exit_s - loop.time())
+        await self.clients.wait_until_closed(begun_at_s + times.exit_s - loop.time())
         if self.admin is not None:
             self.admin.close()
         self.watch.stop()
