--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -48,12 +48,12 @@
 MUTANTS: dict[str, Mutant] = {
     "leaving cuts off what is on its way": Mutant(
         "node/client_connection.py",
-        "return not self.commands.only_set_up and not self.reader.buffer and not self.has_unread_bytes()",
+        "return not self.commands.only_handshake and not self.reader.buffer and not self.has_unread_bytes()",
         "return True",
     ),
     "a close behind a greeting": Mutant(
         "node/client_connection.py",
-        "return not self.commands.only_set_up and",
+        "return not self.commands.only_handshake and",
         "return",
     ),
     "a given-up attempt counts as unsent": Mutant(
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -32,18 +32,18 @@
 class ClientCommands:
     """Handles the commands of one connection; each command appends a slot to the response queue."""
 
-    __slots__ = ("host", "only_set_up", "responses", "session")
+    __slots__ = ("host", "only_handshake", "responses", "session")
 
     def __init__(self, host: CommandHost, session: Session, responses: ResponseQueue) -> None:
         self.host = host
         self.session = session
         self.responses = responses
-        self.only_set_up = True  # no command received yet except those in HANDSHAKE_COMMANDS
+        self.only_handshake = True  # no command received yet except those in HANDSHAKE_COMMANDS
 
     def handle(self, parts: list[bytes], unread_ms: int) -> bool:
         """Handles a command that may have been unread for `unread_ms`; returns whether it is the last one."""
         name = parts[0].upper() if parts else b""
-        self.only_set_up = self.only_set_up and name in HANDSHAKE_COMMANDS
+        self.only_handshake = self.only_handshake and name in HANDSHAKE_COMMANDS
         if name in REQUEST_COMMANDS and self.session.authenticated:
             self._request(parts, unread_ms)
             return False
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -238,7 +238,7 @@
         A client's first request directly follows its handshake (such as HELLO). A connection with nothing but
         a handshake is therefore not closed after that response, but only once it has been idle.
         """
-        return not self.commands.only_set_up and not self.reader.buffer and not self.has_unread_bytes()
+        return not self.commands.only_handshake and not self.reader.buffer and not self.has_unread_bytes()
 
     def half_close(self, reason: CloseReason) -> None:
         """Stops sending but keeps reading for a while, so that the close does not become a reset.
