--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from rainhitch.overload.controller import OverloadController
 
-UNREAD_ANSWERS_LIMIT_S = 10.0  # for how long a client may leave responses unread
+UNREAD_RESPONSES_LIMIT_S = 10.0  # for how long a client may leave responses unread
 UNFINISHED_COMMAND_LIMIT_S = 2.6  # for how long a command may be incomplete; the first is timed from connect
 IDLE_GRACE_S = 2.0  # an idle connection is not swept before it has been idle for this long
 IDLE_GRACE_NEAR_CAP_S = 0.025  # minimum idle time before a connection is closed for a new one
@@ -63,7 +63,7 @@
         self.idle_grace_s = IDLE_GRACE_S
         self.idle_grace_near_cap_s = IDLE_GRACE_NEAR_CAP_S
         self.unfinished_command_limit_s = UNFINISHED_COMMAND_LIMIT_S
-        self.unread_answers_limit_s = UNREAD_ANSWERS_LIMIT_S
+        self.unread_responses_limit_s = UNREAD_RESPONSES_LIMIT_S
         self.authenticator = NO_PASSWORD_NEEDED  # checks the clients' user and password
         self.last_connection_id = 0
         self.buffered_bytes = 0  # total bytes that clients have not finished sending or reading
--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -12,7 +12,7 @@
     """The parts of the router that the timer uses."""
 
     loop: asyncio.AbstractEventLoop
-    unread_answers_limit_s: float  # for how long a client may leave responses unread
+    unread_responses_limit_s: float  # for how long a client may leave responses unread
 
 
 def _do_nothing(reason: CloseReason) -> None:
@@ -31,9 +31,9 @@
         self.is_closed = False  # whether the connection is closed
 
     def start_for_unread_responses(self) -> None:
-        """Starts the time limit `unread_answers_limit_s` for a client that reads too slowly."""
+        """Starts the time limit `unread_responses_limit_s` for a client that reads too slowly."""
         self.timer = self.host.loop.call_later(
-            self.host.unread_answers_limit_s, self.abort, CloseReason.UNREAD_RESPONSES
+            self.host.unread_responses_limit_s, self.abort, CloseReason.UNREAD_RESPONSES
         )
 
     def start_for_lingering(self, transport: asyncio.Transport) -> None:
@@ -54,11 +54,11 @@
         self.cancel()
 
     def _linger_expired(self, transport: asyncio.Transport, since_s: float) -> None:
-        """Aborts a lingering connection; while data is unsent, only after `unread_answers_limit_s`."""
+        """Aborts a lingering connection; while data is unsent, only after `unread_responses_limit_s`."""
         if self.is_closed:
             return
         loop = self.host.loop
-        left_s = since_s + self.host.unread_answers_limit_s - loop.time()
+        left_s = since_s + self.host.unread_responses_limit_s - loop.time()
         if transport.get_write_buffer_size() and left_s > 0:
             self.timer = loop.call_later(min(LINGER_S, left_s), self._linger_expired, transport, since_s)
         else:
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -275,7 +275,7 @@
     clients.idle_grace_s = limits.idle_s
     clients.idle_grace_near_cap_s = limits.at_need_s
     clients.unfinished_command_limit_s = limits.unfinished_s
-    clients.unread_answers_limit_s = limits.unread_s
+    clients.unread_responses_limit_s = limits.unread_s
     pools.set_max_idle(operator.servers.idle_s)
     driver.balancer.settings.migration_fraction = operator.growth.migration_fraction()
     if operator.servers.resp3:
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -288,7 +288,7 @@
 async def test_a_client_that_reads_no_answers_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     from rainhitch.node import client_connections
 
-    monkeypatch.setattr(client_connections, "UNREAD_ANSWERS_LIMIT_S", 0.2)
+    monkeypatch.setattr(client_connections, "UNREAD_RESPONSES_LIMIT_S", 0.2)
     async with router(lambda asked, line: hit(bytes(resp.MAX_VALUE_BYTES))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
