--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -68,8 +68,8 @@
     ),
     "the last answer is late": Mutant(
         "node/deadlines.py",
-        "ANSWER_DELIVERY_NS = 8 * NS_PER_MS",
-        "ANSWER_DELIVERY_NS = -120 * NS_PER_MS",
+        "RESPONSE_DELIVERY_NS = 8 * NS_PER_MS",
+        "RESPONSE_DELIVERY_NS = -120 * NS_PER_MS",
     ),
     "a time-out leaves its connection": Mutant(
         "node/attempt_runner.py",
--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -18,8 +18,8 @@
 NS_PER_MS = 1_000_000
 HOST_DELAY_NS = 150 * NS_PER_MS  # longest delay of the process on a healthy host
 PROTOCOL_SLACK_NS = 50 * NS_PER_MS  # added by the protocol to each of its time limits
-ANSWER_DELIVERY_NS = 8 * NS_PER_MS  # time for the final response to reach the client
-MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS  # while delays are detected
+RESPONSE_DELIVERY_NS = 8 * NS_PER_MS  # time for the final response to reach the client
+MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + RESPONSE_DELIVERY_NS  # while delays are detected
 MAX_RESERVE_NS = 300 * NS_PER_MS
 MAX_RESERVE_DIVISOR = 4  # the reserve is at most this part (1/n) of the remaining wait
 MIN_RECORDED_DELAY_NS = 25 * NS_PER_MS  # shorter event loop delays are ignored
@@ -39,7 +39,7 @@
     """Sets the deadlines of one router, with a reserve for delays of its own process; times are in ns."""
 
     def __init__(self) -> None:
-        self.answer_by_ns = 0  # when all requests must be answered at shutdown; 0 before that
+        self.respond_by_ns = 0  # when all requests must be answered at shutdown; 0 before that
         self.longest_delay_ns = 0  # longest of the recorded delays
         self.retained_until_ns = 0
 
@@ -54,14 +54,14 @@
     def deadline_ns(self, now: int, wait_ns: int) -> int:
         """Returns the router's deadline: before the client stops waiting and before the shutdown ends."""
         deadline_ns = now + wait_ns - self.reserve_ns(now, wait_ns)
-        if self.answer_by_ns:
-            return min(deadline_ns, self.answer_by_ns - ANSWER_DELIVERY_NS)
+        if self.respond_by_ns:
+            return min(deadline_ns, self.respond_by_ns - RESPONSE_DELIVERY_NS)
         return deadline_ns
 
     def reserve_ns(self, now: int, left_ns: int) -> int:
         """Returns the reserve for a client that still waits for `left_ns`, in ns."""
         if now >= self.retained_until_ns:
-            return ANSWER_DELIVERY_NS
-        for_longest_ns = self.longest_delay_ns - PROTOCOL_SLACK_NS + ANSWER_DELIVERY_NS
+            return RESPONSE_DELIVERY_NS
+        for_longest_ns = self.longest_delay_ns - PROTOCOL_SLACK_NS + RESPONSE_DELIVERY_NS
         wanted_ns = max(MIN_RESERVE_NS, min(MAX_RESERVE_NS, for_longest_ns))
-        return max(ANSWER_DELIVERY_NS, min(wanted_ns, left_ns // MAX_RESERVE_DIVISOR))
+        return max(RESPONSE_DELIVERY_NS, min(wanted_ns, left_ns // MAX_RESERVE_DIVISOR))
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -13,7 +13,7 @@
 from rainhitch.node.attempt_runner import AttemptRunner
 from rainhitch.node.client_request import ClientRequest
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.deadlines import ANSWER_DELIVERY_NS, DelayReserve, client_wait_ns
+from rainhitch.node.deadlines import RESPONSE_DELIVERY_NS, DelayReserve, client_wait_ns
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, InFlightState, ResponseSink
 from rainhitch.node.loop_lag import HEARTBEAT_NS
@@ -115,7 +115,7 @@
         self.accounting.accepted(client_request)
         self.host.request_taken(client_request.tenant)
         # So long until `deadline_passed` is called, unless the attempt's own timer ends it before.
-        passed_in_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
+        passed_in_ns = max(0, deadline_ns + RESPONSE_DELIVERY_NS // 2 - now)
         request.deadline_timer = self.loop.call_later(passed_in_ns / NS_PER_S, self.deadline_passed, request)
         self.decisions.handle(_request_event(request))
         return request
@@ -137,8 +137,8 @@
 
     def stop(self, within_s: float) -> None:
         """Answers all that is held, and all that comes, within so many seconds from now."""
-        self.reserve.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
-        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._end_all)
+        self.reserve.respond_by_ns = self.clock.now() + int(within_s * NS_PER_S)
+        self.loop.call_later(within_s - RESPONSE_DELIVERY_NS / NS_PER_S, self._end_all)
 
     def _end_all(self) -> None:
         for request in list(self.requests.values()):
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -11,7 +11,7 @@
 
 from rainhitch.node.client_connection import ClientConnection
 from rainhitch.node.deadlines import (
-    ANSWER_DELIVERY_NS,
+    RESPONSE_DELIVERY_NS,
     DELAY_RETENTION_NS,
     HOST_DELAY_NS,
     MAX_RESERVE_DIVISOR,
@@ -50,7 +50,7 @@
     wait: int, undetected: int, calm: bool
 ) -> None:
     reserve = (DelayReserve() if calm else reserve_after(HOST_DELAY_NS)).reserve_ns(NOW + 1, wait)
-    assert undetected + wait - reserve + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    assert undetected + wait - reserve + RESPONSE_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(
@@ -61,7 +61,7 @@
     wait: int, late: int
 ) -> None:
     assert (
-        wait - reserve_after(MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + ANSWER_DELIVERY_NS
+        wait - reserve_after(MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait) + late + RESPONSE_DELIVERY_NS
         <= wait + PROTOCOL_SLACK_NS
     )
 
@@ -72,13 +72,13 @@
 )
 def test_longer_delays_get_a_longer_reserve(longest: int, wait: int) -> None:
     reserve = reserve_after(MIN_RECORDED_DELAY_NS, longest, MIN_RECORDED_DELAY_NS).reserve_ns(NOW + 1, wait)
-    assert wait - reserve + longest + ANSWER_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
+    assert wait - reserve + longest + RESPONSE_DELIVERY_NS <= wait + PROTOCOL_SLACK_NS
 
 
 @given(wait=st.integers(1, 10_000 * NS_PER_MS), delay=st.integers(0, 10_000 * NS_PER_MS))
 def test_the_reserve_leaves_a_short_wait_its_greater_part(wait: int, delay: int) -> None:
     assert reserve_after(delay).reserve_ns(NOW + 1, wait) <= max(
-        ANSWER_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR
+        RESPONSE_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR
     )
 
 
@@ -86,11 +86,11 @@
     assert (
         DelayReserve().reserve_ns(NOW, 500 * NS_PER_MS)
         == reserve_after(MIN_RECORDED_DELAY_NS - 1).reserve_ns(NOW, 500 * NS_PER_MS)
-        == ANSWER_DELIVERY_NS
+        == RESPONSE_DELIVERY_NS
     )
     made = reserve_after(HOST_DELAY_NS)
     assert made.reserve_ns(NOW + DELAY_RETENTION_NS - 1, 500 * NS_PER_MS) == MIN_RESERVE_NS
-    assert made.reserve_ns(NOW + DELAY_RETENTION_NS, 500 * NS_PER_MS) == ANSWER_DELIVERY_NS
+    assert made.reserve_ns(NOW + DELAY_RETENTION_NS, 500 * NS_PER_MS) == RESPONSE_DELIVERY_NS
     made.record_delay(NOW + DELAY_RETENTION_NS, MIN_RECORDED_DELAY_NS)  # the longer delay has expired
     assert made.longest_delay_ns == MIN_RECORDED_DELAY_NS
 
@@ -171,7 +171,7 @@
             assert (
                 request.client_request.unread_ms >= 190 and request.client_request.wait_ms <= 900 - 190
             )  # a timer may fire early by its rounding
-            assert request.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - ANSWER_DELIVERY_NS
+            assert request.deadline_ns <= bench.driver.clock.now() + 710 * NS_PER_MS - RESPONSE_DELIVERY_NS
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             await asyncio.sleep(0.05)  # the backlog is empty: data sent later has no age
             raw.sendall(command(b"C.GET", b"k", b"comes", INFO % 900))
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -602,7 +602,7 @@
     await asyncio.sleep(0)
     times = service.clients.schedule
     assert times == shutdown_schedule(0.4) and times.exit_s < times.kill_s == pytest.approx(1.1)
-    assert 0 < service.driver.reserve.answer_by_ns - service.driver.clock.now() <= times.all_answered_s * 1e9
+    assert 0 < service.driver.reserve.respond_by_ns - service.driver.clock.now() <= times.all_answered_s * 1e9
     await ending
 
 
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -12,7 +12,7 @@
 from rainhitch import interface as api
 from rainhitch.node import connection_pool
 from rainhitch.node.client_request import ClientRequest
-from rainhitch.node.deadlines import ANSWER_DELIVERY_NS
+from rainhitch.node.deadlines import RESPONSE_DELIVERY_NS
 from rainhitch.node.exchange import Exchange
 from rainhitch.node.in_flight_request import InFlightRequest
 from rainhitch.protocol import resp
@@ -66,7 +66,7 @@
         bench.cache.lines[0].write(MISS)
         assert await caller.answer() == b"from origin"
         info_list = bench.origin.received[0][2][b"x-call-info"]
-        assert 0 < int(info_list.rpartition(b"d=")[2]) <= 9000 - 300 - ANSWER_DELIVERY_NS // 1_000_000
+        assert 0 < int(info_list.rpartition(b"d=")[2]) <= 9000 - 300 - RESPONSE_DELIVERY_NS // 1_000_000
 
 
 async def test_a_write_goes_to_the_origin_only() -> None:
@@ -327,7 +327,7 @@
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
         # The timer comes after the decisions' deadline and before the client's.
-        assert held.deadline_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
+        assert held.deadline_timer.when() * 1e9 - held.deadline_ns < RESPONSE_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver.deadline_passed(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
