--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -11,7 +11,6 @@
 
 from rainhitch.node.client_connection import ClientConnection
 from rainhitch.node.deadlines import (
-    RESPONSE_DELIVERY_NS,
     DELAY_RETENTION_NS,
     HOST_DELAY_NS,
     MAX_RESERVE_DIVISOR,
@@ -20,6 +19,7 @@
     MIN_RESERVE_NS,
     NS_PER_MS,
     PROTOCOL_SLACK_NS,
+    RESPONSE_DELIVERY_NS,
     DelayReserve,
 )
 from rainhitch.node.loop_lag import HEARTBEAT_NS, HEARTBEAT_TOLERANCE_NS
--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -106,12 +106,12 @@
     """
     async with routers(tmp_path, cache_that_answers_one_key(), 2, faults) as (stopped, other):
         callers = [await warm(one) for one in (stopped, other)]
-        newcomer = await stopped.caller()
+        new_caller = await stopped.caller()
         stop = asyncio.create_task(stopped.stop_for())
         await asyncio.sleep(0.02)  # until the process has stopped
         times = await asyncio.gather(
             seconds_to_answer(callers[0], b"k", b"kept"),
-            seconds_to_answer(newcomer, b"k", b"new"),
+            seconds_to_answer(new_caller, b"k", b"new"),
             seconds_to_answer(callers[1], b"k", b"beside"),
         )
         await stop
