--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, closes idle ones to make room for new ones, and drains them at shutdown.
+"""Accepts client connections, closes idle ones to make room for new ones, and drains them.
 
 Drain: each connection is half closed after its next response, idle ones after DRAIN_IDLE_S, and all others
 according to the shutdown schedule. New connections are admitted until the router closes its listener.
@@ -37,7 +37,7 @@
 
 
 class ClientConnections:
-    """The listener and its connections, at least `max_open`; `can_serve` determines the response to PING."""
+    """The listener and its connections, room for at least `max_open`; `can_serve` sets the answer to PING."""
 
     def __init__(
         self,
