--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -227,7 +227,7 @@
         self._stop_reading_commands()
         self.advance()
 
-    def end_incomplete_command(self) -> None:
+    def end_unfinished_command(self) -> None:
         """Closes a connection whose command has been incomplete for too long."""
         self.end_with_error("no whole command in time", CloseReason.UNFINISHED)
         self.advance()
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -176,7 +176,7 @@
         Limits the time of clients that send nothing, half a command, or a byte now and then.
         """
         for client in self.activity.overdue(self.unfinished_command_limit_s):
-            client.end_incomplete_command()
+            client.end_unfinished_command()
         if len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own long before the cap is reached here.
             for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
