--- a/tests/resp3/test_session.py
+++ b/tests/resp3/test_session.py
@@ -18,7 +18,7 @@
 
 def ask(one: Session, *words: bytes) -> object:
     """The answer as a client reads it: whole, and nothing behind it."""
-    text = one.command(list(words))
+    text = one.handle(list(words))
     assert text is not None
     reader = Resp3Reader()
     reader.feed(text)
@@ -117,7 +117,7 @@
 def test_any_arguments_get_exactly_one_readable_answer(name: bytes, rest: list[bytes], locked: bool) -> None:
     """No arguments break the stream of answers."""
     one = session(b"secret" if locked else b"")
-    text = one.command([name, *rest])
+    text = one.handle([name, *rest])
     assert text is not None
     reader = hiredis.Reader()
     reader.feed(text)
