--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -93,7 +93,7 @@
                 return False
         elif len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own if they keep all that they opened, long before
-            # the cap is reached here. The protocol lets a router close connections between requests, so one
+            # the router's cap is reached. The protocol lets a router close connections between requests, so one
             # idle connection is closed for each new one.
             closed = self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
             if closed is not None and closed.command_count == 1:
@@ -178,7 +178,7 @@
         for client in self.activity.overdue(self.unfinished_command_limit_s):
             client.end_unfinished_command()
         if len(self.connections) > self.max_open // 2:
-            # Clients may run out of connections of their own long before the cap is reached here.
+            # Clients may run out of connections of their own long before the router's cap is reached.
             for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
                 self._half_close_idle(client)
         self.sweep_planned = bool(self.connections)
--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -76,7 +76,7 @@
 
 
 async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients ran out of connections of their own while the ones they had open here were idle.
+    """Clients ran out of connections of their own while those they had open at the router were idle.
 
     Idle connections are closed once more than half of the cap is in use.
     """
