--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -75,7 +75,7 @@
     def next_connection_id(self) -> int:
         """Returns a unique id for a new connection."""
 
-    def accept_age(self, now: int) -> int:
+    def accept_wait_ns(self, now: int) -> int:
         """Returns for how long a connection accepted now may have waited to be accepted, in ns."""
 
     def admit(self, client: "ClientConnection") -> bool:
@@ -111,7 +111,7 @@
         self.responses.transport = self.transport
         self.host.driver.loop_lag.callback_begins()
         now = self.host.system.now()
-        self.unread_age.accepted(now, self.host.accept_age(now))
+        self.unread_age.accepted(now, self.host.accept_wait_ns(now))
         if not self.host.admit(self):
             self.record_close_reason(CloseReason.NO_ROOM)
             self.state = ConnectionState.REJECTED
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -133,9 +133,9 @@
             class_index = parse_client_request(parts, self.names).class_index
             self.driver.metrics.rejected[class_index] += 1
 
-    def accept_age(self, now: int) -> int:
+    def accept_wait_ns(self, now: int) -> int:
         """Returns for how long a connection accepted now may have waited to be accepted, in ns."""
-        waited_ns = 0 if self.listener is None else self.listener.age(now)
+        waited_ns = 0 if self.listener is None else self.listener.backlog_wait_ns(now)
         return max(waited_ns, self.driver.loop_lag.age_ns())
 
     def _evict_connection(self) -> bool:
--- a/rainhitch/node/listener.py
+++ b/rainhitch/node/listener.py
@@ -45,14 +45,14 @@
             self.backlog_since_ns = system.of(self.loop).now()
             self.resume_task = self.loop.create_task(self._resume(seconds))
 
-    def age(self, now: int) -> int:
+    def backlog_wait_ns(self, now: int) -> int:
         """Returns for how long a connection accepted now may have waited because of a pause, in ns."""
         if not self.backlog_since_ns:
             return 0
-        age_ns = now - self.backlog_since_ns
+        wait_ns = now - self.backlog_since_ns
         if self.server is not None and not self.socket.waits():
             self.backlog_since_ns = 0
-        return age_ns
+        return wait_ns
 
     async def _resume(self, seconds: float) -> None:
         if self.server is not None:
