--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -34,7 +34,7 @@
         assert await usual.answer() == b"v"
 
 
-async def test_sending_byte_by_byte_gains_a_client_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_sending_byte_by_byte_does_not_extend_the_time_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
         caller = await bench.caller()
@@ -75,7 +75,7 @@
         assert await busy.answer() == b"open"
 
 
-async def test_idle_connections_go_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_idle_connections_are_closed_before_the_cap_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients ran out of connections of their own while those they had open at the router were idle.
 
     Idle connections are closed once more than half of the cap is in use.
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -76,7 +76,7 @@
 
 
 @given(wait=st.integers(1, 10_000 * NS_PER_MS), delay=st.integers(0, 10_000 * NS_PER_MS))
-def test_the_reserve_leaves_a_short_wait_its_greater_part(wait: int, delay: int) -> None:
+def test_the_reserve_leaves_most_of_a_short_wait(wait: int, delay: int) -> None:
     assert reserve_after(delay).reserve_ns(NOW + 1, wait) <= max(
         RESPONSE_DELIVERY_NS, wait // MAX_RESERVE_DIVISOR
     )
--- a/tests/node/test_loop_lag.py
+++ b/tests/node/test_loop_lag.py
@@ -49,7 +49,7 @@
         return age
 
 
-def test_what_a_loop_in_time_reads_has_no_age() -> None:
+def test_data_read_by_a_loop_that_is_not_late_has_no_age() -> None:
     loop = ScriptedLoop()
     for wait_ns in (0, NS_PER_MS, 20 * NS_PER_MS, 90 * NS_PER_MS, 450 * NS_PER_MS):
         loop.turn(wait_ns)
