--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -93,8 +93,8 @@
                 return False
         elif len(self.connections) > self.max_open // 2:
             # Clients may run out of connections of their own if they keep all that they opened, long before
-            # the router's cap is reached. The protocol lets a router close connections between requests, so one
-            # idle connection is closed for each new one.
+            # the router's cap is reached. The protocol lets a router close connections between requests, so
+            # one idle connection is closed for each new one.
             closed = self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
             if closed is not None and closed.command_count == 1:
                 # Clients that stay connected after one request would make up for each close with a new
