--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -37,7 +37,7 @@
 
 
 class ClientConnections:
-    """The listener and its connections, room for at least `max_open`; `can_serve` sets the answer to PING."""
+    """The listener and its connections, room for at least `max_open`; `can_serve` decides on PING."""
 
     def __init__(
         self,
--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -54,7 +54,7 @@
         self.cancel()
 
     def _linger_expired(self, transport: asyncio.Transport, since_s: float) -> None:
-        """Aborts a lingering connection; while data is unsent, only after `unread_responses_limit_s`."""
+        """Aborts a lingering connection; a slow reader has `unread_responses_limit_s` for unsent data."""
         if self.is_closed:
             return
         loop = self.host.loop
