--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -48,12 +48,12 @@
 MUTANTS: dict[str, Mutant] = {
     "leaving cuts off what is on its way": Mutant(
         "node/client_connection.py",
-        "return not self.commands.only_set_up and not self.reader.buffer and not self.has_unread_bytes()",
+        "return not self.commands.only_handshake and not self.reader.buffer and not self.has_unread_bytes()",
         "return True",
     ),
     "a close behind a greeting": Mutant(
         "node/client_connection.py",
-        "return not self.commands.only_set_up and",
+        "return not self.commands.only_handshake and",
         "return",
     ),
     "a given-up attempt counts as unsent": Mutant(
@@ -68,8 +68,8 @@
     ),
     "the last answer is late": Mutant(
         "node/deadlines.py",
-        "ANSWER_DELIVERY_NS = 8 * NS_PER_MS",
-        "ANSWER_DELIVERY_NS = -120 * NS_PER_MS",
+        "RESPONSE_DELIVERY_NS = 8 * NS_PER_MS",
+        "RESPONSE_DELIVERY_NS = -120 * NS_PER_MS",
     ),
     "a time-out leaves its connection": Mutant(
         "node/attempt_runner.py",
--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -17,7 +17,7 @@
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.exchange import AttemptResult, Exchange
 from rainhitch.node.in_flight_request import REQUEST_OPEN, Attempt, FinishedAttempt, InFlightRequest
-from rainhitch.node.relay import Relay, Source
+from rainhitch.node.relay import Relay, RelaySource
 from rainhitch.telemetry.counts import Counts
 
 NS_PER_MS = 1_000_000
@@ -32,7 +32,7 @@
     def send_value(self, request: InFlightRequest, value: object) -> None:
         """Sends the value to the client."""
 
-    def start_relay(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+    def start_relay(self, request: InFlightRequest, source: RelaySource, size_bytes: int) -> Relay:
         """Starts to relay a long value to the client as it arrives."""
 
     def withdraw(self, request: InFlightRequest) -> None:
@@ -164,11 +164,11 @@
         in_time = self.clock.now() < write_by_ns
         # Checked last: after a delay of this process the clock reading above is out of date, whereas the
         # state of the client's stream is current.
-        if request.state is REQUEST_OPEN and request.sink.gone():
+        if request.state is REQUEST_OPEN and request.sink.has_disconnected():
             self.owner.withdraw(request)
         return in_time and request.state is REQUEST_OPEN and attempt.is_in_flight()
 
-    def _start_relay(self, attempt: Attempt, source: Source, size_bytes: int) -> Relay | None:
+    def _start_relay(self, attempt: Attempt, source: RelaySource, size_bytes: int) -> Relay | None:
         """Starts the relay of a long value; returns None if the request no longer needs the value.
 
         From then on the request has no further attempts, and no time limit except the relay's.
@@ -182,7 +182,7 @@
                 timer.cancel()
         relay = self.owner.start_relay(request, source, size_bytes)
         self._report(attempt, AttemptResult(api.AttemptStatus.OK))
-        return None if relay.is_over() else relay
+        return None if relay.is_finished() else relay
 
     def _report(self, attempt: Attempt, result: AttemptResult) -> None:
         """Counts an ended attempt and reports it to the Balancer."""
--- a/rainhitch/node/client_activity.py
+++ b/rainhitch/node/client_activity.py
@@ -1,4 +1,4 @@
-"""What each client's connection waits for, and since when: a command, nothing, or its end."""
+"""Tracks what each client connection waits for and since when: a command, the next request, or its close."""
 
 import asyncio
 from collections.abc import Iterator
@@ -8,44 +8,47 @@
 
 
 class ClientActivity:
-    """Three groups of connections, in each the longest waiting first; values are loop times in seconds."""
+    """Three groups of connections, longest waiting first; values are loop times in seconds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.awaited: dict[ClientConnection, float] = {}  # a command is incomplete, or the first has not come
-        self.idle: dict[ClientConnection, float] = {}  # all is answered, and nothing has come since
-        self.lingering: dict[ClientConnection, float] = {}  # half closed
+        self.awaiting_command: dict[ClientConnection, float] = {}  # first command or rest of one is due
+        self.idle: dict[ClientConnection, float] = {}  # all commands answered and nothing received since
+        self.lingering: dict[ClientConnection, float] = {}  # half closed, waiting for the client to close
 
     def connected(self, client: ClientConnection) -> None:
-        """A connection is open, and its first command is awaited."""
-        self.awaited[client] = self.loop.time()
+        """Records a new connection, which waits for its first command."""
+        self.awaiting_command[client] = self.loop.time()
 
     def command_received(self, client: ClientConnection) -> None:
-        """A whole command has come: what the connection waits for next counts from then."""
-        self.awaited.pop(client, None)
+        """Records that a complete command was received: the next waiting period starts then."""
+        self.awaiting_command.pop(client, None)
         self.idle.pop(client, None)
 
     def classify(self, client: ClientConnection) -> None:
-        """Notes what a connection waits for."""
+        """Puts a connection into the group that matches its current state, or into none."""
         responses = client.responses
-        is_blocked = responses.write_buffer_full or client.flow.turn_over
+        is_blocked = responses.write_buffer_full or client.flow.has_yielded
         takes_commands = client.state is CONNECTION_OPEN and not is_blocked
-        in_work = len(responses.slots)
+        in_progress = len(responses.slots)
         expects_command = bool(client.reader.buffer) or not client.command_count
-        if takes_commands and expects_command and in_work < MAX_PIPELINED_COMMANDS:
+        if takes_commands and expects_command and in_progress < MAX_PIPELINED_COMMANDS:
             self.idle.pop(client, None)
-            self.awaited.setdefault(client, self.loop.time())
-        elif takes_commands and not in_work:
-            self.awaited.pop(client, None)
+            self.awaiting_command.setdefault(client, self.loop.time())
+        elif takes_commands and not in_progress:
+            self.awaiting_command.pop(client, None)
             self.idle.setdefault(client, self.loop.time())
         else:
-            self.awaited.pop(client, None)
+            self.awaiting_command.pop(client, None)
             self.idle.pop(client, None)
             if client.state is HALF_CLOSED:
                 self.lingering[client] = self.loop.time()
 
-    def unused(self, group: dict[ClientConnection, float], for_s: float) -> Iterator[ClientConnection]:
-        """Who is in a group for so many seconds and has nothing in work or unread; the longest first."""
+    def iter_unused(self, group: dict[ClientConnection, float], for_s: float) -> Iterator[ClientConnection]:
+        """Yields connections that have been in a group for `for_s` seconds and are unused, longest first.
+
+        Unused means: no command in progress and no buffered or unread bytes.
+        """
         before_s = self.loop.time() - for_s
         for client, since_s in group.items():
             if since_s > before_s:
@@ -53,12 +56,12 @@
             if not client.responses.slots and not client.reader.buffer and not client.has_unread_bytes():
                 yield client
 
-    def incomplete(self, for_s: float) -> list[ClientConnection]:
-        """Whose command is awaited for longer than so many seconds."""
+    def overdue(self, for_s: float) -> list[ClientConnection]:
+        """Returns the connections that have waited for a complete command for more than `for_s` seconds."""
         now_s = self.loop.time()
-        return [client for client, since_s in self.awaited.items() if since_s < now_s - for_s]
+        return [client for client, since_s in self.awaiting_command.items() if since_s < now_s - for_s]
 
-    def forget(self, client: ClientConnection) -> None:
-        """The connection is closed."""
-        for group in (self.awaited, self.idle, self.lingering):
+    def remove(self, client: ClientConnection) -> None:
+        """Removes a closed connection from all groups."""
+        for group in (self.awaiting_command, self.idle, self.lingering):
             group.pop(client, None)
--- a/rainhitch/node/client_commands.py
+++ b/rainhitch/node/client_commands.py
@@ -1,4 +1,4 @@
-"""What becomes of one command of a client: a request for the router, or an answer at once."""
+"""Handles each command of a client: passes it to the router as a request, or answers it at once."""
 
 import contextlib
 import logging
@@ -9,7 +9,7 @@
 from rainhitch.node.request_driver import RequestDriver
 from rainhitch.node.response_queue import ResponseQueue
 from rainhitch.node.response_slot import ResponseSlot
-from rainhitch.node.session import GREETINGS, Session
+from rainhitch.node.session import HANDSHAKE_COMMANDS, Session
 from rainhitch.protocol import resp
 from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.settings import Names
@@ -19,68 +19,69 @@
 
 
 class CommandHost(Protocol):
-    """What commands need of the router."""
+    """The parts of the router that command handling uses."""
 
     driver: RequestDriver
     names: Names
     events: ClientEvents
 
     def count_rejected_command(self, parts: list[bytes]) -> None:
-        """Counts a command answered -BUSY before any decision: no room, or its connection ends."""
+        """Counts a command answered -BUSY without a routing decision: no room, or connection closing."""
 
 
 class ClientCommands:
-    """The commands of one connection; each appends its answer's slot to the queue."""
+    """Handles the commands of one connection; each command appends a slot to the response queue."""
 
-    __slots__ = ("host", "only_set_up", "responses", "session")
+    __slots__ = ("host", "only_handshake", "responses", "session")
 
     def __init__(self, host: CommandHost, session: Session, responses: ResponseQueue) -> None:
         self.host = host
         self.session = session
         self.responses = responses
-        self.only_set_up = True  # no command yet but those in GREETINGS
+        self.only_handshake = True  # no command received yet except those in HANDSHAKE_COMMANDS
 
     def handle(self, parts: list[bytes], unread_ms: int) -> bool:
-        """Handles a command that may have been unread for so long; gives whether it is the client's last."""
+        """Handles a command that may have been unread for `unread_ms`; returns whether it is the last one."""
         name = parts[0].upper() if parts else b""
-        self.only_set_up = self.only_set_up and name in GREETINGS
+        self.only_handshake = self.only_handshake and name in HANDSHAKE_COMMANDS
         if name in REQUEST_COMMANDS and self.session.authenticated:
             self._request(parts, unread_ms)
             return False
         if name == b"QUIT":
-            self.put(b"+OK\r\n")
+            self.append_response(b"+OK\r\n")
             return True
-        answer = self.session.command(parts)
-        if answer is not None:
-            self.put(answer)
+        response = self.session.handle(parts)
+        if response is not None:
+            self.append_response(response)
         else:
             self.host.events.count(ClientEvent.BAD_COMMAND)
-            self.put(resp.error_reply("unknown command"))
+            self.append_response(resp.error_reply("unknown command"))
         return False
 
-    def put(self, answer: bytes) -> None:
-        """Appends an answer that is ready."""
-        self.responses.put(answer, self.session.version)
+    def append_response(self, response: bytes) -> None:
+        """Appends a response that is ready."""
+        self.responses.append(response, self.session.version)
 
-    def reject_rest(self, reader: Resp2Reader) -> bytes:
-        """The answers to commands that were read and not handled: they are rejected.
+    def reject_buffered_commands(self, reader: Resp2Reader) -> bytes:
+        """Returns -BUSY responses to the commands that were received but not handled.
 
-        They do not cross the end of the connection, and nothing of them has begun.
+        They were received before the connection was closed, so the client expects a response to each of them.
+        None of them has been started, so that the client can safely retry.
         """
-        answers = []
+        rejections = []
         with contextlib.suppress(resp.FramingError):
             while isinstance(parts := reader.next(), list):
                 self.host.count_rejected_command(parts)
-                answers.append(resp.busy_reply(0))
+                rejections.append(resp.busy_reply(0))
         reader.buffer.clear()
-        return b"".join(answers)
+        return b"".join(rejections)
 
     def _request(self, parts: list[bytes], unread_ms: int) -> None:
         try:
             client_request = parse_client_request(parts, self.host.names)
         except ClientRequestError as problem:
             self.host.events.count(ClientEvent.BAD_COMMAND)
-            self.put(resp.error_reply(str(problem)))
+            self.append_response(resp.error_reply(str(problem)))
             return
         client_request.wait_ms = max(1, client_request.wait_ms - unread_ms)
         client_request.unread_ms = unread_ms
@@ -90,9 +91,9 @@
         try:
             request = self.host.driver.accept(client_request, slot)
         except Exception:
-            # Protects the connection's other commands: this one alone fails.
+            # Confines the failure to this command, so that the connection's other commands are still served.
             log.exception("request could not be accepted id=%s", client_request.id.decode())
-            slot.fill(resp.FAILED_REPLY)
+            slot.set_response(resp.FAILED_REPLY)
             return
-        is_answered = slot.answer is not None or slot.relay is not None
+        is_answered = slot.response is not None or slot.relay is not None
         slot.request = None if is_answered else request
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -40,18 +40,18 @@
 
 
 class ResponseSink(Protocol):
-    """The destination of a request's single response: either `fill` or `start_relay` is called, once."""
+    """The destination of a request's single response: `set_response` or `start_relay` is called once."""
 
-    def fill(self, response: bytes) -> None:
+    def set_response(self, response: bytes) -> None:
         """Takes the encoded response to send to the client."""
 
     def start_relay(self, relay: Relay) -> None:
         """Takes the relay of a long value, which is sent to the client in pieces as it arrives."""
 
-    def form(self, value: object) -> bytes:
+    def encode(self, value: object) -> bytes:
         """Encodes a RESP3 value in the client's protocol version."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Returns whether the client has left, even if the end of its stream has not been read yet."""
 
 
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -13,11 +13,11 @@
 from rainhitch.node.attempt_runner import AttemptRunner
 from rainhitch.node.client_request import ClientRequest
 from rainhitch.node.connection_pool import ConnectionPools
-from rainhitch.node.deadlines import ANSWER_DELIVERY_NS, DelayReserve, client_wait_ns
+from rainhitch.node.deadlines import RESPONSE_DELIVERY_NS, DelayReserve, client_wait_ns
 from rainhitch.node.decision_loop import DecisionLoop
 from rainhitch.node.in_flight_request import REQUEST_FINISHED, InFlightRequest, InFlightState, ResponseSink
 from rainhitch.node.loop_lag import HEARTBEAT_NS
-from rainhitch.node.relay import Relay, Source
+from rainhitch.node.relay import Relay, RelaySource
 from rainhitch.node.request_accounting import RequestAccounting
 from rainhitch.policy.balancer import Balancer
 from rainhitch.protocol import resp
@@ -99,14 +99,14 @@
         """Accepts a client's command and returns its request; None if it was answered at once."""
         request_id = client_request.id.decode()
         if request_id in self.requests:
-            self.accounting.id_in_use(client_request)
-            sink.fill(resp.error_reply("this id is in use"))
+            self.accounting.failed_duplicate_id(client_request)
+            sink.set_response(resp.error_reply("this id is in use"))
             return None
         size_bytes = client_request.size_bytes()
         no_bytes_left = self.request_bytes + size_bytes > self.max_request_bytes
         if len(self.requests) >= self.max_requests or no_bytes_left:
-            self.accounting.no_room(client_request)
-            sink.fill(resp.busy_reply(0))  # the request has not started, so that a retry is safe
+            self.accounting.rejected_at_capacity(client_request)
+            sink.set_response(resp.busy_reply(0))  # the request has not started, so that a retry is safe
             return None
         now = self.clock.now()
         class_deadline_ns = self.balancer.settings.classes[client_request.class_index].deadline_ns
@@ -118,7 +118,7 @@
         self.accounting.accepted(client_request)
         self.host.count_request(client_request.tenant)
         # Calls `deadline_passed` unless the attempt's own timer ends the request first.
-        delay_ns = max(0, deadline_ns + ANSWER_DELIVERY_NS // 2 - now)
+        delay_ns = max(0, deadline_ns + RESPONSE_DELIVERY_NS // 2 - now)
         request.deadline_timer = self.loop.call_later(delay_ns / NS_PER_S, self.deadline_passed, request)
         self.decision_loop.handle(_request_event(request))
         return request
@@ -131,7 +131,7 @@
         if not request.is_open():
             return
         self._mark_finished(request)
-        self.accounting.client_left(request)
+        self.accounting.client_disconnected(request)
         self.decision_loop.handle(api.ClientGone(request.id))
         if request.attempt is not None:
             self.attempts.abandon_if_unwritten(request.attempt)
@@ -143,8 +143,8 @@
 
     def stop(self, within_s: float) -> None:
         """Answers every request in flight, and every later one, within `within_s` seconds from now."""
-        self.reserve.answer_by_ns = self.clock.now() + int(within_s * NS_PER_S)
-        self.loop.call_later(within_s - ANSWER_DELIVERY_NS / NS_PER_S, self._fail_all)
+        self.reserve.respond_by_ns = self.clock.now() + int(within_s * NS_PER_S)
+        self.loop.call_later(within_s - RESPONSE_DELIVERY_NS / NS_PER_S, self._fail_all)
 
     def _fail_all(self) -> None:
         for request in list(self.requests.values()):
@@ -179,7 +179,7 @@
 
     def _loop_delayed(self, delay_ns: int) -> None:
         self.counts.add_lag(delay_ns)
-        self.reserve.delay_found(self.clock.now(), delay_ns)
+        self.reserve.record_delay(self.clock.now(), delay_ns)
 
     def _heartbeat(self) -> None:
         self.loop_lag.heartbeat()
@@ -225,10 +225,10 @@
 
     def send_value(self, request: InFlightRequest, value: object) -> None:
         """Sends the value of a successful attempt to the client."""
-        response = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.form(value)
+        response = resp.bulk_string(value) if isinstance(value, bytes) else request.sink.encode(value)
         self._respond(request, response, self.metrics.served, SERVED)
 
-    def start_relay(self, request: InFlightRequest, source: Source, size_bytes: int) -> Relay:
+    def start_relay(self, request: InFlightRequest, source: RelaySource, size_bytes: int) -> Relay:
         """Starts to relay a long value to the client as it arrives."""
         request.state = InFlightState.RELAYING
         relay = Relay(self.loop, source, size_bytes, lambda whole: self._relay_ended(request, whole))
@@ -248,7 +248,7 @@
         pending = self.balancer.requests.get(request.id)
         is_over_quota = outcome.endswith("+") or (pending is not None and pending.over_quota)
         self.accounting.answered(request, metric, outcome, is_over_quota)
-        request.sink.fill(response)
+        request.sink.set_response(response)
 
     def _mark_finished(self, request: InFlightRequest) -> None:
         request.state = REQUEST_FINISHED
--- a/rainhitch/node/session.py
+++ b/rainhitch/node/session.py
@@ -1,8 +1,8 @@
-"""What a client's connection says of itself: protocol version, name, password. No sockets.
+"""Connection-level state and commands of a client: protocol version, name, password. Does no I/O.
 
-`Session.command` answers the commands that client libraries send at connect and between requests; the
-requests themselves are handled elsewhere. An answer is in the protocol version in force when its command was
-read, which for HELLO and RESET is the one that they switch to.
+`Session.handle` answers the commands that client libraries send at connect time and between requests;
+requests are handled elsewhere. A response is encoded for the protocol version in force when its command was
+read; for HELLO and RESET that is the version they switch to.
 """
 
 from collections.abc import Callable
@@ -11,26 +11,27 @@
 from rainhitch import __version__
 from rainhitch.protocol.resp import bulk_string
 
-MAX_NAME_BYTES = 128  # of a client's name, and of what its library says of itself
+MAX_NAME_BYTES = 128  # maximum length of a client name and of library info
 NO_AUTH = b"-NOAUTH Authentication required.\r\n"
 WRONG_PASS = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"
-GREETINGS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))  # before any request
-BEFORE_AUTH = frozenset((b"HELLO", b"AUTH", b"QUIT"))
+# Commands that clients send before their first request.
+HANDSHAKE_COMMANDS = frozenset((b"HELLO", b"AUTH", b"CLIENT", b"SELECT", b"COMMAND", b"RESET"))
+ALLOWED_BEFORE_AUTH = frozenset((b"HELLO", b"AUTH", b"QUIT"))
 OK = b"+OK\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class Authenticator:
-    """The user and password that clients have to give; an empty password admits everybody."""
+    """The user and password that clients must give; an empty password disables authentication."""
 
     user: bytes = b"default"
     password: bytes = b""
 
     def admits(self, user: bytes, password: bytes) -> bool:
-        """Whether these are the user and the password."""
-        import hmac  # only where there is a password
+        """Returns whether the user and the password match."""
+        import hmac  # imported only if a password is set
 
-        # Guards the password against being guessed byte by byte from the time that a rejection takes.
+        # Constant-time comparison: the time of a rejection must not reveal how much of the password matches.
         is_user = hmac.compare_digest(user, self.user)
         return hmac.compare_digest(password, self.password) and is_user
 
@@ -38,12 +39,12 @@
 NO_PASSWORD_NEEDED = Authenticator()
 
 
-def _plain(text: bytes) -> bool:
+def _is_printable(text: bytes) -> bool:
     return len(text) <= MAX_NAME_BYTES and all(33 <= byte <= 126 for byte in text)
 
 
 class Session:
-    """What one connection has said of itself; `can_serve` says how PING is answered."""
+    """The connection-level state of one client; `can_serve` determines the response to PING."""
 
     __slots__ = ("authenticated", "authenticator", "can_serve", "id", "name", "version")
 
@@ -51,34 +52,34 @@
         self.id = id
         self.authenticator = authenticator
         self.can_serve = can_serve
-        self.version = 2  # of RESP
+        self.version = 2  # RESP protocol version
         self.name = b""
         self.authenticated = not authenticator.password
 
-    def command(self, parts: list[bytes]) -> bytes | None:
-        """The answer to a command; None where it is none of these."""
+    def handle(self, parts: list[bytes]) -> bytes | None:
+        """Returns the response to a command, or None if it is not a connection-level command."""
         name = parts[0].upper() if parts else b""
-        if not self.authenticated and name not in BEFORE_AUTH:
+        if not self.authenticated and name not in ALLOWED_BEFORE_AUTH:
             return NO_AUTH
         handler = HANDLERS.get(name)
         return None if handler is None else handler(self, parts[1:])
 
     def _ping(self, arguments: list[bytes]) -> bytes:
         if len(arguments) > 1:
-            return _arguments(b"ping")
+            return _wrong_argument_count(b"ping")
         if not self.can_serve():
             return b"-LOADING no server list yet\r\n"
         return bulk_string(arguments[0]) if arguments else b"+PONG\r\n"
 
     def _echo(self, arguments: list[bytes]) -> bytes:
-        return bulk_string(arguments[0]) if len(arguments) == 1 else _arguments(b"echo")
+        return bulk_string(arguments[0]) if len(arguments) == 1 else _wrong_argument_count(b"echo")
 
     def _select(self, arguments: list[bytes]) -> bytes:
         return OK if arguments == [b"0"] else b"-ERR DB index is out of range\r\n"
 
     def _auth(self, arguments: list[bytes]) -> bytes:
         if not 1 <= len(arguments) <= 2:
-            return _arguments(b"auth")
+            return _wrong_argument_count(b"auth")
         if not self.authenticator.password:
             return b"-ERR AUTH called without any password configured\r\n"
         user = arguments[0] if len(arguments) == 2 else self.authenticator.user
@@ -109,7 +110,7 @@
             elif word == b"SETNAME" and len(arguments) >= 2:
                 name = arguments[1]
                 arguments = arguments[2:]
-                if not _plain(name):
+                if not _is_printable(name):
                     return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
             else:
                 return b"-ERR Syntax error in HELLO\r\n"
@@ -121,10 +122,10 @@
             return b"-NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time\r\n"  # noqa: E501
         self.version = version
         self.name = name
-        return self._greeting()
+        return self._hello_response()
 
-    def _greeting(self) -> bytes:
-        """What libraries read from HELLO: a map, as an array of twice as many items in protocol 2."""
+    def _hello_response(self) -> bytes:
+        """Returns the response to HELLO: a map, or in protocol 2 an array with twice as many items."""
         pairs = (
             (b"server", bulk_string(b"rainhitch")),
             (b"version", bulk_string(__version__.encode())),
@@ -139,7 +140,7 @@
 
     def _reset(self, arguments: list[bytes]) -> bytes:
         if arguments:
-            return _arguments(b"reset")
+            return _wrong_argument_count(b"reset")
         self.version = 2
         self.name = b""
         self.authenticated = not self.authenticator.password
@@ -155,14 +156,14 @@
                 return bulk_string(self.name)
             return b"_\r\n" if self.version == 3 else b"$-1\r\n"
         if word == b"SETNAME" and len(rest) == 1:
-            if not _plain(rest[0]):
+            if not _is_printable(rest[0]):
                 return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
             self.name = rest[0]
             return OK
         if word == b"SETINFO" and len(rest) == 2:
             if rest[0].upper() not in (b"LIB-NAME", b"LIB-VER"):
                 return b"-ERR Unrecognized option\r\n"
-            return OK if _plain(rest[1]) else b"-ERR lib info cannot contain spaces or newlines\r\n"
+            return OK if _is_printable(rest[1]) else b"-ERR lib info cannot contain spaces or newlines\r\n"
         if word in (b"NO-EVICT", b"NO-TOUCH") and len(rest) == 1 and rest[0].upper() in (b"ON", b"OFF"):
             return OK
         return b"-ERR unknown subcommand or wrong number of arguments for 'client'\r\n"
@@ -188,5 +189,5 @@
 }
 
 
-def _arguments(name: bytes) -> bytes:
+def _wrong_argument_count(name: bytes) -> bytes:
     return b"-ERR wrong number of arguments for '%b' command\r\n" % name
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -1,4 +1,4 @@
-"""Leaks: what long use leaves behind, by counts of objects, connections, timers and descriptors."""
+"""Leaks of objects, connections, timers and descriptors after long use."""
 
 import asyncio
 import gc
@@ -42,16 +42,16 @@
 )
 
 
-def alive() -> Counter[str]:
-    """How many objects of each of KINDS there are."""
+def count_live_objects() -> Counter[str]:
+    """Returns the number of live objects of each class in KINDS."""
     gc.collect()
     return Counter(kind.__name__ for one in gc.get_objects() for kind in KINDS if isinstance(one, kind))
 
 
-async def churn(bench: Bench, rounds: range) -> None:
-    """Plays rounds: a server leaves, a new one is at its address, and attempts end in every way.
+async def play_churn(bench: Bench, rounds: range) -> None:
+    """Plays rounds in which a server is replaced at the same address and attempts end in every way.
 
-    Ids, keys and clients are new in each.
+    Each round has new ids, keys and clients.
     """
     for n in rounds:
         new = entry(f"c{n}", bench.cache.address, boot_ms=1)
@@ -83,9 +83,9 @@
         return reply
 
     async with router(answer) as bench:
-        await churn(bench, range(10))
-        before = alive()
-        await churn(bench, range(10, 70))
+        await play_churn(bench, range(10))
+        before = count_live_objects()
+        await play_churn(bench, range(10, 70))
         await wait_until(lambda: all(not one.connections for one in bench.pools.draining_pools))
         balancer, clients = bench.driver.balancer, bench.clients
         assert len(balancer.servers.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
@@ -97,19 +97,23 @@
         assert len(balancer.placement.ranges.preference_lists) <= 2
         assert len(bench.pools.draining_pools) <= 1 and bench.driver.request_bytes == 0
         assert (
-            not clients.activity.awaited
+            not clients.activity.awaiting_command
             and not clients.activity.idle
             and not clients.activity.lingering
             and clients.buffered_bytes == 0
         )
-        grown = {name: (before[name], many) for name, many in alive().items() if many > before[name] + 8}
-        # Timers hold PendingRequests until their latency objective is over, and no longer: time bounds them,
-        # not this test.
+        grown = {
+            name: (before[name], many)
+            for name, many in count_live_objects().items()
+            if many > before[name] + 8
+        }
+        # Timers hold PendingRequests until the latency objective expires, so their number is limited by time
+        # and not checked here.
         assert grown.keys() <= {"PendingRequest"}
 
 
 async def test_a_connect_that_never_comes_up_leaves_no_descriptor() -> None:
-    """A server's backlog is full, so that the system drops what would connect: no descriptor may be lost."""
+    """The server's backlog is full and the system drops connects: no descriptor may be leaked."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = full.getsockname()
         queued = [socket.socket() for _ in range(4)]
@@ -138,14 +142,20 @@
 
 
 async def test_the_router_recovers_from_a_full_descriptor_table(tmp_path: Path) -> None:
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (30, 30))
 
     cache = Cache(lambda asked, line: hit())
     await cache.start()
     env = configuration(tmp_path, known=listing(3, entry("c0", cache.address)))
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=few
+        sys.executable,
+        "-m",
+        "rainhitch",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit_descriptors,
     )
     address = await started(running)
     assert running.stderr is not None
@@ -170,19 +180,25 @@
 
 
 async def test_each_client_of_a_burst_is_answered_though_descriptors_are_short(tmp_path: Path) -> None:
-    """Requests were lost: beyond its last descriptor a listener accepts and closes, with no answer.
+    """Without a free descriptor a listener accepts and closes connections, and their requests were lost.
 
-    Each client of a burst must get one.
+    Each client of a burst must get a response.
     """
 
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
-    operator = tmp_path / "operator.toml"  # on a slow machine the first ones idle for long, and are to stay
+    operator = tmp_path / "operator.toml"  # so that the first clients stay, however slow the machine
     operator.write_text("[clients]\nidle_s = 3600\nat_need_s = 3600\n")
     env = {**configuration(tmp_path, limits={"sockets": 64}), "RAINHITCH_OPERATOR": str(operator)}
     running = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rainhitch", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=few
+        sys.executable,
+        "-m",
+        "rainhitch",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit_descriptors,
     )
     address = await started(running)
     assert running.stderr is not None
@@ -191,7 +207,7 @@
     for reader, writer in kept:
         writer.write(command(b"PING"))
         assert (await asyncio.wait_for(reader.readline(), PATIENCE)).startswith((b"+PONG", b"-LOADING"))
-    late = [socket.create_connection(address) for _ in range(150)]  # all at once, and slow to speak
+    late = [socket.create_connection(address) for _ in range(150)]  # a burst of clients that send nothing yet
     for one in late:
         one.settimeout(PATIENCE)
     answers = [await asyncio.to_thread(one.recv, 64) for one in late]
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -12,7 +12,7 @@
 from rainhitch import interface as api
 from rainhitch.node import connection_pool
 from rainhitch.node.client_request import ClientRequest
-from rainhitch.node.deadlines import ANSWER_DELIVERY_NS
+from rainhitch.node.deadlines import RESPONSE_DELIVERY_NS
 from rainhitch.node.exchange import Exchange
 from rainhitch.node.in_flight_request import InFlightRequest
 from rainhitch.protocol import resp
@@ -69,7 +69,7 @@
         bench.cache.lines[0].write(MISS)
         assert await caller.answer() == b"from origin"
         info_list = bench.origin.received[0][2][b"x-call-info"]
-        assert 0 < int(info_list.rpartition(b"d=")[2]) <= 9000 - 300 - ANSWER_DELIVERY_NS // 1_000_000
+        assert 0 < int(info_list.rpartition(b"d=")[2]) <= 9000 - 300 - RESPONSE_DELIVERY_NS // 1_000_000
 
 
 async def test_a_write_goes_to_the_origin_only() -> None:
@@ -291,7 +291,7 @@
 async def test_a_client_that_reads_no_answers_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     from rainhitch.node import client_connections
 
-    monkeypatch.setattr(client_connections, "UNREAD_ANSWERS_LIMIT_S", 0.2)
+    monkeypatch.setattr(client_connections, "UNREAD_RESPONSES_LIMIT_S", 0.2)
     async with router(lambda asked, line: hit(bytes(resp.MAX_VALUE_BYTES))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -330,7 +330,7 @@
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
         # The timer fires after the Balancer's deadline and before the client's.
-        assert held.deadline_timer.when() * 1e9 - held.deadline_ns < ANSWER_DELIVERY_NS
+        assert held.deadline_timer.when() * 1e9 - held.deadline_ns < RESPONSE_DELIVERY_NS
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver.deadline_passed(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
