--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -1,6 +1,6 @@
 """Reads the start-up settings that the platform passes to a router.
 
-This module and `wirehost.py` translate the platform's words to the terms of `interface.py`. A setting is
+This module and `wirehost.py` translate the platform's names to the terms of `interface.py`. A setting is
 named by its path, such as `ceilings.attemptsCap`: error messages give the whole path, and its last part is
 the key in the JSON object.
 """
@@ -13,7 +13,7 @@
 
 Json = dict[str, Any]
 
-# Words of the platform, and the terms of `interface.py` that they stand for.
+# Names in the settings, mapped to the terms of `interface.py` where these differ.
 ENDPOINT_LIST_WORDS = ("pushed", "on_request")
 CACHE_MODE_WORDS = ("through", "aside")
 DEDUP_SCOPE_WORDS = ("all", "zone", "cell")
@@ -52,7 +52,17 @@
         return default
     is_unwanted_bool = isinstance(value, bool) and kind is not bool
     if not isinstance(value, kind) or is_unwanted_bool:
-        raise SettingError(f"setting {path} is invalid: {value!r}")
+        raise SettingError(
+            f"setting {path} is invalid: expected "
+            + {
+                bool: "a boolean",
+                str: "a string",
+                list: "a list",
+                dict: "an object",
+                (int, float): "a number",
+            }[kind]
+            + f", got {value!r}"
+        )
     return value
 
 
@@ -83,14 +93,14 @@
     """Returns a list of objects."""
     value: list[Json] = _read(source, path, list, default)
     if not all(isinstance(item, dict) for item in value):
-        raise SettingError(f"setting {path} is invalid: expected a list of objects")
+        raise SettingError(f"setting {path} is invalid: expected a list of objects, got {value!r}")
     return value
 
 
 def _index_by_name(values: list[Any], path: str) -> dict[str, int]:
-    """Returns the index of each name; raises SettingError where a name is no string or is repeated."""
+    """Returns the index of each name; raises SettingError where a name is not a string or is repeated."""
     if not all(isinstance(name, str) for name in values) or len(set(values)) < len(values):
-        raise SettingError(f"setting {path} is invalid: expected unique names, got {values!r}")
+        raise SettingError(f"setting {path} is invalid: expected unique strings, got {values!r}")
     return {name: index for index, name in enumerate(values)}
 
 
@@ -120,11 +130,11 @@
 def read_settings(document: Json) -> api.Settings:
     """Returns the settings of the routing decisions; raises SettingError."""
     if not isinstance(document, dict):
-        raise SettingError("setting info is invalid: expected an object")
+        raise SettingError(f"setting info is invalid: expected an object, got {document!r}")
     classes = _read_objects(document, "classes")
     tenants = _read_objects(document, "tenants", [])
     if not classes:
-        raise SettingError("setting classes is invalid: expected at least one class")
+        raise SettingError("setting classes is invalid: expected at least one class, got an empty list")
     ceilings = _read(document, "ceilings", dict)
     safety = _read(document, "safety", dict)
     cache = _read(document, "specifics", dict, {})
--- a/rainhitch/wirehost.py
+++ b/rainhitch/wirehost.py
@@ -1,6 +1,6 @@
 """Hosts many router instances in one process, with JSON lines on standard input and output.
 
-This module and `settings.py` translate the platform's words to the terms of `interface.py`; neither makes
+This module and `settings.py` translate the platform's names to the terms of `interface.py`; neither makes
 routing decisions.
 
 Each input line is a batch, `{"clock": ns, "msgs": [...]}`. A message has its type `t`, the number `i` of the
@@ -21,7 +21,7 @@
 from rainhitch.policy.balancer import Balancer
 from rainhitch.settings import Json, SettingError, read_settings
 
-# Words of the platform, and the terms of `interface.py` that they stand for.
+# Names on the wire, mapped to the terms of `interface.py`.
 STATUS_BY_WORD = {
     "completed": api.AttemptStatus.OK,
     "errored": api.AttemptStatus.ERROR,
@@ -58,7 +58,7 @@
     """An input line that is not a valid batch."""
 
 
-# Readers of events. They raise KeyError for a missing field and for a word that is not in its table.
+# Readers of events. They raise KeyError for a missing field and for a name that is not in its table.
 
 
 def _int_or_zero(source: Json, name: str) -> int:
--- a/tests/wire/test_wirehost.py
+++ b/tests/wire/test_wirehost.py
@@ -159,14 +159,14 @@
     ("change", "expected_text"),
     [
         ({"classes": None}, "classes is missing"),
-        ({"classes": []}, "classes is invalid"),
+        ({"classes": []}, "classes is invalid: expected at least one class, got an empty list"),
         ({"classes": [{"aim": 0, "deadline": 5}]}, "classes[0].aim is invalid"),
         ({"classes": [{"aim": 1, "deadline": 5, "effect": "odd"}]}, "classes[0].effect is invalid"),
         ({"ceilings": None}, "ceilings is missing"),
-        ({"safety": {"rampTime": "soon"}}, "safety.rampTime is invalid"),
+        ({"safety": {"rampTime": "soon"}}, "safety.rampTime is invalid: expected a number, got 'soon'"),
         ({"specifics": {"mode": "sideways"}}, "specifics.mode is invalid"),
-        ({"registryMode": 3}, "registryMode is invalid"),
-        ({"tenants": [3]}, "tenants is invalid"),
+        ({"registryMode": 3}, "registryMode is invalid: expected a string, got 3"),
+        ({"tenants": [3]}, "tenants is invalid: expected a list of objects, got [3]"),
     ],
 )
 def test_bad_settings_are_named_and_end_that_instance_only(change: Json, expected_text: str) -> None:
