--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -43,7 +43,7 @@
         10.0,
         0.1,
         3600,
-        "time after which an idle connection is closed, at most 0.8 of the server's keepalive",
+        "time limit of an idle connection; at most 0.8 of the server's keepalive, and 150 ms less than it",
     )
     resp3: bool = toml_schema.flag(False, "true: cache servers are asked with HELLO for RESP3")
 
@@ -73,7 +73,9 @@
     accepts_most: float = toml_schema.number(
         OverloadOptions.accepts_most, 1, 1e6, "maximum rate of accepted connections, per second"
     )
-    orders: int = toml_schema.whole(OverloadOptions.orders, 16, 1 << 20, "idempotency keys remembered")
+    orders: int = toml_schema.whole(
+        OverloadOptions.orders, 16, 1 << 20, "maximum number of idempotency keys remembered"
+    )
 
     def options(self) -> OverloadOptions:
         """Returns the options of overload control."""
@@ -170,7 +172,10 @@
     if bool(table.user) != bool(table.password_file):
         problems.append("membership.user and membership.password_file: allowed are both or neither")
     if not table.prefix.endswith("/") or len(table.prefix) < 2:
-        problems.append(f"membership.prefix = {table.prefix!r}: allowed is a longer string that ends with /")
+        problems.append(
+            f"membership.prefix = {table.prefix!r}: "
+            "allowed is a string of at least 2 characters that ends with /"
+        )
     return problems
 
 
--- a/tests/membership/test_editing.py
+++ b/tests/membership/test_editing.py
@@ -154,7 +154,7 @@
         ('certificate = "a"', "allowed are both or neither"),
         ('certificate = "a"\nkey = "b"', "needs membership.ca"),
         ('user = "a"', "allowed are both or neither"),
-        ('prefix = "x"', "ends with /"),
+        ('prefix = "x"', "allowed is a string of at least 2 characters that ends with /"),
         ('source = "zookeeper"', "one of discovery, etcd"),
         ("timeout_s = 0", "a number from 0.1 to 60"),
     ],
