--- a/rainhitch/growth/forecast.py
+++ b/rainhitch/growth/forecast.py
@@ -22,7 +22,7 @@
 MAX_DURATION_FACTOR = 50  # multiple of the time to move all keys at which the integration ends
 GROUP_POPULARITY_FACTOR = 1.1  # keys whose popularities differ by less are one group
 MAX_OWNERS_OF_RANGE = 3  # servers that share a key range: its owner and the next two
-SECONDS_AFTER_LOSS = 10
+SECONDS_AFTER_LOSS = 10  # seconds for which `lost_reads` forecasts the reads
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,9 +56,7 @@
     rooms: dict[tuple[str, str], float]  # fraction that moves from one zone to another
     lost: float  # fraction whose previous owner is gone, which no migration rate limits
     reads: float  # origin reads: cached keys that move or are lost
-    seconds: dict[
-        float, float
-    ]  # seconds until the fraction of the moved traffic (the key) goes to the new owners
+    seconds: dict[float, float]  # seconds until a fraction (key) of the moved traffic has moved
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,7 +132,8 @@
     """Returns the seconds until each goal, a fraction of the moved traffic, is reached.
 
     `popularities` are those of the cached keys, the most popular first; `moved_fraction` is the fraction of
-    the keys that moves. Infinity where `moves_per_s` is not positive.
+    the keys that moves. The time is 0 where no key moves, and else infinity where `moves_per_s` is not
+    positive. A goal that is not reached before the integration ends gets the time of that end.
     """
     groups = _groups(popularities, moved_fraction)
     keys = sum(group.unmoved_keys for group in groups)
@@ -217,7 +216,7 @@
 
 
 def lost_reads(change_forecast: Forecast, workload: ReadWorkload, reads_per_s: float) -> list[float]:
-    """Returns the origin reads in each of the first seconds after servers are lost.
+    """Returns the origin reads in each of the first `SECONDS_AFTER_LOSS` seconds after servers are lost.
 
     Each cached key of the lost fraction is read from the origin once, when it is first requested.
     `reads_per_s` is the rate of all reads.
--- a/rainhitch/membership/list_view.py
+++ b/rainhitch/membership/list_view.py
@@ -11,7 +11,7 @@
 
 UNKNOWN_REVISION = 0  # a value below any revision of etcd
 UNKNOWN_CLUSTER = 0  # a value that is not the id of any cluster
-SUSPICIOUS_DROP_FRACTION = 0.5  # a read that drops more of the entries than this is checked by a second read
+SUSPICIOUS_DROP_FRACTION = 0.5  # fraction of the entries; a read that drops more is suspicious
 SUSPICIOUS_MIN_ENTRIES = 4  # a list of at most this many entries may lose any number of them
 
 
@@ -40,7 +40,7 @@
         return sum(uid not in snapshot.entries for uid in self.known)
 
     def is_suspicious(self, dropped_count: int) -> bool:
-        """Returns whether a read that drops so many entries must be checked by a second read.
+        """Returns whether a read without `dropped_count` of the entries must be checked by a second read.
 
         Guards against a partial backup or a wrong prefix, which would remove most endpoints at once.
         """
--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -45,7 +45,7 @@
 MAX_JITTER_FRACTION = 1.0
 RESTORED_AFTER_NS = 10 * SECOND_NS  # time of older revisions after which etcd's history counts as replaced
 READ_AGAIN_AFTER_NS = 3 * SECOND_NS // 10  # time between a suspicious read and the second read
-# After this time a suspicious read is adopted: the limit on a drain runs from when the drain was seen.
+# After this time a suspicious read is adopted: the time limit of a drain runs from when the drain was seen.
 ADOPT_AFTER_NS = 8 * SECOND_NS // 10
 
 
@@ -53,7 +53,7 @@
     """State of the machine, with its transitions.
 
     READING     --Snapshot--> WATCHING
-    READING     --a Snapshot that drops too many--> VERIFYING
+    READING     --a suspicious Snapshot--> VERIFYING
     READING     --CallEnded, silence, or a lagging member--> BACKING_OFF
     WATCHING    --Compacted, or another cluster id--> READING
     WATCHING    --CallEnded, silence, or a lagging member--> BACKING_OFF
@@ -70,7 +70,7 @@
 
 
 def backoff_ns(failures: int, random: Random) -> int:
-    """Returns the wait after so many earlier failures: doubled with each, with jitter."""
+    """Returns the wait after `failures` earlier failures: doubled with each up to a limit, with jitter."""
     doublings = min(failures, MAX_BACKOFF_DOUBLINGS)
     longest_ns = min(FIRST_BACKOFF_NS << doublings, MAX_BACKOFF_NS)
     return int(longest_ns * random.uniform(MIN_JITTER_FRACTION, MAX_JITTER_FRACTION))
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class SnapshotSuspicion:
-    """A read that would drop too many entries, and when it is adopted without a second read."""
+    """A read that `ListView.is_suspicious` doubts, and when it is adopted without a second read."""
 
     snapshot: Snapshot
     adopt_at_ns: int
@@ -196,7 +196,7 @@
         actions.append(SwitchEndpoint())
 
     def _verify(self, now_ns: int, snapshot: Snapshot) -> None:
-        """Has a read that drops too many entries checked by a second read."""
+        """Has a suspicious read checked by a second read."""
         self.suspicion = SnapshotSuspicion(snapshot, now_ns + ADOPT_AFTER_NS, now_ns + READ_AGAIN_AFTER_NS)
         self.mode = Mode.VERIFYING
         self.last_response_at_ns = now_ns
@@ -252,7 +252,7 @@
         self._adopt(now_ns, snapshot, actions)
 
     def _is_restored(self, now_ns: int) -> bool:
-        """Returns whether revisions have stayed behind for so long that etcd's history was replaced."""
+        """Returns whether revisions have stayed behind for `RESTORED_AFTER_NS`, as after a restored backup."""
         return self.behind_since_ns is not None and now_ns - self.behind_since_ns >= RESTORED_AFTER_NS
 
     def _adopt(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
--- a/rainhitch/program.py
+++ b/rainhitch/program.py
@@ -33,7 +33,7 @@
     host, port = configuration.listen
 
     def divide_limits(process_count: int) -> None:
-        """Divides this router's limit of file descriptors between so many of its processes."""
+        """Divides this router's limit of file descriptors between its `process_count` processes."""
         split_between_processes(configuration.sockets, router.pools, router.clients, process_count)
 
     return AdminEndpoint(
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -55,7 +55,7 @@
 async def etcd_setup(
     members: int = 1, known: list[str] | None = None, start: bool = True, **options: Any
 ) -> AsyncIterator[EtcdSetup]:
-    """Starts a source that follows an etcd of so many members with three entries, c0 to c2."""
+    """Starts a source that follows an etcd of `members` members with three entries, c0 to c2."""
     etcd = EtcdCluster(members)
     await etcd.start()
     updates: list[api.EndpointUpdate] = []
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -65,7 +65,7 @@
 
 
 def entries(count: int, revision: int = 5) -> dict[str, tuple[int, bytes]]:
-    """Returns so many entries by uid: revision and value."""
+    """Returns `count` entries by uid: revision and value."""
     return {f"n{n}": (revision, b"ready") for n in range(count)}
 
 
@@ -75,7 +75,7 @@
 
 
 def watching_driver(count: int = 6) -> StateMachineDriver:
-    """Returns a state machine that has read so many entries and watches."""
+    """Returns the driver of a state machine that has read `count` entries and watches."""
     driver = StateMachineDriver()
     driver.read(10, entries(count))
     assert driver.requested == [watch_events.ReadAll(), watch_events.WatchFrom(11)]
