--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -252,7 +252,7 @@
         self._adopt(now_ns, snapshot, actions)
 
     def _is_restored(self, now_ns: int) -> bool:
-        """Returns whether revisions have stayed behind for `RESTORED_AFTER_NS`, as after a restored backup."""
+        """Returns whether revisions stayed behind for `RESTORED_AFTER_NS`: etcd's history was replaced."""
         return self.behind_since_ns is not None and now_ns - self.behind_since_ns >= RESTORED_AFTER_NS
 
     def _adopt(self, now_ns: int, snapshot: Snapshot, actions: list[Action]) -> None:
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -24,10 +24,10 @@
     """[clients]: limits of clients' connections."""
 
     idle_s: float = toml_schema.number(
-        2.0, 0.5, 3600, "time for which an idle connection stays open, except where at_need_s applies"
+        2.0, 0.5, 3600, "minimum time that an idle connection stays open, except where at_need_s applies"
     )
     at_need_s: float = toml_schema.number(
-        0.025, 0.01, 3600, "replaces idle_s while more than half of the client limit is open; idle_s at most"
+        0.025, 0.01, 3600, "replaces idle_s for a new client if over half the limit is open; at most idle_s"
     )
     unfinished_s: float = toml_schema.number(2.6, 0.1, 60, "time within which a command must be complete")
     user: str = toml_schema.text("default", "name that clients send with the password")
