--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -14,10 +14,10 @@
 Json = dict[str, Any]
 
 # Names in the settings, mapped to the terms of `interface.py` where these differ.
-ENDPOINT_LIST_WORDS = ("pushed", "on_request")
-CACHE_MODE_WORDS = ("through", "aside")
-DEDUP_SCOPE_WORDS = ("all", "zone", "cell")
-IDEMPOTENCY_BY_WORD = {
+ENDPOINT_LIST_MODES = ("pushed", "on_request")
+CACHE_MODES = ("through", "aside")
+DEDUP_SCOPES = ("all", "zone", "cell")
+IDEMPOTENCY_BY_NAME = {
     "safe": api.Idempotency.IDEMPOTENT,
     "keyed": api.Idempotency.IDEMPOTENCY_KEY,
     "unsafe": api.Idempotency.NOT_IDEMPOTENT,
@@ -81,11 +81,11 @@
     return int(_read_number(source, path, least, default))
 
 
-def _read_word(source: Json, path: str, words: tuple[str, ...], default: str) -> str:
-    """Returns a word, which must be one of `words`."""
+def _read_choice(source: Json, path: str, choices: tuple[str, ...], default: str) -> str:
+    """Returns a string, which must be one of `choices`."""
     value = _read(source, path, str, default)
-    if value not in words:
-        raise SettingError(f"setting {path} is invalid: expected one of {', '.join(words)}, got {value!r}")
+    if value not in choices:
+        raise SettingError(f"setting {path} is invalid: expected one of {', '.join(choices)}, got {value!r}")
     return str(value)
 
 
@@ -112,10 +112,10 @@
     return api.RequestClass(
         latency_objective_ns=_read_int(source, f"{path}.aim", 1),
         deadline_ns=_read_int(source, f"{path}.deadline", 1),
-        idempotency=IDEMPOTENCY_BY_WORD[
-            _read_word(source, f"{path}.effect", tuple(IDEMPOTENCY_BY_WORD), "safe")
+        idempotency=IDEMPOTENCY_BY_NAME[
+            _read_choice(source, f"{path}.effect", tuple(IDEMPOTENCY_BY_NAME), "safe")
         ],
-        dedup_scope=_read_word(source, f"{path}.group", DEDUP_SCOPE_WORDS, "all"),
+        dedup_scope=_read_choice(source, f"{path}.group", DEDUP_SCOPES, "all"),
         dedup_window_ns=_read_int(source, f"{path}.repeatWindow", 0, 0),
         priority_weight=_read_number(source, f"{path}.gain", 0, 1),
         late_weight=_read_number(source, f"{path}.lateWorth", 0, 0),
@@ -142,9 +142,10 @@
         classes=[_read_class(source, index) for index, source in enumerate(classes)],
         router_count=_read_int(document, "balancers", 1, 1),
         tenants=[_read_tenant(source, index) for index, source in enumerate(tenants)],
-        cache_aside=_read_word(cache, "specifics.mode", CACHE_MODE_WORDS, "through") == "aside",
+        cache_aside=_read_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
         origin_kind=_read_int(cache, "specifics.originKind", -1, -1),
-        endpoints_polled=_read_word(document, "registryMode", ENDPOINT_LIST_WORDS, "pushed") == "on_request",
+        endpoints_polled=_read_choice(document, "registryMode", ENDPOINT_LIST_MODES, "pushed")
+        == "on_request",
         retry_after_allowed=_read(ceilings, "ceilings.retryAfter", bool, False),
         max_retry_after_ns=_read_int(ceilings, "ceilings.maxRetryAfter", 0, 0),
         max_attempts=_read_int(ceilings, "ceilings.attemptsCap", 1, 1),
--- a/rainhitch/wirehost.py
+++ b/rainhitch/wirehost.py
@@ -22,7 +22,7 @@
 from rainhitch.settings import Json, SettingError, read_settings
 
 # Names on the wire, mapped to the terms of `interface.py`.
-STATUS_BY_WORD = {
+STATUS_BY_NAME = {
     "completed": api.AttemptStatus.OK,
     "errored": api.AttemptStatus.ERROR,
     "saturated": api.AttemptStatus.FULL,
@@ -33,18 +33,18 @@
     "superseded": api.AttemptStatus.ABANDONED,
     "lookup_miss": api.AttemptStatus.MISS,
 }
-ENDPOINT_STATE_BY_WORD = {
+ENDPOINT_STATE_BY_NAME = {
     "SERVING": api.EndpointState.READY,
     "DRAINING": api.EndpointState.DRAINING,
     "DELETED": api.EndpointState.GONE,
 }
-UPDATE_KIND_BY_WORD = {
+UPDATE_KIND_BY_NAME = {
     "update": api.EndpointUpdateKind.DELTA,
     "replace": api.EndpointUpdateKind.FULL,
     "restored": api.EndpointUpdateKind.CACHED,
     "unavailable": api.EndpointUpdateKind.FAILED,
 }
-LOAD_FIELD_BY_WORD = {
+LOAD_FIELD_BY_NAME = {
     "outstanding": "in_flight",
     "backlog": "queued",
     "utilization": "utilization",
@@ -70,7 +70,7 @@
 def _read_endpoint(entry: Json) -> api.Endpoint:
     return api.Endpoint(
         entry["server"],
-        ENDPOINT_STATE_BY_WORD[entry["stageState"]],
+        ENDPOINT_STATE_BY_NAME[entry["stageState"]],
         kind=_int_or_zero(entry, "machine"),
         zone=_int_or_zero(entry, "hall"),
         cell=_int_or_zero(entry, "stripe"),
@@ -81,7 +81,7 @@
 
 def _read_endpoint_update(message: Json) -> api.EndpointUpdate:
     entries = [_read_endpoint(entry) for entry in message.get("elements") or ()]
-    return api.EndpointUpdate(UPDATE_KIND_BY_WORD[message["kind"]], entries)
+    return api.EndpointUpdate(UPDATE_KIND_BY_NAME[message["kind"]], entries)
 
 
 def _read_load_report(report: Json | None) -> api.LoadReport | None:
@@ -89,9 +89,9 @@
     if not report:
         return None
     known = {
-        LOAD_FIELD_BY_WORD[word]: value
-        for word, value in report.items()
-        if word in LOAD_FIELD_BY_WORD and value is not None
+        LOAD_FIELD_BY_NAME[name]: value
+        for name, value in report.items()
+        if name in LOAD_FIELD_BY_NAME and value is not None
     }
     return api.LoadReport(**known)
 
@@ -113,7 +113,7 @@
         message["msgId"],
         attempt=message["sendNo"],
         server=message["server"],
-        status=STATUS_BY_WORD[message["disposition"]],
+        status=STATUS_BY_NAME[message["disposition"]],
         request_finished=bool(message.get("ended")),
         elapsed_ns=message["costTime"],
         answer_note=_int_or_zero(message, "remark"),
@@ -149,7 +149,7 @@
     for field in IGNORED_EVENTS[name]:
         value = message[field]
         if field == "disposition":
-            STATUS_BY_WORD[value]
+            STATUS_BY_NAME[value]
 
 
 # Writers of actions. The order of the keys is the order on the wire.
