--- a/rainhitch/growth/forecast.py
+++ b/rainhitch/growth/forecast.py
@@ -22,7 +22,7 @@
 MAX_DURATION_FACTOR = 50  # multiple of the time to move all keys at which the integration ends
 GROUP_POPULARITY_FACTOR = 1.1  # keys whose popularities differ by less are one group
 MAX_OWNERS_OF_RANGE = 3  # servers that share a key range: its owner and the next two
-SECONDS_AFTER_LOSS = 10  # seconds for which `lost_reads` forecasts the reads
+LOSS_FORECAST_SECONDS = 10  # time after a loss that `lost_reads` covers
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,7 +216,7 @@
 
 
 def lost_reads(change_forecast: Forecast, workload: ReadWorkload, reads_per_s: float) -> list[float]:
-    """Returns the origin reads in each of the first `SECONDS_AFTER_LOSS` seconds after servers are lost.
+    """Returns the origin reads in each of the first `LOSS_FORECAST_SECONDS` seconds after servers are lost.
 
     Each cached key of the lost fraction is read from the origin once, when it is first requested.
     `reads_per_s` is the rate of all reads.
@@ -225,6 +225,6 @@
     read_by = [
         change_forecast.lost
         * sum(1 - (1 - popularity) ** (reads_per_s * second) for popularity in popularities)
-        for second in range(SECONDS_AFTER_LOSS + 1)
+        for second in range(LOSS_FORECAST_SECONDS + 1)
     ]
     return [later - earlier for earlier, later in pairwise(read_by)]
--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -12,7 +12,7 @@
 from rainhitch.membership.etcd_client import EtcdClient
 from rainhitch.protocol import etcd
 
-MAX_ENTRIES = 100  # maximum number of entries per transaction; etcd accepts 128 operations by default
+MAX_ENTRIES_PER_TRANSACTION = 100  # etcd accepts 128 operations by default
 STATES = ("Ready", "Retiring", "Terminating")  # states that an operator may set
 NO_REVISION = 0  # revision of an entry that is not in etcd
 Json = dict[str, Any]
@@ -85,8 +85,10 @@
     rows = document.get("targets") if isinstance(document, dict) else document
     if not isinstance(rows, list) or not rows or not all(isinstance(row, dict) for row in rows):
         raise ChangeRejectedError('expected a list of entries, or {"targets": [...]}')
-    if len(rows) > MAX_ENTRIES:
-        raise ChangeRejectedError(f"{len(rows)} entries: at most {MAX_ENTRIES} can be changed at once")
+    if len(rows) > MAX_ENTRIES_PER_TRANSACTION:
+        raise ChangeRejectedError(
+            f"{len(rows)} entries: at most {MAX_ENTRIES_PER_TRANSACTION} can be changed at once"
+        )
     uids = [row.get("uid") for row in rows]
     for row in rows:
         _check_entry(row, uids)
--- a/rainhitch/membership/etcd_client.py
+++ b/rainhitch/membership/etcd_client.py
@@ -13,7 +13,7 @@
 from rainhitch.membership.watch_events import Snapshot, StoredValue
 from rainhitch.protocol import etcd
 
-PAGE_ENTRIES = 1000  # maximum number of entries in one response to a read
+MAX_ENTRIES_PER_PAGE = 1000  # in one response to a read of the whole list
 DEFAULT_TIMEOUT_S = 2.0  # time limit of a unary call
 KEEPALIVE_INTERVAL_S = 10.0  # time between HTTP/2 pings
 KEEPALIVE_TIMEOUT_S = 5.0  # time limit of the response to a ping
@@ -116,7 +116,7 @@
         entries: dict[str, StoredValue] = {}
         while True:
             request = etcd.message(
-                "RangeRequest", key=key, range_end=end, limit=PAGE_ENTRIES, revision=revision
+                "RangeRequest", key=key, range_end=end, limit=MAX_ENTRIES_PER_PAGE, revision=revision
             )
             page = await self.call("KV/Range", request)
             if not revision:
--- a/tests/ground/test_operator_config.py
+++ b/tests/ground/test_operator_config.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"[clients", b"a = 1\na = 2", b"\xff\xfe"])
-def test_what_is_no_toml_is_one_line(tmp_path: Path, raw: bytes) -> None:
+def test_text_that_is_not_toml_is_one_line(tmp_path: Path, raw: bytes) -> None:
     path = tmp_path / "operator.toml"
     path.write_bytes(raw)
     with pytest.raises(TableError) as raised:
--- a/tests/membership/test_etcd_source.py
+++ b/tests/membership/test_etcd_source.py
@@ -285,7 +285,7 @@
         await setup.wait_for_states(c0="draining", c1="ready", c2="ready")
 
 
-async def test_a_server_that_is_no_etcd_is_logged_and_publishes_nothing(
+async def test_a_server_that_is_not_etcd_is_logged_and_publishes_nothing(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """A wrong address in the operator's file must show in the log, and must not empty the list."""
--- a/tests/wire/test_wirehost.py
+++ b/tests/wire/test_wirehost.py
@@ -131,7 +131,7 @@
         ('{"clock":1,"msgs":[7]}', "line 1: msgs[0]"),
     ],
 )
-def test_a_line_that_is_no_batch_ends_the_process_with_one_line(line: str, expected_text: str) -> None:
+def test_a_line_that_is_not_a_batch_ends_the_process_with_one_line(line: str, expected_text: str) -> None:
     """The error gives the line number and the reason."""
     result = run_wirehost([line])
     assert result.returncode == 2 and result.stdout == ""
