--- a/rainhitch/membership/editing.py
+++ b/rainhitch/membership/editing.py
@@ -65,7 +65,9 @@
     except orjson.JSONDecodeError:
         entry = None
     if not isinstance(entry, dict):
-        raise ChangeRejectedError(f"{uid}: its entry can't be read, and its other fields would be lost")
+        raise ChangeRejectedError(
+            f"{uid}: expected a JSON object in etcd; not changed, as its other fields would be lost"
+        )
     if entry.get("state") == state:
         raise ChangeRejectedError(f"{uid}: it is {state} already, since revision {stored.revision}")
     if only_from and entry.get("state") != only_from:
--- a/rainhitch/membership/endpoint_list_builder.py
+++ b/rainhitch/membership/endpoint_list_builder.py
@@ -15,8 +15,8 @@
 class EndpointListBuilder:
     """The entries by uid, each as it was last readable.
 
-    `apply` takes each new list, and `version` returns that of the list in use; both belong to the endpoint
-    directory.
+    `apply` takes each new list, and `version` returns the version of the list in use; both belong to the
+    endpoint directory.
     """
 
     def __init__(self, apply: Callable[[Json], object], version: Callable[[], int]) -> None:
--- a/rainhitch/membership/etcd_source.py
+++ b/rainhitch/membership/etcd_source.py
@@ -77,7 +77,7 @@
             self._perform(self.machine.start(self.clock()))
 
     def stop(self) -> None:
-        """Stops for good."""
+        """Stops; the source cannot be started again."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/rainhitch/membership/list_view.py
+++ b/rainhitch/membership/list_view.py
@@ -49,7 +49,7 @@
         return dropped_count > SUSPICIOUS_DROP_FRACTION * len(self.known)
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Replaces the view by a read."""
+        """Replaces the view by the result of a read."""
         for uid in [uid for uid in self.known if uid not in snapshot.entries]:
             del self.known[uid]
             self.publisher.add(uid, None)
--- a/rainhitch/membership/watch_state_machine.py
+++ b/rainhitch/membership/watch_state_machine.py
@@ -125,7 +125,7 @@
 
     @property
     def wake_at_ns(self) -> int:
-        """When the machine next needs a TimeElapsed event."""
+        """Time at which the machine next needs a TimeElapsed event, in ns."""
         due_at_ns = self.view.publisher.due_at_ns()
         times = [] if due_at_ns is None else [due_at_ns]
         if self.mode is Mode.BACKING_OFF:
--- a/rainhitch/operator_config.py
+++ b/rainhitch/operator_config.py
@@ -101,12 +101,14 @@
     """[routers]: exchange between routers; the defaults are in fleet/options.py."""
 
     counts: bool = toml_schema.flag(
-        FleetOptions.counts, "tenants' usage is sent to the other routers and summed"
+        FleetOptions.counts, "true: tenants' usage is sent to the other routers and summed"
     )
     bounded: bool = toml_schema.flag(
-        FleetOptions.bounded, "a server's latency counts only as far as a second router confirms it"
+        FleetOptions.bounded, "true: a server's latency counts only as far as a second router confirms it"
+    )
+    members: bool = toml_schema.flag(
+        FleetOptions.members, "true: routers detect which other routers are alive"
     )
-    members: bool = toml_schema.flag(FleetOptions.members, "routers detect which other routers are alive")
     database_rps: float = toml_schema.number(
         FleetOptions.database_rps, 0, 1e6, "limit on origin reads per second, all routers together; 0: none"
     )
--- a/rainhitch/system.py
+++ b/rainhitch/system.py
@@ -54,7 +54,7 @@
         """Listens at an address, or on an inherited listening socket; raises OSError."""
 
     def readable(self, transport: asyncio.Transport) -> bool:
-        """Returns whether a connection has unread data, or an unread end."""
+        """Returns whether a connection has unread data, or an unread end of the stream."""
 
     def peer_closed(self, transport: asyncio.Transport) -> bool:
         """Returns whether the peer has closed or reset a connection, even with data unread before that."""
@@ -133,7 +133,7 @@
         return SystemListeningSocket(host, port, inherited)
 
     def readable(self, transport: asyncio.Transport) -> bool:
-        """Returns whether a connection has unread data, or an unread end."""
+        """Returns whether a connection has unread data, or an unread end of the stream."""
         return has_event(transport.get_extra_info("socket"), select.POLLIN)
 
     def peer_closed(self, transport: asyncio.Transport) -> bool:
--- a/rainhitch/toml_schema.py
+++ b/rainhitch/toml_schema.py
@@ -1,7 +1,7 @@
 """Strict reading of TOML tables into dataclasses.
 
 Each key that is unknown, missing, of a wrong type or out of range is reported in one line, with the key, its
-value and what is allowed. The same definitions make a JSON Schema for editors.
+value and what is allowed. A JSON Schema for editors is made from the same definitions.
 
 A table is a dataclass whose fields are made by `number`, `whole`, `flag`, `text`, `texts`, `numbers`,
 `pair`, `table` and `tables`; each states its default, its bounds and its description. pydantic checks the
--- a/tests/membership/test_watch_state_machine.py
+++ b/tests/membership/test_watch_state_machine.py
@@ -14,7 +14,7 @@
 
 
 class StateMachineDriver:
-    """A state machine with its clock, what it published and logged, and the calls that it requested."""
+    """A state machine with its clock, its published changes, its log lines and its requested calls."""
 
     def __init__(self) -> None:
         self.machine, self.now = m.WatchStateMachine(Random(7)), START
