--- a/rainhitch/node/cache_connection.py
+++ b/rainhitch/node/cache_connection.py
@@ -19,7 +19,7 @@
 
 
 def result_of_error(text: bytes) -> AttemptResult | None:
-    """Returns the result that an error line means; None if it is no error line of a cache server."""
+    """Returns the result that an error line means; None if it is not an error line of a cache server."""
     if BUSY_LINE.fullmatch(text):
         return AttemptResult(AttemptStatus.FULL)
     return AttemptResult(AttemptStatus.ERROR) if FAILED_LINE.fullmatch(text) else None
@@ -81,7 +81,7 @@
         piece = self.reader.read_long_value()
         if piece:
             relay.feed(piece)
-        # If the client has left meanwhile, this connection is closed and has no relay.
+        # If the client disconnected during `feed`, this connection is closed and has no relay.
         return (
             resp.NEED_DATA if self.reader.long_value_bytes_left or self.relay is None else self.reader.next()
         )
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -38,7 +38,7 @@
 
     OPEN = "open"
     LAST_COMMAND_READ = "last command read"  # no more commands are read; closed once all are answered
-    HALF_CLOSED = "half closed"  # all commands are answered; incoming data is discarded for a while
+    HALF_CLOSED = "half closed"  # all commands are answered; incoming data is discarded until the close
     REJECTED = "rejected"
     CLOSED = "closed"
 
@@ -99,7 +99,7 @@
         self.commands = ClientCommands(host, self.session, self.responses)
         self.command_count = 0  # complete commands received
         self.unread_age = UnreadAge(self.system, host.driver.loop_lag)
-        self.unread_ms = 0  # for how long the last received data may have been unread
+        self.unread_ms = 0  # longest time the last received data may have been unread
         self.nothing_received = True
         self.flow = ReadFlow(host, self.reader, self.responses, self.unread_age)
         self.is_advancing = False
@@ -241,7 +241,7 @@
         return not self.commands.only_handshake and not self.reader.buffer and not self.has_unread_bytes()
 
     def half_close(self, reason: CloseReason) -> None:
-        """Stops sending but keeps reading for a while, so that the close does not become a reset.
+        """Stops sending but reads until the linger time-out, so that the close does not cause a reset.
 
         Data that arrives from now on is never handled: the client sends it again on another connection.
         """
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -25,9 +25,9 @@
 if TYPE_CHECKING:
     from rainhitch.overload.controller import OverloadController
 
-UNREAD_RESPONSES_LIMIT_S = 10.0  # for how long a client may leave responses unread
-UNFINISHED_COMMAND_LIMIT_S = 2.6  # for how long a command may be incomplete; the first is timed from connect
-IDLE_GRACE_S = 2.0  # an idle connection is not swept before it has been idle for this long
+UNREAD_RESPONSES_LIMIT_S = 10.0  # time for which a client may leave responses unread
+UNFINISHED_COMMAND_LIMIT_S = 2.6  # limit on an incomplete command; the first is timed from connect
+IDLE_GRACE_S = 2.0  # minimum idle time before the sweep closes a connection
 IDLE_GRACE_NEAR_CAP_S = 0.025  # minimum idle time before a connection is closed for a new one
 DRAIN_IDLE_S = 0.05  # time without a request after which a draining connection counts as idle
 SWEEP_INTERVAL_S = 0.2
@@ -70,8 +70,7 @@
         self.closing = False
         self.draining = False
         self.sweep_planned = False
-        # Schedule of a drain; replaced by the one from the settings at shutdown.
-        self.schedule = shutdown_schedule(MAX_DEADLINE_WAIT_S)
+        self.schedule = shutdown_schedule(MAX_DEADLINE_WAIT_S)  # a shutdown replaces it from the settings
         self.drain_started_at_s = 0.0
         self.events = ClientEvents(self.loop)
         self.rejected = RejectedConnections(
@@ -92,13 +91,11 @@
             if not self._evict_connection():
                 return False
         elif len(self.connections) > self.max_open // 2:
-            # Clients may run out of connections of their own if they keep all that they opened, long before
-            # the router's cap is reached. The protocol lets a router close connections between requests, so
-            # one idle connection is closed for each new one.
+            # Clients that keep all their connections may run out of their own long before the router's cap is
+            # reached. The protocol allows closing between requests: one idle one is closed per new one.
             closed = self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
             if closed is not None and closed.command_count == 1:
-                # Clients that stay connected after one request would make up for each close with a new
-                # connection: closing two for one reduces their number.
+                # Clients that stay after one request reconnect when closed: closing two reduces their number.
                 self._close_longest_idle(min(self.idle_grace_s, self.idle_grace_near_cap_s))
         self.connections[client] = None
         self.descriptors.clients_open = len(self.connections)
@@ -141,9 +138,9 @@
     def _evict_connection(self) -> bool:
         """Makes room for a new client by closing one connection; returns False if none can be closed.
 
-        Closes the one that has lingered longest, else the one that has sent no command or been idle longest,
-        else an idle connection to a server. Clients that stay connected after one request do not keep others
-        out, and no request is lost: no client connection with a request in progress or unread bytes closes.
+        Closes the longest lingering one, else the one that has sent no command or been idle longest, else an
+        idle server connection. Clients that stay connected after one request do not keep others out. No
+        request is lost: no client connection with a request in progress or unread bytes is closed.
         """
         for client in self.activity.lingering:
             client.abort(CloseReason.LINGERED)
@@ -171,14 +168,13 @@
         client.half_close(CloseReason.IDLE)
 
     def _sweep(self) -> None:
-        """Ends connections with an overdue command and closes idle ones if more than half the cap is used.
+        """Ends connections with an overdue command; above half the cap, closes idle ones as `admit` does.
 
         Limits the time of clients that send nothing, half a command, or a byte now and then.
         """
         for client in self.activity.overdue(self.unfinished_command_limit_s):
             client.end_unfinished_command()
         if len(self.connections) > self.max_open // 2:
-            # Clients may run out of connections of their own long before the router's cap is reached.
             for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
                 self._half_close_idle(client)
         self.sweep_planned = bool(self.connections)
@@ -198,10 +194,9 @@
             self._all_closed.set()
 
     def drain(self) -> None:
-        """Closes each connection after its next response and idle ones after a while; still admits new ones.
+        """Drains the connections as the module's docstring says, so that no close collides with a request.
 
-        Prevents a close from colliding with a request: for as long as the schedule allows, a connection is
-        closed directly after a response, when the client has no request in flight.
+        While the schedule allows, closes directly after a response, when the client has no request in flight.
         """
         if not self.draining:
             self.draining = True
@@ -221,8 +216,7 @@
                 for client in list(self.activity.iter_unused(group, DRAIN_IDLE_S)):
                     self._half_close_idle(client)
         if elapsed_s >= self.schedule.stop_reading_s:
-            # Connections with an incomplete command get a little longer to receive the rest.
-            is_late = elapsed_s >= self.schedule.all_answered_s
+            is_late = elapsed_s >= self.schedule.all_answered_s  # until then, commands may be completed
             still_open = [one for one in self.connections if one.state is ConnectionState.OPEN]
             for client in [one for one in still_open if one.responses.slots or is_late]:
                 client.close_when_answered()
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -34,7 +34,7 @@
     wait_ms: int  # from when the client sent the command; ClientCommands subtracts unread_ms
     is_client_retry: bool
     idempotency_key: str = ""
-    unread_ms: int = 0  # for how long the command may have been in the socket before it was read
+    unread_ms: int = 0  # longest time the command may have been in the socket before it was read
     connection_id: int = 0  # id of the client's connection
 
     def size_bytes(self) -> int:
--- a/rainhitch/node/close_reason.py
+++ b/rainhitch/node/close_reason.py
@@ -12,7 +12,7 @@
     UNFINISHED = "no whole command in time"
     OUT_OF_MEMORY = "out of memory"
     NO_ROOM = "no room"  # a new connection at the cap
-    IDLE = "idle"  # to make room for another connection, or at shutdown
+    IDLE = "idle"  # the close makes room for another connection, or is part of the shutdown
     LINGERED = "lingered too long"
     SHUTDOWN = "shutdown"
     UNREAD_RESPONSES = "answers not read in time"
--- a/rainhitch/node/close_timer.py
+++ b/rainhitch/node/close_timer.py
@@ -12,7 +12,7 @@
     """The parts of the router that the timer uses."""
 
     loop: asyncio.AbstractEventLoop
-    unread_responses_limit_s: float  # for how long a client may leave responses unread
+    unread_responses_limit_s: float  # time for which a client may leave responses unread
 
 
 def _do_nothing(reason: CloseReason) -> None:
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -27,8 +27,9 @@
 if TYPE_CHECKING:
     from rainhitch.operator_config import OperatorConfig
 
-# Same value as in operator_config.py, which is imported only if the file exists, because it takes memory.
-DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # in the current directory; RAINHITCH_OPERATOR overrides it
+# The environment variable RAINHITCH_OPERATOR overrides this path. operator_config.py has the same value; it
+# is imported only if the file exists, because it takes memory.
+DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # relative to the current directory
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 192
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -17,14 +17,14 @@
 
 NS_PER_S = 1_000_000_000
 MAX_IDLE_S = 10.0  # idle time after which a connection is surplus
-MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive, so that the router closes first
+MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # the router closes first: after this part of the server's keepalive
 REUSE_DELAY_S = 0.005  # time after a response for unexpected further data to arrive
 SWEEP_INTERVAL_S = 1.0
-# Above this fraction of the limit an idle server connection is closed to admit a client. Two integers, so
-# that the fraction is exact.
+# An idle server connection is closed to admit a client only while more than this fraction of the limit is
+# open. Two integers make the fraction exact.
 SURPLUS_NUMERATOR = 2
 SURPLUS_DENOMINATOR = 3
-# A connect that fails with one of these is no fault of the server: the router itself lacks resources.
+# A connect that fails with one of these is not the server's fault: the router itself lacks resources.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
@@ -44,7 +44,7 @@
         self.make_connection = make_connection
         self.known_protocol = 0  # RESP version that the server process is known to speak; 0 if unknown
         self.idle: list[UpstreamConnection] = []  # longest idle first
-        self.connections: dict[UpstreamConnection, None] = {}  # in opening order
+        self.connections: dict[UpstreamConnection, None] = {}  # ordered by opening time
         self.draining = False
 
     def start(self, exchange: Exchange) -> UpstreamConnection | None:
@@ -208,7 +208,7 @@
         return self.descriptors.upstream_open
 
     def make_room(self) -> bool:
-        """Returns whether one more connection may be opened, for which the longest idle one may be closed."""
+        """Returns whether a connection may be opened; at the limit, closes the longest idle one for it."""
         return self.open_count() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
--- a/rainhitch/node/descriptors.py
+++ b/rainhitch/node/descriptors.py
@@ -9,8 +9,10 @@
 class DescriptorBudget:
     """The descriptors in use on each side, and the limit of each side given the use of the other.
 
-    New clients are not rejected while descriptors are free: clients may use those that server connections do
-    not use, less a reserve for server connections opened soon. Both sides stay within the process limit.
+    New clients are not rejected while descriptors are free: beyond their own cap, clients may use those that
+    server connections do not use, less a reserve for server connections opened soon. Server connections stay
+    within their cap and within what clients leave of `shared`. Clients may always use their own cap, whatever
+    the server side holds, so the total stays within `shared` only if the two caps fit into it.
     """
 
     shared: int | None = None  # descriptors for both sides together; None: each side has only its own cap
--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -25,7 +25,8 @@
 HTTP_OK = 200
 MAX_LIST_BYTES = 1 << 20  # limit to protect the router's small memory; an entry has about 150 bytes
 LOOP_ITERATION_S = 0.001  # time for the event loop to read its sockets once more
-MIN_JITTER_FRACTION = 0.5  # of a pause, so that routers do not call discovery in step
+# Each pause is multiplied by a random fraction, so that routers do not call discovery in step.
+MIN_JITTER_FRACTION = 0.5
 MAX_JITTER_FRACTION = 1.0
 # The labels under which `second` records count failures. Programs read them, so they stay the same when a
 # class is renamed.
--- a/rainhitch/node/loop_lag.py
+++ b/rainhitch/node/loop_lag.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 NS_PER_S = 1_000_000_000
-SLOW_CALLBACK_NS = 2_000_000  # a callback that takes longer than this delays data that arrives meanwhile
+SLOW_CALLBACK_NS = 2_000_000  # data that arrives during a longer callback counts as delayed
 HEARTBEAT_NS = NS_PER_S // 40
 HEARTBEAT_TOLERANCE_NS = NS_PER_S // 100  # how late the heartbeat may be without a delay
 
--- a/rainhitch/node/read_flow.py
+++ b/rainhitch/node/read_flow.py
@@ -30,7 +30,8 @@
     ) -> None:
         """Pauses or resumes reading.
 
-        A lingering connection is always read, unless its write buffer is full, so that its close is no reset.
+        A lingering connection is always read, unless its write buffer is full, so that its close does not
+        cause a reset.
         """
         is_full = self.has_yielded or len(self.responses.slots) >= MAX_PIPELINED_COMMANDS
         takes_no_more = (is_full or no_more_commands) and not is_lingering
--- a/rainhitch/node/rejected_connection.py
+++ b/rainhitch/node/rejected_connection.py
@@ -12,9 +12,9 @@
 from rainhitch.protocol.resp2_reader import Resp2Reader
 from rainhitch.system import System
 
-LINGER_S = 1.0  # for how long a client that has its last response may keep sending
-MAX_LINGER_BYTES = 256 << 10  # how much of that is read
-MAX_REJECTED_CONNECTIONS = 8  # kept open until they have read their response
+LINGER_S = 1.0  # time for which a client may keep sending after its last response
+MAX_LINGER_BYTES = 256 << 10  # limit on the bytes read after the last response
+MAX_REJECTED_CONNECTIONS = 8  # limit on rejected connections that wait for the client to read
 NS_PER_MS = 1_000_000
 
 
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import Protocol
 
-STALL_LIMIT_S = 10.0  # for how long a source may send nothing while the client would read
+STALL_LIMIT_S = 10.0  # time for which a source may send nothing while the client would read
 
 
 class RelayState(Enum):
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -55,11 +55,7 @@
 
 
 class RequestDriver:
-    """The requests in flight of one router: at most `max_requests`, with `max_request_bytes` in total.
-
-    `class_names` are the labels of the request classes in the metrics, in the order of the settings; if None,
-    the classes' indexes are used.
-    """
+    """The requests in flight of one router: at most `max_requests`, with `max_request_bytes` in total."""
 
     def __init__(
         self,
@@ -68,7 +64,7 @@
         max_requests: int,
         max_request_bytes: int,
         *,
-        class_names: list[str] | None = None,
+        class_names: list[str] | None = None,  # metric labels in the settings' order; None: indexes
         host: DriverHost | None = None,
     ) -> None:
         self.host = host or StandaloneHost()
@@ -124,10 +120,7 @@
         return request
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """Withdraws a request whose client has left.
-
-        An attempt that is written in full runs on, so that its connection stays usable.
-        """
+        """Withdraws a request whose client left; a fully written attempt runs on to keep its connection."""
         if not request.is_open():
             return
         self._mark_finished(request)
@@ -161,11 +154,9 @@
         self._fail_request(request)
 
     def _fail_request(self, request: InFlightRequest) -> None:
-        """Fails a request that the Balancer has not ended.
+        """Fails a request that the Balancer lost, could not decide on, or left open at the end of a shutdown.
 
-        This answers clients whose request the Balancer has lost or could not decide on, and those whose
-        request is still open at the end of a graceful shutdown. The Balancer is told that the client has
-        left, so that it takes no further action for the request.
+        The Balancer is told that the client has left, so that it takes no further action for the request.
         """
         if request.is_open():
             self._respond(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
