--- a/rainhitch/node/shutdown.py
+++ b/rainhitch/node/shutdown.py
@@ -43,8 +43,8 @@
     kill_s = min(longest_deadline_s, MAX_DEADLINE_WAIT_S) + KILL_AFTER_DEADLINE_S
     reserve_s = max(MIN_RESERVE_S, kill_s / 8)
     all_answered_s = kill_s - reserve_s
-    # Accepting goes on for a little longer than new connections come, so that the last ones are still read
-    # and answered.
+    # Accepting goes on for a third of MIN_RESERVE_S after the last new connections, so that they are still
+    # read and answered.
     late_connections_s = NEW_CONNECTIONS_S + MIN_RESERVE_S / 3
     stop_accepting_s = min(late_connections_s, max(NEW_CONNECTIONS_S, all_answered_s / 2))
     rest_s = all_answered_s - stop_accepting_s
--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -19,7 +19,7 @@
 ) -> None:
     """Connections that sent nothing or an incomplete command were kept open forever.
 
-    Such a client gets an error within the time limit; other clients are served meanwhile.
+    Such a client gets an error within the time limit; other clients are served while it waits.
     """
     monkeypatch.setattr(client_connections, "UNFINISHED_COMMAND_LIMIT_S", 0.3)
     async with router() as bench:
@@ -100,7 +100,7 @@
     Clients may use the descriptors that server connections leave, within the total of both sides.
     """
     async with router(sockets=2) as bench:
-        # no idle connection is closed to make room
+        # Prevents the close of idle connections to make room.
         bench.clients.idle_grace_s = bench.clients.idle_grace_near_cap_s = 3600
         bench.pools.descriptors.shared = 4
         bench.pools.descriptors.reserved_upstream = 0
--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -1,6 +1,6 @@
 """Router processes that are delayed, either stopped by a signal or between the poll and a callback.
 
-Data in their sockets ages meanwhile, and the clients' waits go on. Each delay lasts DELAY_S, each wait
+During a delay, data in their sockets ages and the clients' waits go on. Each delay lasts DELAY_S, each wait
 WAIT_S. A response is in time up to IN_TIME_S, with a wide margin both to a router that counts the delay and
 to one that does not.
 """
@@ -99,7 +99,7 @@
 async def test_processes_a_stopped_router_answers_what_lay_unread_within_its_clients_wait(
     tmp_path: Path, faults: str
 ) -> None:
-    """A router that had been stopped for a moment answered after its clients had disconnected.
+    """A router that had been stopped for DELAY_S answered after its clients had disconnected.
 
     It measured the age of unread requests from when it read them. One of two routers is stopped, too briefly
     for a pause to be detected: each client must be answered within its wait.
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -46,7 +46,8 @@
 class DelayedConnects:
     """Delays the connections that a router opens to a server until `complete_connects` is called.
 
-    A connect that is abandoned meanwhile still completes then. `waiting` lists the delayed connects.
+    A connect that is abandoned while it is delayed still completes in that call. `waiting` lists the delayed
+    connects.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: Peer) -> None:
--- a/tests/node/test_rejected_connection.py
+++ b/tests/node/test_rejected_connection.py
@@ -12,7 +12,7 @@
     The client would then get no response although its command was read.
     """
     async with router(sockets=1) as bench:
-        # no idle connection is closed to make room, however slow the machine
+        # Prevents the close of idle connections to make room, however slow the machine is.
         bench.clients.idle_grace_s = bench.clients.idle_grace_near_cap_s = 3600.0
         await (await bench.caller()).answer_to_ping()
         for n in range(20):
