--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -78,7 +78,7 @@
     ),
     "a restart keeps old connections' attempts": Mutant(
         "node/connection_pool.py",
-        "for connection in [one for one in self.connections if one.opened_at_s < time_s]:",
+        "for connection in [conn for conn in self.connections if conn.opened_at_s < time_s]:",
         "for connection in []:",
     ),
     "an order's window does not end": Mutant(
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -217,8 +217,8 @@
                     self._half_close_idle(client)
         if elapsed_s >= self.schedule.stop_reading_s:
             is_late = elapsed_s >= self.schedule.all_answered_s  # until then, commands may be completed
-            still_open = [one for one in self.connections if one.state is ConnectionState.OPEN]
-            for client in [one for one in still_open if one.responses.slots or is_late]:
+            still_open = [client for client in self.connections if client.state is ConnectionState.OPEN]
+            for client in [client for client in still_open if client.responses.slots or is_late]:
                 client.close_when_answered()
         self.loop.call_later(DRAIN_INTERVAL_S, self._drain_step, started_at_s)
 
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -45,7 +45,7 @@
         """Returns the info list with the client's wait replaced by `wait_ns`, the time the router waits."""
         wait_field = b"d=%d" % max(1, wait_ns // NS_PER_MS)
         fields = self.info.split(b",")
-        return b",".join(wait_field if one.startswith(b"d=") else one for one in fields)
+        return b",".join(wait_field if field.startswith(b"d=") else field for field in fields)
 
 
 def parse_client_request(parts: list[bytes], names: Names) -> ClientRequest:
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -154,7 +154,7 @@
     listed = document.get("peers")
     if not isinstance(listed, list):
         raise EndpointListError(f"peers: expected a list, got {type(listed).__name__}")
-    peers = [read_address(one) for one in listed]
+    peers = [read_address(peer) for peer in listed]
     if len(peers) < 2:
         return None
     own_index = settings_document.get("me")
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -74,7 +74,7 @@
         comes too late.
         """
         now_s = asyncio.get_running_loop().time()
-        for connection in [one for one in reversed(self.idle) if one.idle_since_s <= now_s - REUSE_DELAY_S]:
+        for connection in [conn for conn in reversed(self.idle) if conn.idle_since_s <= now_s - REUSE_DELAY_S]:
             is_young = connection.idle_since_s > now_s - self.host.max_idle_s
             idle_state = connection.idle_state() if is_young else UNUSABLE
             if idle_state is REUSABLE:
@@ -143,7 +143,7 @@
     def close_opened_before(self, time_s: float) -> None:
         """Closes the connections opened before a restart of the server; `time_s` is its loop time."""
         self.known_protocol = 0
-        for connection in [one for one in self.connections if one.opened_at_s < time_s]:
+        for connection in [conn for conn in self.connections if conn.opened_at_s < time_s]:
             exchange = connection.exchange
             was_written = connection.write_progress is WriteProgress.WRITTEN
             connection.exchange = None
@@ -201,7 +201,7 @@
         pool = self.pools.pop(name, None)
         if pool is not None:
             pool.drain()
-            self.draining_pools = [one for one in self.draining_pools if one.connections] + [pool]
+            self.draining_pools = [old for old in self.draining_pools if old.connections] + [pool]
 
     def open_count(self) -> int:
         """Returns the number of connections that are open or being opened."""
@@ -223,7 +223,7 @@
         """Closes the longest idle connection; returns False if no connection is idle."""
         oldest = min(
             (pool.idle[0] for pool in self.pools.values() if pool.idle),
-            key=lambda one: one.idle_since_s,
+            key=lambda connection: connection.idle_since_s,
             default=None,
         )
         if oldest is None:
@@ -241,7 +241,7 @@
         self.sweep_scheduled = False
         before_s = asyncio.get_running_loop().time() - self.max_idle_s
         for pool in self.pools.values():
-            for connection in [one for one in pool.idle if one.idle_since_s < before_s]:
+            for connection in [conn for conn in pool.idle if conn.idle_since_s < before_s]:
                 connection.close()
         if any(pool.idle for pool in self.pools.values()):
             self.schedule_sweep()
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -76,7 +76,7 @@
     def _settle(self) -> None:
         self._settling = False
         # The sort is stable: within each group, events are handled in the order of arrival.
-        self._events = deque(sorted(self._events, key=lambda one: not isinstance(one, FIRST_AFTER_PAUSE)))
+        self._events = deque(sorted(self._events, key=lambda event: not isinstance(event, FIRST_AFTER_PAUSE)))
         self._handle_all()
 
     def _handle_all(self) -> None:
--- a/rainhitch/node/request_accounting.py
+++ b/rainhitch/node/request_accounting.py
@@ -70,7 +70,7 @@
     def _add_bad_record(self, request: InFlightRequest, outcome: str) -> None:
         now = self.clock.now()
         client_request = request.client_request
-        attempts = [str(one) for one in request.finished_attempts]
+        attempts = [str(finished) for finished in request.finished_attempts]
         attempt = request.attempt
         if attempt is not None:
             attempts.append(f"{attempt.server} out for {(now - attempt.started_at_ns) // NS_PER_MS} ms")
--- a/rainhitch/node/resp3_cache_connection.py
+++ b/rainhitch/node/resp3_cache_connection.py
@@ -182,7 +182,7 @@
         if text_of(push.items[0]) != b"invalidate" or not (keys is None or isinstance(keys, list)):
             self.host.unknown_pushes += 1
             return
-        names = None if keys is None else [text for one in keys if (text := text_of(one)) is not None]
+        names = None if keys is None else [text for key in keys if (text := text_of(key)) is not None]
         self.host.key_invalidations.add(self.pool.name, names)
 
     def idle_state(self) -> IdleState:
--- a/rainhitch/node/response_queue.py
+++ b/rainhitch/node/response_queue.py
@@ -121,7 +121,7 @@
             wrote = True
         if wrote and self.transport is not None:
             if self.waiting_bytes:
-                self.waiting_bytes = sum(_held_bytes(one) for one in self.slots)
+                self.waiting_bytes = sum(_held_bytes(slot) for slot in self.slots)
             if ready:
                 self.transport.write(b"".join(ready))
         return wrote
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -238,7 +238,7 @@
         self.stopping = True
         begun_at_s = loop.time()
         schedule = shutdown_schedule(
-            max(one.deadline_ns for one in self.configuration.settings.classes) / NS_PER_S
+            max(request_class.deadline_ns for request_class in self.configuration.settings.classes) / NS_PER_S
         )
         self.clients.schedule = schedule
         self.driver.stop(schedule.all_answered_s)
@@ -360,5 +360,5 @@
     builder = EndpointListBuilder(directory.apply, lambda: directory.version)
     known = configuration.known_list
     rows = known.get("targets") if isinstance(known, dict) else None
-    known_servers = [str(one.get("uid")) for one in rows or () if isinstance(one, dict)]
+    known_servers = [str(row.get("uid")) for row in rows or () if isinstance(row, dict)]
     return EtcdSource(options, builder.publish, configuration.seed, known_servers)
