--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -69,7 +69,7 @@
         self.buffered_bytes = 0  # total bytes that clients have not finished sending or reading
         self.closing = False
         self.draining = False
-        self.sweep_planned = False
+        self.sweep_scheduled = False
         self.schedule = shutdown_schedule(MAX_DEADLINE_WAIT_S)  # a shutdown replaces it from the settings
         self.drain_started_at_s = 0.0
         self.events = ClientEvents(self.loop)
@@ -100,8 +100,8 @@
         self.connections[client] = None
         self.descriptors.clients_open = len(self.connections)
         self.activity.connected(client)
-        if not self.sweep_planned:
-            self.sweep_planned = True
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
             self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         return True
 
@@ -177,8 +177,8 @@
         if len(self.connections) > self.max_open // 2:
             for client in list(self.activity.iter_unused(self.activity.idle, self.idle_grace_s)):
                 self._half_close_idle(client)
-        self.sweep_planned = bool(self.connections)
-        if self.sweep_planned:
+        self.sweep_scheduled = bool(self.connections)
+        if self.sweep_scheduled:
             self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_lost(self, client: ClientConnection) -> None:
