--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -74,7 +74,9 @@
         comes too late.
         """
         now_s = asyncio.get_running_loop().time()
-        for connection in [conn for conn in reversed(self.idle) if conn.idle_since_s <= now_s - REUSE_DELAY_S]:
+        for connection in [
+            conn for conn in reversed(self.idle) if conn.idle_since_s <= now_s - REUSE_DELAY_S
+        ]:
             is_young = connection.idle_since_s > now_s - self.host.max_idle_s
             idle_state = connection.idle_state() if is_young else UNUSABLE
             if idle_state is REUSABLE:
