--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -72,7 +72,7 @@
         bench.cache.lines[0].write(hit(b"at last"))
         answers = [await caller.answer() for _ in range(9)]
         assert answers[0] == b"at last" and answers.count(value) == 3
-        assert [str(one) for one in answers[1:] if one != value] == ["ERR failed"] * 5
+        assert [str(answer) for answer in answers[1:] if answer != value] == ["ERR failed"] * 5
         await wait_until(lambda: bench.clients.buffered_bytes == 0)
 
 
--- a/tests/node/test_client_connections.py
+++ b/tests/node/test_client_connections.py
@@ -62,9 +62,9 @@
         busy.get(name=b"open")
         await wait_until(lambda: bench.cache.received)
         first, second = await bench.caller(), await bench.caller()
-        for n, one in enumerate((first, second)):
-            one.get(name=b"i%d" % n)
-            assert await one.answer() == b"v"
+        for n, client in enumerate((first, second)):
+            client.get(name=b"i%d" % n)
+            assert await client.answer() == b"v"
         late = await bench.caller()
         late.get(name=b"late")
         assert await late.answer() == b"v"
@@ -86,10 +86,10 @@
         busy.get(name=b"open")
         await wait_until(lambda: bench.cache.received)
         others = [await bench.caller() for _ in range(4)]
-        for n, one in enumerate(others):
-            one.get(name=b"i%d" % n)
-            assert await one.answer() == b"v"
-        assert [await one.answer() for one in others[:2]] == [None, None]
+        for n, client in enumerate(others):
+            client.get(name=b"i%d" % n)
+            assert await client.answer() == b"v"
+        assert [await client.answer() for client in others[:2]] == [None, None]
         bench.cache.lines[0].write(hit(b"open"))
         assert await busy.answer() == b"open"
 
@@ -105,9 +105,9 @@
         bench.pools.descriptors.shared = 4
         bench.pools.descriptors.reserved_upstream = 0
         many = [await bench.caller() for _ in range(4)]
-        for one in many:
-            one.send(b"PING")
-            assert await one.answer() == b"PONG"
+        for client in many:
+            client.send(b"PING")
+            assert await client.answer() == b"PONG"
         assert str(await (await bench.caller()).answer()) == "BUSY"
         many[0].get(info=ONCE)  # no descriptor is left for a server connection
         assert str(await many[0].answer()).startswith("BUSY") and not bench.cache.lines
@@ -147,11 +147,11 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
-        (one,) = bench.clients.connections
+        (client,) = bench.clients.connections
         taken = bench.clients.activity.idle.copy()
-        assert list(taken) == [one] and not one.has_unread_bytes()
+        assert list(taken) == [client] and not client.has_unread_bytes()
         caller.get(name=b"i2")
         raw = caller.writer.get_extra_info("socket")
-        assert raw is not None and one.has_unread_bytes()
+        assert raw is not None and client.has_unread_bytes()
         assert not bench.clients.admit(ClientConnection(bench.clients))
         assert await caller.answer() == b"v"
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -84,7 +84,7 @@
         await wait_until(lambda: not bench.driver.requests)
         assert set(servers) == {"c9", "o"} and set(pools.pools) == {"c9", "o"}
         assert servers["c9"].connection.consecutive_failures == 0 and servers["c9"].in_flight == 0
-        assert not any(one.connections for one in pools.draining_pools)
+        assert not any(pool.connections for pool in pools.draining_pools)
 
 
 async def test_nothing_is_in_flight_once_all_is_answered() -> None:
@@ -110,25 +110,25 @@
             and not balancer.origin_admission.reads_in_flight
         )
         await wait_until(
-            lambda: all(len(one.connections) == len(one.idle) for one in bench.pools.pools.values())
+            lambda: all(len(pool.connections) == len(pool.idle) for pool in bench.pools.pools.values())
         )
-        assert not any(one.in_flight for one in balancer.servers.servers.values())
+        assert not any(server.in_flight for server in balancer.servers.servers.values())
         assert bench.driver.request_bytes == 0
 
 
 def test_a_socket_that_is_closed_by_its_peer_is_readable() -> None:
     class FakeTransport:
-        def __init__(self, one: socket.socket) -> None:
-            self.one = one
+        def __init__(self, sock: socket.socket) -> None:
+            self.sock = sock
 
         def get_extra_info(self, _: str) -> socket.socket:
-            return self.one
+            return self.sock
 
-    one, other = socket.socketpair()
-    with one, other:
-        assert not REAL_SYSTEM.readable(FakeTransport(one))  # type: ignore[arg-type]
-        other.shutdown(socket.SHUT_RDWR)
-        assert REAL_SYSTEM.readable(FakeTransport(one))  # type: ignore[arg-type]
+    sock, peer = socket.socketpair()
+    with sock, peer:
+        assert not REAL_SYSTEM.readable(FakeTransport(sock))  # type: ignore[arg-type]
+        peer.shutdown(socket.SHUT_RDWR)
+        assert REAL_SYSTEM.readable(FakeTransport(sock))  # type: ignore[arg-type]
 
 
 async def test_a_silent_connection_costs_one_attempt_and_not_the_request() -> None:
@@ -147,8 +147,8 @@
         ]
 
     async with router(lambda asked, line: None, entries=entries) as bench:
-        for one in bench.driver.balancer.servers.servers.values():
-            one.latency.average_ns = one.latency.unloaded_ns = 1e7
+        for server in bench.driver.balancer.servers.servers.values():
+            server.latency.average_ns = server.latency.unloaded_ns = 1e7
         caller = await bench.caller()
         names = [b"k%d" % n for n in range(40)]
         key_of_c0 = next(
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -45,7 +45,7 @@
 def count_live_objects() -> Counter[str]:
     """Returns the number of live objects of each class in KINDS."""
     gc.collect()
-    return Counter(kind.__name__ for one in gc.get_objects() for kind in KINDS if isinstance(one, kind))
+    return Counter(kind.__name__ for obj in gc.get_objects() for kind in KINDS if isinstance(obj, kind))
 
 
 async def play_churn(bench: Bench, rounds: range) -> None:
@@ -86,7 +86,7 @@
         await play_churn(bench, range(10))
         before = count_live_objects()
         await play_churn(bench, range(10, 70))
-        await wait_until(lambda: all(not one.connections for one in bench.pools.draining_pools))
+        await wait_until(lambda: all(not pool.connections for pool in bench.pools.draining_pools))
         balancer, clients = bench.driver.balancer, bench.clients
         assert len(balancer.servers.servers) == len(bench.pools.pools) == len(bench.directory.targets) == 2
         assert (
@@ -117,9 +117,9 @@
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = full.getsockname()
         queued = [socket.socket() for _ in range(4)]
-        for one in queued:
-            one.setblocking(False)
-            one.connect_ex(address)
+        for client in queued:
+            client.setblocking(False)
+            client.connect_ex(address)
 
         def entries(_: Cache, origin: HttpPeer) -> list[dict[str, Any]]:
             return [entry("c0", f"127.0.0.1:{address[1]}"), entry("o", origin.address, model="origin")]
@@ -137,8 +137,8 @@
                 not bench.pools.pools["c0"].connections
                 and bench.driver.balancer.servers.servers["c0"].in_flight == 0
             )
-        for one in queued:
-            one.close()
+        for client in queued:
+            client.close()
 
 
 async def test_the_router_recovers_from_a_full_descriptor_table(tmp_path: Path) -> None:
@@ -208,12 +208,12 @@
         writer.write(command(b"PING"))
         assert (await asyncio.wait_for(reader.readline(), PATIENCE)).startswith((b"+PONG", b"-LOADING"))
     late = [socket.create_connection(address) for _ in range(150)]  # a burst of clients that send nothing yet
-    for one in late:
-        one.settimeout(PATIENCE)
-    answers = [await asyncio.to_thread(one.recv, 64) for one in late]
+    for client in late:
+        client.settimeout(PATIENCE)
+    answers = [await asyncio.to_thread(client.recv, 64) for client in late]
     assert set(answers) == {b"-BUSY\r\n"}
-    for one in late:
-        one.close()
+    for client in late:
+        client.close()
     for _, writer in kept:
         writer.close()
     running.send_signal(signal.SIGTERM)
--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -52,8 +52,8 @@
     made: list[Router] = []
     drains: list[asyncio.Task[Any]] = []
     try:
-        for one in range(number):
-            folder = tmp_path / str(one)
+        for index in range(number):
+            folder = tmp_path / str(index)
             folder.mkdir()
             env = configuration(folder, known=listing(1, entry("c0", cache.address)))
             env |= {"FAULTS": faults, "PYTHONPATH": str(ROOT)}
@@ -105,7 +105,7 @@
     for a pause to be detected: each client must be answered within its wait.
     """
     async with routers(tmp_path, cache_that_answers_one_key(), 2, faults) as (stopped, other):
-        callers = [await warm(one) for one in (stopped, other)]
+        callers = [await warm(router) for router in (stopped, other)]
         new_caller = await stopped.caller()
         stop = asyncio.create_task(stopped.stop_for())
         await asyncio.sleep(0.02)  # until the process has stopped
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -85,7 +85,7 @@
     caller.get(name=b"i1")
     assert await caller.answer() == b"v"
     assert str(await slow.answer()) == "ERR failed"
-    assert [await one.answer() for one in (caller, slow, late)] == [None] * 3
+    assert [await client.answer() for client in (caller, slow, late)] == [None] * 3
     assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
     assert time.monotonic() - begun >= 0.5
     await drain
@@ -101,7 +101,7 @@
     second = Cache(lambda asked, line: hit(b"second"))
     await cache.start()
     await second.start()
-    c0, c1 = (entry(f"c{n}", one.address, boot_ms=1) for n, one in enumerate((cache, second)))
+    c0, c1 = (entry(f"c{n}", server.address, boot_ms=1) for n, server in enumerate((cache, second)))
     lists = [whole_list(50, c0)], [whole_list(3, {**c0, "state": "Terminating"}, c1)]
     old = HttpPeer(lambda asked, line: lists[0].pop() if lists[0] else None)
     new = HttpPeer(lambda asked, line: lists[1].pop() if lists[1] else None)
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -204,9 +204,9 @@
     async with two_servers(monkeypatch) as (bench, _, connects):
         made = upstream_connection.UpstreamConnection.connection_made
 
-        def made_as_time_is_over(one: upstream_connection.UpstreamConnection, transport: Any) -> None:
-            made(one, transport)
-            bench.pools.pools[one.pool.name]._connect_timed_out(one)
+        def made_as_time_is_over(connection: upstream_connection.UpstreamConnection, transport: Any) -> None:
+            made(connection, transport)
+            bench.pools.pools[connection.pool.name]._connect_timed_out(connection)
 
         monkeypatch.setattr(upstream_connection.UpstreamConnection, "connection_made", made_as_time_is_over)
         caller = await bench.caller()
@@ -290,9 +290,9 @@
     def writing(self) -> list[upstream_connection.UpstreamConnection]:
         """Returns the connections on which a request is partly written."""
         return [
-            one
-            for one in self.bench.pools.pools["c0"].connections
-            if one.write_progress is WriteProgress.PARTLY_WRITTEN
+            connection
+            for connection in self.bench.pools.pools["c0"].connections
+            if connection.write_progress is WriteProgress.PARTLY_WRITTEN
         ]
 
     async def client_with_partly_written_request(self) -> Caller:
@@ -561,8 +561,8 @@
     assert (await asyncio.to_thread(asked.recv, 64)).startswith(b"+PONG")
     idle = [socket.create_connection(address) for _ in range(200)]
     is_rejected = False
-    for one in idle:
-        one.settimeout(PATIENCE)
+    for client in idle:
+        client.settimeout(PATIENCE)
     while not is_rejected:  # until the cap is reached and new clients are rejected
         idle.append(late := socket.create_connection(address))
         late.settimeout(PATIENCE)
@@ -577,8 +577,8 @@
     while not answer.startswith(b"$1"):
         asked.sendall(get(os.urandom(8).hex().encode()))
         answer = await asyncio.to_thread(asked.recv, 64)
-    for one in [asked, *idle]:
-        one.close()
+    for client in [asked, *idle]:
+        client.close()
     running.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
     await drain
@@ -595,8 +595,8 @@
     With a deadline of 0.5 s that was before the end of the 2.2 s for which the router accepted requests.
     """
     configured = info()
-    for one in configured["classes"]:
-        one["aim"], one["deadline"] = 200_000_000, 400_000_000
+    for request_class in configured["classes"]:
+        request_class["aim"], request_class["deadline"] = 200_000_000, 400_000_000
     service = Router(parse_configuration({**CONFIG, "settings": configured}, "x"))
     await service.start()
     ending = asyncio.ensure_future(service.stop())
@@ -621,7 +621,7 @@
     address = service.clients.listener.socket.address
     backlogged: list[socket.socket] = []
 
-    def late(one: Any, data: bytes) -> None:
+    def late(client: Any, data: bytes) -> None:
         backlogged.append(socket.create_connection(address))
         backlogged[0].sendall(command(b"PING"))
         time.sleep(service.clients.schedule.stop_accepting_s)  # until the listener is due to close
@@ -636,8 +636,8 @@
     monkeypatch.undo()
     backlogged[0].settimeout(PATIENCE)
     assert await asyncio.to_thread(backlogged[0].recv, 64)
-    for one in (first, *backlogged):
-        one.close()
+    for client in (first, *backlogged):
+        client.close()
     await ending
 
 
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -172,12 +172,12 @@
         for n, caller in enumerate(callers):
             caller.get(name=b"i%d" % n)
         await wait_until(
-            lambda: sum(one.responses.write_buffer_full for one in bench.clients.connections) == 4
+            lambda: sum(client.responses.write_buffer_full for client in bench.clients.connections) == 4
         )
         await asyncio.sleep(0.2)  # time for all data to arrive that is not held back
         relays = [request.relay for request in bench.driver.requests.values() if request.relay is not None]
-        assert len(relays) == 4 and all(one.source_paused for one in relays)
-        held_bytes = bench.clients.buffered_bytes + sum(len(one.pending) for one in relays)
+        assert len(relays) == 4 and all(relay.source_paused for relay in relays)
+        held_bytes = bench.clients.buffered_bytes + sum(len(relay.pending) for relay in relays)
         assert held_bytes < len(long)  # less than one value, for four clients
         for caller in callers:
             assert await caller.answer() == long
@@ -218,7 +218,7 @@
         first[0].write(hit(b"first"))
         answers = [await caller.answer() for _ in range(3)]
         assert answers[0] == b"first" and VALUE in answers
-        assert sum(isinstance(one, Exception) for one in answers) == 1
+        assert sum(isinstance(answer, Exception) for answer in answers) == 1
 
 
 @pytest.mark.parametrize("size", [resp.MAX_RELAYED_VALUE_BYTES + 1, 3 << 30])
--- a/tests/node/test_router.py
+++ b/tests/node/test_router.py
@@ -38,7 +38,7 @@
         assert await caller.answer() == b"a\r\n\0b"
         name, key, identity, info = bench.cache.received[0]
         assert (name, key, identity) == (b"C.GET", b"key\xff", b"i1")
-        fields = dict(one.split(b"=") for one in info.split(b","))
+        fields = dict(field.split(b"=") for field in info.split(b","))
         assert 4000 < int(fields.pop(b"d")) <= 5000  # the first attempt's time-out, not the client's wait
         assert fields == {b"c": b"read", b"t": b"acme", b"size": b"7"}
 
@@ -446,7 +446,7 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
-        fields = dict(one.split(b"=") for one in bench.cache.received[0][3].split(b","))
+        fields = dict(field.split(b"=") for field in bench.cache.received[0][3].split(b","))
         assert int(fields[b"d"]) <= 8800
 
 
@@ -471,7 +471,7 @@
     """Guards against reference cycles, which kept values of up to 64 KiB until the garbage collector ran."""
 
     def live_requests() -> list[InFlightRequest]:
-        return [one for one in gc.get_objects() if isinstance(one, InFlightRequest)]
+        return [obj for obj in gc.get_objects() if isinstance(obj, InFlightRequest)]
 
     async with router(lambda asked, line: None) as bench:
         caller = await bench.caller()
