--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -171,7 +171,7 @@
     def _start_relay(self, attempt: Attempt, source: RelaySource, size_bytes: int) -> Relay | None:
         """Starts the relay of a long value; returns None if the request no longer needs the value.
 
-        From then on the request has no further attempts, and no time limit except the relay's.
+        Once the relay has started, the request has no further attempts, and no time limit except the relay's.
         """
         request = attempt.request
         if not attempt.is_in_flight() or request.state is not REQUEST_OPEN:
--- a/rainhitch/node/client_connections.py
+++ b/rainhitch/node/client_connections.py
@@ -26,7 +26,7 @@
     from rainhitch.overload.controller import OverloadController
 
 UNREAD_RESPONSES_LIMIT_S = 10.0  # time for which a client may leave responses unread
-UNFINISHED_COMMAND_LIMIT_S = 2.6  # limit on an incomplete command; the first is timed from connect
+UNFINISHED_COMMAND_LIMIT_S = 2.6  # time limit on an incomplete command; the first is timed from connect
 IDLE_GRACE_S = 2.0  # minimum idle time before the sweep closes a connection
 IDLE_GRACE_NEAR_CAP_S = 0.025  # minimum idle time before a connection is closed for a new one
 DRAIN_IDLE_S = 0.05  # time without a request after which a draining connection counts as idle
@@ -168,7 +168,7 @@
         client.half_close(CloseReason.IDLE)
 
     def _sweep(self) -> None:
-        """Ends connections with an overdue command; above half the cap, closes idle ones as `admit` does.
+        """Ends connections with an overdue command; above half the cap, also closes idle ones: see `admit`.
 
         Limits the time of clients that send nothing, half a command, or a byte now and then.
         """
--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -7,7 +7,7 @@
 from rainhitch.node.errors import NodeError
 from rainhitch.settings import Names
 
-PRINTABLE = re.compile(rb"[!-~]+")  # safe in a list of names and values and in an HTTP header
+PRINTABLE = re.compile(rb"[!-~]+")  # characters safe in a list of names and values and in an HTTP header
 MAX_NAME_BYTES = 256  # maximum length of a key, which the policy layer stores, and of an id
 MAX_INFO_BYTES = 1024
 MAX_WAIT_DIGITS = 7  # maximum length of the wait in ms, in digits
--- a/rainhitch/node/deadlines.py
+++ b/rainhitch/node/deadlines.py
@@ -19,7 +19,7 @@
 HOST_DELAY_NS = 150 * NS_PER_MS  # longest delay of the process on a healthy host
 PROTOCOL_SLACK_NS = 50 * NS_PER_MS  # added by the protocol to each of its time limits
 RESPONSE_DELIVERY_NS = 8 * NS_PER_MS  # time for the final response to reach the client
-MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + RESPONSE_DELIVERY_NS  # while delays are detected
+MIN_RESERVE_NS = HOST_DELAY_NS - PROTOCOL_SLACK_NS + RESPONSE_DELIVERY_NS  # minimum while delays are detected
 MAX_RESERVE_NS = 300 * NS_PER_MS
 MAX_RESERVE_DIVISOR = 4  # the reserve is at most this part (1/n) of the remaining wait
 MIN_RECORDED_DELAY_NS = 25 * NS_PER_MS  # shorter event loop delays are ignored
@@ -39,7 +39,7 @@
     """Sets the deadlines of one router, with a reserve for delays of its own process; times are in ns."""
 
     def __init__(self) -> None:
-        self.respond_by_ns = 0  # when all requests must be answered at shutdown; 0 before that
+        self.respond_by_ns = 0  # time by which all requests must be answered at shutdown; 0 before that
         self.longest_delay_ns = 0  # longest of the recorded delays
         self.retained_until_ns = 0
 
--- a/rainhitch/node/descriptors.py
+++ b/rainhitch/node/descriptors.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-RESERVED_UPSTREAM_DESCRIPTORS = 16  # kept free for server connections, until clients can be closed
+RESERVED_UPSTREAM_DESCRIPTORS = 16  # descriptors kept free for server connections until clients can be closed
 
 
 @dataclass(slots=True)
--- a/rainhitch/node/discovery_watch.py
+++ b/rainhitch/node/discovery_watch.py
@@ -172,7 +172,7 @@
             self.start()
 
     def stop(self) -> None:
-        """Stops the watch for good."""
+        """Stops the watch permanently."""
         self.stopped = True
         self._stop_polling()
 
--- a/rainhitch/node/listener.py
+++ b/rainhitch/node/listener.py
@@ -27,7 +27,7 @@
         self.resume_task: asyncio.Task[None] | None = None
         self.draining = False
         self.pauses = 0
-        # Start of the last pause, as long as connections may have been waiting since then; 0: none are.
+        # Start of the last pause, as long as connections may have been waiting since then; 0 if none are.
         self.backlog_since_ns = 0
 
     async def open(self) -> tuple[str, int]:
--- a/rainhitch/node/loop_lag.py
+++ b/rainhitch/node/loop_lag.py
@@ -20,7 +20,7 @@
 NS_PER_S = 1_000_000_000
 SLOW_CALLBACK_NS = 2_000_000  # data that arrives during a longer callback counts as delayed
 HEARTBEAT_NS = NS_PER_S // 40
-HEARTBEAT_TOLERANCE_NS = NS_PER_S // 100  # how late the heartbeat may be without a delay
+HEARTBEAT_TOLERANCE_NS = NS_PER_S // 100  # lateness of the heartbeat that does not count as a delay
 
 
 class LoopLag:
@@ -30,7 +30,7 @@
         self.loop = loop
         self.now = now
         self._on_delay: Callable[[int], None] = lambda delay_ns: None
-        self.ran_at_ns = now()  # when the process was last known to run with no older data unread
+        self.ran_at_ns = now()  # time at which the process was last known to run with no older data unread
         self.heartbeat_due_at_ns = self.ran_at_ns + HEARTBEAT_NS
         self._delay_start_ns: int | None = None  # start of the delay detected in this turn
         self._prior_delay_start_ns: int | None = None  # start of the delay detected in the previous turn
--- a/rainhitch/node/polling.py
+++ b/rainhitch/node/polling.py
@@ -37,7 +37,7 @@
     hold_s: float  # time for which discovery is to hold a watch while nothing changes
     hold_margin_s: float  # time after its hold at which a watch without a response has failed
     timeout_s: float  # time-out of a call for the whole list
-    first_pause_s: float  # after a failed watch, and after the first failed call
+    first_pause_s: float  # pause after a failed watch, and after the first failed call
     max_pause_s: float  # limit of the pause, which doubles with each failure
 
     def max_staleness_s(self) -> float:
--- a/rainhitch/node/relay.py
+++ b/rainhitch/node/relay.py
@@ -69,7 +69,7 @@
         self.taken_bytes = 0  # bytes that the client's side has taken
         self.source_paused = False
         self.head_written = False  # whether the client's side has started to write
-        self.received_at_s = loop.time()  # when data last arrived or the source was last known to be paused
+        self.received_at_s = loop.time()  # time of the last data, or of the last known pause of the source
         self.stall_timer = loop.call_later(STALL_LIMIT_S, self._check_stall)
 
     def feed(self, data: bytes) -> None:
@@ -142,9 +142,8 @@
     def _check_stall(self) -> None:
         """Ends the relay if the source stalls, which frees the client and the descriptors."""
         if self.source_paused:
-            self.received_at_s = (
-                self.loop.time()
-            )  # the source waits for the client, which has a time limit of its own
+            # The source waits for the client, which has a time limit of its own.
+            self.received_at_s = self.loop.time()
         left_s = self.received_at_s + STALL_LIMIT_S - self.loop.time()
         if left_s > 0:
             self.stall_timer = self.loop.call_later(left_s, self._check_stall)
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -41,7 +41,7 @@
 MIN_BUFFER_BYTES = 1 << 20
 GOSSIP_INTERVAL_NS = 200_000_000
 GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
-SPARE_DESCRIPTORS = 24  # for everything except client and server connections
+SPARE_DESCRIPTORS = 24  # descriptors for everything except client and server connections
 # A router's generation is its start time in units of 250 ms since 2020, modulo 2**32.
 GENERATION_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
 GENERATION_UNIT_NS = 250_000_000
--- a/rainhitch/node/shutdown.py
+++ b/rainhitch/node/shutdown.py
@@ -23,7 +23,7 @@
 NEW_CONNECTIONS_S = 0.4  # time for which the platform still routes new connections to a stopping router
 MIN_RESERVE_S = 0.3  # time before SIGKILL for a late event loop; half of it is for the program's exit
 MAX_CLOSE_IDLE_S = 1.0  # limit of close_idle_s, so that a long deadline keeps no idle client waiting
-MAX_STOP_READING_S = 1.6  # limit of stop_reading_s, likewise
+MAX_STOP_READING_S = 1.6  # limit of stop_reading_s, for the same reason
 
 
 @dataclass(frozen=True, slots=True)
--- a/rainhitch/node/unread_age.py
+++ b/rainhitch/node/unread_age.py
@@ -37,7 +37,7 @@
         self.reading_resumed_at_ns = self.system.now()
 
     def age_ns(self, transport: asyncio.Transport, is_first: bool) -> int:
-        """Returns for how long the data just read may have been unread, ns; `is_first`: it is the first."""
+        """Returns how long in ns data just read may have been unread; `is_first`: whether it is the first."""
         now = self.system.now()
         reported_ns = self.system.unread_ms(transport) * NS_PER_MS
         since_resumed_ns = now - self.reading_resumed_at_ns
--- a/rainhitch/node/upstream_socket.py
+++ b/rainhitch/node/upstream_socket.py
@@ -10,7 +10,7 @@
     """Whether an idle connection can carry an attempt."""
 
     REUSABLE = "reusable"
-    BUSY = "busy"  # not at present, but the connection is kept: its unread data may be a push
+    BUSY = "busy"  # the connection is kept but not used now: its unread data may be a push
     UNUSABLE = "unusable"  # the connection must be closed
 
 
