--- a/rainhitch/node/attempt_runner.py
+++ b/rainhitch/node/attempt_runner.py
@@ -36,7 +36,7 @@
         """Starts to relay a long value to the client as it arrives."""
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """Withdraws a request whose client has left."""
+        """Withdraws a request whose client has disconnected."""
 
     def deadline_passed(self, request: InFlightRequest) -> None:
         """Fails a request whose deadline has passed."""
@@ -157,8 +157,8 @@
     def _may_write(self, attempt: Attempt, write_by_ns: int) -> bool:
         """Returns whether the attempt's first byte may be written.
 
-        False for a retry whose window is over, and for a client that left while the attempt waited for a
-        connection, so that the server does no work for it.
+        False for a retry whose window is over, and for a client that disconnected while the attempt waited
+        for a connection, so that the server does no work for it.
         """
         request = attempt.request
         in_time = self.clock.now() < write_by_ns
--- a/rainhitch/node/client_connection.py
+++ b/rainhitch/node/client_connection.py
@@ -43,7 +43,7 @@
     CLOSED = "closed"
 
 
-# Enum member access through the class is slow in Python 3.11; per-request code uses these names instead.
+# Python 3.11 looks up enum members slowly through their class: code that runs per request uses these names.
 CONNECTION_OPEN = ConnectionState.OPEN
 LAST_COMMAND_READ = ConnectionState.LAST_COMMAND_READ
 HALF_CLOSED = ConnectionState.HALF_CLOSED
--- a/rainhitch/node/decision_loop.py
+++ b/rainhitch/node/decision_loop.py
@@ -2,7 +2,7 @@
 
 During a pause this process did not run: it was stopped, swapped out, or did not get a CPU core. After a pause
 timers fire before the sockets are read, so that the Balancer would start attempts for clients that have
-already left. So events are deferred for PAUSE_SETTLE_NS, during which the sockets are read.
+already disconnected. So events are deferred for PAUSE_SETTLE_NS, during which the sockets are read.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-# Events handled first after a pause: departed clients, finished attempts, and changes of the endpoint list.
+# Events handled first after a pause: disconnected clients, finished attempts, endpoint list changes.
 FIRST_AFTER_PAUSE = (api.ClientGone, api.AttemptFinished, api.EndpointUpdate)
 log = logging.getLogger("rainhitch")
 
--- a/rainhitch/node/in_flight_request.py
+++ b/rainhitch/node/in_flight_request.py
@@ -2,12 +2,12 @@
 
 Life cycle of a request:
 
-    OPEN --final response sent, or its client has left--> FINISHED
+    OPEN --final response sent, or its client has disconnected--> FINISHED
      |
      '--a long value begins to arrive--> RELAYING --relay over--> FINISHED
 
 A request stays in the driver's table until it is FINISHED and has no attempt in flight: an attempt whose
-client has left runs on, so that its connection can be reused.
+client has disconnected runs on, so that its connection can be reused.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
         """Encodes a RESP3 value in the client's protocol version."""
 
     def has_disconnected(self) -> bool:
-        """Returns whether the client has left, even if the end of its stream has not been read yet."""
+        """Returns whether the client has disconnected, even if the end of its stream is not read yet."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/rainhitch/node/origin_connection.py
+++ b/rainhitch/node/origin_connection.py
@@ -48,7 +48,7 @@
         if self.http.response.long_body_bytes:
             self._feed_relay(self.http.response.long_body_bytes)
             if self.relay is None:
-                return  # the value is not needed, or its client has left: this connection is closed
+                return  # value not needed, or its client has disconnected: the connection is closed
         if response is not None:
             result = result_of_response(response)
             if result is None:
--- a/rainhitch/node/request_driver.py
+++ b/rainhitch/node/request_driver.py
@@ -120,7 +120,7 @@
         return request
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """Withdraws a request whose client left; a fully written attempt runs on to keep its connection."""
+        """Withdraws a disconnected client's request; a fully written attempt runs on for connection reuse."""
         if not request.is_open():
             return
         self._mark_finished(request)
@@ -156,7 +156,7 @@
     def _fail_request(self, request: InFlightRequest) -> None:
         """Fails a request that the Balancer lost, could not decide on, or left open at the end of a shutdown.
 
-        The Balancer is told that the client has left, so that it takes no further action for the request.
+        The Balancer is told that the client has disconnected, so that it takes no further action.
         """
         if request.is_open():
             self._respond(request, resp.FAILED_REPLY, self.metrics.failed, OVERDUE)
--- a/rainhitch/node/upstream_connection.py
+++ b/rainhitch/node/upstream_connection.py
@@ -122,8 +122,8 @@
         assert self.exchange is not None and self.transport is not None
         info = self.info(self.exchange)
         # While the connection was established, or the process was delayed, the server may have begun to
-        # drain, the client may have left, and the window in which a retry is safe may have ended. Checked
-        # after the last reading of the clock, right before the write.
+        # drain, the client may have disconnected, and the window in which a retry is safe may have ended.
+        # Checked after the last reading of the clock, right before the write.
         if self.pool.draining or not self.exchange.may_write():
             self.finish(AttemptResult(AttemptStatus.ABANDONED))
             return
--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -75,7 +75,7 @@
 
 
 def cache_that_answers_one_key() -> Cache:
-    """Returns a cache server that answers requests for one key and none for all others."""
+    """Returns a cache server that answers requests for one key only."""
     return Cache(lambda asked, line: hit() if asked[1] == b"warm" else None)
 
 
