--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -77,16 +77,16 @@
 
 @asynccontextmanager
 async def two_servers(
-    monkeypatch: pytest.MonkeyPatch, dial: int = 10_000_000_000
+    monkeypatch: pytest.MonkeyPatch, connect_timeout_ns: int = 10_000_000_000
 ) -> AsyncIterator[tuple[Bench, Cache, DelayedConnects]]:
     """Runs a router with one listed cache server, with delayed connects, and another server not yet listed.
 
-    `dial` is the connect timeout in ns.
+    `connect_timeout_ns` limits the time of a connect.
     """
     second = Cache(lambda asked, line: hit(b"second"))
     await second.start()
     try:
-        async with router(dialTimeout=dial) as bench:
+        async with router(dialTimeout=connect_timeout_ns) as bench:
             yield bench, second, DelayedConnects(monkeypatch, bench.cache)
     finally:
         monkeypatch.undo()
@@ -181,7 +181,7 @@
 async def test_a_connect_given_up_in_the_turn_in_which_it_comes_up_carries_nothing_and_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with two_servers(monkeypatch, dial=1_000_000) as (bench, _, connects):
+    async with two_servers(monkeypatch, connect_timeout_ns=1_000_000) as (bench, _, connects):
         caller = await bench.caller()
         caller.get()
         assert str(await caller.answer()) == "BUSY"  # the connect timed out, and no other server is listed
