--- a/rainhitch/node/client_request.py
+++ b/rainhitch/node/client_request.py
@@ -7,7 +7,7 @@
 from rainhitch.node.errors import NodeError
 from rainhitch.settings import Names
 
-PRINTABLE = re.compile(rb"[!-~]+")  # safe in a list of names and values and in an HTTP header
+PRINTABLE = re.compile(rb"[!-~]+")  # characters safe in a list of names and values and in an HTTP header
 MAX_NAME_BYTES = 256  # maximum length of a key, which the policy layer stores, and of an id
 MAX_INFO_BYTES = 1024
 MAX_WAIT_DIGITS = 7  # maximum length of the wait in ms, in digits
@@ -34,7 +34,7 @@
     wait_ms: int  # from when the client sent the command; ClientCommands subtracts unread_ms
     is_client_retry: bool
     idempotency_key: str = ""
-    unread_ms: int = 0  # for how long the command may have been in the socket before it was read
+    unread_ms: int = 0  # longest time the command may have been in the socket before it was read
     connection_id: int = 0  # id of the client's connection
 
     def size_bytes(self) -> int:
@@ -45,7 +45,7 @@
         """Returns the info list with the client's wait replaced by `wait_ns`, the time the router waits."""
         wait_field = b"d=%d" % max(1, wait_ns // NS_PER_MS)
         fields = self.info.split(b",")
-        return b",".join(wait_field if one.startswith(b"d=") else one for one in fields)
+        return b",".join(wait_field if field.startswith(b"d=") else field for field in fields)
 
 
 def parse_client_request(parts: list[bytes], names: Names) -> ClientRequest:
--- a/rainhitch/node/configuration.py
+++ b/rainhitch/node/configuration.py
@@ -27,8 +27,9 @@
 if TYPE_CHECKING:
     from rainhitch.operator_config import OperatorConfig
 
-# Same value as in operator_config.py, which is imported only if the file exists, because it takes memory.
-DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # in the current directory; RAINHITCH_OPERATOR overrides it
+# The environment variable RAINHITCH_OPERATOR overrides this path. operator_config.py has the same value; it
+# is imported only if the file exists, because it takes memory.
+DEFAULT_OPERATOR_FILE = "deploy/operator.toml"  # relative to the current directory
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 192
@@ -153,7 +154,7 @@
     listed = document.get("peers")
     if not isinstance(listed, list):
         raise EndpointListError(f"peers: expected a list, got {type(listed).__name__}")
-    peers = [read_address(one) for one in listed]
+    peers = [read_address(peer) for peer in listed]
     if len(peers) < 2:
         return None
     own_index = settings_document.get("me")
--- a/rainhitch/node/connection_pool.py
+++ b/rainhitch/node/connection_pool.py
@@ -17,14 +17,14 @@
 
 NS_PER_S = 1_000_000_000
 MAX_IDLE_S = 10.0  # idle time after which a connection is surplus
-MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # of the server's keepalive, so that the router closes first
+MAX_IDLE_KEEPALIVE_FRACTION = 0.8  # the router closes first: after this part of the server's keepalive
 REUSE_DELAY_S = 0.005  # time after a response for unexpected further data to arrive
 SWEEP_INTERVAL_S = 1.0
-# Above this fraction of the limit an idle server connection is closed to admit a client. Two integers, so
-# that the fraction is exact.
+# An idle server connection is closed to admit a client only while more than this fraction of the limit is
+# open. Two integers make the fraction exact.
 SURPLUS_NUMERATOR = 2
 SURPLUS_DENOMINATOR = 3
-# A connect that fails with one of these is no fault of the server: the router itself lacks resources.
+# A connect that fails with one of these is not the server's fault: the router itself lacks resources.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
@@ -44,7 +44,7 @@
         self.make_connection = make_connection
         self.known_protocol = 0  # RESP version that the server process is known to speak; 0 if unknown
         self.idle: list[UpstreamConnection] = []  # longest idle first
-        self.connections: dict[UpstreamConnection, None] = {}  # in opening order
+        self.connections: dict[UpstreamConnection, None] = {}  # ordered by opening time
         self.draining = False
 
     def start(self, exchange: Exchange) -> UpstreamConnection | None:
@@ -74,7 +74,9 @@
         comes too late.
         """
         now_s = asyncio.get_running_loop().time()
-        for connection in [one for one in reversed(self.idle) if one.idle_since_s <= now_s - REUSE_DELAY_S]:
+        for connection in [
+            conn for conn in reversed(self.idle) if conn.idle_since_s <= now_s - REUSE_DELAY_S
+        ]:
             is_young = connection.idle_since_s > now_s - self.host.max_idle_s
             idle_state = connection.idle_state() if is_young else UNUSABLE
             if idle_state is REUSABLE:
@@ -143,7 +145,7 @@
     def close_opened_before(self, time_s: float) -> None:
         """Closes the connections opened before a restart of the server; `time_s` is its loop time."""
         self.known_protocol = 0
-        for connection in [one for one in self.connections if one.opened_at_s < time_s]:
+        for connection in [conn for conn in self.connections if conn.opened_at_s < time_s]:
             exchange = connection.exchange
             was_written = connection.write_progress is WriteProgress.WRITTEN
             connection.exchange = None
@@ -201,14 +203,14 @@
         pool = self.pools.pop(name, None)
         if pool is not None:
             pool.drain()
-            self.draining_pools = [one for one in self.draining_pools if one.connections] + [pool]
+            self.draining_pools = [old for old in self.draining_pools if old.connections] + [pool]
 
     def open_count(self) -> int:
         """Returns the number of connections that are open or being opened."""
         return self.descriptors.upstream_open
 
     def make_room(self) -> bool:
-        """Returns whether one more connection may be opened, for which the longest idle one may be closed."""
+        """Returns whether a connection may be opened; at the limit, closes the longest idle one for it."""
         return self.open_count() < self.descriptors.max_upstream(self.max_open) or self.close_oldest()
 
     def close_surplus(self) -> bool:
@@ -223,7 +225,7 @@
         """Closes the longest idle connection; returns False if no connection is idle."""
         oldest = min(
             (pool.idle[0] for pool in self.pools.values() if pool.idle),
-            key=lambda one: one.idle_since_s,
+            key=lambda connection: connection.idle_since_s,
             default=None,
         )
         if oldest is None:
@@ -241,7 +243,7 @@
         self.sweep_scheduled = False
         before_s = asyncio.get_running_loop().time() - self.max_idle_s
         for pool in self.pools.values():
-            for connection in [one for one in pool.idle if one.idle_since_s < before_s]:
+            for connection in [conn for conn in pool.idle if conn.idle_since_s < before_s]:
                 connection.close()
         if any(pool.idle for pool in self.pools.values()):
             self.schedule_sweep()
--- a/rainhitch/node/router.py
+++ b/rainhitch/node/router.py
@@ -41,7 +41,7 @@
 MIN_BUFFER_BYTES = 1 << 20
 GOSSIP_INTERVAL_NS = 200_000_000
 GOSSIP_JITTER = (0.75, 1.25)  # bounds of the factor on each interval
-SPARE_DESCRIPTORS = 24  # for everything except client and server connections
+SPARE_DESCRIPTORS = 24  # descriptors for everything except client and server connections
 # A router's generation is its start time in units of 250 ms since 2020, modulo 2**32.
 GENERATION_EPOCH_UNIX_NS = 1_577_836_800 * NS_PER_S
 GENERATION_UNIT_NS = 250_000_000
@@ -238,7 +238,7 @@
         self.stopping = True
         begun_at_s = loop.time()
         schedule = shutdown_schedule(
-            max(one.deadline_ns for one in self.configuration.settings.classes) / NS_PER_S
+            max(request_class.deadline_ns for request_class in self.configuration.settings.classes) / NS_PER_S
         )
         self.clients.schedule = schedule
         self.driver.stop(schedule.all_answered_s)
@@ -360,5 +360,5 @@
     builder = EndpointListBuilder(directory.apply, lambda: directory.version)
     known = configuration.known_list
     rows = known.get("targets") if isinstance(known, dict) else None
-    known_servers = [str(one.get("uid")) for one in rows or () if isinstance(one, dict)]
+    known_servers = [str(row.get("uid")) for row in rows or () if isinstance(row, dict)]
     return EtcdSource(options, builder.publish, configuration.seed, known_servers)
--- a/rainhitch/node/shutdown.py
+++ b/rainhitch/node/shutdown.py
@@ -23,7 +23,7 @@
 NEW_CONNECTIONS_S = 0.4  # time for which the platform still routes new connections to a stopping router
 MIN_RESERVE_S = 0.3  # time before SIGKILL for a late event loop; half of it is for the program's exit
 MAX_CLOSE_IDLE_S = 1.0  # limit of close_idle_s, so that a long deadline keeps no idle client waiting
-MAX_STOP_READING_S = 1.6  # limit of stop_reading_s, likewise
+MAX_STOP_READING_S = 1.6  # limit of stop_reading_s, for the same reason
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,8 +43,8 @@
     kill_s = min(longest_deadline_s, MAX_DEADLINE_WAIT_S) + KILL_AFTER_DEADLINE_S
     reserve_s = max(MIN_RESERVE_S, kill_s / 8)
     all_answered_s = kill_s - reserve_s
-    # Accepting goes on for a little longer than new connections come, so that the last ones are still read
-    # and answered.
+    # Accepting goes on for a third of MIN_RESERVE_S after the last new connections, so that they are still
+    # read and answered.
     late_connections_s = NEW_CONNECTIONS_S + MIN_RESERVE_S / 3
     stop_accepting_s = min(late_connections_s, max(NEW_CONNECTIONS_S, all_answered_s / 2))
     rest_s = all_answered_s - stop_accepting_s
--- a/tests/node/test_process_delays.py
+++ b/tests/node/test_process_delays.py
@@ -1,6 +1,6 @@
 """Router processes that are delayed, either stopped by a signal or between the poll and a callback.
 
-Data in their sockets ages meanwhile, and the clients' waits go on. Each delay lasts DELAY_S, each wait
+During a delay, data in their sockets ages and the clients' waits go on. Each delay lasts DELAY_S, each wait
 WAIT_S. A response is in time up to IN_TIME_S, with a wide margin both to a router that counts the delay and
 to one that does not.
 """
@@ -52,8 +52,8 @@
     made: list[Router] = []
     drains: list[asyncio.Task[Any]] = []
     try:
-        for one in range(number):
-            folder = tmp_path / str(one)
+        for index in range(number):
+            folder = tmp_path / str(index)
             folder.mkdir()
             env = configuration(folder, known=listing(1, entry("c0", cache.address)))
             env |= {"FAULTS": faults, "PYTHONPATH": str(ROOT)}
@@ -75,7 +75,7 @@
 
 
 def cache_that_answers_one_key() -> Cache:
-    """Returns a cache server that answers requests for one key and none for all others."""
+    """Returns a cache server that answers requests for one key only."""
     return Cache(lambda asked, line: hit() if asked[1] == b"warm" else None)
 
 
@@ -99,13 +99,13 @@
 async def test_processes_a_stopped_router_answers_what_lay_unread_within_its_clients_wait(
     tmp_path: Path, faults: str
 ) -> None:
-    """A router that had been stopped for a moment answered after its clients had disconnected.
+    """A router that had been stopped for DELAY_S answered after its clients had disconnected.
 
     It measured the age of unread requests from when it read them. One of two routers is stopped, too briefly
     for a pause to be detected: each client must be answered within its wait.
     """
     async with routers(tmp_path, cache_that_answers_one_key(), 2, faults) as (stopped, other):
-        callers = [await warm(one) for one in (stopped, other)]
+        callers = [await warm(router) for router in (stopped, other)]
         new_caller = await stopped.caller()
         stop = asyncio.create_task(stopped.stop_for())
         await asyncio.sleep(0.02)  # until the process has stopped
