--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -5,9 +5,8 @@
 Servers, requests and keys are opaque strings; classes, tenants, zones, cells and kinds are indexes.
 
 Four rules: (1) each request gets exactly one final answer by its deadline, with one attempt at a time;
-(2) an attempt that may have been executed is repeated only where a second execution does no harm; (3) a
-draining server gets no new requests; (4) neither a server in slow start nor the origin gets more load than it
-can handle.
+(2) a possibly executed attempt is repeated only where a second execution does no harm; (3) a draining server
+gets no new requests; (4) neither a server in slow start nor the origin gets more load than it can handle.
 """
 
 from dataclasses import dataclass, field
@@ -15,8 +14,7 @@
 from typing import Protocol
 
 Address = tuple[str, int]  # host, port
-# Reads that migrate keys to another server, as a fraction of all other requests to the origin.
-DEFAULT_MIGRATION_FRACTION = 0.25
+DEFAULT_MIGRATION_FRACTION = 0.25  # reads that migrate keys, as a fraction of all other origin requests
 
 
 class Idempotency(StrEnum):
@@ -57,28 +55,19 @@
 class RejectReason(StrEnum):
     """The decision that ended a request unserved, by `Reject` or `Fail`, or that prevented an attempt.
 
-    The values are written to records. If a waiting request runs out of time, its reason names what it waited
-    for.
+    The values are written to records. For a request that ran out of time the value names what it waited for.
     """
 
     # Decided on arrival:
-
-    # Rejected during a retry storm, as excess load or as too late; or, at any time, the limit of idempotency
-    # keys is reached.
-    OVERLOAD_CONTROL = "storm"
-    # An earlier request with the same idempotency key did not end in time, or may have been executed.
-    IDEMPOTENCY_KEY = "order"
+    OVERLOAD_CONTROL = "storm"  # excess or late in a retry storm; at any time: too many idempotency keys
+    IDEMPOTENCY_KEY = "order"  # the key's earlier request did not end in time, or may have been executed
 
     # Decided at admission to the origin:
-
-    # The origin's throttle is on, and no token comes within the latency objective, or the request is over its
-    # tenant's quota.
-    NO_TOKEN = "throttle"
+    NO_TOKEN = "throttle"  # throttle on, and: no token within the latency objective, or tenant over quota
     WAIT_FOR_TOKEN = "buffer"  # waited for a token until the end of the latency objective
     READ_OF_ANOTHER_REQUEST = "fetch"  # waited that long for another request's read of the same key
 
     # Decided before an attempt:
-
     NO_SERVER_WITH_CAPACITY = "placement"  # no cache server that may hold the key has capacity
     ORIGIN_UNAVAILABLE = "origin"  # the origin is not listed, has no capacity, or failed the request
     NO_MORE_ATTEMPTS = "attempts"  # max_attempts reached, too little time left, or a repeat might do harm
@@ -86,8 +75,7 @@
     RETRY_BUDGET = "budget"  # the retry budget is used up
 
     # Decided after a failed attempt:
-
-    OBJECTIVE_PASSED = "late"  # the latency objective has passed, and a later answer is worth nothing
+    OBJECTIVE_PASSED = "late"  # the latency objective has passed, and a later answer has no value
     CACHE_FAILED = "error"  # a cache that reads the origin itself failed to read it
     SERVER_FULL = "full"  # a second server was full, or the first one for a request over its tenant's quota
     NO_LOCAL_CONNECTION = "room"  # this router has reached its own limit of connections
@@ -118,9 +106,6 @@
     FAILED = "failed"  # no entries: the list could not be read
 
 
-# Settings
-
-
 @dataclass(slots=True)
 class RequestClass:
     """A class of requests."""
@@ -128,8 +113,7 @@
     latency_objective_ns: int  # after the request's arrival; an answer within it has its full value
     deadline_ns: int  # after the request's arrival; no answer is given later
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    # Servers that recognize a repeat by its idempotency key: "all", or those of the same "zone" or "cell".
-    dedup_scope: str = "all"
+    dedup_scope: str = "all"  # servers that recognize a repeat: "all", or those of the same "zone" or "cell"
     dedup_window_ns: int = 0  # how long after the first attempt servers recognize a repeat
     priority_weight: float = 1.0  # value of an answer within the objective; not used in decisions
     late_weight: float = 0.0  # value of a later answer, as a fraction of `priority_weight`
@@ -207,24 +191,21 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A server's report of its own load, delayed and noisy; a field that it does not report is negative.
-
-    Decisions use `in_flight`, `latency_ms` and `served_per_s` only.
-    """
+    """A server's report of its own load, delayed and noisy; a field that it does not report is negative."""
 
     in_flight: float = -1.0  # requests received and not answered yet
-    queued: float = -1.0  # requests waiting in the server's queue
-    utilization: float = -1.0  # fraction of the cores in use
+    queued: float = -1.0  # requests waiting in the server's queue; not used in decisions
+    utilization: float = -1.0  # fraction of the cores in use; not used in decisions
     latency_ms: float = -1.0  # recent service time, without time in the queue
     served_per_s: float = -1.0  # requests per second
-    errors_per_s: float = -1.0
+    errors_per_s: float = -1.0  # not used in decisions
 
 
 @dataclass(slots=True)
 class AttemptFinished:
     """The end of an attempt."""
 
-    id: str  # of the request
+    id: str  # id of the request
     attempt: int  # number of the attempt within its request, from 0
     server: str
     status: AttemptStatus
@@ -269,7 +250,7 @@
 class ClientGone:
     """The disconnection of a client, whose request needs no answer any more."""
 
-    id: str  # of the request
+    id: str  # id of the request
 
 
 @dataclass(slots=True)
@@ -307,11 +288,10 @@
 class StartAttempt:
     """Send a request to a server once."""
 
-    id: str  # of the request
+    id: str  # id of the request
     server: str
     timeout_ns: int = 0  # 0: no timeout; the attempt runs until the client gives up
-    # The request is written completely within this time or not at all, because a repeat after that may do
-    # harm; 0: no such limit.
+    # The request is written within this time or not at all, as a later repeat may do harm; 0: no limit.
     write_within_ns: int = 0
 
 
@@ -319,7 +299,7 @@
 class CancelAttempt:
     """End an attempt, if it is in flight, as if its timeout had expired."""
 
-    id: str  # of the request
+    id: str  # id of the request
     attempt: int
 
 
@@ -327,7 +307,7 @@
 class Reject:
     """Final answer: not served, and sending the request again does no harm."""
 
-    id: str  # of the request
+    id: str  # id of the request
     retry_after_ns: int = 0  # after which the client should retry; 0: the client is not told
     # Value of a RejectReason, for records; a "+" after it marks a request over its tenant's quota.
     reason: str = field(default="", compare=False)
@@ -337,7 +317,7 @@
 class Fail:
     """Final answer: failed, and possibly executed."""
 
-    id: str  # of the request
+    id: str  # id of the request
     reason: str = field(default="", compare=False)  # as in Reject
 
 
@@ -371,9 +351,6 @@
 Action = StartAttempt | CancelAttempt | Reject | Fail | SetTimer | WatchEndpoints | LogLine | PublishGossip
 
 
-# Overload control
-
-
 class AdmissionDecision(Enum):
     """The decision on a request that has just arrived."""
 
@@ -397,10 +374,7 @@
         """
 
     def take_retry_budget(self, now_ns: int, is_retry: bool) -> bool:
-        """Takes an attempt from the retry budget; returns whether the budget allows it.
-
-        `is_retry`: an earlier attempt of the request failed.
-        """
+        """Returns whether the retry budget allows an attempt, and takes it; `is_retry`: one failed before."""
 
     def attempt_started(
         self, now_ns: int, request_id: str, number: int, endpoint: Endpoint, dedup_window_ns: int
