--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -141,8 +141,7 @@
 class FailureDetector:
     """Failure detector of one router, with its view of the others.
 
-    `own_index` is the number of this router among `routers`. `generation` is 1 to `MAX_GENERATION` and
-    higher after each start. Times are in ns.
+    `own_index` is this router's number among `routers`; `generation` (1 to `MAX_GENERATION`) rises at a start.
     """
 
     def __init__(self, own_index: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
@@ -230,12 +229,9 @@
         return Datagram(target, self._encode(MessageKind.PING, self.sequence, target, receiver=target))
 
     def _ping_timed_out(self, now_ns: int, sequence: int, ping: PendingPing) -> list[Datagram]:
-        """Requests indirect pings; once those have timed out, drops the ping and suspects its target.
-
-        A ping that was sent for another router is dropped at its first time-out.
-        """
+        """Requests indirect pings; once those have timed out, drops the ping and suspects its target."""
         if ping.indirect_requested or ping.requester is not None:
-            del self.pings[sequence]
+            del self.pings[sequence]  # at its first time-out, if it was sent for another router
             record = self.records[ping.target]
             if ping.requester is None and record.state is RouterState.ALIVE:
                 self._change_health_score(1)
@@ -246,10 +242,8 @@
         ping.indirect_requested = True
         ping.deadline_ns = now_ns + INDIRECT_TIMEOUT_FACTOR * self._ping_timeout_ns()
         others = [router for router in self.live_routers() if router not in (self.own_index, ping.target)]
-        proxies = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
-        return [
-            Datagram(proxy, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for proxy in proxies
-        ]
+        peers = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
+        return [Datagram(peer, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for peer in peers]
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
         """Handles another router's message; returns the messages to send in answer.
@@ -257,13 +251,9 @@
         Raises FailureDetectorError if the message cannot be read; updates before the faulty one are applied.
         """
         if len(data) < HEADER.size or (len(data) - HEADER.size) % UPDATE.size:
-            raise FailureDetectorError(
-                f"expected {HEADER.size} bytes and {UPDATE.size} for each update, got {len(data)} bytes"
-            )
+            raise FailureDetectorError(f"expected {HEADER.size} + n * {UPDATE.size} bytes, got {len(data)}")
         if not 0 <= sender < self.routers or sender == self.own_index:
-            raise FailureDetectorError(
-                f"expected a message from another of {self.routers} routers, got router {sender}"
-            )
+            raise FailureDetectorError(f"expected another of {self.routers} routers as sender, got {sender}")
         kind, sequence, subject = HEADER.unpack_from(data)
         if kind not in (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ) or subject >= self.routers:
             raise FailureDetectorError(
@@ -314,14 +304,10 @@
             self._refute(generation, incarnation)
             return
         if precedence < self.records[self.own_index].precedence:
-            # The sender has not received the last update on this router.
-            self.update_queue.enqueue(self.own_index)
+            self.update_queue.enqueue(self.own_index)  # the sender lacks the last update on this router
 
     def _refute(self, generation: int, incarnation: int) -> None:
-        """Takes a higher incarnation than an update on this router has, or a higher generation.
-
-        Refutes updates that call this running router suspect or dead, and updates on its earlier generation.
-        """
+        """Refutes an update on this router (suspect, dead or earlier process) by a higher precedence."""
         record = self.records[self.own_index]
         incarnations_exhausted = incarnation == MAX_INCARNATION
         if incarnations_exhausted or generation > record.generation:
--- a/rainhitch/policy/balancer.py
+++ b/rainhitch/policy/balancer.py
@@ -39,10 +39,7 @@
     def __init__(
         self, settings: api.Settings, seed: int, overload_control: api.OverloadControl | None = None
     ) -> None:
-        """Initializes all decision modules.
-
-        `seed` is the seed of all random numbers. Without `overload_control` every request is admitted.
-        """
+        """Initializes all modules; `seed`: of all random numbers; no `overload_control`: all is admitted."""
         self.settings = settings
         self.overload_control = overload_control or NoOverloadControl(settings)
         self.requests: dict[str, PendingRequest] = {}  # requests without a final answer yet, by id
@@ -182,18 +179,14 @@
     def _finish_unserved(
         self, pending: PendingRequest | None, reason: api.RejectReason | None = None
     ) -> None:
-        """Rejects a request if sending it again does no harm, else fails it.
-
-        Timers call it without a reason when the request runs out of time. The answer's reason is then what
-        the request was waiting for.
-        """
+        """Rejects a request if sending it again does no harm, else fails it; no `reason`: out of time."""
         if (
             pending is None
             or self.requests.get(pending.request.id) is not pending
             or pending.state is IN_FLIGHT
         ):
             return  # the request has ended in the meantime, or the end of its attempt will decide
-        if reason is not None:
+        if reason is not None:  # else the answer names what the request was waiting for
             pending.reason = reason
         if pending.state is QUEUED:
             pending.inherit_attempts(self.overload_control)
