--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -205,7 +205,7 @@
         suspicion_ns = SUSPICION_PERIODS * self.log_fleet_size * PERIOD_NS * health_factor // 2
         for router, record in enumerate(self.records):
             if record.state is RouterState.SUSPECT and now_ns - record.state_since_ns >= suspicion_ns:
-                self._set_record(now_ns, router, record.generation, record.incarnation, RouterState.DEAD)
+                self._store(now_ns, router, record.generation, record.incarnation, RouterState.DEAD)
 
     def _change_health_score(self, by: int) -> None:
         self.local_health_score = min(MAX_HEALTH_SCORE, max(0, self.local_health_score + by))
@@ -235,9 +235,7 @@
             record = self.records[ping.target]
             if ping.requester is None and record.state is RouterState.ALIVE:
                 self._change_health_score(1)
-                self._set_record(
-                    now_ns, ping.target, record.generation, record.incarnation, RouterState.SUSPECT
-                )
+                self._store(now_ns, ping.target, record.generation, record.incarnation, RouterState.SUSPECT)
             return []
         ping.indirect_requested = True
         ping.deadline_ns = now_ns + INDIRECT_TIMEOUT_FACTOR * self._ping_timeout_ns()
@@ -298,7 +296,7 @@
         precedence = (generation, incarnation, state)
         if router != self.own_index:
             if precedence > self.records[router].precedence:
-                self._set_record(now_ns, router, generation, incarnation, state)
+                self._store(now_ns, router, generation, incarnation, state)
             return
         if precedence > self.records[self.own_index].precedence:
             self._refute(generation, incarnation)
@@ -319,9 +317,7 @@
         self.update_queue.enqueue(self.own_index)
         self._change_health_score(1)
 
-    def _set_record(
-        self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState
-    ) -> None:
+    def _store(self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState) -> None:
         was_dead = self.records[router].state is RouterState.DEAD
         is_dead = state is RouterState.DEAD
         if was_dead != is_dead:
