--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -141,7 +141,7 @@
 class FailureDetector:
     """Failure detector of one router, with its view of the others.
 
-    `own_index` is this router's number among `routers`; `generation` (1 to `MAX_GENERATION`) rises at a start.
+    `own_index` is this router's number among `routers`; `generation`, 1 to `MAX_GENERATION`, rises per start.
     """
 
     def __init__(self, own_index: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -119,10 +119,7 @@
         return self.accept_pacer.pause_after_accept_ns(now_ns) if self.options.damping else 0
 
     def connection_rejected(self, now_ns: int) -> int:
-        """Counts a connection rejected because the router has too many.
-
-        Returns the client's Retry-After time, ns; 0 if none may be given.
-        """
+        """Counts a connection over the router's limit; returns its Retry-After time, ns, or 0 for none."""
         self.detector.current.connections_rejected += 1
         return self.retry_after.assign_ns(now_ns, self.service.returns_per_s()) if self.options.damping else 0
 
@@ -244,8 +241,8 @@
         """Returns the Retry-After time of a rejected request, ns; 0 if none may be given.
 
         A first attempt within its tenant's quota is given a time after which it can still be answered within
-        its latency objective, since a later answer is worth little. Any other request is given a time after
-        which it can still be answered by its deadline.
+        its latency objective, since a later answer has only its `late_weight` as value to the client. Any
+        other request is given a time after which it can still be answered by its deadline.
         """
         tracked = self.requests.get(request.id)
         answer_by_ns = request.deadline_ns
--- a/rainhitch/policy/attempt_timeout.py
+++ b/rainhitch/policy/attempt_timeout.py
@@ -6,7 +6,7 @@
 from rainhitch.policy.server import Server
 from rainhitch.policy.server_registry import ServerRegistry
 
-MIN_TIMEOUT_DIVISOR = 4  # the latency objective divided by it is the shortest timeout of a first attempt
+MIN_TIMEOUT_DIVISOR = 4  # the shortest timeout of a first attempt is the latency objective divided by this
 
 
 def attempt_timeout_ns(pending: PendingRequest, server: Server, servers: ServerRegistry, now_ns: int) -> int:
--- a/rainhitch/policy/connection_health.py
+++ b/rainhitch/policy/connection_health.py
@@ -17,7 +17,7 @@
     api.AttemptStatus.FULL,
     api.AttemptStatus.ERROR,
 )
-MAX_BACKOFF_DOUBLINGS = 4  # the longest backoff is the connect timeout doubled so many times
+MAX_BACKOFF_DOUBLINGS = 4  # the longest backoff is the connect timeout times 2 to this power
 
 
 @dataclass(slots=True)
--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -14,10 +14,10 @@
 
 # Multiple of the expected latency from which an attempt in flight is overdue.
 OVERDUE_FACTOR = 2
-# The shortest latency objective divided by it is the age below which attempts are not checked.
+# Attempts younger than the shortest latency objective divided by this number are not checked.
 MIN_OVERDUE_OBJECTIVE_DIVISOR = 8
 SILENT_AFTER_INTERVALS = 8  # gossip intervals without any gossip until the other routers count as silent
-# The shortest latency objective divided by it is the latency above which a server's range share is reduced.
+# A latency above the shortest latency objective divided by this number reduces a server's range share.
 RANGE_CUT_LATENCY_DIVISOR = 2
 NEVER_RECEIVED_NS = -(1 << 62)  # a time long before any clock value
 
--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -18,7 +18,7 @@
 LONG_RATE_SPAN_NS = 8 * SECOND
 SHORT_RATE_SPAN_NS = 2 * SECOND
 MAX_MIGRATION_BURST = 1.0  # capacity of the token bucket, key migrations
-MIN_FLEET_MIGRATIONS_PER_S = 0.5  # of all routers together, with hardly any other origin requests
+MIN_FLEET_MIGRATIONS_PER_S = 0.5  # lower bound of all routers' rate, while other origin requests are few
 SETTLED_READS_FRACTION = 1 / 100  # the migration ends once hits at previous holders are at most this fraction
 SETTLED_CHECK_INTERVAL_NS = SECOND
 NO_MIGRATION = -1  # value of `began_at_ns` while there is no migration
@@ -38,7 +38,7 @@
         self.origin_rates = (DecayingRate(LONG_RATE_SPAN_NS), DecayingRate(SHORT_RATE_SPAN_NS))
         self.bucket = TokenBucket()
         self.began_at_ns = NO_MIGRATION  # latest change of the list of owners
-        self.previous_ranges = KeyRanges()  # before the migration
+        self.previous_ranges = KeyRanges()  # key ranges before the migration
         # Counted since the migration began.
         self.moved_keys = 0
         self.total_hits_at_previous_holder = 0
--- a/rainhitch/policy/latency_estimator.py
+++ b/rainhitch/policy/latency_estimator.py
@@ -11,7 +11,7 @@
 
 from rainhitch.policy.rates import SMOOTHING
 
-MAX_SAMPLE_WEIGHT = 1 / 2  # of one sample in the moving average
+MAX_SAMPLE_WEIGHT = 1 / 2  # highest weight of one sample in the moving average
 # The unloaded latency grows by this factor with each sample, so that an outdated minimum is forgotten slowly.
 UNLOADED_GROWTH_FACTOR = 1 + SMOOTHING / 16
 # Multiple of the expected latency after which an answer counts as lost. Of exponentially distributed
--- a/rainhitch/policy/load_reports.py
+++ b/rainhitch/policy/load_reports.py
@@ -27,5 +27,6 @@
         report = self.report
         if report is None or now_ns - self.received_at_ns > MAX_REPORT_AGE_NS:
             return 0.0
-        busy_cores = max(1.0, report.served_per_s * report.latency_ms / 1000)  # by Little's law
+        # Little's law gives the mean number of requests in service, of which each occupies a core.
+        busy_cores = max(1.0, report.served_per_s * report.latency_ms / 1000)
         return report.latency_ms * NS_PER_MS * (report.in_flight + 1) / busy_cores
--- a/rainhitch/policy/origin_admission.py
+++ b/rainhitch/policy/origin_admission.py
@@ -17,8 +17,8 @@
         self.finish_unserved = finish_unserved
         self.monitor = OriginMonitor(context.shortest_objective_ns // 2)
         self.release_at_ns = 0  # due time of the next token for which a timer is set
-        # Likely misses in flight, by request id and attempt number: when the attempt was sent, and from when
-        # on it counts as slow, ns.
+        # Likely misses in flight, by request id and attempt number: the time at which the attempt was sent,
+        # and the time from which it counts as slow, both in ns.
         self.reads_in_flight: dict[tuple[str, int], tuple[int, int]] = {}
 
     def start(self) -> None:
--- a/rainhitch/policy/placement.py
+++ b/rainhitch/policy/placement.py
@@ -17,11 +17,11 @@
 
 # Fraction of the latency objective above which an answer is slow and its server counts as overloaded.
 SLOW_ANSWER_FRACTION = 3 / 4
-# The same for requests over their tenant's quota, which are shed first. Of exponentially distributed
-# latencies with this mean, a fraction of e^-4 exceeds the objective.
+# SLOW_ANSWER_FRACTION for requests over their tenant's quota, which are shed first. Of exponentially
+# distributed latencies with this mean, a fraction of e^-4 exceeds the objective.
 SLOW_ANSWER_FRACTION_OVER_QUOTA = 1 / 4
 OVERLOAD_FACTOR = 4  # multiple of its unloaded latency above which a server is overloaded
-OVERLOAD_FACTOR_OVER_QUOTA = 2  # the same for requests over their tenant's quota
+OVERLOAD_FACTOR_OVER_QUOTA = 2  # OVERLOAD_FACTOR for requests over their tenant's quota
 MAX_RANGE_SPILLS = 2  # servers that a key may skip because their reduced range share excludes it
 MAX_OVERLOADED_TRIED = 2  # overloaded servers after which a request is rejected
 ARRIVAL_RATE_SPAN_OBJECTIVES = 4  # averaging window of the arrival rate, in shortest latency objectives
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -11,7 +11,7 @@
 
 INITIAL_LATENCY_DIVISOR = 8  # initial latency estimate: the shortest latency objective divided by this
 MIN_UNLOADED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
-PROBE_SAMPLE_WEIGHT = 1 / 2  # of a probe's latency in the moving average
+PROBE_SAMPLE_WEIGHT = 1 / 2  # lowest weight of a probe's latency in the moving average
 
 
 @dataclass(slots=True, eq=False)
@@ -30,7 +30,7 @@
     # The server's answers, including those reported by other routers.
     last_answered_sent_at_ns: int = 0  # send time of the most recently sent attempt that was answered
     answered_at_ns: int = -SECOND  # time of the latest answer
-    # Its key range.
+    # The server's key range.
     range_share: float = 1.0  # fraction of the range that the server serves; the rest goes to the next server
     share_cut_at_ns: int = 0
     relative_weight: float = 1.0  # listed weight divided by the mean weight of all cache servers
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -20,7 +20,7 @@
 # Multiple of a warm server's rate up to which all arrivals pass. Of a higher arrival rate, a random sample of
 # this size passes.
 MAX_UNSAMPLED_RATE_FACTOR = 2
-# The slow-start window divided by it is how long a computed warm rate is valid.
+# A computed warm rate is valid for the slow-start window divided by this number.
 WARM_RATE_LIFETIME_DIVISOR = 8
 BUDGET_CAPACITY_DIVISOR = 4  # budget capacity: the tokens of one slow-start window divided by this
 
--- a/rainhitch/policy/zone_reachability.py
+++ b/rainhitch/policy/zone_reachability.py
@@ -11,7 +11,7 @@
 # Servers that have to fail, without an answer in between, until their zone counts as unreachable. If one
 # server in eight is bad, that happens by chance once in about 500 times.
 FAILED_SERVERS_TO_EJECT_ZONE = 3
-MAX_BACKOFF_DOUBLINGS = 4  # of the interval between two trials
+MAX_BACKOFF_DOUBLINGS = 4  # the interval between two trials doubles at most this number of times
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
 
     failed_servers: set[str] = field(default_factory=set)  # servers with failed attempts
     unreachable_since_ns: int = 0  # when the zone was marked unreachable
-    trials: int = 0  # since then, up to MAX_BACKOFF_DOUBLINGS
+    trials: int = 0  # trials since the zone is unreachable, counted up to MAX_BACKOFF_DOUBLINGS
     next_trial_at_ns: int = 0
 
 
