--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -19,7 +19,7 @@
 SHORT_RATE_SPAN_NS = 2 * SECOND
 MAX_MIGRATION_BURST = 1.0  # capacity of the token bucket, key migrations
 MIN_FLEET_MIGRATIONS_PER_S = 0.5  # lower bound of all routers' rate, while other origin requests are few
-SETTLED_READS_FRACTION = 1 / 100  # the migration ends once hits at previous holders are at most this fraction
+MAX_PREVIOUS_HOLDER_HITS_FRACTION = 1 / 100  # of all reads; at or below it the migration ends
 SETTLED_CHECK_INTERVAL_NS = SECOND
 NO_MIGRATION = -1  # value of `began_at_ns` while there is no migration
 
@@ -66,7 +66,7 @@
     def _check_settled(self, _: object) -> None:
         """Ends the migration if nearly all reads of the past interval went to the owners of their keys."""
         age_ns = self.context.now_ns - self.began_at_ns
-        is_settled = self.hits_at_previous_holder <= self.reads * SETTLED_READS_FRACTION
+        is_settled = self.hits_at_previous_holder <= self.reads * MAX_PREVIOUS_HOLDER_HITS_FRACTION
         self._reset_interval()
         if age_ns < SETTLED_CHECK_INTERVAL_NS or not is_settled:
             self.context.schedule(SETTLED_CHECK_INTERVAL_NS, self._check_settled)
