--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -5,7 +5,7 @@
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.gossip_observations import RANGE_CUT_LATENCY_DIVISOR, GossipObservations
 from rainhitch.policy.rates import SECOND, SMOOTHING
-from rainhitch.policy.server import INITIAL_LATENCY_DIVISOR, Server, ServerList
+from rainhitch.policy.server import INITIAL_LATENCIES_PER_OBJECTIVE, Server, ServerList
 from rainhitch.policy.zone_reachability import ZoneReachability
 
 MAX_REFUSED_CONNECTS_FRACTION = 1 / 2  # above this fraction of recent connects, connection tables are full
@@ -34,7 +34,7 @@
         self.gossip = gossip
         self.span_ns = span_ns
         # Moving average of latencies over all cache servers.
-        self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCY_DIVISOR
+        self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCIES_PER_OBJECTIVE
         self.refused_connects_fraction = 0.0  # moving average of the new connects refused at once
 
     def are_connection_tables_full(self) -> bool:
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -9,7 +9,7 @@
 from rainhitch.policy.rates import SECOND, SMOOTHING
 from rainhitch.policy.slow_start import SlowStart
 
-INITIAL_LATENCY_DIVISOR = 8  # initial latency estimate: the shortest latency objective divided by this
+INITIAL_LATENCIES_PER_OBJECTIVE = 8  # initial latency estimates in the shortest latency objective
 MIN_UNLOADED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
 PROBE_SAMPLE_WEIGHT = 1 / 2  # lowest weight of a probe's latency in the moving average
 
--- a/rainhitch/policy/server_registry.py
+++ b/rainhitch/policy/server_registry.py
@@ -11,7 +11,7 @@
 from rainhitch.policy.latency_estimator import LatencyEstimator
 from rainhitch.policy.pending_request import PendingRequest
 from rainhitch.policy.rates import SECOND, DecayingRate
-from rainhitch.policy.server import INITIAL_LATENCY_DIVISOR, Server, ServerList
+from rainhitch.policy.server import INITIAL_LATENCIES_PER_OBJECTIVE, Server, ServerList
 from rainhitch.policy.slow_start import SlowStart, SlowStartAdmission
 from rainhitch.policy.zone_reachability import ZoneReachability
 
@@ -109,7 +109,7 @@
         served = DecayingRate(SERVED_RATE_SPAN_OBJECTIVES * objective_ns, now_ns)
         return Server(
             entry,
-            LatencyEstimator(objective_ns / INITIAL_LATENCY_DIVISOR, updated_at_ns=now_ns),
+            LatencyEstimator(objective_ns / INITIAL_LATENCIES_PER_OBJECTIVE, updated_at_ns=now_ns),
             slow_start=SlowStart(started_at_ns, served),
         )
 
