--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -10,7 +10,7 @@
 from rainhitch.policy.slow_start import SlowStart
 
 INITIAL_LATENCIES_PER_OBJECTIVE = 8  # initial latency estimates in the shortest latency objective
-MIN_UNLOADED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
+MIN_UNLOADED_LATENCIES_PER_LIMIT = 16  # lower bounds of the unloaded latency in the latency limit
 PROBE_SAMPLE_WEIGHT = 1 / 2  # lowest weight of a probe's latency in the moving average
 
 
@@ -61,7 +61,7 @@
         unloaded_ns = self.latency.unloaded_ns
         if unloaded_ns == 0:
             unloaded_ns = limit_ns
-        overloaded_ns = overload_factor * max(unloaded_ns, limit_ns / MIN_UNLOADED_DIVISOR)
+        overloaded_ns = overload_factor * max(unloaded_ns, limit_ns / MIN_UNLOADED_LATENCIES_PER_LIMIT)
         return expected_ns <= min(limit_ns, overloaded_ns) and reported_ns <= limit_ns * overload_factor / 2
 
     def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, router_count: int) -> bool:
