--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -20,8 +20,8 @@
 # Multiple of a warm server's rate up to which all arrivals pass. Of a higher arrival rate, a random sample of
 # this size passes.
 MAX_UNSAMPLED_RATE_FACTOR = 2
-# A computed warm rate is valid for the slow-start window divided by this number.
-WARM_RATE_LIFETIME_DIVISOR = 8
+# Lifetimes of a computed warm rate in a slow-start window.
+WARM_RATE_LIFETIMES_PER_WINDOW = 8
 BUDGET_CAPACITY_DIVISOR = 4  # budget capacity: the tokens of one slow-start window divided by this
 
 
@@ -120,6 +120,6 @@
         # In a fleet that starts as a whole there is no warm server to measure. One request per second, from
         # all routers together, is enough to find out what a server can handle.
         warm_rate_per_s = max(sum(rates) / max(1, len(rates)), 1 / settings.router_count)
-        valid_until_ns = now_ns + settings.slow_start_window_ns // WARM_RATE_LIFETIME_DIVISOR
+        valid_until_ns = now_ns + settings.slow_start_window_ns // WARM_RATE_LIFETIMES_PER_WINDOW
         self.warm_rates[kind] = WarmRate(warm_rate_per_s, valid_until_ns)
         return warm_rate_per_s
