--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -22,7 +22,7 @@
 MAX_UNSAMPLED_RATE_FACTOR = 2
 # Lifetimes of a computed warm rate in a slow-start window.
 WARM_RATE_LIFETIMES_PER_WINDOW = 8
-BUDGET_CAPACITY_DIVISOR = 4  # budget capacity: the tokens of one slow-start window divided by this
+BUDGET_CAPACITIES_PER_WINDOW = 4  # budget capacities that the tokens of one slow-start window fill
 
 
 @dataclass(slots=True)
@@ -102,7 +102,7 @@
         rate_per_s = WARM_RATE_FACTOR * warm_rate_per_s * capacity_fraction
         window_ns = self.context.settings.slow_start_window_ns
         return server.budget.take(
-            now_ns, rate_per_s, rate_per_s * window_ns / SECOND / BUDGET_CAPACITY_DIVISOR
+            now_ns, rate_per_s, rate_per_s * window_ns / SECOND / BUDGET_CAPACITIES_PER_WINDOW
         )
 
     def _warm_rate_per_s(self, kind: int, same_kind: Iterable[SlowStart]) -> float:
