--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -15,7 +15,7 @@
 # Multiple of the expected latency from which an attempt in flight is overdue.
 OVERDUE_FACTOR = 2
 # Attempts younger than the shortest latency objective divided by this number are not checked.
-MIN_OVERDUE_OBJECTIVE_DIVISOR = 8
+MIN_CHECKED_AGES_PER_OBJECTIVE = 8
 SILENT_AFTER_INTERVALS = 8  # gossip intervals without any gossip until the other routers count as silent
 # A latency above the shortest latency objective divided by this number reduces a server's range share.
 RANGE_CUT_LATENCY_DIVISOR = 2
@@ -87,7 +87,7 @@
     def _check_overdue_attempts(self) -> None:
         """Records the age of overdue attempts as a latency, and cancels attempts whose answers are lost."""
         now_ns = self.context.now_ns
-        min_age_ns = self.context.shortest_objective_ns // MIN_OVERDUE_OBJECTIVE_DIVISOR
+        min_age_ns = self.context.shortest_objective_ns // MIN_CHECKED_AGES_PER_OBJECTIVE
         for (request_id, number), attempt in self.in_flight.items():
             server = attempt.server
             sent_at_ns = attempt.sent_at_ns
