--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -3,7 +3,7 @@
 from rainhitch import interface as api
 from rainhitch.policy.connection_health import CONNECTION_FAILURES, PROCESS_ANSWERED
 from rainhitch.policy.decision_context import DecisionContext
-from rainhitch.policy.gossip_observations import RANGE_CUT_LATENCY_DIVISOR, GossipObservations
+from rainhitch.policy.gossip_observations import RANGE_CUT_LATENCIES_PER_OBJECTIVE, GossipObservations
 from rainhitch.policy.rates import SECOND, SMOOTHING
 from rainhitch.policy.server import INITIAL_LATENCIES_PER_OBJECTIVE, Server, ServerList
 from rainhitch.policy.zone_reachability import ZoneReachability
@@ -150,7 +150,7 @@
             server.record_answer(now_ns, self.span_ns, elapsed_ns, in_flight, routers_to_account_for)
             self.gossip.observe(server, elapsed_ns)
         if is_overloaded or is_answered:
-            is_slow = elapsed_ns > objective_ns // RANGE_CUT_LATENCY_DIVISOR
+            is_slow = elapsed_ns > objective_ns // RANGE_CUT_LATENCIES_PER_OBJECTIVE
             server.adjust_range_share(now_ns, event.elapsed_ns, is_slow)
 
     def _is_overload_timeout(self, server: Server, event: api.AttemptFinished) -> bool:
--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -18,7 +18,7 @@
 MIN_CHECKED_AGES_PER_OBJECTIVE = 8
 SILENT_AFTER_INTERVALS = 8  # gossip intervals without any gossip until the other routers count as silent
 # A latency above the shortest latency objective divided by this number reduces a server's range share.
-RANGE_CUT_LATENCY_DIVISOR = 2
+RANGE_CUT_LATENCIES_PER_OBJECTIVE = 2
 NEVER_RECEIVED_NS = -(1 << 62)  # a time long before any clock value
 
 
@@ -70,7 +70,7 @@
     def apply(self, event: api.GossipReceived) -> None:
         """Applies another router's observations like this router's own."""
         now_ns = self.context.now_ns
-        slow_above_ns = self.context.shortest_objective_ns // RANGE_CUT_LATENCY_DIVISOR
+        slow_above_ns = self.context.shortest_objective_ns // RANGE_CUT_LATENCIES_PER_OBJECTIVE
         self.received_at_ns = now_ns
         for observation in event.observations:
             server = self.server_list.servers.get(observation.server)
