--- a/rainhitch/policy/attempt_timeout.py
+++ b/rainhitch/policy/attempt_timeout.py
@@ -6,7 +6,7 @@
 from rainhitch.policy.server import Server
 from rainhitch.policy.server_registry import ServerRegistry
 
-MIN_TIMEOUT_DIVISOR = 4  # the shortest timeout of a first attempt is the latency objective divided by this
+MIN_TIMEOUTS_PER_OBJECTIVE = 4  # shortest timeouts of a first attempt in the latency objective
 
 
 def attempt_timeout_ns(pending: PendingRequest, server: Server, servers: ServerRegistry, now_ns: int) -> int:
@@ -30,6 +30,6 @@
         # server, whose range share is reduced.
         expected_ns = server.expected_latency_ns(now_ns, servers.routers_to_account_for())
         typical_ns = max(expected_ns, servers.attempts.mean_cache_latency_ns)
-        min_ns = spec.latency_objective_ns // MIN_TIMEOUT_DIVISOR
+        min_ns = spec.latency_objective_ns // MIN_TIMEOUTS_PER_OBJECTIVE
         timeout_ns = min(timeout_ns, max(min_ns, int(LOST_ANSWER_FACTOR * typical_ns)))
     return max(timeout_ns, 0)
