--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -16,9 +16,9 @@
 
 # Part at the end of a dedup window in which no repeat is started, because the router may be paused between
 # the decision and the write: 0.15 s, less the protocol's slack of 0.05 s. For a short window it is at most
-# the window divided by WINDOW_RESERVE_DIVISOR.
+# the window divided by MIN_RESERVES_PER_DEDUP_WINDOW.
 WINDOW_RESERVE_NS = 100_000_000
-WINDOW_RESERVE_DIVISOR = 4
+MIN_RESERVES_PER_DEDUP_WINDOW = 4
 ORIGIN_BACKOFF_DIVISOR = 32  # the first backoff of a write is up to 2 / 32 of its latency objective
 
 
@@ -78,7 +78,7 @@
     Requires at least one possibly executed attempt.
     """
     window_ns = pending.request_class.dedup_window_ns
-    reserve_ns = min(WINDOW_RESERVE_NS, window_ns // WINDOW_RESERVE_DIVISOR)
+    reserve_ns = min(WINDOW_RESERVE_NS, window_ns // MIN_RESERVES_PER_DEDUP_WINDOW)
     first_sent_ns = min(sent_ns for _, sent_ns in pending.possibly_executed.values())
     return first_sent_ns + window_ns - reserve_ns
 
