--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -19,7 +19,7 @@
 # the window divided by MIN_RESERVES_PER_DEDUP_WINDOW.
 WINDOW_RESERVE_NS = 100_000_000
 MIN_RESERVES_PER_DEDUP_WINDOW = 4
-ORIGIN_BACKOFF_DIVISOR = 32  # the first backoff of a write is up to 2 / 32 of its latency objective
+ORIGIN_BACKOFF_UNITS_PER_OBJECTIVE = 32  # the first backoff of a write is up to 2 of these units
 
 
 def may_start_attempt(pending: PendingRequest, server: Server, now_ns: int, max_attempts: int) -> bool:
@@ -137,4 +137,4 @@
 def origin_retry_delay_ns(pending: PendingRequest, source: random.Random) -> int:
     """Returns the backoff before a write's next attempt at the origin: exponential, with jitter."""
     max_ns = pending.request_class.latency_objective_ns << pending.attempts_started
-    return int(max_ns * source.uniform(0.5, 1)) // ORIGIN_BACKOFF_DIVISOR
+    return int(max_ns * source.uniform(0.5, 1)) // ORIGIN_BACKOFF_UNITS_PER_OBJECTIVE
