--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -35,7 +35,7 @@
         self.span_ns = span_ns
         # Moving average of latencies over all cache servers.
         self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCIES_PER_OBJECTIVE
-        self.refused_connects_fraction = 0.0  # moving average of the new connects refused at once
+        self.refused_connects_fraction = 0.0  # moving average of the fraction of new connects refused at once
 
     def are_connection_tables_full(self) -> bool:
         """Returns whether most new connects are refused at once, as with full connection tables."""
--- a/rainhitch/policy/retry_policy.py
+++ b/rainhitch/policy/retry_policy.py
@@ -19,7 +19,7 @@
 # the window divided by MIN_RESERVES_PER_DEDUP_WINDOW.
 WINDOW_RESERVE_NS = 100_000_000
 MIN_RESERVES_PER_DEDUP_WINDOW = 4
-ORIGIN_BACKOFF_UNITS_PER_OBJECTIVE = 32  # the first backoff of a write is up to 2 of these units
+ORIGIN_BACKOFF_UNITS_PER_OBJECTIVE = 32  # a write's first backoff is up to 2 / 32 of its objective
 
 
 def may_start_attempt(pending: PendingRequest, server: Server, now_ns: int, max_attempts: int) -> bool:
--- a/rainhitch/policy/zone_reachability.py
+++ b/rainhitch/policy/zone_reachability.py
@@ -20,7 +20,7 @@
 
     failed_servers: set[str] = field(default_factory=set)  # servers with failed attempts
     unreachable_since_ns: int = 0  # when the zone was marked unreachable
-    trials: int = 0  # trials since the zone is unreachable, counted up to MAX_BACKOFF_DOUBLINGS
+    trials: int = 0  # trials since unreachable_since_ns, counted up to MAX_BACKOFF_DOUBLINGS
     next_trial_at_ns: int = 0
 
 
