--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -4,11 +4,10 @@
 from support import MILLI, SECOND, Router, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.overload.controller import OverloadController, OverloadOptions, RejectionCause
 from rainhitch.overload.storm_detector import PERIOD_NS
 
-S = api.AttemptStatus
-
 
 def router_with_overload_control(**changes: object) -> tuple[Router, OverloadController]:
     """Returns a router and its overload controller."""
@@ -26,7 +25,7 @@
             request = api.Request(f"s{router.now}.{n}", 0, router.now + SECOND, f"s{n}", is_client_retry=True)
             for action in router.handle(request):
                 if isinstance(action, api.StartAttempt):
-                    router.end_attempt(action, S.OK)
+                    router.end_attempt(action, AttemptStatus.OK)
         router.wait(PERIOD_NS)
     assert overload.storm_active
 
@@ -77,12 +76,12 @@
     for n in range(3):
         _, (first,) = router.request(f"m{n}")
         assert overload.concurrency_limit.in_flight == 1
-        (second,) = router.end_attempt(first, S.MISS)
+        (second,) = router.end_attempt(first, AttemptStatus.MISS)
         assert isinstance(second, api.StartAttempt) and second.server == "origin"
     assert overload.concurrency_limit.in_flight == 0
 
 
-def end_attempts(router: Router, actions: list[api.Action], status: api.AttemptStatus) -> list[api.Action]:
+def end_attempts(router: Router, actions: list[api.Action], status: AttemptStatus) -> list[api.Action]:
     """Ends each attempt of a request with `status`; returns the actions that answer the request."""
     number = 0
     while actions and isinstance(actions[0], api.StartAttempt):
@@ -97,7 +96,7 @@
     overload.retry_budget.min_retries_per_s = 0.0
     answers = []
     for n in range(20):
-        answers += end_attempts(router, router.request(f"k{n}")[1], S.ERROR)
+        answers += end_attempts(router, router.request(f"k{n}")[1], AttemptStatus.ERROR)
     assert len(answers) == 20 and overload.rejections[RejectionCause.RETRY_BUDGET] >= 15
 
 
@@ -117,8 +116,10 @@
         name, actions = router.request(f"k{n}", class_index=n % 2, write=bool(n % 2))
         if n % 3:
             router.handle(api.ClientGone(name))
-        end_attempts(router, actions, S.ERROR)
+        end_attempts(router, actions, AttemptStatus.ERROR)
     for action in router.wait(20 * SECOND):
         if isinstance(action, api.StartAttempt):
-            router.end_attempt(action, S.OK, router.balancer.requests[action.id].attempts_started - 1)
+            router.end_attempt(
+                action, AttemptStatus.OK, router.balancer.requests[action.id].attempts_started - 1
+            )
     assert not overload.requests and not overload.cache_attempts and overload.concurrency_limit.in_flight == 0
--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -6,10 +6,10 @@
 from support import MILLI, SECOND, START, Router, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.overload.controller import OverloadController
 from rainhitch.overload.idempotency_keys import IdempotencyKeyGuard, KeyAdmission
 
-S = api.AttemptStatus
 SERVER = api.Endpoint("o")
 WINDOW = 3 * SECOND // 2
 
@@ -40,7 +40,7 @@
     router.handle(api.ClientGone("a"))
     assert write(router, "b") == []
     router.wait(300 * MILLI)
-    assert summaries(router.end_attempt(first, S.OK)) == ["StartAttempt b"]
+    assert summaries(router.end_attempt(first, AttemptStatus.OK)) == ["StartAttempt b"]
 
 
 def test_several_retries_start_one_at_a_time_in_order_of_arrival() -> None:
@@ -49,7 +49,7 @@
     for name in ("b", "c", "d"):
         assert write(router, name) == []
     for name in ("b", "c", "d"):
-        (send,) = router.end_attempt(send, S.OK)
+        (send,) = router.end_attempt(send, AttemptStatus.OK)
         assert summaries([send]) == [f"StartAttempt {name}"]
 
 
@@ -67,13 +67,13 @@
     router.handle(api.ClientGone("a"))
     assert write(router, "b") == []
     router.wait(WINDOW + MILLI)
-    assert summaries(router.end_attempt(first, S.TIMEOUT)) == ["Fail b"]
+    assert summaries(router.end_attempt(first, AttemptStatus.TIMEOUT)) == ["Fail b"]
 
 
 def test_a_later_retry_fails_within_the_retry_window_of_clients() -> None:
     router = router_with_overload_control()
     (first,) = write(router, "a")
-    router.end_attempt(first, S.OK)
+    router.end_attempt(first, AttemptStatus.OK)
     router.wait(WINDOW + MILLI)
     assert summaries(write(router, "b")) == ["Fail b"]
     router.wait(2 * SECOND)
@@ -84,7 +84,7 @@
     router = router_with_overload_control()
     (first,) = write(router, "a")
     router.handle(api.ClientGone("a"))
-    router.end_attempt(first, S.FULL)
+    router.end_attempt(first, AttemptStatus.FULL)
     router.wait(WINDOW + MILLI)
     assert summaries(write(router, "b")) == ["StartAttempt b"]
 
@@ -97,10 +97,12 @@
     zone = router.balancer.servers.servers[first.server].endpoint.zone
     router.handle(api.ClientGone("a"))
     write(router, "b", cls=3)
-    sent = router.end_attempt(first, S.RESET)
+    sent = router.end_attempt(first, AttemptStatus.RESET)
     while sent and isinstance(sent[0], api.StartAttempt):
         assert router.balancer.servers.servers[sent[0].server].endpoint.zone == zone
-        sent = router.end_attempt(sent[0], S.FULL, router.balancer.requests["b"].attempts_started - 1)
+        sent = router.end_attempt(
+            sent[0], AttemptStatus.FULL, router.balancer.requests["b"].attempts_started - 1
+        )
     assert summaries(sent) == ["Fail b"]
 
 
@@ -116,7 +118,7 @@
         assert guard.admit(n, f"o{n}", f"r{n}") is KeyAdmission.HELD
         guard.attempt_started(n, f"r{n}", 0, SERVER, WINDOW)
     assert guard.admit(9, "o9", "r9") is KeyAdmission.REJECTED
-    guard.attempt_finished("r3", 0, S.OK)
+    guard.attempt_finished("r3", 0, AttemptStatus.OK)
     guard.request_finished("r3")
     assert guard.admit(10, "o9", "r9") is KeyAdmission.HELD  # the idle key o3 was evicted for it
     assert len(guard) == 8 and not guard.is_known(11, "o3") and guard.is_known(11, "o0")
@@ -168,8 +170,13 @@
         self.guard.attempt_started(self.now, name, self.count, SERVER, WINDOW)
 
     @precondition(lambda self: self.in_flight)
-    @rule(data=st.data(), status=st.sampled_from([S.OK, S.TIMEOUT, S.FULL, S.RESET]))
-    def finish(self, data: st.DataObject, status: S) -> None:
+    @rule(
+        data=st.data(),
+        status=st.sampled_from(
+            [AttemptStatus.OK, AttemptStatus.TIMEOUT, AttemptStatus.FULL, AttemptStatus.RESET]
+        ),
+    )
+    def finish(self, data: st.DataObject, status: AttemptStatus) -> None:
         """An attempt ends."""
         name, number = data.draw(st.sampled_from(sorted(self.in_flight)))
         del self.in_flight[name, number]
@@ -202,7 +209,7 @@
     def teardown(self) -> None:
         """Ends all attempts and requests; no state may be left over."""
         for name, number in list(self.in_flight):
-            self.guard.attempt_finished(name, number, S.OK)
+            self.guard.attempt_finished(name, number, AttemptStatus.OK)
         for name in list(self.open):
             self.guard.request_finished(name)
         assert not self.guard.key_by_request
--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -3,8 +3,7 @@
 from support import MILLI, SECOND, Router, fleet, settings
 
 from rainhitch import interface as api
-
-S = api.AttemptStatus
+from rainhitch.interface import AttemptStatus
 
 
 def test_a_full_connection_table_is_not_overload_and_another_server_is_tried() -> None:
@@ -21,10 +20,10 @@
         assert isinstance(send, api.StartAttempt)
         tried.add(send.server)
         before = router.balancer.servers.servers[send.server].latency.average_ns
-        (send,) = router.end_attempt(send, S.FULL, attempt, 2 * MILLI, reused=False)
+        (send,) = router.end_attempt(send, AttemptStatus.FULL, attempt, 2 * MILLI, reused=False)
         assert all(router.balancer.servers.servers[name].latency.average_ns <= before for name in tried)
     assert len(tried) == 3
-    router.end_attempt(send, S.OK, 3, 80 * MILLI)
+    router.end_attempt(send, AttemptStatus.OK, 3, 80 * MILLI)
     published = [one for one in router.wait(3 * SECOND) if isinstance(one, api.PublishGossip)]
     assert [seen.server for one in published for seen in one.observations] == [send.server]  # type: ignore[union-attr]
 
@@ -34,5 +33,5 @@
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     before = router.balancer.servers.servers[send.server].latency.average_ns
-    router.end_attempt(send, S.FULL)
+    router.end_attempt(send, AttemptStatus.FULL)
     assert router.balancer.servers.servers[send.server].latency.average_ns > 3 / 2 * before
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -6,6 +6,7 @@
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.key_memory import MAX_KEYS, KeyMemory
 from rainhitch.policy.key_popularity import KeyPopularity
 from rainhitch.policy.latency_estimator import LatencyEstimator
@@ -13,8 +14,6 @@
 from rainhitch.policy.retry_policy import WINDOW_RESERVE_NS
 from rainhitch.policy.server import Server
 
-S = api.AttemptStatus
-
 
 def sends(actions: list[api.Action]) -> list[str]:
     """Returns the servers at which attempts start."""
@@ -117,7 +116,7 @@
     throttle.level = 3
     _, (first,) = router.request("x")
     level = throttle.level
-    (second,) = router.end_attempt(first, S.MISS)
+    (second,) = router.end_attempt(first, AttemptStatus.MISS)
     assert sends([second]) == ["origin"] and (level, throttle.level) == (2, 1)
 
 
@@ -211,7 +210,7 @@
     router = Router()
     for n in range(5):
         _, (first,) = router.request(f"h{n}")
-        router.end_attempt(first, S.MISS)
+        router.end_attempt(first, AttemptStatus.MISS)
     router.wait(3 * SECOND // 2)
     assert router.balancer.origin_admission.monitor.throttle is not None
 
@@ -220,10 +219,10 @@
     """Guards against many simultaneous origin reads of one key."""
     router = Router()
     _, (first,) = router.request("hot")
-    (read,) = router.end_attempt(first, S.MISS)
+    (read,) = router.end_attempt(first, AttemptStatus.MISS)
     name, actions = router.request("hot")
     assert actions == []
-    (served,) = router.end_attempt(read, S.OK, 1)
+    (served,) = router.end_attempt(read, AttemptStatus.OK, 1)
     assert isinstance(served, api.StartAttempt) and isinstance(first, api.StartAttempt)
     assert (served.id, served.server) == (name, first.server)
 
@@ -231,14 +230,14 @@
 def test_after_a_failed_read_one_waiting_read_goes_to_the_origin_and_none_waits_past_its_objective() -> None:
     router = Router()
     _, (first,) = router.request("hot")
-    (read,) = router.end_attempt(first, S.MISS)
+    (read,) = router.end_attempt(first, AttemptStatus.MISS)
     second, _ = router.request("hot")
     third, _ = router.request("hot")
-    actions = router.end_attempt(read, S.ERROR, 1)
+    actions = router.end_attempt(read, AttemptStatus.ERROR, 1)
     assert [type(action) for action in actions] == [api.Reject, api.StartAttempt, api.StartAttempt]
-    (again,) = router.end_attempt(actions[1], S.MISS)
+    (again,) = router.end_attempt(actions[1], AttemptStatus.MISS)
     assert isinstance(again, api.StartAttempt) and (again.id, again.server) == (second, "origin")
-    assert router.end_attempt(actions[2], S.MISS) == []
+    assert router.end_attempt(actions[2], AttemptStatus.MISS) == []
     later = router.wait(2 * SECOND)
     assert [action.id for action in later if isinstance(action, api.Reject)] == [third]
 
@@ -264,9 +263,9 @@
 def test_a_second_full_answer_ends_the_request() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    (second,) = router.end_attempt(first, S.FULL)
+    (second,) = router.end_attempt(first, AttemptStatus.FULL)
     assert sends([first]) != sends([second])
-    assert [type(action) for action in router.end_attempt(second, S.FULL, 1)] == [api.Reject]
+    assert [type(action) for action in router.end_attempt(second, AttemptStatus.FULL, 1)] == [api.Reject]
 
 
 def test_an_overloaded_server_gets_one_probe_per_latency() -> None:
@@ -305,7 +304,9 @@
     router = Router()
     router.fetch_and_store("k")
     _, (send,) = router.request("k")
-    router.end_attempt(send, S.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10))
+    router.end_attempt(
+        send, AttemptStatus.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10)
+    )
     one = router.balancer.servers.servers[sends([send])[0]]
     assert one.load.expected_ns(router.now) == pytest.approx(4.1e9)
     assert one.load.expected_ns(router.now + 2 * SECOND) == 0
@@ -315,7 +316,7 @@
 def test_an_ejected_server_gets_one_attempt_after_its_backoff() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    (second,) = router.end_attempt(first, S.CONNECT_FAILED)
+    (second,) = router.end_attempt(first, AttemptStatus.CONNECT_FAILED)
     assert sends([second]) != sends([first])
     name = sends([first])[0]
     assert name not in [sends(router.request("k")[1])[0] for _ in range(5)]
@@ -341,7 +342,7 @@
         router.wait(START + n * turn // 2000 - router.now)
         _, actions = router.request(f"k{n}")
         sent.append(sends(actions) == ["c1"])
-        router.end_attempt(actions[0], S.OK)
+        router.end_attempt(actions[0], AttemptStatus.OK)
     quarters = [sum(sent[n : n + 500]) for n in range(0, 2000, 500)]
     taken_up = [125 * (2 * n + 1) / 8 for n in range(4)]
     assert all(count < even + 25 for count, even in zip(quarters, taken_up, strict=True))
@@ -383,17 +384,17 @@
     for key in owned:
         _, actions = router.request(key)
         assert sends(actions) == ["c1"]
-        router.end_attempt(actions[0], S.OK)
+        router.end_attempt(actions[0], AttemptStatus.OK)
 
 
 def test_a_server_that_was_down_for_long_is_in_slow_start() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    router.end_attempt(first, S.RESET)
+    router.end_attempt(first, AttemptStatus.RESET)
     router.wait(2 * SECOND)
     _, actions = router.request("k")
     assert sends(actions) == sends([first])
-    router.end_attempt(actions[0], S.OK)
+    router.end_attempt(actions[0], AttemptStatus.OK)
     assert router.balancer.servers.servers[sends([first])[0]].slow_start.started_at_ns == router.now
     assert router.log[-1].startswith("server answers again ")
 
@@ -423,7 +424,7 @@
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
     assert sends([first]) == ["origin"]
-    assert router.end_attempt(first, S.FULL) == []
+    assert router.end_attempt(first, AttemptStatus.FULL) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
 
 
@@ -440,7 +441,7 @@
     reads: list[api.Action] = []
     for n in range(8):
         _, (first,) = router.request(f"k{n}")
-        reads += router.end_attempt(first, S.MISS)
+        reads += router.end_attempt(first, AttemptStatus.MISS)
     assert [type(one) for one in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
 
 
@@ -459,14 +460,14 @@
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "the router must not time out"
-    assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
+    assert [type(action) for action in router.end_attempt(first, AttemptStatus.ERROR)] == [api.Fail]
 
 
 def test_a_request_with_an_idempotency_key_is_retried_only_within_its_dedup_window() -> None:
     router = Router()
     _, (first,) = router.request(class_index=1, write=True)
     router.wait(SECOND // 2)
-    assert router.end_attempt(first, S.ERROR) == []
+    assert router.end_attempt(first, AttemptStatus.ERROR) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
     router = Router(
         settings(
@@ -477,7 +478,7 @@
     )
     _, (first,) = router.request(write=True)
     router.wait(SECOND // 2)
-    assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
+    assert [type(action) for action in router.end_attempt(first, AttemptStatus.ERROR)] == [api.Fail]
 
 
 @pytest.mark.parametrize(("cls", "same"), [(3, "zone"), (4, "cell")])
@@ -485,7 +486,7 @@
     for n in range(20):
         router = Router(settings(cache_aside=False), fleet(6, origin=False))
         _, (first,) = router.request(f"k{n}", cls)
-        for action in router.end_attempt(first, S.ERROR):
+        for action in router.end_attempt(first, AttemptStatus.ERROR):
             if isinstance(action, api.StartAttempt):
                 one, two = (router.balancer.servers.servers[name].endpoint for name in sends([first, action]))
                 assert getattr(one, same) == getattr(two, same)
@@ -496,15 +497,17 @@
 def test_attempts_are_bounded() -> None:
     router = Router(settings(max_attempts=2))
     _, (send,) = router.request("k")
-    (send,) = router.end_attempt(send, S.CONNECT_FAILED)
-    assert [type(action) for action in router.end_attempt(send, S.CONNECT_FAILED, 1)] == [api.Reject]
+    (send,) = router.end_attempt(send, AttemptStatus.CONNECT_FAILED)
+    assert [type(action) for action in router.end_attempt(send, AttemptStatus.CONNECT_FAILED, 1)] == [
+        api.Reject
+    ]
 
 
 def test_an_origin_read_runs_until_the_client_gives_up() -> None:
     """Guards against an origin slower than the latency objective, whose timed-out reads fill no cache."""
     router = Router(settings(classes=[api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]))
     _, (first,) = router.request("k")
-    (read,) = router.end_attempt(first, S.MISS)
+    (read,) = router.end_attempt(first, AttemptStatus.MISS)
     assert isinstance(first, api.StartAttempt) and isinstance(read, api.StartAttempt)
     assert (first.timeout_ns, read.timeout_ns) == (SECOND, 2 * SECOND)
 
@@ -544,7 +547,7 @@
     owner.latency.average_ns, owner.latency.unloaded_ns = 4.0 * SECOND, SECOND / 10
     _, (probe,) = router.request("k")
     assert sends([probe]) == [owner.endpoint.server] and owner.is_probing
-    router.end_attempt(probe, S.MISS)
+    router.end_attempt(probe, AttemptStatus.MISS)
     assert owner.latency.average_ns < 2.1 * SECOND
 
 
@@ -566,7 +569,7 @@
 def test_a_timer_that_fires_early_does_not_stop_the_others() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    router.end_attempt(first, S.MISS)  # starts the origin read
+    router.end_attempt(first, AttemptStatus.MISS)  # starts the origin read
     waiting_id, no_actions = router.request("k")  # waits for that read
     assert no_actions == []
     when, token = router.timers.pop()
@@ -590,7 +593,7 @@
     name, (first,) = router.request("k")
     assert router.handle(api.ClientGone(name)) == []
     assert router.handle(api.ClientGone(name)) == []
-    assert router.end_attempt(first, S.MISS) == []
+    assert router.end_attempt(first, AttemptStatus.MISS) == []
     assert router.balancer.requests == {}
 
 
@@ -601,7 +604,9 @@
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0
     assert router.advance() == []
     assert router.wait(10 * SECOND) == []
-    assert router.handle(api.AttemptFinished(name, 0, first.server, S.RESET, True, 9 * SECOND)) == []
+    assert (
+        router.handle(api.AttemptFinished(name, 0, first.server, AttemptStatus.RESET, True, 9 * SECOND)) == []
+    )
     assert router.balancer.requests == {}
 
 
@@ -617,10 +622,10 @@
     assert router.balancer.key_memory.likely_miss("k", router.now)
     _, (first,) = router.request("k")
     assert not router.balancer.key_memory.likely_miss("k", router.now)
-    router.end_attempt(first, S.OK)
+    router.end_attempt(first, AttemptStatus.OK)
     for n in range(20):
         _, (send,) = router.request(f"t{n}")
-        router.end_attempt(send, S.ERROR)
+        router.end_attempt(send, AttemptStatus.ERROR)
     router.wait(SECOND)
     assert router.balancer.origin_admission.monitor.throttle is not None
 
@@ -665,11 +670,11 @@
     owner = router.fetch_and_store("k")
     server = router.balancer.servers.servers[owner]
     _, (send,) = router.request("k")
-    router.end_attempt(send, S.RESET)
+    router.end_attempt(send, AttemptStatus.RESET)
     assert server.connection.consecutive_failures < 1 and not router.log
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt) and send.server == owner
-    router.end_attempt(send, S.RESET)
+    router.end_attempt(send, AttemptStatus.RESET)
     assert server.connection.consecutive_failures > 0  # the second in a row
 
 
@@ -678,7 +683,7 @@
     owner = router.fetch_and_store("k")
     router.wait(SECOND)
     _, (send,) = router.request("k")
-    router.end_attempt(send, S.CONNECT_FAILED)
+    router.end_attempt(send, AttemptStatus.CONNECT_FAILED)
     assert router.balancer.servers.servers[owner].connection.consecutive_failures == 1
 
 
@@ -692,12 +697,12 @@
     _, (first,) = router.request(class_index=1)
     assert isinstance(first, api.StartAttempt) and first.write_within_ns == 0
     router.wait(SECOND // 2)
-    (second,) = router.end_attempt(first, S.RESET)
+    (second,) = router.end_attempt(first, AttemptStatus.RESET)
     assert isinstance(second, api.StartAttempt)
     assert (
         second.write_within_ns
         == router.balancer.settings.classes[1].dedup_window_ns - SECOND // 2 - WINDOW_RESERVE_NS
     )
     _, (read,) = router.request("other")
-    (again,) = router.end_attempt(read, S.RESET)
+    (again,) = router.end_attempt(read, AttemptStatus.RESET)
     assert isinstance(again, api.StartAttempt) and again.write_within_ns == 0
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -4,11 +4,10 @@
 from support import MILLI, SECOND, Router, fleet, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.gossip_observations import SILENT_AFTER_INTERVALS
 from rainhitch.policy.server import Server
 
-S = api.AttemptStatus
-
 
 @pytest.mark.parametrize(
     ("intervals", "routers_to_account_for"),
@@ -37,7 +36,7 @@
     assert isinstance(send, api.StartAttempt)
     router.wait(50 * MILLI)
     if keeps_answering:
-        router.handle(api.AttemptFinished("before", 0, send.server, S.OK, True, 110 * MILLI))
+        router.handle(api.AttemptFinished("before", 0, send.server, AttemptStatus.OK, True, 110 * MILLI))
     return router, send, router.balancer.servers.servers[send.server]
 
 
@@ -61,7 +60,7 @@
     assert published_ages(router.wait(100 * MILLI), send.server) == [] and server.latency.average_ns == before
     ages_ns = published_ages(router.wait(1500 * MILLI), send.server)
     assert ages_ns and max(ages_ns) > SECOND and server.latency.average_ns > 2 * before
-    router.end_attempt(send, S.OK, 0, 1650 * MILLI)
+    router.end_attempt(send, AttemptStatus.OK, 0, 1650 * MILLI)
     assert published_ages(router.wait(3 * SECOND), send.server) == []
     assert not router.balancer.servers.gossip.in_flight
 
@@ -92,7 +91,7 @@
     """
     router, send, server = router_with_late_attempt()
     router.wait(50 * MILLI)
-    router.handle(api.AttemptFinished("x", 0, send.server, S.OK, True, 20 * MILLI))
+    router.handle(api.AttemptFinished("x", 0, send.server, AttemptStatus.OK, True, 20 * MILLI))
     router.wait(400 * MILLI)
     assert (
         published_ages(router.wait(1500 * MILLI), send.server) == []
@@ -143,7 +142,7 @@
         one == api.CancelAttempt(name, 0) for one in cancellations
     )
     if is_cancelled:
-        (again,) = router.end_attempt(send, S.TIMEOUT, 0, 1500 * MILLI)
+        (again,) = router.end_attempt(send, AttemptStatus.TIMEOUT, 0, 1500 * MILLI)
         assert isinstance(again, api.StartAttempt) and again.server != send.server
 
 
@@ -162,5 +161,5 @@
         router.wait(200 * MILLI)
     assert (server.latency.average_ns > SECOND / 5) is is_in_flight
     overloaded = server.latency.average_ns
-    router.end_attempt(send, S.TIMEOUT, 0, 1800 * MILLI)
+    router.end_attempt(send, AttemptStatus.TIMEOUT, 0, 1800 * MILLI)
     assert (server.latency.average_ns > overloaded) is is_in_flight, "its timeout counted as overload"
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -12,6 +12,7 @@
 from support import settings as router_settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.key_memory import MAX_KEYS
 from rainhitch.policy.key_migration import MAX_MIGRATION_BURST, KeyMigration
@@ -19,8 +20,6 @@
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.throttle import Throttle
 
-S = api.AttemptStatus
-
 
 @pytest.fixture(autouse=True)
 def no_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -91,7 +90,7 @@
         missed: list[str] = []
         while actions and isinstance(actions[0], api.StartAttempt):
             server = actions[0].server
-            attempt, status, elapsed = len(sent), S.OK, 10 * MILLI
+            attempt, status, elapsed = len(sent), AttemptStatus.OK, 10 * MILLI
             sent.append(server)
             if server == "origin":
                 self.origin.append(router.now)
@@ -101,14 +100,14 @@
             else:
                 assert server in self.listed, "attempt at a server that is not on the list"
                 held = self.caches[server].get(key)
-                status = S.OK if held is not None else S.MISS
+                status = AttemptStatus.OK if held is not None else AttemptStatus.MISS
                 assert held is None or held == self.versions.get(key, 0), "stale value read"
                 if held is None:
                     missed.append(server)
                 else:
                     self.caches[server].move_to_end(key)
                 self.cache_reads.append((router.now, server, "hit" if held is not None else "miss"))
-            closed = status is S.OK
+            closed = status is AttemptStatus.OK
             actions = router.handle(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
         return sent
 
--- a/tests/policy/test_server.py
+++ b/tests/policy/test_server.py
@@ -4,8 +4,7 @@
 from support import MILLI, SECOND, Router, fleet, settings
 
 from rainhitch import interface as api
-
-S = api.AttemptStatus
+from rainhitch.interface import AttemptStatus
 
 
 @pytest.mark.parametrize("routers", [1, 60])
@@ -35,5 +34,5 @@
                 probes += 1
                 router.now += 1
                 server.is_probing = False
-                router.handle(api.AttemptFinished(send.id, 0, send.server, S.ABANDONED, False, 1))
+                router.handle(api.AttemptFinished(send.id, 0, send.server, AttemptStatus.ABANDONED, False, 1))
     assert (20 if routers == 1 else 1) <= probes <= (60 if routers == 1 else 10)
--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -7,8 +7,8 @@
 from support import MILLI, SECOND, Router, fleet, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 
-S = api.AttemptStatus
 QUOTA = 40.0
 
 
@@ -82,7 +82,7 @@
     before = {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()}
     for n in range(20):
         _, (send,) = router.request(f"k{n}")
-        (refused,) = router.end_attempt(send, S.NO_LOCAL_CONNECTION, 0, 1)
+        (refused,) = router.end_attempt(send, AttemptStatus.NO_LOCAL_CONNECTION, 0, 1)
         assert refused == api.Reject(send.id, refused.retry_after_ns)  # type: ignore[union-attr]
         assert refused.reason == "room"
     assert {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()} == before
@@ -95,7 +95,7 @@
 def test_a_write_waits_for_a_local_connection_within_its_latency_objective() -> None:
     router = Router(settings(), fleet(6))
     _, (send,) = router.request("k", 1, write=True)
-    assert router.end_attempt(send, S.NO_LOCAL_CONNECTION, 0, 1) == []
+    assert router.end_attempt(send, AttemptStatus.NO_LOCAL_CONNECTION, 0, 1) == []
     assert [type(one) for one in router.wait(200 * MILLI)] == [api.StartAttempt]
 
 
@@ -111,7 +111,7 @@
     outcomes = []
     for n in range(3):
         _, (send,) = router.request(f"k{n}")
-        outcomes.append(router.end_attempt(send, S.MISS)[0])
+        outcomes.append(router.end_attempt(send, AttemptStatus.MISS)[0])
     assert isinstance(outcomes[0], api.StartAttempt)
     assert [one.reason for one in outcomes[1:] if isinstance(one, api.Reject)] == ["total", "total"]
     name, (send,) = router.request("w", 1, write=True)
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -5,10 +5,9 @@
 from support import MILLI, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.zone_reachability import FAILED_SERVERS_TO_EJECT_ZONE, ZoneReachability
 
-S = api.AttemptStatus
-
 
 def test_failures_in_a_row_at_several_servers_make_a_zone_unreachable_until_an_answer() -> None:
     zones = ZoneReachability(SECOND)
@@ -86,10 +85,10 @@
             if not sent:
                 break
             if router.balancer.servers.servers[sent[0].server].endpoint.zone == 0:
-                router.end_attempt(sent[0], S.OK, attempt)
+                router.end_attempt(sent[0], AttemptStatus.OK, attempt)
                 break
             failed += 1
-            actions = router.end_attempt(sent[0], S.CONNECT_FAILED, attempt, 250 * MILLI)
+            actions = router.end_attempt(sent[0], AttemptStatus.CONNECT_FAILED, attempt, 250 * MILLI)
     return failed
 
 
@@ -112,7 +111,7 @@
         _, (send, *_) = router.request(f"after{n}")
         assert isinstance(send, api.StartAttempt)
         zone = router.balancer.servers.servers[send.server].endpoint.zone
-        router.end_attempt(send, S.OK, 0, 10 * MILLI, reused=reused)
+        router.end_attempt(send, AttemptStatus.OK, 0, 10 * MILLI, reused=reused)
         if zone == 1:
             return send
     raise AssertionError("the zone was never tried again")
