--- a/rainhitch/fleet/gossip_codec.py
+++ b/rainhitch/fleet/gossip_codec.py
@@ -40,7 +40,7 @@
 
 def encode(observations: Iterable[LatencyObservation]) -> bytes:
     """Returns one datagram of the first `MAX_ENTRIES` observations."""
-    entries = [_encode_entry(one) for one in list(observations)[:MAX_ENTRIES]]
+    entries = [_encode_entry(observation) for observation in list(observations)[:MAX_ENTRIES]]
     return bytes([LATENCY_KIND]) + b"".join(entries)
 
 
--- a/rainhitch/fleet/gossip_exchange.py
+++ b/rainhitch/fleet/gossip_exchange.py
@@ -198,7 +198,7 @@
             described["bounded"] = self.peer_latency_bounds.bounded_count
         if self.tenant_usage is not None:
             described["heard"] = len(self.tenant_usage.fresh_reports(now_ns))
-            described["parts"] = [round(one, 4) for one in self.tenant_usage.fractions(now_ns)]
+            described["parts"] = [round(fraction, 4) for fraction in self.tenant_usage.fractions(now_ns)]
             described["taken"] = self.tenant_usage.requests_in_window()
         if self.failure_detector is not None:
             detector = self.failure_detector
@@ -224,4 +224,4 @@
 
 
 def _leased_per_s(leases: list[Lease], now_ns: int) -> float:
-    return sum(one.rate_per_s for one in leases if one.expires_at_ns > now_ns)
+    return sum(lease.rate_per_s for lease in leases if lease.expires_at_ns > now_ns)
--- a/rainhitch/fleet/novelty_filter.py
+++ b/rainhitch/fleet/novelty_filter.py
@@ -18,10 +18,10 @@
 
     def record_published(self, observations: Iterable[LatencyObservation]) -> None:
         """Records the observations that another router has published."""
-        self.published.update(one.server for one in observations)
+        self.published.update(observation.server for observation in observations)
 
     def select_new(self, observations: Iterable[LatencyObservation]) -> list[LatencyObservation]:
         """Returns the observations of an interval that are to be published, and begins the next interval."""
-        new = [one for one in observations if one.server not in self.published]
+        new = [observation for observation in observations if observation.server not in self.published]
         self.published.clear()
         return new
--- a/rainhitch/fleet/peer_latency_bounds.py
+++ b/rainhitch/fleet/peer_latency_bounds.py
@@ -45,25 +45,25 @@
 
     def record_own(self, now_ns: int, observations: Iterable[LatencyObservation]) -> None:
         """Records this router's own observations."""
-        for one in observations:
-            self._record(now_ns, self.own_index, one.server, one.elapsed_ns)
-            self._update_mean(one.elapsed_ns)
+        for observation in observations:
+            self._record(now_ns, self.own_index, observation.server, observation.elapsed_ns)
+            self._update_mean(observation.elapsed_ns)
 
     def bound(
         self, now_ns: int, author: int, observations: Iterable[LatencyObservation]
     ) -> list[LatencyObservation]:
         """Records another router's observations and returns them with bounded latencies."""
         bounded = []
-        for one in observations:
-            elapsed_ns = one.elapsed_ns
-            bound_ns = self._latency_bound_ns(now_ns, author, one.server)
+        for observation in observations:
+            elapsed_ns = observation.elapsed_ns
+            bound_ns = self._latency_bound_ns(now_ns, author, observation.server)
             if bound_ns and elapsed_ns > int(bound_ns):
                 elapsed_ns = int(bound_ns)
                 self.bounded_count += 1
-            bounded.append(LatencyObservation(one.server, elapsed_ns, one.is_in_flight))
+            bounded.append(LatencyObservation(observation.server, elapsed_ns, observation.is_in_flight))
             # The published latency is recorded, not the bounded one, so that a second author can confirm it.
             # The moving average uses the bounded one.
-            self._record(now_ns, author, one.server, one.elapsed_ns)
+            self._record(now_ns, author, observation.server, observation.elapsed_ns)
             self._update_mean(elapsed_ns)
         return bounded
 
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -124,8 +124,8 @@
         if begin_ns < self.lending_starts_at_ns:
             lent_per_s = self.share_per_s * LENDABLE_FRACTION
         else:
-            lent_per_s = sum(one.rate_per_s for one in self.lent if one.expires_at_ns > begin_ns)
-        borrowed_per_s = sum(one.rate_per_s for one in self.borrowed if one.expires_at_ns > end_ns)
+            lent_per_s = sum(lease.rate_per_s for lease in self.lent if lease.expires_at_ns > begin_ns)
+        borrowed_per_s = sum(lease.rate_per_s for lease in self.borrowed if lease.expires_at_ns > end_ns)
         return max(0.0, self.share_per_s - lent_per_s) + borrowed_per_s
 
     def bucket_capacity(self, now_ns: int) -> float:
@@ -145,8 +145,8 @@
         gained = self._min_available_per_s(self.filled_at_ns, now_ns) * elapsed_ns / NS_PER_S
         self.tokens = min(self.bucket_capacity(now_ns), self.tokens + gained)
         self.filled_at_ns = max(now_ns, self.filled_at_ns)
-        self.lent = [one for one in self.lent if one.expires_at_ns > now_ns]
-        self.borrowed = [one for one in self.borrowed if one.expires_at_ns > now_ns]
+        self.lent = [lease for lease in self.lent if lease.expires_at_ns > now_ns]
+        self.borrowed = [lease for lease in self.borrowed if lease.expires_at_ns > now_ns]
 
     def take(self, now_ns: int) -> bool:
         """Takes one unit if the quota allows it; returns whether it did."""
@@ -166,7 +166,9 @@
         self._fill(now_ns)
         self._update_demand(now_ns)
         self.requests = {
-            nonce: one for nonce, one in self.requests.items() if now_ns - one.sent_at_ns < LEASE_NS
+            nonce: request
+            for nonce, request in self.requests.items()
+            if now_ns - request.sent_at_ns < LEASE_NS
         }
         shortfall_per_s = self.demand_per_s * (1 + HEADROOM_FRACTION) - self._non_expiring_per_s(now_ns)
         free_leases = MAX_LEASES - max(len(self.requests), len(self.borrowed))
@@ -194,7 +196,9 @@
     def _non_expiring_per_s(self, now_ns: int) -> float:
         """Returns the available rate without leases that expire within two rounds, which need renewal."""
         soon_ns = now_ns + 2 * ROUND_INTERVAL_NS
-        ending_per_s = sum(one.rate_per_s for one in self.borrowed if now_ns < one.expires_at_ns <= soon_ns)
+        ending_per_s = sum(
+            lease.rate_per_s for lease in self.borrowed if now_ns < lease.expires_at_ns <= soon_ns
+        )
         return self.available_per_s(now_ns) - ending_per_s
 
     def _request(self, now_ns: int, lender: int, requested_per_s: float) -> bytes:
@@ -239,7 +243,7 @@
         self._fill(now_ns)
         if now_ns < self.lending_starts_at_ns or len(self.lent) >= MAX_LEASES:
             return 0
-        lendable_per_s = self.share_per_s * LENDABLE_FRACTION - sum(one.rate_per_s for one in self.lent)
+        lendable_per_s = self.share_per_s * LENDABLE_FRACTION - sum(lease.rate_per_s for lease in self.lent)
         unneeded_per_s = self.available_per_s(now_ns) - self.demand_per_s * (1 + HEADROOM_FRACTION)
         spare_per_s = min(lendable_per_s, unneeded_per_s, requested_per_s)
         lent = math.floor(spare_per_s * MILLI_UNITS)
--- a/rainhitch/fleet/tenant_usage.py
+++ b/rainhitch/fleet/tenant_usage.py
@@ -91,7 +91,7 @@
     def encode(self) -> bytes:
         """Returns a new report to publish now."""
         self.sequence += 1
-        requests = [min(MAX_COUNT, one) for one in self.requests_in_window()]
+        requests = [min(MAX_COUNT, count) for count in self.requests_in_window()]
         return HEADER.pack(self.generation, self.sequence) + struct.pack(f">{self.count_fields}H", *requests)
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> bool:
@@ -115,7 +115,7 @@
     def fresh_reports(self, now_ns: int) -> list[UsageReport]:
         """Returns the other routers' reports that have not expired."""
         expiry_ns = EXPIRY_INTERVALS * self.interval_ns
-        return [one for one in self.reports.values() if now_ns - one.received_at_ns <= expiry_ns]
+        return [report for report in self.reports.values() if now_ns - report.received_at_ns <= expiry_ns]
 
     def fractions(self, now_ns: int) -> list[float]:
         """Returns this router's fraction of all routers' requests of each tenant, 0 to 1.
@@ -129,7 +129,7 @@
         # Routers without a report are assumed to have the mean traffic of those with one. Otherwise each half
         # of a partitioned fleet would take its own traffic for the whole.
         factor = (self.routers - 1) / len(reports)
-        by_tenant = zip(*(one.requests for one in reports), strict=True)
+        by_tenant = zip(*(report.requests for report in reports), strict=True)
         others = [sum(requests) * factor for requests in by_tenant]
         return [
             own / (own + other) if own else 0.0
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -81,8 +81,8 @@
     def __init__(self, settings: api.Settings, seed: int, options: OverloadOptions | None = None) -> None:
         self.settings = settings
         self.options = OverloadOptions() if options is None else options
-        longest_deadline_ns = max(one.deadline_ns for one in settings.classes)
-        shortest_objective_ns = min(one.latency_objective_ns for one in settings.classes)
+        longest_deadline_ns = max(spec.deadline_ns for spec in settings.classes)
+        shortest_objective_ns = min(spec.latency_objective_ns for spec in settings.classes)
         self.idempotency_keys = IdempotencyKeyGuard(longest_deadline_ns, self.options.orders)
         self.retry_budget = RetryBudget(self.options.retry_share, self.options.retries_least)
         self.concurrency_limit = AdaptiveConcurrencyLimit(
@@ -265,7 +265,7 @@
         self.concurrency_limit.step(now_ns, self.is_limiting)
         if line and not self.detector.storm_active:
             rejections = " ".join(
-                f"rejected_by_{one.value}={count}" for one, count in self.rejections.items()
+                f"rejected_by_{cause.value}={count}" for cause, count in self.rejections.items()
             )
             line += f" limit={self.concurrency_limit.limit:.0f} {rejections}"
             self.rejections = dict.fromkeys(RejectionCause, 0)
