--- a/tests/policy/test_attempt_observations.py
+++ b/tests/policy/test_attempt_observations.py
@@ -24,8 +24,8 @@
         assert all(router.balancer.servers.servers[name].latency.average_ns <= before for name in tried)
     assert len(tried) == 3
     router.end_attempt(send, AttemptStatus.OK, 3, 80 * MILLI)
-    published = [one for one in router.wait(3 * SECOND) if isinstance(one, api.PublishGossip)]
-    assert [seen.server for one in published for seen in one.observations] == [send.server]  # type: ignore[union-attr]
+    published = [action for action in router.wait(3 * SECOND) if isinstance(action, api.PublishGossip)]
+    assert [seen.server for report in published for seen in report.observations] == [send.server]  # type: ignore[union-attr]
 
 
 def test_a_full_queue_is_overload() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -33,9 +33,9 @@
 
 
 def test_ranges_are_equal_and_independent_of_the_lists_order() -> None:
-    one = Router(endpoints=[api.Endpoint(name) for name in "abcd"])
+    router = Router(endpoints=[api.Endpoint(name) for name in "abcd"])
     other = Router(endpoints=[api.Endpoint(name) for name in "cadb"])
-    owners = [one.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
+    owners = [router.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert owners == [other.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
 
@@ -254,8 +254,8 @@
     owner.in_flight, owner.last_sent_at_ns = 1, router.now
     _, actions = router.request("k")
     assert sends(actions) and sends(actions) != [owner.endpoint.server]
-    for one in router.balancer.servers.servers.values():
-        one.latency.average_ns, one.in_flight, one.last_sent_at_ns = float(5 * SECOND), 1, router.now
+    for server in router.balancer.servers.servers.values():
+        server.latency.average_ns, server.in_flight, server.last_sent_at_ns = float(5 * SECOND), 1, router.now
     _, actions = router.request("k")
     assert [type(action) for action in actions] == [api.Reject]
 
@@ -269,18 +269,18 @@
 
 
 def test_an_overloaded_server_gets_one_probe_per_latency() -> None:
-    one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND)))
-    assert not one.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
-    assert one.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
-    one.record_answer(SECOND, SECOND, SECOND // 10, 1, 1)
-    assert one.latency.average_ns < 0.6 * SECOND, "a probe's latency must have half the weight"
+    server = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND)))
+    assert not server.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
+    assert server.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
+    server.record_answer(SECOND, SECOND, SECOND // 10, 1, 1)
+    assert server.latency.average_ns < 0.6 * SECOND, "a probe's latency must have half the weight"
 
 
 def test_probes_of_an_overloaded_server_are_shared_by_all_routers() -> None:
     """Guards against probes from forty routers, one per latency each, that exceed a server's capacity."""
-    one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), unloaded_ns=SECOND / 10))
-    assert not one.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
-    assert one.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
+    server = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), unloaded_ns=SECOND / 10))
+    assert not server.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
+    assert server.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
 
 
 def test_a_first_attempts_timeout_follows_the_fleets_usual_latency() -> None:
@@ -307,10 +307,10 @@
     router.end_attempt(
         send, AttemptStatus.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10)
     )
-    one = router.balancer.servers.servers[sends([send])[0]]
-    assert one.load.expected_ns(router.now) == pytest.approx(4.1e9)
-    assert one.load.expected_ns(router.now + 2 * SECOND) == 0
-    assert sends(router.request("k")[1]) != [one.endpoint.server]
+    server = router.balancer.servers.servers[sends([send])[0]]
+    assert server.load.expected_ns(router.now) == pytest.approx(4.1e9)
+    assert server.load.expected_ns(router.now + 2 * SECOND) == 0
+    assert sends(router.request("k")[1]) != [server.endpoint.server]
 
 
 def test_an_ejected_server_gets_one_attempt_after_its_backoff() -> None:
@@ -442,7 +442,7 @@
     for n in range(8):
         _, (first,) = router.request(f"k{n}")
         reads += router.end_attempt(first, AttemptStatus.MISS)
-    assert [type(one) for one in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
+    assert [type(action) for action in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
 
 
 def test_writes_do_not_keep_an_overloaded_origin_overloaded() -> None:
@@ -488,8 +488,10 @@
         _, (first,) = router.request(f"k{n}", cls)
         for action in router.end_attempt(first, AttemptStatus.ERROR):
             if isinstance(action, api.StartAttempt):
-                one, two = (router.balancer.servers.servers[name].endpoint for name in sends([first, action]))
-                assert getattr(one, same) == getattr(two, same)
+                first_endpoint, second_endpoint = (
+                    router.balancer.servers.servers[name].endpoint for name in sends([first, action])
+                )
+                assert getattr(first_endpoint, same) == getattr(second_endpoint, same)
             else:
                 assert type(action) is api.Fail
 
@@ -515,8 +517,8 @@
 def test_neighbours_that_fail_together_are_skipped() -> None:
     router = Router(endpoints=fleet(6))
     owner, *rest = router.candidates("k")
-    for one in [owner, *rest[:2]]:  # slow without load from this router, with a probe in flight at each
-        one.latency.average_ns, one.latency.unloaded_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
+    for server in [owner, *rest[:2]]:  # slow without load from this router, with a probe in flight at each
+        server.latency.average_ns, server.latency.unloaded_ns, server.in_flight = 1.0 * SECOND, SECOND / 10, 1
     assert sends(router.request("k")[1]) == [rest[2].endpoint.server]
 
 
@@ -553,9 +555,9 @@
 
 def test_the_average_of_attempts_in_flight_decays_slowly() -> None:
     """Guards against a busy server that looks slow as soon as it gets one request at a time."""
-    one = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
-    one.record_answer(START, 2 * SECOND, SECOND, 1, 1)
-    assert one.latency.mean_in_flight == 8 and one.expected_latency_ns(START, 1) < SECOND / 4
+    server = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
+    server.record_answer(START, 2 * SECOND, SECOND, 1, 1)
+    assert server.latency.mean_in_flight == 8 and server.expected_latency_ns(START, 1) < SECOND / 4
 
 
 def test_two_attempts_of_a_request_are_never_in_flight() -> None:
@@ -576,7 +578,7 @@
     router.now = when - 300
     router.handle(api.TimerFired(token))
     answers = router.wait(SECOND)
-    assert [one.id for one in answers if isinstance(one, api.Reject)] == [waiting_id]
+    assert [answer.id for answer in answers if isinstance(answer, api.Reject)] == [waiting_id]
 
 
 def test_a_timer_that_never_fired_is_set_again() -> None:
--- a/tests/policy/test_gossip_observations.py
+++ b/tests/policy/test_gossip_observations.py
@@ -43,7 +43,7 @@
 def published_ages(actions: list[api.Action], name: str) -> list[int]:
     """Returns the published ages of attempts in flight at this server."""
     observations = [
-        seen for one in actions if isinstance(one, api.PublishGossip) for seen in one.observations
+        seen for action in actions if isinstance(action, api.PublishGossip) for seen in action.observations
     ]
     return [seen.elapsed_ns for seen in observations if seen.server == name and seen.is_in_flight]
 
@@ -134,12 +134,14 @@
     assert isinstance(send, api.StartAttempt)
     cancellations = []
     for _ in range(6):
-        cancellations += [one for one in router.wait(200 * MILLI) if isinstance(one, api.CancelAttempt)]
+        cancellations += [
+            action for action in router.wait(200 * MILLI) if isinstance(action, api.CancelAttempt)
+        ]
         assert not cancellations, "cancelled before its server answered an attempt that was sent much later"
     router.handle(gossip)
-    cancellations += [one for one in router.wait(300 * MILLI) if isinstance(one, api.CancelAttempt)]
+    cancellations += [action for action in router.wait(300 * MILLI) if isinstance(action, api.CancelAttempt)]
     assert bool(cancellations) is is_cancelled and all(
-        one == api.CancelAttempt(name, 0) for one in cancellations
+        cancellation == api.CancelAttempt(name, 0) for cancellation in cancellations
     )
     if is_cancelled:
         (again,) = router.end_attempt(send, AttemptStatus.TIMEOUT, 0, 1500 * MILLI)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -51,7 +51,8 @@
         self.timers.clear()
         self.left: dict[str, int] = {}  # servers told as draining or gone, and when
         self.known = {
-            one.server: one for one in fleet(self.random.choice([0, 1, 4, 7]), self.random.random() < 0.9)
+            endpoint.server: endpoint
+            for endpoint in fleet(self.random.choice([0, 1, 4, 7]), self.random.random() < 0.9)
         }
         self.handle(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, list(self.known.values())))
 
@@ -72,16 +73,16 @@
 
     def check_attempt(self, action: api.StartAttempt) -> None:
         """Checks an attempt against rules 1 to 3, and schedules its end."""
-        one = self.held[action.id]
-        assert not one.ended, "rule 1: attempt for an ended request"
+        request = self.held[action.id]
+        assert not request.ended, "rule 1: attempt for an ended request"
         assert action.server in self.known, "attempt at a server that no list named"
         assert self.now <= self.left.get(action.server, self.now) + DRAIN_GRACE_NS, (
             "rule 3: attempt at a draining server"
         )
-        assert len(one.attempts) < self.options.max_attempts
-        assert all(outcome for _, _, outcome in one.attempts), "rule 1: two attempts at once"
-        ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in NEVER_EXECUTED]
-        spec = self.options.classes[one.cls]
+        assert len(request.attempts) < self.options.max_attempts
+        assert all(outcome for _, _, outcome in request.attempts), "rule 1: two attempts at once"
+        ran = [(server, sent) for server, sent, outcome in request.attempts if outcome not in NEVER_EXECUTED]
+        spec = self.options.classes[request.cls]
         if ran and spec.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             raise AssertionError("rule 2: repeat of a non-idempotent request that may have been executed")
         if ran and spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
@@ -93,24 +94,28 @@
                         assert getattr(first, place) == getattr(then, place), (
                             "rule 2: repeat outside the dedup scope"
                         )
-        one.attempts.append((action.server, self.now, ""))
-        limit = one.deadline if action.timeout_ns == 0 else min(one.deadline, self.now + action.timeout_ns)
+        request.attempts.append((action.server, self.now, ""))
+        limit = (
+            request.deadline
+            if action.timeout_ns == 0
+            else min(request.deadline, self.now + action.timeout_ns)
+        )
         spread = self.random.choice([MILLI, 100 * MILLI, 3 * SECOND])
         when = min(limit, self.now + self.random.randrange(1, spread))
-        self.due.append((when, action.id, len(one.attempts) - 1))
+        self.due.append((when, action.id, len(request.attempts) - 1))
 
     def check_answer(self, action: api.Reject | api.Fail) -> None:
         """Checks a final answer against rules 1 and 2."""
-        one = self.held[action.id]
-        assert not one.ended, "rule 1: a second final answer"
-        assert self.now <= one.deadline + 20 * MILLI, "rule 1: late"
-        spec = self.options.classes[one.cls]
-        ran = any(outcome not in NEVER_EXECUTED for _, _, outcome in one.attempts)
+        request = self.held[action.id]
+        assert not request.ended, "rule 1: a second final answer"
+        assert self.now <= request.deadline + 20 * MILLI, "rule 1: late"
+        spec = self.options.classes[request.cls]
+        ran = any(outcome not in NEVER_EXECUTED for _, _, outcome in request.attempts)
         if isinstance(action, api.Reject) and ran and spec.idempotency is not api.Idempotency.IDEMPOTENT:
             assert spec.idempotency is api.Idempotency.IDEMPOTENCY_KEY and spec.dedup_scope == "all", (
                 "rule 2: rejection of a request that may have been executed"
             )
-        one.ended = True
+        request.ended = True
 
     def arrive(self) -> None:
         """Sends a client's request."""
@@ -156,25 +161,25 @@
         kind = api.EndpointUpdateKind.DELTA
         if self.random.random() < 0.2:
             kind = api.EndpointUpdateKind.FULL
-            entries = [one for one in self.known.values() if one.server not in self.left]
+            entries = [endpoint for endpoint in self.known.values() if endpoint.server not in self.left]
             for name in self.known:
-                if name not in {one.server for one in entries}:
+                if name not in {endpoint.server for endpoint in entries}:
                     self.left.setdefault(name, self.now)
         self.handle(api.EndpointUpdate(kind, entries))
 
     def finish(self, when: int, name: str, attempt: int) -> None:
         """Ends an attempt with a random outcome."""
-        one = self.held[name]
-        server, sent, _ = one.attempts[attempt]
+        request = self.held[name]
+        server, sent, _ = request.attempts[attempt]
         may_fail = self.random.random() < self.failure_probability
         outcome = self.random.choice(ENDS) if may_fail else "ok"
-        if when >= one.deadline:
+        if when >= request.deadline:
             outcome = "timeout"
         if outcome == "ok" and server != "origin" and self.random.random() < 0.4:
             outcome = "miss"
-        one.attempts[attempt] = (server, sent, outcome)
-        closed = one.ended or outcome == "ok"
-        one.ended = closed
+        request.attempts[attempt] = (server, sent, outcome)
+        closed = request.ended or outcome == "ok"
+        request.ended = closed
         load = (
             api.LoadReport(in_flight=self.random.randrange(30), latency_ms=50, served_per_s=20)
             if may_fail
@@ -195,7 +200,7 @@
                 [self.arrive, self.change_list, self.disconnect_client, self.restart], [40, 4, 2, 0.3]
             )[0]()
         self.advance(self.now + 10 * SECOND)
-        assert all(one.ended for one in self.held.values()), "rule 1: no answer"
+        assert all(request.ended for request in self.held.values()), "rule 1: no answer"
 
     def advance(self, end: int) -> None:
         """Runs outcomes and timers until `end` in order of time, and checks that no answer is late."""
@@ -211,15 +216,15 @@
             else:
                 self.due.remove((when, name, attempt))
                 self.finish(when, name, attempt)
-            for one in self.held.values():
-                assert one.ended or self.now <= one.deadline + 20 * MILLI, "rule 1: no answer in time"
+            for request in self.held.values():
+                assert request.ended or self.now <= request.deadline + 20 * MILLI, "rule 1: no answer in time"
         self.now = end
 
     def disconnect_client(self) -> None:
         """Disconnects a random client."""
-        open_ones = [name for name, one in self.held.items() if not one.ended]
-        if open_ones:
-            name = self.random.choice(open_ones)
+        open_requests = [name for name, request in self.held.items() if not request.ended]
+        if open_requests:
+            name = self.random.choice(open_requests)
             self.held[name].ended = True
             self.handle(api.ClientGone(name))
 
@@ -237,7 +242,7 @@
 def test_invariants_hold_when_the_origin_and_every_server_fail_at_once() -> None:
     simulation = RandomSimulation(5, "aside")
     simulation.failure_probability = 1.0
-    simulation.known = {one.server: one for one in fleet(6)}
+    simulation.known = {endpoint.server: endpoint for endpoint in fleet(6)}
     simulation.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(simulation.known.values())))
     for _ in range(300):
         simulation.advance(simulation.now + 5 * MILLI)
@@ -248,5 +253,5 @@
         simulation.advance(simulation.now + 5 * MILLI)
         simulation.arrive()
     simulation.advance(simulation.now + 10 * SECOND)
-    assert all(one.ended for one in simulation.held.values())
+    assert all(request.ended for request in simulation.held.values())
     assert simulation.router.requests == {} and simulation.options.origin_kind == ORIGIN_KIND
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -95,8 +95,8 @@
             if server == "origin":
                 self.origin.append(router.now)
                 elapsed = 30 * MILLI
-                for one in missed[:2]:
-                    self._store(one, key)
+                for missed_server in missed[:2]:
+                    self._store(missed_server, key)
             else:
                 assert server in self.listed, "attempt at a server that is not on the list"
                 held = self.caches[server].get(key)
@@ -188,7 +188,9 @@
     for n in range(100):
         for number in range(3):
             assert fleet.read(number, f"k{n}")[-1] == fleet.owner(f"k{n}")
-    new_server_reads = [one for one in fleet.cache_reads[-4000:] if one[1] in ("a00", "c04x", "d00")]
+    new_server_reads = [
+        cache_read for cache_read in fleet.cache_reads[-4000:] if cache_read[1] in ("a00", "c04x", "d00")
+    ]
     assert len(new_server_reads) > 400  # three of twelve servers are new
 
 
@@ -372,7 +374,7 @@
                 fleet.wait(4 * SECOND)
             assert last == [fleet.owner(f"k{n}")]
     moved = sum(router.balancer.migration.moved_keys for router in fleet.routers)
-    assert moved <= 2 * sum(len(one) for one in owners.values())
+    assert moved <= 2 * sum(len(key_owners) for key_owners in owners.values())
 
 
 def test_the_state_kept_for_keys_is_bounded_under_churn() -> None:
--- a/tests/policy/test_latency_estimator.py
+++ b/tests/policy/test_latency_estimator.py
@@ -30,8 +30,8 @@
 
 
 def test_a_server_whose_unloaded_latency_is_unknown_keeps_its_average() -> None:
-    one = Server(api.Endpoint("c"), LatencyEstimator(0.7 * SECOND, updated_at_ns=START))
-    assert one.expected_latency_ns(START + 60 * SECOND, 1) == 0.7 * SECOND
+    server = Server(api.Endpoint("c"), LatencyEstimator(0.7 * SECOND, updated_at_ns=START))
+    assert server.expected_latency_ns(START + 60 * SECOND, 1) == 0.7 * SECOND
 
 
 def test_a_fast_answer_after_a_long_silence_is_added_to_the_rest_of_the_queue() -> None:
@@ -40,9 +40,9 @@
     A fast answer after a long time without answers changed the average only a little, although the queue had
     drained. The drained part must be subtracted before the answer is added.
     """
-    one = queueing()
-    one.latency.record_latency(START + 10 * SECOND, 2 * SECOND, SECOND // 10, 1)
-    assert one.latency.average_ns < 0.11 * SECOND
+    server = queueing()
+    server.latency.record_latency(START + 10 * SECOND, 2 * SECOND, SECOND // 10, 1)
+    assert server.latency.average_ns < 0.11 * SECOND
 
 
 def test_a_lasting_queue_is_not_forgotten_between_frequent_answers() -> None:
@@ -51,7 +51,7 @@
     With ten answers per second a third of the queue was ignored. Only an interval without answers that is
     longer than the latency may shorten a queue.
     """
-    one = queueing()
+    server = queueing()
     for step in range(1, 200):
-        one.latency.record_latency(START + step * 100 * MILLI, 2 * SECOND, 700 * MILLI, 1)
-    assert one.latency.average_ns > 0.69 * SECOND
+        server.latency.record_latency(START + step * 100 * MILLI, 2 * SECOND, 700 * MILLI, 1)
+    assert server.latency.average_ns > 0.69 * SECOND
--- a/tests/policy/test_regressions.py
+++ b/tests/policy/test_regressions.py
@@ -15,8 +15,8 @@
     In a retry storm, reads were repeated half-way to their deadline.
     """
     router = Router()
-    for one in router.balancer.servers.servers.values():
-        one.range_share = 3 / 4  # recent answers were slow
+    for server in router.balancer.servers.servers.values():
+        server.range_share = 3 / 4  # recent answers were slow
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt)
     assert send.timeout_ns == 2 * SECOND
@@ -25,8 +25,12 @@
 def keys_of_one_fast_server(router: Router) -> list[str]:
     """Returns keys that are held by the same fast server as "q0", their owner."""
     held = {f"q{n}": router.fetch_and_store(f"q{n}") for n in range(24)}
-    for one in router.balancer.servers.servers.values():
-        one.latency.average_ns, one.latency.unloaded_ns, one.range_share = 20.0 * MILLI, 20.0 * MILLI, 1.0
+    for server in router.balancer.servers.servers.values():
+        server.latency.average_ns, server.latency.unloaded_ns, server.range_share = (
+            20.0 * MILLI,
+            20.0 * MILLI,
+            1.0,
+        )
     return [key for key in held if held[key] == held["q0"] == router.candidates(key)[0].endpoint.server]
 
 
@@ -82,8 +86,8 @@
     """
     router = Router()
     router.fetch_and_store("k")
-    for one in router.balancer.servers.servers.values():
-        one.latency.unloaded_ns = 20.0 * MILLI
+    for server in router.balancer.servers.servers.values():
+        server.latency.unloaded_ns = 20.0 * MILLI
     _, (send,) = router.request("k")
     router.now += 2 * SECOND - MILLI
     (answer,) = router.end_attempt(send, api.AttemptStatus.TIMEOUT, elapsed=2 * SECOND - MILLI)
@@ -212,7 +216,7 @@
     """
     members = [api.Endpoint(f"c{n}", weight=0.5 if n == 1 else 1.5) for n in range(6)]
     router = Router(settings(cache_aside=False), members)
-    counts = {one.server: 0 for one in members}
+    counts = {member.server: 0 for member in members}
     for n in range(1200):
         _, (send,) = router.request(f"k{n}")
         assert isinstance(send, api.StartAttempt)
--- a/tests/policy/test_shared_limits.py
+++ b/tests/policy/test_shared_limits.py
@@ -79,16 +79,18 @@
     for requests whose server had failed.
     """
     router = Router(settings(), fleet(6))
-    before = {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()}
+    before = {name: server.latency.average_ns for name, server in router.balancer.servers.servers.items()}
     for n in range(20):
         _, (send,) = router.request(f"k{n}")
         (refused,) = router.end_attempt(send, AttemptStatus.NO_LOCAL_CONNECTION, 0, 1)
         assert refused == api.Reject(send.id, refused.retry_after_ns)  # type: ignore[union-attr]
         assert refused.reason == "room"
-    assert {name: one.latency.average_ns for name, one in router.balancer.servers.servers.items()} == before
+    assert {
+        name: server.latency.average_ns for name, server in router.balancer.servers.servers.items()
+    } == before
     assert not any(
-        one.in_flight or one.connection.consecutive_failures
-        for one in router.balancer.servers.servers.values()
+        server.in_flight or server.connection.consecutive_failures
+        for server in router.balancer.servers.servers.values()
     )
 
 
@@ -96,7 +98,7 @@
     router = Router(settings(), fleet(6))
     _, (send,) = router.request("k", 1, write=True)
     assert router.end_attempt(send, AttemptStatus.NO_LOCAL_CONNECTION, 0, 1) == []
-    assert [type(one) for one in router.wait(200 * MILLI)] == [api.StartAttempt]
+    assert [type(action) for action in router.wait(200 * MILLI)] == [api.StartAttempt]
 
 
 def test_reads_of_the_origin_stop_at_the_fleets_read_allowance() -> None:
@@ -113,6 +115,9 @@
         _, (send,) = router.request(f"k{n}")
         outcomes.append(router.end_attempt(send, AttemptStatus.MISS)[0])
     assert isinstance(outcomes[0], api.StartAttempt)
-    assert [one.reason for one in outcomes[1:] if isinstance(one, api.Reject)] == ["total", "total"]
+    assert [outcome.reason for outcome in outcomes[1:] if isinstance(outcome, api.Reject)] == [
+        "total",
+        "total",
+    ]
     name, (send,) = router.request("w", 1, write=True)
     assert isinstance(send, api.StartAttempt) and send.id == name, "writes must not need the allowance"
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -84,9 +84,9 @@
     def members(self, cold: bool) -> list[api.Endpoint]:
         """Returns the endpoint list, with or without the starting server."""
         since = self.servers[COLD].cold_since
-        one = [api.Endpoint(COLD, kind=COLD in self.small, started_at_ns=since)] if cold else []
+        starting = [api.Endpoint(COLD, kind=COLD in self.small, started_at_ns=since)] if cold else []
         rest = [api.Endpoint(name, kind=name in self.small) for name in self.servers if name != COLD]
-        return [*one, *rest, api.Endpoint("origin", kind=ORIGIN_KIND)]
+        return [*starting, *rest, api.Endpoint("origin", kind=ORIGIN_KIND)]
 
     def start_router(self, number: int, cold: bool) -> Balancer:
         """Starts or restarts a router."""
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -32,8 +32,8 @@
     for n in range(4):
         throttle.offer(pending_request(str(n)))
     assert throttle.refill(SECOND // 10 - 1) == []
-    assert [one.request.id for one in throttle.refill(SECOND // 10)] == ["2"]
-    assert [one.request.id for one in throttle.refill(SECOND // 5)] == ["3"]
+    assert [pending.request.id for pending in throttle.refill(SECOND // 10)] == ["2"]
+    assert [pending.request.id for pending in throttle.refill(SECOND // 5)] == ["3"]
     assert throttle.level == 0
 
 
@@ -57,8 +57,8 @@
 def test_a_request_that_leaves_frees_its_place_in_the_buffer() -> None:
     throttle = Throttle(0, 10.0, MIN_TOTAL_CAPACITY)
     requests = [pending_request(str(n)) for n in range(4)]
-    for one in requests:
-        throttle.offer(one)
+    for pending in requests:
+        throttle.offer(pending)
     assert throttle.remove(requests[2])
     assert not throttle.remove(requests[2])
     assert throttle.level == -1
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -72,7 +72,7 @@
             zones.record_answer(zone)
             failed_servers[zone].clear()
         assert zones.is_unreachable(zone) == (len(failed_servers[zone]) >= FAILED_SERVERS_TO_EJECT_ZONE)
-        assert all(zones.may_be_tried(one, now + 16 * SECOND) for one in failed_servers)
+        assert all(zones.may_be_tried(other_zone, now + 16 * SECOND) for other_zone in failed_servers)
 
 
 def cut_off(router: Router) -> int:
@@ -81,7 +81,7 @@
     for n in range(200):
         _, actions = router.request(f"key{n}")
         for attempt in range(4):
-            sent = [one for one in actions if isinstance(one, api.StartAttempt)]
+            sent = [action for action in actions if isinstance(action, api.StartAttempt)]
             if not sent:
                 break
             if router.balancer.servers.servers[sent[0].server].endpoint.zone == 0:
@@ -126,11 +126,11 @@
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=False)
     assert router.balancer.servers.servers[first.server].slow_start.started_at_ns == router.now
-    rest = [one for one in router.balancer.servers.servers.values() if one.endpoint.zone == 1]
+    rest = [server for server in router.balancer.servers.servers.values() if server.endpoint.zone == 1]
     assert all(
-        one.connection.consecutive_failures or one.slow_start.started_at_ns == router.now
-        for one in rest
-        if one.endpoint.kind != 9
+        server.connection.consecutive_failures or server.slow_start.started_at_ns == router.now
+        for server in rest
+        if server.endpoint.kind != 9
     )
 
 
