--- a/tests/overload/test_controller.py
+++ b/tests/overload/test_controller.py
@@ -32,7 +32,7 @@
 
 def rejections(actions: list[api.Action]) -> list[api.Reject]:
     """Returns the rejections among the actions."""
-    return [one for one in actions if isinstance(one, api.Reject)]
+    return [action for action in actions if isinstance(action, api.Reject)]
 
 
 def test_a_storm_is_logged_in_one_line_at_its_start_and_one_at_its_end() -> None:
@@ -51,7 +51,7 @@
     overload.concurrency_limit.limit = 3.0
     assert not rejections(router.request("a")[1]) and not rejections(router.request("b")[1])
     retry_after_ns = [rejections(router.request(f"c{n}")[1])[0].retry_after_ns for n in range(5)]
-    assert all(0 < one <= 2 * SECOND for one in retry_after_ns) and len(set(retry_after_ns)) == 5
+    assert all(0 < wait_ns <= 2 * SECOND for wait_ns in retry_after_ns) and len(set(retry_after_ns)) == 5
 
 
 def test_outside_a_storm_the_limit_rejects_nothing() -> None:
--- a/tests/overload/test_idempotency_keys.py
+++ b/tests/overload/test_idempotency_keys.py
@@ -29,7 +29,7 @@
 
 def summaries(actions: list[api.Action]) -> list[str]:
     """Returns the type and the request's id of each action."""
-    return [f"{type(one).__name__} {getattr(one, 'id', '')}" for one in actions]
+    return [f"{type(action).__name__} {getattr(action, 'id', '')}" for action in actions]
 
 
 def test_a_retry_starts_once_the_first_attempt_has_ended() -> None:
--- a/tests/overload/test_retry_after.py
+++ b/tests/overload/test_retry_after.py
@@ -39,8 +39,8 @@
 
 
 def test_two_routers_that_reject_at_once_give_different_times() -> None:
-    one, two = RetryAfterScheduler(2 * SECOND, 1), RetryAfterScheduler(2 * SECOND, 2)
-    times_ns = [[scheduler.assign_ns(START, 20.0) for _ in range(30)] for scheduler in (one, two)]
+    first, second = RetryAfterScheduler(2 * SECOND, 1), RetryAfterScheduler(2 * SECOND, 2)
+    times_ns = [[scheduler.assign_ns(START, 20.0) for _ in range(30)] for scheduler in (first, second)]
     assert sum(abs(a - b) > MILLI for a, b in zip(*times_ns, strict=True)) > 25
 
 
--- a/tests/overload/test_retry_budget.py
+++ b/tests/overload/test_retry_budget.py
@@ -26,7 +26,7 @@
             retries.append(now)
     for n, begin in enumerate(retries):
         for m, end in enumerate(retries[n:], 1):
-            before = sum(begin - DEPOSIT_LIFETIME_NS - SECOND <= one <= end for one in first_attempts)
+            before = sum(begin - DEPOSIT_LIFETIME_NS - SECOND <= sent_ns <= end for sent_ns in first_attempts)
             allowed = retry_fraction * before + min_per_s * ((end - begin) + DEPOSIT_LIFETIME_NS) / SECOND
             assert m <= allowed + 1e-6
 
--- a/tests/overload/test_storms_on_sockets.py
+++ b/tests/overload/test_storms_on_sockets.py
@@ -39,8 +39,10 @@
         for _ in range(3):
             caller = await bench.caller()
             answers.append(str(await caller.answer()))
-        times = [int(one.split(" ")[1]) for one in answers]
-        assert all(one.startswith("BUSY ") for one in answers) and all(0 < one <= 2000 for one in times)
+        times = [int(answer.split(" ")[1]) for answer in answers]
+        assert all(answer.startswith("BUSY ") for answer in answers) and all(
+            0 < wait_ms <= 2000 for wait_ms in times
+        )
         assert len(set(times)) > 1
 
 
@@ -91,14 +93,14 @@
     monkeypatch.setattr(client_connections, "IDLE_GRACE_NEAR_CAP_S", 0.05)
     async with router(sockets=8) as bench:
         old = [await bench.caller() for _ in range(5)]
-        for n, one in enumerate(old):
+        for n, caller in enumerate(old):
             for m in range(asked):
-                one.get(name=b"i%d-%d" % (n, m))
-                assert await one.answer() == b"v"
+                caller.get(name=b"i%d-%d" % (n, m))
+                assert await caller.answer() == b"v"
         await asyncio.sleep(0.1)
         await (await bench.caller()).answer_to_ping()
-        for one in old[:go]:
-            assert await one.answer() is None
+        for caller in old[:go]:
+            assert await caller.answer() is None
         old[go].get(name=b"again")
         assert await old[go].answer() == b"v"
 
