--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -143,21 +143,21 @@
 ) -> None:
     kept = set()
     for order in permutations(updates):
-        one = FailureDetector(0, 3, 1, 0, 1)
+        detector = FailureDetector(0, 3, 1, 0, 1)
         for router, generation, incarnation, state in (*order, *order):
-            one._apply_update(0, router, generation, incarnation, state)
-        kept.add(one.records[1].precedence)
+            detector._apply_update(0, router, generation, incarnation, state)
+        kept.add(detector.records[1].precedence)
     assert len(kept) == 1
 
 
 @given(st.binary(max_size=64), st.integers(-1, 4))
 def test_malformed_messages_are_refused_or_change_no_router_to_unknown(data: bytes, sender: int) -> None:
-    one = FailureDetector(0, 4, 1, 0, 1)
+    detector = FailureDetector(0, 4, 1, 0, 1)
     with contextlib.suppress(FailureDetectorError):
-        one.receive(SECOND, sender, data)
-    assert one.is_alive(0) and len(one.records) == 4 and one.generation <= MAX_GENERATION
+        detector.receive(SECOND, sender, data)
+    assert detector.is_alive(0) and len(detector.records) == 4 and detector.generation <= MAX_GENERATION
 
 
 def test_an_ack_of_no_ping_changes_nothing() -> None:
-    one = FailureDetector(0, 3, 1, 0, 1)
-    assert one.receive(0, 1, HEADER.pack(MessageKind.ACK, 7, 2)) == [] and not one.pings
+    detector = FailureDetector(0, 3, 1, 0, 1)
+    assert detector.receive(0, 1, HEADER.pack(MessageKind.ACK, 7, 2)) == [] and not detector.pings
--- a/tests/fleet/test_gossip_codec.py
+++ b/tests/fleet/test_gossip_codec.py
@@ -65,7 +65,7 @@
         decoded = decode(data, names_by_hash(NAMES))
     except GossipCodecError:
         return
-    assert all(one.server in NAMES and one.elapsed_ns > 0 for one in decoded)
+    assert all(observation.server in NAMES and observation.elapsed_ns > 0 for observation in decoded)
 
 
 @pytest.mark.parametrize("cut", [1, 2, 4, 7])
--- a/tests/fleet/test_gossip_in_decisions.py
+++ b/tests/fleet/test_gossip_in_decisions.py
@@ -45,8 +45,8 @@
         router.balancer.servers.attempt_finished(
             api.AttemptFinished("x", 0, server, api.AttemptStatus.OK, True, 80 * MILLI)
         )
-        published = [one for one in router.wait(5 * SECOND) if isinstance(one, api.PublishGossip)]
-        assert [one.observations for one in published if one.observations] == (
+        published = [action for action in router.wait(5 * SECOND) if isinstance(action, api.PublishGossip)]
+        assert [report.observations for report in published if report.observations] == (
             [[api.LatencyObservation(server, 80 * MILLI)]] if every else []
         )
         assert bool(published) is (every > 0), "published once per interval, with or without observations"
--- a/tests/fleet/test_peer_latency_bounds.py
+++ b/tests/fleet/test_peer_latency_bounds.py
@@ -11,8 +11,8 @@
 
 
 def bounded_ns(bounds: PeerLatencyBounds, author: int, elapsed: int, now: int = 0, server: str = "c0") -> int:
-    (one,) = bounds.bound(now, author, [api.LatencyObservation(server, elapsed)])
-    return one.elapsed_ns
+    (bounded,) = bounds.bound(now, author, [api.LatencyObservation(server, elapsed)])
+    return bounded.elapsed_ns
 
 
 def test_one_author_alone_is_bounded_by_another_author_or_by_own_observations() -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -51,7 +51,7 @@
 
     async def _collect_records(self) -> Json:
         rows = await super()._collect_records()
-        rows["logs"] = [one.log.read_text(errors="replace") for one in self.routers]
+        rows["logs"] = [router.log.read_text(errors="replace") for router in self.routers]
         rows["views"] = self.views
         return rows
 
@@ -89,8 +89,8 @@
 
 def database_reads(records: Json) -> list[tuple[float, int]]:
     """Returns the time, s since scoring began, and the router of each read that the database received."""
-    rows = [one for one in records["parts"]["centre"]["fetches"] if not one["write"]]
-    return sorted(((one["last"] - records["zero"]) / SECOND, one["router"]) for one in rows)
+    rows = [read for read in records["parts"]["centre"]["fetches"] if not read["write"]]
+    return sorted(((read["last"] - records["zero"]) / SECOND, read["router"]) for read in rows)
 
 
 def max_within(times: list[float], span: float) -> int:
@@ -158,8 +158,8 @@
 def disconnect_early(asks: list[PlannedRequest]) -> None:
     """Has half of the clients disconnect after 30 to 230 ms."""
     for number, ask in enumerate(asks[::2]):
-        for one in ask.tries:
-            one.leaves_us = 30_000 + number * 7919 % 200_000
+        for planned_try in ask.tries:
+            planned_try.leaves_us = 30_000 + number * 7919 % 200_000
     reconnect_often(asks)
 
 
@@ -188,7 +188,7 @@
     async def play(day: ObservedEnvironment) -> Json:
         async with free:
             records = await day.play()
-        assert all(one["crash"] is None for one in records["routers"]), records["logs"]
+        assert all(router["crash"] is None for router in records["routers"]), records["logs"]
         return records | {"asks": sum(ask.at >= 0 for ask in day.plan.asks)}
 
     played = days()
@@ -215,7 +215,7 @@
         assert max_within(times, span) <= QUOTA_PER_S * span + QUOTA_PER_S + 2 * 4, f"in {span} s"
     assert records[name]["asks"] > 2 * QUOTA_PER_S * 9, "the demand is far above the quota"
     for _, views in records[name]["views"]:
-        held = [one["holds"]["now"] for one in views if "holds" in one]
+        held = [view["holds"]["now"] for view in views if "holds" in view]
         assert sum(held) <= QUOTA_PER_S * 4 / 3, "views are taken one by one, so a lease may end in between"
 
 
@@ -223,7 +223,7 @@
     own = QUOTA_PER_S / 4
     late = [router for at, router in database_reads(records["total"]) if 5 <= at < 9]
     assert late.count(0) > 1.5 * (4 * own + own), "its own share and a full bucket give 4 s and 1 s of it"
-    held = [one["holds"]["now"] for at, fleet in records["total"]["views"] if at >= 5 for one in fleet[:1]]
+    held = [view["holds"]["now"] for at, fleet in records["total"]["views"] if at >= 5 for view in fleet[:1]]
     assert max(held) > 2 * own and min(held) >= own, "the other routers lend to it"
 
 
@@ -240,9 +240,9 @@
         seconds = [
             json.loads(line.partition(" second ")[2]) for line in log.splitlines() if " second {" in line
         ]
-        first = next(one["at"] for one in seconds if one["taken"])
-        for one in seconds:
-            for name, count in one.get("customers", {}).items() if one["at"] >= first + after else ():
+        first = next(second["at"] for second in seconds if second["taken"])
+        for second in seconds:
+            for name, count in second.get("customers", {}).items() if second["at"] >= first + after else ():
                 if name.startswith(tenant):
                     total += count
                     marked += count * name.startswith(tenant + "+")
@@ -267,16 +267,26 @@
 
     Returns the number of those whose client had disconnected or timed out, and the number of all.
     """
-    clients = [one for part, rows in day["parts"].items() if part[:7] == "clients" for one in rows["sent"]]
-    left_at = {one["id"]: one["left"] or one["sent"] + one["wait"] for one in clients if one["sent"]}
+    clients = [
+        client for part, rows in day["parts"].items() if part[:7] == "clients" for client in rows["sent"]
+    ]
+    left_at = {
+        client["id"]: client["left"] or client["sent"] + client["wait"]
+        for client in clients
+        if client["sent"]
+    }
     (resumed_at,) = [at for what, at in day["routers"][router]["events"] if what == "wake"]
-    nodes = [one for part, rows in day["parts"].items() if part[:5] == "nodes" for one in rows["attempts"]]
+    nodes = [
+        attempt for part, rows in day["parts"].items() if part[:5] == "nodes" for attempt in rows["attempts"]
+    ]
     mine = [
-        one
-        for one in nodes + day["parts"]["centre"]["fetches"]
-        if one["router"] == router and resumed_at <= one["first"] <= resumed_at + SECOND
+        attempt
+        for attempt in nodes + day["parts"]["centre"]["fetches"]
+        if attempt["router"] == router and resumed_at <= attempt["first"] <= resumed_at + SECOND
     ]
-    return sum(one["first"] > left_at.get(one["id"], 1 << 62) + SECOND // 20 for one in mine), len(mine)
+    return sum(
+        attempt["first"] > left_at.get(attempt["id"], 1 << 62) + SECOND // 20 for attempt in mine
+    ), len(mine)
 
 
 def test_processes_a_paused_router_starts_no_attempt_for_clients_that_left(
@@ -301,11 +311,11 @@
     left.
     """
     parts = records["left"]["parts"]
-    clients = [one for name, rows in parts.items() if name[:7] == "clients" for one in rows["sent"]]
-    left = {one["id"]: one["left"] for one in clients if one["left"]}
-    nodes = [one for name, rows in parts.items() if name[:5] == "nodes" for one in rows["attempts"]]
-    begun = [one for one in nodes + parts["centre"]["fetches"] if one["id"] in left]
-    late = [one for one in begun if one["first"] > left[one["id"]] + SECOND // 2]
+    clients = [client for name, rows in parts.items() if name[:7] == "clients" for client in rows["sent"]]
+    left = {client["id"]: client["left"] for client in clients if client["left"]}
+    nodes = [attempt for name, rows in parts.items() if name[:5] == "nodes" for attempt in rows["attempts"]]
+    begun = [attempt for attempt in nodes + parts["centre"]["fetches"] if attempt["id"] in left]
+    late = [attempt for attempt in begun if attempt["first"] > left[attempt["id"]] + SECOND // 2]
     assert len(left) > 100 and len(begun) > 100 and not late
 
 
@@ -319,8 +329,8 @@
     """
     views = records["gone"]["views"]
     away = [fleet for at, fleet in views if 11 <= at < 12.5]
-    assert any(all(one.get("gone") == [3, 4] for one in fleet[:3]) for fleet in away), away
-    assert [one.get("gone") for one in views[-1][1][:4]] == [[4]] * 4, views[-1]
+    assert any(all(view.get("gone") == [3, 4] for view in fleet[:3]) for fleet in away), away
+    assert [view.get("gone") for view in views[-1][1][:4]] == [[4]] * 4, views[-1]
     for at, fleet in views:
         if at > 13.2:
             assert fleet[3].get("gone", [4]) in ([], [4]), "the resumed router declared a live router dead"
--- a/tests/fleet/test_quota_escrow.py
+++ b/tests/fleet/test_quota_escrow.py
@@ -87,7 +87,8 @@
             ]
         network.go(network.random.randrange(1, 3 * SECOND), demand)
         assert all(
-            max(len(one.lent), len(one.requests), len(one.borrowed)) <= MAX_LEASES for one in network.parts
+            max(len(escrow.lent), len(escrow.requests), len(escrow.borrowed)) <= MAX_LEASES
+            for escrow in network.parts
         )
     return meter, network
 
@@ -105,7 +106,7 @@
         meter, network = run_random_faults(seed, 120, routers)
         assert meter.worst <= meter.bound(), f"seed {seed}"
         assert meter.taken > 1000
-        demanded += meter.taken + sum(one.denied for one in network.parts)
+        demanded += meter.taken + sum(escrow.denied for escrow in network.parts)
     assert demanded > least
 
 
@@ -117,7 +118,9 @@
         monkeypatch.setattr(
             QuotaEscrow,
             "_min_available_per_s",
-            lambda one, begin, end: original(one, begin, end) + sum(x.rate_per_s for x in one.lent),
+            lambda escrow, begin, end: (
+                original(escrow, begin, end) + sum(lease.rate_per_s for lease in escrow.lent)
+            ),
         )
     elif mutant == "own clock ends it":
 
@@ -168,8 +171,12 @@
     reached = {3: 0.75, 12: 0.6, 60: 0.4}[routers]  # few routers get a request per round, and leases expire
     assert (meter.taken - before) / 8 > reached * QUOTA_PER_S
     network.go(2 * LEASE_NS + 4 * SECOND)  # the last requests are sent while the average demand decays
-    assert all(not one.borrowed and not one.lent for one in network.parts if one._fill(network.now) is None)
-    assert sum(one.available_per_s(network.now) for one in network.parts) == pytest.approx(QUOTA_PER_S)
+    assert all(
+        not escrow.borrowed and not escrow.lent
+        for escrow in network.parts
+        if escrow._fill(network.now) is None
+    )
+    assert sum(escrow.available_per_s(network.now) for escrow in network.parts) == pytest.approx(QUOTA_PER_S)
 
 
 def test_a_router_that_receives_nothing_falls_back_to_its_share_when_leases_end() -> None:
@@ -188,12 +195,12 @@
 
 def test_a_router_paused_past_its_leases_resumes_with_its_share_and_one_bucket() -> None:
     """Expiry is checked for each unit taken, so a resumed router does not use its expired leases."""
-    one = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 7)
-    one.borrowed.append(Lease(1, 0, 80.0, 4 * SECOND))
-    one._fill(3 * SECOND)
+    escrow = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 7)
+    escrow.borrowed.append(Lease(1, 0, 80.0, 4 * SECOND))
+    escrow._fill(3 * SECOND)
     later = 100 * SECOND
-    assert sum(one.take(later) for _ in range(1000)) <= one.bucket_capacity(later)
-    assert one.available_per_s(later) == one.share_per_s and not one.borrowed
+    assert sum(escrow.take(later) for _ in range(1000)) <= escrow.bucket_capacity(later)
+    assert escrow.available_per_s(later) == escrow.share_per_s and not escrow.borrowed
 
 
 def test_leases_of_an_earlier_process_are_held_back_until_they_expire() -> None:
@@ -215,11 +222,11 @@
 @given(st.binary(max_size=20), st.integers(-2, 4))
 @budget(max_examples=500)
 def test_malformed_messages_change_nothing_that_is_available(data: bytes, sender: int) -> None:
-    one = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 1)
+    escrow = QuotaEscrow(0, 3, QUOTA_PER_S, 0, 1)
     now = 10 * SECOND
     with contextlib.suppress(QuotaEscrowError):
-        one.receive(now, sender, data)
-    assert not one.borrowed and one.available_per_s(now) <= one.share_per_s
+        escrow.receive(now, sender, data)
+    assert not escrow.borrowed and escrow.available_per_s(now) <= escrow.share_per_s
 
 
 def test_every_order_of_messages_failures_and_time_keeps_the_sum() -> None:
@@ -236,19 +243,26 @@
     def key(parts: tuple[QuotaEscrow, ...], messages: tuple[tuple[int, int, bytes], ...], now: int) -> object:
         rows = [
             (
-                sorted((round(x.rate_per_s, 6), x.expires_at_ns) for x in one.lent),
-                sorted((round(x.rate_per_s, 6), x.expires_at_ns) for x in one.borrowed),
-                sorted((x.lender, x.sent_at_ns, x.requested_per_s) for x in one.requests.values()),
-                one.lending_starts_at_ns,
+                sorted((round(lease.rate_per_s, 6), lease.expires_at_ns) for lease in escrow.lent),
+                sorted((round(lease.rate_per_s, 6), lease.expires_at_ns) for lease in escrow.borrowed),
+                sorted(
+                    (request.lender, request.sent_at_ns, request.requested_per_s)
+                    for request in escrow.requests.values()
+                ),
+                escrow.lending_starts_at_ns,
             )
-            for one in parts
+            for escrow in parts
         ]
         return repr(rows), messages, now
 
     def copies(parts: tuple[QuotaEscrow, ...]) -> tuple[QuotaEscrow, ...]:
-        made = tuple(copy.copy(one) for one in parts)
-        for one in made:
-            one.lent, one.borrowed, one.requests = list(one.lent), list(one.borrowed), dict(one.requests)
+        made = tuple(copy.copy(escrow) for escrow in parts)
+        for escrow in made:
+            escrow.lent, escrow.borrowed, escrow.requests = (
+                list(escrow.lent),
+                list(escrow.borrowed),
+                dict(escrow.requests),
+            )
         return made
 
     def explore(
@@ -260,7 +274,7 @@
             return
         seen.add(here)
         states += 1
-        assert sum(one.available_per_s(now) for one in parts) <= 12.0 + 1e-6
+        assert sum(escrow.available_per_s(now) for escrow in parts) <= 12.0 + 1e-6
         if not left:
             return
         for n in range(2):  # the third only lends
@@ -271,8 +285,8 @@
             source, to, data = message
             changed = copies(parts)
             answers = changed[to].receive(now, source, data)
-            more = tuple((to, whom, one) for whom, one in answers)
-            rest = tuple(one for one in messages if one is not message)
+            more = tuple((to, whom, answer) for whom, answer in answers)
+            rest = tuple(other for other in messages if other is not message)
             explore(changed, rest + more, now, left - 1)
             explore(changed, messages + more, now, left - 1)  # the message may arrive again later
         for n in range(3):
--- a/tests/fleet/test_router_gossip.py
+++ b/tests/fleet/test_router_gossip.py
@@ -35,10 +35,10 @@
 @pytest.fixture
 def peer() -> Iterator[socket.socket]:
     """Socket of another router."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        one.settimeout(20)
-        yield one
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer_socket:
+        peer_socket.bind(("127.0.0.1", 0))
+        peer_socket.settimeout(20)
+        yield peer_socket
 
 
 def is_slower(server: Server, before: float) -> bool:
--- a/tests/fleet/test_tenant_usage.py
+++ b/tests/fleet/test_tenant_usage.py
@@ -141,11 +141,11 @@
         requests_by_version[generation, sequence] = requests
 
     def report(generation: int, sequence: int) -> bytes:
-        one = TenantUsage(1, 2, 1, generation, 0)
-        one.sequence = sequence - 1
+        usage = TenantUsage(1, 2, 1, generation, 0)
+        usage.sequence = sequence - 1
         for _ in range(requests_by_version[generation, sequence]):
-            one.add(0)
-        return one.encode()
+            usage.add(0)
+        return usage.encode()
 
     reports = [report(generation, sequence) for generation, sequence in requests_by_version]
     shuffled = reports * 2
@@ -162,24 +162,24 @@
 
 def test_many_tenants_are_reported_as_one_and_a_report_is_bounded() -> None:
     for tenants in (1, MAX_TENANTS, MAX_TENANTS + 1, 500):
-        one = TenantUsage(0, 200, tenants, 1, 0)
-        one.add(tenants - 1)
-        assert len(one.encode()) <= 8 + 2 * MAX_TENANTS
+        usage = TenantUsage(0, 200, tenants, 1, 0)
+        usage.add(tenants - 1)
+        assert len(usage.encode()) <= 8 + 2 * MAX_TENANTS
         assert (
-            len(one.requests_in_window()) == (tenants if tenants <= MAX_TENANTS else 1)
-            and sum(one.requests_in_window()) == 1
+            len(usage.requests_in_window()) == (tenants if tenants <= MAX_TENANTS else 1)
+            and sum(usage.requests_in_window()) == 1
         )
 
 
 @given(st.binary(max_size=40), st.integers(-1, 3))
 def test_malformed_reports_are_refused(data: bytes, sender: int) -> None:
-    one = TenantUsage(0, 3, 2, 1, 0)
+    usage = TenantUsage(0, 3, 2, 1, 0)
     try:
-        one.receive(0, sender, data)
+        usage.receive(0, sender, data)
     except TenantUsageError:
-        assert not one.reports
+        assert not usage.reports
     else:
-        assert set(one.reports) <= {sender} and len(data) == 12
+        assert set(usage.reports) <= {sender} and len(data) == 12
 
 
 def test_reports_received_a_second_do_not_grow_with_the_fleet() -> None:
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -40,7 +40,9 @@
 
 def rows(latencies: list[LatencyObservation]) -> list[Any]:
     """Returns observations in the form of the recording."""
-    return [[one.server, one.elapsed_ns, one.is_in_flight] for one in latencies]
+    return [
+        [observation.server, observation.elapsed_ns, observation.is_in_flight] for observation in latencies
+    ]
 
 
 def latency_observations() -> Run:
@@ -179,8 +181,8 @@
         waiting = []
         for source, to, payload in sent:
             run.append([step, source, to, payload.hex()])
-            targets = [one for one in range(ROUTERS) if one != source] if to == ALL_ROUTERS else [to]
-            waiting += [(source, one, payload) for one in targets]
+            targets = [target for target in range(ROUTERS) if target != source] if to == ALL_ROUTERS else [to]
+            waiting += [(source, target, payload) for target in targets]
     return run
 
 
