--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -141,7 +141,8 @@
 class FailureDetector:
     """Failure detector of one router, with its view of the others.
 
-    `own_index` is this router's number among `routers`; `generation`, 1 to `MAX_GENERATION`, rises per start.
+    `own_index` is the number of this router among `routers`. `generation` is 1 to `MAX_GENERATION` and
+    higher after each start. Times are in ns.
     """
 
     def __init__(self, own_index: int, routers: int, generation: int, now_ns: int, seed: int) -> None:
@@ -152,7 +153,7 @@
         self.records = [RouterRecord(state_since_ns=now_ns) for _ in range(routers)]
         self.records[own_index] = RouterRecord(generation, state_since_ns=now_ns)
         self.ping_order: list[int] = []  # routers not yet pinged in this round, the next one last
-        self.pings: dict[int, PendingPing] = {}  # by sequence number
+        self.pings: dict[int, PendingPing] = {}  # pings by sequence number
         self.sequence = 0
         self.local_health_score = 0
         self.next_ping_at_ns = now_ns
--- a/rainhitch/fleet/quota_escrow.py
+++ b/rainhitch/fleet/quota_escrow.py
@@ -111,7 +111,7 @@
         self.lending_starts_at_ns = now_ns + LENDER_HOLD_NS  # when an earlier process's leases have expired
         self.lent: list[Lease] = []
         self.borrowed: list[Lease] = []
-        self.requests: dict[int, LeaseRequest] = {}  # by nonce
+        self.requests: dict[int, LeaseRequest] = {}  # requests by nonce
         self.nonce = self.random.getrandbits(32)
         self.denied = 0  # units denied since the start
 
--- a/rainhitch/fleet/tenant_usage.py
+++ b/rainhitch/fleet/tenant_usage.py
@@ -71,7 +71,7 @@
         self.sequence = 0
         self.totals = [0] * self.count_fields  # requests received since the start, by tenant
         self.snapshots = deque([UsageSnapshot(now_ns, tuple(self.totals))])  # the first begins the window
-        self.reports: dict[int, UsageReport] = {}  # by router
+        self.reports: dict[int, UsageReport] = {}  # latest reports by router
         self.interval_ns = max(MIN_INTERVAL_NS, routers * NS_PER_S // MAX_REPORTS_RECEIVED_PER_S)
 
     def add(self, tenant: int) -> None:
--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -110,8 +110,8 @@
 class RequestClass:
     """A class of requests."""
 
-    latency_objective_ns: int  # after the request's arrival; an answer within it has its full value
-    deadline_ns: int  # after the request's arrival; no answer is given later
+    latency_objective_ns: int  # time after the request's arrival; an answer within it has its full value
+    deadline_ns: int  # time after the request's arrival; no answer is given later
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     dedup_scope: str = "all"  # servers that recognize a repeat: "all", or those of the same "zone" or "cell"
     dedup_window_ns: int = 0  # how long after the first attempt servers recognize a repeat
@@ -211,7 +211,7 @@
     status: AttemptStatus
     # No further answer is due: the final answer has been sent or begun, or the client has disconnected.
     request_finished: bool
-    elapsed_ns: int  # since the attempt started
+    elapsed_ns: int  # time since the attempt started
     answer_note: int = NOTE_NONE  # how the server obtained its answer: one of NOTE_...
     load: LoadReport | None = None
     connection_reused: bool | None = None  # the connection had carried earlier attempts; None: not known
@@ -308,7 +308,7 @@
     """Final answer: not served, and sending the request again does no harm."""
 
     id: str  # id of the request
-    retry_after_ns: int = 0  # after which the client should retry; 0: the client is not told
+    retry_after_ns: int = 0  # time after which the client should retry; 0: the client is not told
     # Value of a RejectReason, for records; a "+" after it marks a request over its tenant's quota.
     reason: str = field(default="", compare=False)
 
--- a/rainhitch/overload/idempotency_keys.py
+++ b/rainhitch/overload/idempotency_keys.py
@@ -80,7 +80,7 @@
         self.client_retry_window_ns = client_retry_window_ns
         self.max_keys = max_keys
         self.max_queued = max_queued
-        self.records: dict[str, KeyRecord] = {}  # by key, in the order in which they were last held
+        self.records: dict[str, KeyRecord] = {}  # records by key, in the order of their last hold
         # Key by request id, of requests that hold a key, wait for one, or have an attempt in flight.
         self.key_by_request: dict[str, str] = {}
 
--- a/rainhitch/policy/balancer.py
+++ b/rainhitch/policy/balancer.py
@@ -39,7 +39,7 @@
     def __init__(
         self, settings: api.Settings, seed: int, overload_control: api.OverloadControl | None = None
     ) -> None:
-        """Initializes all modules; `seed`: of all random numbers; no `overload_control`: all is admitted."""
+        """Seeds all random numbers with `seed`; without `overload_control` every request is admitted."""
         self.settings = settings
         self.overload_control = overload_control or NoOverloadControl(settings)
         self.requests: dict[str, PendingRequest] = {}  # requests without a final answer yet, by id
@@ -179,7 +179,7 @@
     def _finish_unserved(
         self, pending: PendingRequest | None, reason: api.RejectReason | None = None
     ) -> None:
-        """Rejects a request if sending it again does no harm, else fails it; no `reason`: out of time."""
+        """Rejects a request if sending it again does no harm, else fails it; no `reason`: it ran out of time."""
         if (
             pending is None
             or self.requests.get(pending.request.id) is not pending
--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -19,7 +19,7 @@
 SHORT_RATE_SPAN_NS = 2 * SECOND
 MAX_MIGRATION_BURST = 1.0  # capacity of the token bucket, key migrations
 MIN_FLEET_MIGRATIONS_PER_S = 0.5  # lower bound of all routers' rate, while other origin requests are few
-MAX_PREVIOUS_HOLDER_HITS_FRACTION = 1 / 100  # of all reads; at or below it the migration ends
+MAX_PREVIOUS_HOLDER_HITS_FRACTION = 1 / 100  # a migration ends at or below this fraction of the reads
 SETTLED_CHECK_INTERVAL_NS = SECOND
 NO_MIGRATION = -1  # value of `began_at_ns` while there is no migration
 
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -78,7 +78,7 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.warm_rates: dict[int, WarmRate] = {}  # by `Endpoint.kind`
+        self.warm_rates: dict[int, WarmRate] = {}  # warm rates by `Endpoint.kind`
 
     def admits_in_slow_start(
         self,
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -23,7 +23,7 @@
 
     cls: int
     deadline: int
-    attempts: list[tuple[str, int, str]] = field(default_factory=list)  # server, sent, outcome or ""
+    attempts: list[tuple[str, int, str]] = field(default_factory=list)  # server, time sent, outcome or ""
     ended: bool = False
 
 
@@ -40,7 +40,7 @@
         )
         self.now = 100 * SECOND
         self.timers: list[tuple[int, str]] = []
-        self.due: list[tuple[int, str, int]] = []  # when, request, attempt
+        self.due: list[tuple[int, str, int]] = []  # end time, request id and attempt number
         self.start()
 
     def start(self) -> None:
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -39,7 +39,7 @@
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
         self.origin: list[int] = []  # times of the origin's requests
-        self.cache_reads: list[tuple[int, str, str]] = []  # time, server, "hit" or "miss"
+        self.cache_reads: list[tuple[int, str, str]] = []  # time, server, and "hit" or "miss"
         options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -17,8 +17,8 @@
 from rainhitch import interface as api
 from rainhitch.policy.balancer import Balancer
 
-CORES, SERVICE_NS = 2, SECOND // 10  # of each server: concurrent requests, and service time of one, ns
-CAPACITY = CORES * SECOND / SERVICE_NS  # of a warm server, requests per second
+CORES, SERVICE_NS = 2, SECOND // 10  # concurrent requests of a server, and service time of each, ns
+CAPACITY = CORES * SECOND / SERVICE_NS  # capacity of a warm server, requests per second
 WINDOW_NS = SECOND
 COLD = "c0"
 SMALL_MACHINE_SPEEDS = {COLD: 0.5, "c1": 0.5}  # relative speed, which the listed weight does not show
