--- a/rainhitch/fleet/gossip_codec.py
+++ b/rainhitch/fleet/gossip_codec.py
@@ -31,7 +31,7 @@
 IN_FLIGHT_BIT = 0x80
 MIN_TIME_NS = 1_000_000  # time of code 0
 LOG_STEP = math.log(1.1)  # difference of the logarithms of two successive times
-TIMES_NS = [int(MIN_TIME_NS * math.exp(code * LOG_STEP)) for code in range(128)]  # by code, up to three minutes
+TIMES_NS = [int(MIN_TIME_NS * math.exp(code * LOG_STEP)) for code in range(128)]  # by code, to three minutes
 
 
 class GossipCodecError(FleetError):
--- a/rainhitch/policy/balancer.py
+++ b/rainhitch/policy/balancer.py
@@ -179,7 +179,7 @@
     def _finish_unserved(
         self, pending: PendingRequest | None, reason: api.RejectReason | None = None
     ) -> None:
-        """Rejects a request if sending it again does no harm, else fails it; no `reason`: it ran out of time."""
+        """Rejects a request if sending it again does no harm, else fails it; no `reason`: out of time."""
         if (
             pending is None
             or self.requests.get(pending.request.id) is not pending
