--- a/rainhitch/interface.py
+++ b/rainhitch/interface.py
@@ -113,7 +113,8 @@
     latency_objective_ns: int  # time after the request's arrival; an answer within it has its full value
     deadline_ns: int  # time after the request's arrival; no answer is given later
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: str = "all"  # servers that recognize a repeat: "all", or those of the same "zone" or "cell"
+    # Servers that recognize a repeat by its idempotency key: "all", or those of the same "zone" or "cell".
+    dedup_scope: str = "all"
     dedup_window_ns: int = 0  # how long after the first attempt servers recognize a repeat
     priority_weight: float = 1.0  # value of an answer within the objective; not used in decisions
     late_weight: float = 0.0  # value of a later answer, as a fraction of `priority_weight`
