--- a/rainhitch/fleet/failure_detector.py
+++ b/rainhitch/fleet/failure_detector.py
@@ -153,7 +153,7 @@
         self.records = [RouterRecord(state_since_ns=now_ns) for _ in range(routers)]
         self.records[own_index] = RouterRecord(generation, state_since_ns=now_ns)
         self.ping_order: list[int] = []  # routers not yet pinged in this round, the next one last
-        self.pings: dict[int, PendingPing] = {}  # by sequence number
+        self.pings: dict[int, PendingPing] = {}  # pings by sequence number
         self.sequence = 0
         self.local_health_score = 0
         self.next_ping_at_ns = now_ns
@@ -206,7 +206,7 @@
         suspicion_ns = SUSPICION_PERIODS * self.log_fleet_size * PERIOD_NS * health_factor // 2
         for router, record in enumerate(self.records):
             if record.state is RouterState.SUSPECT and now_ns - record.state_since_ns >= suspicion_ns:
-                self._set_record(now_ns, router, record.generation, record.incarnation, RouterState.DEAD)
+                self._store(now_ns, router, record.generation, record.incarnation, RouterState.DEAD)
 
     def _change_health_score(self, by: int) -> None:
         self.local_health_score = min(MAX_HEALTH_SCORE, max(0, self.local_health_score + by))
@@ -230,26 +230,19 @@
         return Datagram(target, self._encode(MessageKind.PING, self.sequence, target, receiver=target))
 
     def _ping_timed_out(self, now_ns: int, sequence: int, ping: PendingPing) -> list[Datagram]:
-        """Requests indirect pings; once those have timed out, drops the ping and suspects its target.
-
-        A ping that was sent for another router is dropped at its first time-out.
-        """
+        """Requests indirect pings; once those have timed out, drops the ping and suspects its target."""
         if ping.indirect_requested or ping.requester is not None:
-            del self.pings[sequence]
+            del self.pings[sequence]  # at its first time-out, if it was sent for another router
             record = self.records[ping.target]
             if ping.requester is None and record.state is RouterState.ALIVE:
                 self._change_health_score(1)
-                self._set_record(
-                    now_ns, ping.target, record.generation, record.incarnation, RouterState.SUSPECT
-                )
+                self._store(now_ns, ping.target, record.generation, record.incarnation, RouterState.SUSPECT)
             return []
         ping.indirect_requested = True
         ping.deadline_ns = now_ns + INDIRECT_TIMEOUT_FACTOR * self._ping_timeout_ns()
         others = [router for router in self.live_routers() if router not in (self.own_index, ping.target)]
-        proxies = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
-        return [
-            Datagram(proxy, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for proxy in proxies
-        ]
+        peers = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
+        return [Datagram(peer, self._encode(MessageKind.PING_REQ, sequence, ping.target)) for peer in peers]
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> list[Datagram]:
         """Handles another router's message; returns the messages to send in answer.
@@ -257,13 +250,9 @@
         Raises FailureDetectorError if the message cannot be read; updates before the faulty one are applied.
         """
         if len(data) < HEADER.size or (len(data) - HEADER.size) % UPDATE.size:
-            raise FailureDetectorError(
-                f"expected {HEADER.size} bytes and {UPDATE.size} for each update, got {len(data)} bytes"
-            )
+            raise FailureDetectorError(f"expected {HEADER.size} + n * {UPDATE.size} bytes, got {len(data)}")
         if not 0 <= sender < self.routers or sender == self.own_index:
-            raise FailureDetectorError(
-                f"expected a message from another of {self.routers} routers, got router {sender}"
-            )
+            raise FailureDetectorError(f"expected another of {self.routers} routers as sender, got {sender}")
         kind, sequence, subject = HEADER.unpack_from(data)
         if kind not in (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ) or subject >= self.routers:
             raise FailureDetectorError(
@@ -308,20 +297,16 @@
         precedence = (generation, incarnation, state)
         if router != self.own_index:
             if precedence > self.records[router].precedence:
-                self._set_record(now_ns, router, generation, incarnation, state)
+                self._store(now_ns, router, generation, incarnation, state)
             return
         if precedence > self.records[self.own_index].precedence:
             self._refute(generation, incarnation)
             return
         if precedence < self.records[self.own_index].precedence:
-            # The sender has not received the last update on this router.
-            self.update_queue.enqueue(self.own_index)
+            self.update_queue.enqueue(self.own_index)  # the sender lacks the last update on this router
 
     def _refute(self, generation: int, incarnation: int) -> None:
-        """Takes a higher incarnation than an update on this router has, or a higher generation.
-
-        Refutes updates that call this running router suspect or dead, and updates on its earlier generation.
-        """
+        """Refutes an update on this router (suspect, dead or earlier process) by a higher precedence."""
         record = self.records[self.own_index]
         incarnations_exhausted = incarnation == MAX_INCARNATION
         if incarnations_exhausted or generation > record.generation:
@@ -333,9 +318,7 @@
         self.update_queue.enqueue(self.own_index)
         self._change_health_score(1)
 
-    def _set_record(
-        self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState
-    ) -> None:
+    def _store(self, now_ns: int, router: int, generation: int, incarnation: int, state: RouterState) -> None:
         was_dead = self.records[router].state is RouterState.DEAD
         is_dead = state is RouterState.DEAD
         if was_dead != is_dead:
--- a/rainhitch/overload/controller.py
+++ b/rainhitch/overload/controller.py
@@ -81,8 +81,8 @@
     def __init__(self, settings: api.Settings, seed: int, options: OverloadOptions | None = None) -> None:
         self.settings = settings
         self.options = OverloadOptions() if options is None else options
-        longest_deadline_ns = max(one.deadline_ns for one in settings.classes)
-        shortest_objective_ns = min(one.latency_objective_ns for one in settings.classes)
+        longest_deadline_ns = max(spec.deadline_ns for spec in settings.classes)
+        shortest_objective_ns = min(spec.latency_objective_ns for spec in settings.classes)
         self.idempotency_keys = IdempotencyKeyGuard(longest_deadline_ns, self.options.orders)
         self.retry_budget = RetryBudget(self.options.retry_share, self.options.retries_least)
         self.concurrency_limit = AdaptiveConcurrencyLimit(
@@ -119,10 +119,7 @@
         return self.accept_pacer.pause_after_accept_ns(now_ns) if self.options.damping else 0
 
     def connection_rejected(self, now_ns: int) -> int:
-        """Counts a connection rejected because the router has too many.
-
-        Returns the client's Retry-After time, ns; 0 if none may be given.
-        """
+        """Counts a connection over the router's limit; returns its Retry-After time, ns, or 0 for none."""
         self.detector.current.connections_rejected += 1
         return self.retry_after.assign_ns(now_ns, self.service.returns_per_s()) if self.options.damping else 0
 
@@ -244,8 +241,8 @@
         """Returns the Retry-After time of a rejected request, ns; 0 if none may be given.
 
         A first attempt within its tenant's quota is given a time after which it can still be answered within
-        its latency objective, since a later answer is worth little. Any other request is given a time after
-        which it can still be answered by its deadline.
+        its latency objective, since a later answer has only its `late_weight` as value to the client. Any
+        other request is given a time after which it can still be answered by its deadline.
         """
         tracked = self.requests.get(request.id)
         answer_by_ns = request.deadline_ns
@@ -268,7 +265,7 @@
         self.concurrency_limit.step(now_ns, self.is_limiting)
         if line and not self.detector.storm_active:
             rejections = " ".join(
-                f"rejected_by_{one.value}={count}" for one, count in self.rejections.items()
+                f"rejected_by_{cause.value}={count}" for cause, count in self.rejections.items()
             )
             line += f" limit={self.concurrency_limit.limit:.0f} {rejections}"
             self.rejections = dict.fromkeys(RejectionCause, 0)
--- a/rainhitch/policy/attempt_observations.py
+++ b/rainhitch/policy/attempt_observations.py
@@ -3,9 +3,9 @@
 from rainhitch import interface as api
 from rainhitch.policy.connection_health import CONNECTION_FAILURES, PROCESS_ANSWERED
 from rainhitch.policy.decision_context import DecisionContext
-from rainhitch.policy.gossip_observations import RANGE_CUT_LATENCY_DIVISOR, GossipObservations
+from rainhitch.policy.gossip_observations import RANGE_CUT_LATENCIES_PER_OBJECTIVE, GossipObservations
 from rainhitch.policy.rates import SECOND, SMOOTHING
-from rainhitch.policy.server import INITIAL_LATENCY_DIVISOR, Server, ServerList
+from rainhitch.policy.server import INITIAL_LATENCIES_PER_OBJECTIVE, Server, ServerList
 from rainhitch.policy.zone_reachability import ZoneReachability
 
 MAX_REFUSED_CONNECTS_FRACTION = 1 / 2  # above this fraction of recent connects, connection tables are full
@@ -34,8 +34,8 @@
         self.gossip = gossip
         self.span_ns = span_ns
         # Moving average of latencies over all cache servers.
-        self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCY_DIVISOR
-        self.refused_connects_fraction = 0.0  # moving average, of new connects refused at once
+        self.mean_cache_latency_ns = context.shortest_objective_ns / INITIAL_LATENCIES_PER_OBJECTIVE
+        self.refused_connects_fraction = 0.0  # moving average of the fraction of new connects refused at once
 
     def are_connection_tables_full(self) -> bool:
         """Returns whether most new connects are refused at once, as with full connection tables."""
@@ -150,7 +150,7 @@
             server.record_answer(now_ns, self.span_ns, elapsed_ns, in_flight, routers_to_account_for)
             self.gossip.observe(server, elapsed_ns)
         if is_overloaded or is_answered:
-            is_slow = elapsed_ns > objective_ns // RANGE_CUT_LATENCY_DIVISOR
+            is_slow = elapsed_ns > objective_ns // RANGE_CUT_LATENCIES_PER_OBJECTIVE
             server.adjust_range_share(now_ns, event.elapsed_ns, is_slow)
 
     def _is_overload_timeout(self, server: Server, event: api.AttemptFinished) -> bool:
--- a/rainhitch/policy/gossip_observations.py
+++ b/rainhitch/policy/gossip_observations.py
@@ -14,11 +14,11 @@
 
 # Multiple of the expected latency from which an attempt in flight is overdue.
 OVERDUE_FACTOR = 2
-# The shortest latency objective divided by it is the age below which attempts are not checked.
-MIN_OVERDUE_OBJECTIVE_DIVISOR = 8
+# Attempts younger than the shortest latency objective divided by this number are not checked.
+MIN_CHECKED_AGES_PER_OBJECTIVE = 8
 SILENT_AFTER_INTERVALS = 8  # gossip intervals without any gossip until the other routers count as silent
-# The shortest latency objective divided by it is the latency above which a server's range share is reduced.
-RANGE_CUT_LATENCY_DIVISOR = 2
+# A latency above the shortest latency objective divided by this number reduces a server's range share.
+RANGE_CUT_LATENCIES_PER_OBJECTIVE = 2
 NEVER_RECEIVED_NS = -(1 << 62)  # a time long before any clock value
 
 
@@ -70,7 +70,7 @@
     def apply(self, event: api.GossipReceived) -> None:
         """Applies another router's observations like this router's own."""
         now_ns = self.context.now_ns
-        slow_above_ns = self.context.shortest_objective_ns // RANGE_CUT_LATENCY_DIVISOR
+        slow_above_ns = self.context.shortest_objective_ns // RANGE_CUT_LATENCIES_PER_OBJECTIVE
         self.received_at_ns = now_ns
         for observation in event.observations:
             server = self.server_list.servers.get(observation.server)
@@ -87,7 +87,7 @@
     def _check_overdue_attempts(self) -> None:
         """Records the age of overdue attempts as a latency, and cancels attempts whose answers are lost."""
         now_ns = self.context.now_ns
-        min_age_ns = self.context.shortest_objective_ns // MIN_OVERDUE_OBJECTIVE_DIVISOR
+        min_age_ns = self.context.shortest_objective_ns // MIN_CHECKED_AGES_PER_OBJECTIVE
         for (request_id, number), attempt in self.in_flight.items():
             server = attempt.server
             sent_at_ns = attempt.sent_at_ns
--- a/rainhitch/policy/key_migration.py
+++ b/rainhitch/policy/key_migration.py
@@ -18,8 +18,8 @@
 LONG_RATE_SPAN_NS = 8 * SECOND
 SHORT_RATE_SPAN_NS = 2 * SECOND
 MAX_MIGRATION_BURST = 1.0  # capacity of the token bucket, key migrations
-MIN_FLEET_MIGRATIONS_PER_S = 0.5  # of all routers together, with hardly any other origin requests
-SETTLED_READS_FRACTION = 1 / 100  # the migration ends once hits at previous holders are at most this fraction
+MIN_FLEET_MIGRATIONS_PER_S = 0.5  # lower bound of all routers' rate, while other origin requests are few
+MAX_PREVIOUS_HOLDER_HITS_FRACTION = 1 / 100  # a migration ends at or below this fraction of the reads
 SETTLED_CHECK_INTERVAL_NS = SECOND
 NO_MIGRATION = -1  # value of `began_at_ns` while there is no migration
 
@@ -38,7 +38,7 @@
         self.origin_rates = (DecayingRate(LONG_RATE_SPAN_NS), DecayingRate(SHORT_RATE_SPAN_NS))
         self.bucket = TokenBucket()
         self.began_at_ns = NO_MIGRATION  # latest change of the list of owners
-        self.previous_ranges = KeyRanges()  # before the migration
+        self.previous_ranges = KeyRanges()  # key ranges before the migration
         # Counted since the migration began.
         self.moved_keys = 0
         self.total_hits_at_previous_holder = 0
@@ -66,7 +66,7 @@
     def _check_settled(self, _: object) -> None:
         """Ends the migration if nearly all reads of the past interval went to the owners of their keys."""
         age_ns = self.context.now_ns - self.began_at_ns
-        is_settled = self.hits_at_previous_holder <= self.reads * SETTLED_READS_FRACTION
+        is_settled = self.hits_at_previous_holder <= self.reads * MAX_PREVIOUS_HOLDER_HITS_FRACTION
         self._reset_interval()
         if age_ns < SETTLED_CHECK_INTERVAL_NS or not is_settled:
             self.context.schedule(SETTLED_CHECK_INTERVAL_NS, self._check_settled)
--- a/rainhitch/policy/server.py
+++ b/rainhitch/policy/server.py
@@ -9,9 +9,9 @@
 from rainhitch.policy.rates import SECOND, SMOOTHING
 from rainhitch.policy.slow_start import SlowStart
 
-INITIAL_LATENCY_DIVISOR = 8  # initial latency estimate: the shortest latency objective divided by this
-MIN_UNLOADED_DIVISOR = 16  # lower bound of the unloaded latency: the latency limit divided by this
-PROBE_SAMPLE_WEIGHT = 1 / 2  # of a probe's latency in the moving average
+INITIAL_LATENCIES_PER_OBJECTIVE = 8  # initial latency estimates in the shortest latency objective
+MIN_UNLOADED_LATENCIES_PER_LIMIT = 16  # lower bounds of the unloaded latency in the latency limit
+PROBE_SAMPLE_WEIGHT = 1 / 2  # lowest weight of a probe's latency in the moving average
 
 
 @dataclass(slots=True, eq=False)
@@ -30,7 +30,7 @@
     # The server's answers, including those reported by other routers.
     last_answered_sent_at_ns: int = 0  # send time of the most recently sent attempt that was answered
     answered_at_ns: int = -SECOND  # time of the latest answer
-    # Its key range.
+    # The server's key range.
     range_share: float = 1.0  # fraction of the range that the server serves; the rest goes to the next server
     share_cut_at_ns: int = 0
     relative_weight: float = 1.0  # listed weight divided by the mean weight of all cache servers
@@ -61,7 +61,7 @@
         unloaded_ns = self.latency.unloaded_ns
         if unloaded_ns == 0:
             unloaded_ns = limit_ns
-        overloaded_ns = overload_factor * max(unloaded_ns, limit_ns / MIN_UNLOADED_DIVISOR)
+        overloaded_ns = overload_factor * max(unloaded_ns, limit_ns / MIN_UNLOADED_LATENCIES_PER_LIMIT)
         return expected_ns <= min(limit_ns, overloaded_ns) and reported_ns <= limit_ns * overload_factor / 2
 
     def may_probe(self, now_ns: int, expected_ns: float, reported_ns: float, router_count: int) -> bool:
--- a/rainhitch/policy/slow_start.py
+++ b/rainhitch/policy/slow_start.py
@@ -20,9 +20,9 @@
 # Multiple of a warm server's rate up to which all arrivals pass. Of a higher arrival rate, a random sample of
 # this size passes.
 MAX_UNSAMPLED_RATE_FACTOR = 2
-# The slow-start window divided by it is how long a computed warm rate is valid.
-WARM_RATE_LIFETIME_DIVISOR = 8
-BUDGET_CAPACITY_DIVISOR = 4  # budget capacity: the tokens of one slow-start window divided by this
+# Lifetimes of a computed warm rate in a slow-start window.
+WARM_RATE_LIFETIMES_PER_WINDOW = 8
+BUDGET_CAPACITIES_PER_WINDOW = 4  # budget capacities that the tokens of one slow-start window fill
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.warm_rates: dict[int, WarmRate] = {}  # by `Endpoint.kind`
+        self.warm_rates: dict[int, WarmRate] = {}  # warm rates by `Endpoint.kind`
 
     def admits_in_slow_start(
         self,
@@ -102,7 +102,7 @@
         rate_per_s = WARM_RATE_FACTOR * warm_rate_per_s * capacity_fraction
         window_ns = self.context.settings.slow_start_window_ns
         return server.budget.take(
-            now_ns, rate_per_s, rate_per_s * window_ns / SECOND / BUDGET_CAPACITY_DIVISOR
+            now_ns, rate_per_s, rate_per_s * window_ns / SECOND / BUDGET_CAPACITIES_PER_WINDOW
         )
 
     def _warm_rate_per_s(self, kind: int, same_kind: Iterable[SlowStart]) -> float:
@@ -120,6 +120,6 @@
         # In a fleet that starts as a whole there is no warm server to measure. One request per second, from
         # all routers together, is enough to find out what a server can handle.
         warm_rate_per_s = max(sum(rates) / max(1, len(rates)), 1 / settings.router_count)
-        valid_until_ns = now_ns + settings.slow_start_window_ns // WARM_RATE_LIFETIME_DIVISOR
+        valid_until_ns = now_ns + settings.slow_start_window_ns // WARM_RATE_LIFETIMES_PER_WINDOW
         self.warm_rates[kind] = WarmRate(warm_rate_per_s, valid_until_ns)
         return warm_rate_per_s
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -6,6 +6,7 @@
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.key_memory import MAX_KEYS, KeyMemory
 from rainhitch.policy.key_popularity import KeyPopularity
 from rainhitch.policy.latency_estimator import LatencyEstimator
@@ -13,8 +14,6 @@
 from rainhitch.policy.retry_policy import WINDOW_RESERVE_NS
 from rainhitch.policy.server import Server
 
-S = api.AttemptStatus
-
 
 def sends(actions: list[api.Action]) -> list[str]:
     """Returns the servers at which attempts start."""
@@ -34,9 +33,9 @@
 
 
 def test_ranges_are_equal_and_independent_of_the_lists_order() -> None:
-    one = Router(endpoints=[api.Endpoint(name) for name in "abcd"])
+    router = Router(endpoints=[api.Endpoint(name) for name in "abcd"])
     other = Router(endpoints=[api.Endpoint(name) for name in "cadb"])
-    owners = [one.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
+    owners = [router.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert owners == [other.candidates(f"key{n}")[0].endpoint.server for n in range(4000)]
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
 
@@ -117,7 +116,7 @@
     throttle.level = 3
     _, (first,) = router.request("x")
     level = throttle.level
-    (second,) = router.end_attempt(first, S.MISS)
+    (second,) = router.end_attempt(first, AttemptStatus.MISS)
     assert sends([second]) == ["origin"] and (level, throttle.level) == (2, 1)
 
 
@@ -211,7 +210,7 @@
     router = Router()
     for n in range(5):
         _, (first,) = router.request(f"h{n}")
-        router.end_attempt(first, S.MISS)
+        router.end_attempt(first, AttemptStatus.MISS)
     router.wait(3 * SECOND // 2)
     assert router.balancer.origin_admission.monitor.throttle is not None
 
@@ -220,10 +219,10 @@
     """Guards against many simultaneous origin reads of one key."""
     router = Router()
     _, (first,) = router.request("hot")
-    (read,) = router.end_attempt(first, S.MISS)
+    (read,) = router.end_attempt(first, AttemptStatus.MISS)
     name, actions = router.request("hot")
     assert actions == []
-    (served,) = router.end_attempt(read, S.OK, 1)
+    (served,) = router.end_attempt(read, AttemptStatus.OK, 1)
     assert isinstance(served, api.StartAttempt) and isinstance(first, api.StartAttempt)
     assert (served.id, served.server) == (name, first.server)
 
@@ -231,14 +230,14 @@
 def test_after_a_failed_read_one_waiting_read_goes_to_the_origin_and_none_waits_past_its_objective() -> None:
     router = Router()
     _, (first,) = router.request("hot")
-    (read,) = router.end_attempt(first, S.MISS)
+    (read,) = router.end_attempt(first, AttemptStatus.MISS)
     second, _ = router.request("hot")
     third, _ = router.request("hot")
-    actions = router.end_attempt(read, S.ERROR, 1)
+    actions = router.end_attempt(read, AttemptStatus.ERROR, 1)
     assert [type(action) for action in actions] == [api.Reject, api.StartAttempt, api.StartAttempt]
-    (again,) = router.end_attempt(actions[1], S.MISS)
+    (again,) = router.end_attempt(actions[1], AttemptStatus.MISS)
     assert isinstance(again, api.StartAttempt) and (again.id, again.server) == (second, "origin")
-    assert router.end_attempt(actions[2], S.MISS) == []
+    assert router.end_attempt(actions[2], AttemptStatus.MISS) == []
     later = router.wait(2 * SECOND)
     assert [action.id for action in later if isinstance(action, api.Reject)] == [third]
 
@@ -255,8 +254,8 @@
     owner.in_flight, owner.last_sent_at_ns = 1, router.now
     _, actions = router.request("k")
     assert sends(actions) and sends(actions) != [owner.endpoint.server]
-    for one in router.balancer.servers.servers.values():
-        one.latency.average_ns, one.in_flight, one.last_sent_at_ns = float(5 * SECOND), 1, router.now
+    for server in router.balancer.servers.servers.values():
+        server.latency.average_ns, server.in_flight, server.last_sent_at_ns = float(5 * SECOND), 1, router.now
     _, actions = router.request("k")
     assert [type(action) for action in actions] == [api.Reject]
 
@@ -264,24 +263,24 @@
 def test_a_second_full_answer_ends_the_request() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    (second,) = router.end_attempt(first, S.FULL)
+    (second,) = router.end_attempt(first, AttemptStatus.FULL)
     assert sends([first]) != sends([second])
-    assert [type(action) for action in router.end_attempt(second, S.FULL, 1)] == [api.Reject]
+    assert [type(action) for action in router.end_attempt(second, AttemptStatus.FULL, 1)] == [api.Reject]
 
 
 def test_an_overloaded_server_gets_one_probe_per_latency() -> None:
-    one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND)))
-    assert not one.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
-    assert one.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
-    one.record_answer(SECOND, SECOND, SECOND // 10, 1, 1)
-    assert one.latency.average_ns < 0.6 * SECOND, "a probe's latency must have half the weight"
+    server = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND)))
+    assert not server.admits_or_starts_probe(SECOND // 2, SECOND / 4, 4, 1, 1)
+    assert server.admits_or_starts_probe(SECOND, SECOND / 4, 4, 1, 1)
+    server.record_answer(SECOND, SECOND, SECOND // 10, 1, 1)
+    assert server.latency.average_ns < 0.6 * SECOND, "a probe's latency must have half the weight"
 
 
 def test_probes_of_an_overloaded_server_are_shared_by_all_routers() -> None:
     """Guards against probes from forty routers, one per latency each, that exceed a server's capacity."""
-    one = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), unloaded_ns=SECOND / 10))
-    assert not one.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
-    assert one.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
+    server = Server(api.Endpoint("c"), LatencyEstimator(float(SECOND), unloaded_ns=SECOND / 10))
+    assert not server.admits_or_starts_probe(2 * SECOND, SECOND / 4, 4, 40, 40)
+    assert server.admits_or_starts_probe(4 * SECOND, SECOND / 4, 4, 40, 40)
 
 
 def test_a_first_attempts_timeout_follows_the_fleets_usual_latency() -> None:
@@ -305,17 +304,19 @@
     router = Router()
     router.fetch_and_store("k")
     _, (send,) = router.request("k")
-    router.end_attempt(send, S.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10))
-    one = router.balancer.servers.servers[sends([send])[0]]
-    assert one.load.expected_ns(router.now) == pytest.approx(4.1e9)
-    assert one.load.expected_ns(router.now + 2 * SECOND) == 0
-    assert sends(router.request("k")[1]) != [one.endpoint.server]
+    router.end_attempt(
+        send, AttemptStatus.OK, load=api.LoadReport(in_flight=40, latency_ms=100, served_per_s=10)
+    )
+    server = router.balancer.servers.servers[sends([send])[0]]
+    assert server.load.expected_ns(router.now) == pytest.approx(4.1e9)
+    assert server.load.expected_ns(router.now + 2 * SECOND) == 0
+    assert sends(router.request("k")[1]) != [server.endpoint.server]
 
 
 def test_an_ejected_server_gets_one_attempt_after_its_backoff() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    (second,) = router.end_attempt(first, S.CONNECT_FAILED)
+    (second,) = router.end_attempt(first, AttemptStatus.CONNECT_FAILED)
     assert sends([second]) != sends([first])
     name = sends([first])[0]
     assert name not in [sends(router.request("k")[1])[0] for _ in range(5)]
@@ -341,7 +342,7 @@
         router.wait(START + n * turn // 2000 - router.now)
         _, actions = router.request(f"k{n}")
         sent.append(sends(actions) == ["c1"])
-        router.end_attempt(actions[0], S.OK)
+        router.end_attempt(actions[0], AttemptStatus.OK)
     quarters = [sum(sent[n : n + 500]) for n in range(0, 2000, 500)]
     taken_up = [125 * (2 * n + 1) / 8 for n in range(4)]
     assert all(count < even + 25 for count, even in zip(quarters, taken_up, strict=True))
@@ -383,17 +384,17 @@
     for key in owned:
         _, actions = router.request(key)
         assert sends(actions) == ["c1"]
-        router.end_attempt(actions[0], S.OK)
+        router.end_attempt(actions[0], AttemptStatus.OK)
 
 
 def test_a_server_that_was_down_for_long_is_in_slow_start() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    router.end_attempt(first, S.RESET)
+    router.end_attempt(first, AttemptStatus.RESET)
     router.wait(2 * SECOND)
     _, actions = router.request("k")
     assert sends(actions) == sends([first])
-    router.end_attempt(actions[0], S.OK)
+    router.end_attempt(actions[0], AttemptStatus.OK)
     assert router.balancer.servers.servers[sends([first])[0]].slow_start.started_at_ns == router.now
     assert router.log[-1].startswith("server answers again ")
 
@@ -423,7 +424,7 @@
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
     assert sends([first]) == ["origin"]
-    assert router.end_attempt(first, S.FULL) == []
+    assert router.end_attempt(first, AttemptStatus.FULL) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
 
 
@@ -440,8 +441,8 @@
     reads: list[api.Action] = []
     for n in range(8):
         _, (first,) = router.request(f"k{n}")
-        reads += router.end_attempt(first, S.MISS)
-    assert [type(one) for one in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
+        reads += router.end_attempt(first, AttemptStatus.MISS)
+    assert [type(action) for action in reads] == [api.StartAttempt] * 3 + [api.Reject] * 5
 
 
 def test_writes_do_not_keep_an_overloaded_origin_overloaded() -> None:
@@ -459,14 +460,14 @@
     router = Router()
     _, (first,) = router.request(class_index=2, write=True)
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0, "the router must not time out"
-    assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
+    assert [type(action) for action in router.end_attempt(first, AttemptStatus.ERROR)] == [api.Fail]
 
 
 def test_a_request_with_an_idempotency_key_is_retried_only_within_its_dedup_window() -> None:
     router = Router()
     _, (first,) = router.request(class_index=1, write=True)
     router.wait(SECOND // 2)
-    assert router.end_attempt(first, S.ERROR) == []
+    assert router.end_attempt(first, AttemptStatus.ERROR) == []
     assert sends(router.wait(SECOND // 4)) == ["origin"]
     router = Router(
         settings(
@@ -477,7 +478,7 @@
     )
     _, (first,) = router.request(write=True)
     router.wait(SECOND // 2)
-    assert [type(action) for action in router.end_attempt(first, S.ERROR)] == [api.Fail]
+    assert [type(action) for action in router.end_attempt(first, AttemptStatus.ERROR)] == [api.Fail]
 
 
 @pytest.mark.parametrize(("cls", "same"), [(3, "zone"), (4, "cell")])
@@ -485,10 +486,12 @@
     for n in range(20):
         router = Router(settings(cache_aside=False), fleet(6, origin=False))
         _, (first,) = router.request(f"k{n}", cls)
-        for action in router.end_attempt(first, S.ERROR):
+        for action in router.end_attempt(first, AttemptStatus.ERROR):
             if isinstance(action, api.StartAttempt):
-                one, two = (router.balancer.servers.servers[name].endpoint for name in sends([first, action]))
-                assert getattr(one, same) == getattr(two, same)
+                first_endpoint, second_endpoint = (
+                    router.balancer.servers.servers[name].endpoint for name in sends([first, action])
+                )
+                assert getattr(first_endpoint, same) == getattr(second_endpoint, same)
             else:
                 assert type(action) is api.Fail
 
@@ -496,15 +499,17 @@
 def test_attempts_are_bounded() -> None:
     router = Router(settings(max_attempts=2))
     _, (send,) = router.request("k")
-    (send,) = router.end_attempt(send, S.CONNECT_FAILED)
-    assert [type(action) for action in router.end_attempt(send, S.CONNECT_FAILED, 1)] == [api.Reject]
+    (send,) = router.end_attempt(send, AttemptStatus.CONNECT_FAILED)
+    assert [type(action) for action in router.end_attempt(send, AttemptStatus.CONNECT_FAILED, 1)] == [
+        api.Reject
+    ]
 
 
 def test_an_origin_read_runs_until_the_client_gives_up() -> None:
     """Guards against an origin slower than the latency objective, whose timed-out reads fill no cache."""
     router = Router(settings(classes=[api.RequestClass(latency_objective_ns=SECOND, deadline_ns=2 * SECOND)]))
     _, (first,) = router.request("k")
-    (read,) = router.end_attempt(first, S.MISS)
+    (read,) = router.end_attempt(first, AttemptStatus.MISS)
     assert isinstance(first, api.StartAttempt) and isinstance(read, api.StartAttempt)
     assert (first.timeout_ns, read.timeout_ns) == (SECOND, 2 * SECOND)
 
@@ -512,8 +517,8 @@
 def test_neighbours_that_fail_together_are_skipped() -> None:
     router = Router(endpoints=fleet(6))
     owner, *rest = router.candidates("k")
-    for one in [owner, *rest[:2]]:  # slow without load from this router, with a probe in flight at each
-        one.latency.average_ns, one.latency.unloaded_ns, one.in_flight = 1.0 * SECOND, SECOND / 10, 1
+    for server in [owner, *rest[:2]]:  # slow without load from this router, with a probe in flight at each
+        server.latency.average_ns, server.latency.unloaded_ns, server.in_flight = 1.0 * SECOND, SECOND / 10, 1
     assert sends(router.request("k")[1]) == [rest[2].endpoint.server]
 
 
@@ -544,15 +549,15 @@
     owner.latency.average_ns, owner.latency.unloaded_ns = 4.0 * SECOND, SECOND / 10
     _, (probe,) = router.request("k")
     assert sends([probe]) == [owner.endpoint.server] and owner.is_probing
-    router.end_attempt(probe, S.MISS)
+    router.end_attempt(probe, AttemptStatus.MISS)
     assert owner.latency.average_ns < 2.1 * SECOND
 
 
 def test_the_average_of_attempts_in_flight_decays_slowly() -> None:
     """Guards against a busy server that looks slow as soon as it gets one request at a time."""
-    one = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
-    one.record_answer(START, 2 * SECOND, SECOND, 1, 1)
-    assert one.latency.mean_in_flight == 8 and one.expected_latency_ns(START, 1) < SECOND / 4
+    server = Server(api.Endpoint("c"), LatencyEstimator(1.0 * SECOND, mean_in_flight=9.0), is_probing=True)
+    server.record_answer(START, 2 * SECOND, SECOND, 1, 1)
+    assert server.latency.mean_in_flight == 8 and server.expected_latency_ns(START, 1) < SECOND / 4
 
 
 def test_two_attempts_of_a_request_are_never_in_flight() -> None:
@@ -566,14 +571,14 @@
 def test_a_timer_that_fires_early_does_not_stop_the_others() -> None:
     router = Router()
     _, (first,) = router.request("k")
-    router.end_attempt(first, S.MISS)  # starts the origin read
+    router.end_attempt(first, AttemptStatus.MISS)  # starts the origin read
     waiting_id, no_actions = router.request("k")  # waits for that read
     assert no_actions == []
     when, token = router.timers.pop()
     router.now = when - 300
     router.handle(api.TimerFired(token))
     answers = router.wait(SECOND)
-    assert [one.id for one in answers if isinstance(one, api.Reject)] == [waiting_id]
+    assert [answer.id for answer in answers if isinstance(answer, api.Reject)] == [waiting_id]
 
 
 def test_a_timer_that_never_fired_is_set_again() -> None:
@@ -590,7 +595,7 @@
     name, (first,) = router.request("k")
     assert router.handle(api.ClientGone(name)) == []
     assert router.handle(api.ClientGone(name)) == []
-    assert router.end_attempt(first, S.MISS) == []
+    assert router.end_attempt(first, AttemptStatus.MISS) == []
     assert router.balancer.requests == {}
 
 
@@ -601,7 +606,9 @@
     assert isinstance(first, api.StartAttempt) and first.timeout_ns == 0
     assert router.advance() == []
     assert router.wait(10 * SECOND) == []
-    assert router.handle(api.AttemptFinished(name, 0, first.server, S.RESET, True, 9 * SECOND)) == []
+    assert (
+        router.handle(api.AttemptFinished(name, 0, first.server, AttemptStatus.RESET, True, 9 * SECOND)) == []
+    )
     assert router.balancer.requests == {}
 
 
@@ -617,10 +624,10 @@
     assert router.balancer.key_memory.likely_miss("k", router.now)
     _, (first,) = router.request("k")
     assert not router.balancer.key_memory.likely_miss("k", router.now)
-    router.end_attempt(first, S.OK)
+    router.end_attempt(first, AttemptStatus.OK)
     for n in range(20):
         _, (send,) = router.request(f"t{n}")
-        router.end_attempt(send, S.ERROR)
+        router.end_attempt(send, AttemptStatus.ERROR)
     router.wait(SECOND)
     assert router.balancer.origin_admission.monitor.throttle is not None
 
@@ -665,11 +672,11 @@
     owner = router.fetch_and_store("k")
     server = router.balancer.servers.servers[owner]
     _, (send,) = router.request("k")
-    router.end_attempt(send, S.RESET)
+    router.end_attempt(send, AttemptStatus.RESET)
     assert server.connection.consecutive_failures < 1 and not router.log
     _, (send,) = router.request("k")
     assert isinstance(send, api.StartAttempt) and send.server == owner
-    router.end_attempt(send, S.RESET)
+    router.end_attempt(send, AttemptStatus.RESET)
     assert server.connection.consecutive_failures > 0  # the second in a row
 
 
@@ -678,7 +685,7 @@
     owner = router.fetch_and_store("k")
     router.wait(SECOND)
     _, (send,) = router.request("k")
-    router.end_attempt(send, S.CONNECT_FAILED)
+    router.end_attempt(send, AttemptStatus.CONNECT_FAILED)
     assert router.balancer.servers.servers[owner].connection.consecutive_failures == 1
 
 
@@ -692,12 +699,12 @@
     _, (first,) = router.request(class_index=1)
     assert isinstance(first, api.StartAttempt) and first.write_within_ns == 0
     router.wait(SECOND // 2)
-    (second,) = router.end_attempt(first, S.RESET)
+    (second,) = router.end_attempt(first, AttemptStatus.RESET)
     assert isinstance(second, api.StartAttempt)
     assert (
         second.write_within_ns
         == router.balancer.settings.classes[1].dedup_window_ns - SECOND // 2 - WINDOW_RESERVE_NS
     )
     _, (read,) = router.request("other")
-    (again,) = router.end_attempt(read, S.RESET)
+    (again,) = router.end_attempt(read, AttemptStatus.RESET)
     assert isinstance(again, api.StartAttempt) and again.write_within_ns == 0
--- a/tests/policy/test_key_migration.py
+++ b/tests/policy/test_key_migration.py
@@ -12,6 +12,7 @@
 from support import settings as router_settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.decision_context import DecisionContext
 from rainhitch.policy.key_memory import MAX_KEYS
 from rainhitch.policy.key_migration import MAX_MIGRATION_BURST, KeyMigration
@@ -19,8 +20,6 @@
 from rainhitch.policy.origin_admission import OriginAdmission
 from rainhitch.policy.throttle import Throttle
 
-S = api.AttemptStatus
-
 
 @pytest.fixture(autouse=True)
 def no_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -40,7 +39,7 @@
         self.caches: dict[str, OrderedDict[str, int]] = {name: OrderedDict() for name in self.listed}
         self.versions: dict[str, int] = {}
         self.origin: list[int] = []  # times of the origin's requests
-        self.cache_reads: list[tuple[int, str, str]] = []  # time, server, "hit" or "miss"
+        self.cache_reads: list[tuple[int, str, str]] = []  # time, server, and "hit" or "miss"
         options = router_settings(
             router_count=routers, migration_fraction=share, classes=[api.RequestClass(SECOND, 2 * SECOND)]
         )
@@ -91,24 +90,24 @@
         missed: list[str] = []
         while actions and isinstance(actions[0], api.StartAttempt):
             server = actions[0].server
-            attempt, status, elapsed = len(sent), S.OK, 10 * MILLI
+            attempt, status, elapsed = len(sent), AttemptStatus.OK, 10 * MILLI
             sent.append(server)
             if server == "origin":
                 self.origin.append(router.now)
                 elapsed = 30 * MILLI
-                for one in missed[:2]:
-                    self._store(one, key)
+                for missed_server in missed[:2]:
+                    self._store(missed_server, key)
             else:
                 assert server in self.listed, "attempt at a server that is not on the list"
                 held = self.caches[server].get(key)
-                status = S.OK if held is not None else S.MISS
+                status = AttemptStatus.OK if held is not None else AttemptStatus.MISS
                 assert held is None or held == self.versions.get(key, 0), "stale value read"
                 if held is None:
                     missed.append(server)
                 else:
                     self.caches[server].move_to_end(key)
                 self.cache_reads.append((router.now, server, "hit" if held is not None else "miss"))
-            closed = status is S.OK
+            closed = status is AttemptStatus.OK
             actions = router.handle(api.AttemptFinished(name, attempt, server, status, closed, elapsed))
         return sent
 
@@ -189,7 +188,9 @@
     for n in range(100):
         for number in range(3):
             assert fleet.read(number, f"k{n}")[-1] == fleet.owner(f"k{n}")
-    new_server_reads = [one for one in fleet.cache_reads[-4000:] if one[1] in ("a00", "c04x", "d00")]
+    new_server_reads = [
+        cache_read for cache_read in fleet.cache_reads[-4000:] if cache_read[1] in ("a00", "c04x", "d00")
+    ]
     assert len(new_server_reads) > 400  # three of twelve servers are new
 
 
@@ -373,7 +374,7 @@
                 fleet.wait(4 * SECOND)
             assert last == [fleet.owner(f"k{n}")]
     moved = sum(router.balancer.migration.moved_keys for router in fleet.routers)
-    assert moved <= 2 * sum(len(one) for one in owners.values())
+    assert moved <= 2 * sum(len(key_owners) for key_owners in owners.values())
 
 
 def test_the_state_kept_for_keys_is_bounded_under_churn() -> None:
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -5,10 +5,9 @@
 from support import MILLI, SECOND, START, Router, fleet, settings
 
 from rainhitch import interface as api
+from rainhitch.interface import AttemptStatus
 from rainhitch.policy.zone_reachability import FAILED_SERVERS_TO_EJECT_ZONE, ZoneReachability
 
-S = api.AttemptStatus
-
 
 def test_failures_in_a_row_at_several_servers_make_a_zone_unreachable_until_an_answer() -> None:
     zones = ZoneReachability(SECOND)
@@ -73,7 +72,7 @@
             zones.record_answer(zone)
             failed_servers[zone].clear()
         assert zones.is_unreachable(zone) == (len(failed_servers[zone]) >= FAILED_SERVERS_TO_EJECT_ZONE)
-        assert all(zones.may_be_tried(one, now + 16 * SECOND) for one in failed_servers)
+        assert all(zones.may_be_tried(other_zone, now + 16 * SECOND) for other_zone in failed_servers)
 
 
 def cut_off(router: Router) -> int:
@@ -82,14 +81,14 @@
     for n in range(200):
         _, actions = router.request(f"key{n}")
         for attempt in range(4):
-            sent = [one for one in actions if isinstance(one, api.StartAttempt)]
+            sent = [action for action in actions if isinstance(action, api.StartAttempt)]
             if not sent:
                 break
             if router.balancer.servers.servers[sent[0].server].endpoint.zone == 0:
-                router.end_attempt(sent[0], S.OK, attempt)
+                router.end_attempt(sent[0], AttemptStatus.OK, attempt)
                 break
             failed += 1
-            actions = router.end_attempt(sent[0], S.CONNECT_FAILED, attempt, 250 * MILLI)
+            actions = router.end_attempt(sent[0], AttemptStatus.CONNECT_FAILED, attempt, 250 * MILLI)
     return failed
 
 
@@ -112,7 +111,7 @@
         _, (send, *_) = router.request(f"after{n}")
         assert isinstance(send, api.StartAttempt)
         zone = router.balancer.servers.servers[send.server].endpoint.zone
-        router.end_attempt(send, S.OK, 0, 10 * MILLI, reused=reused)
+        router.end_attempt(send, AttemptStatus.OK, 0, 10 * MILLI, reused=reused)
         if zone == 1:
             return send
     raise AssertionError("the zone was never tried again")
@@ -127,11 +126,11 @@
     router = Router(settings(connect_timeout_ns=250 * MILLI), fleet(40))
     first = zone_comes_back(router, reused=False)
     assert router.balancer.servers.servers[first.server].slow_start.started_at_ns == router.now
-    rest = [one for one in router.balancer.servers.servers.values() if one.endpoint.zone == 1]
+    rest = [server for server in router.balancer.servers.servers.values() if server.endpoint.zone == 1]
     assert all(
-        one.connection.consecutive_failures or one.slow_start.started_at_ns == router.now
-        for one in rest
-        if one.endpoint.kind != 9
+        server.connection.consecutive_failures or server.slow_start.started_at_ns == router.now
+        for server in rest
+        if server.endpoint.kind != 9
     )
 
 
