--- a/rainhitch/settings.py
+++ b/rainhitch/settings.py
@@ -23,6 +23,15 @@
     "unsafe": api.Idempotency.NOT_IDEMPOTENT,
 }
 
+# Maps each type that `_read` checks for to its name in error messages.
+JSON_TYPE_NAMES: dict[type | tuple[type, ...], str] = {
+    bool: "a boolean",
+    str: "a string",
+    list: "a list",
+    dict: "an object",
+    (int, float): "a number",
+}
+
 NUMBER_LIMIT = 1e19  # exclusive upper bound of every number; larger than any time in ns
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
 DEFAULT_MAX_POLL_RETRY_NS = 10_000_000_000
@@ -52,17 +61,7 @@
         return default
     is_unwanted_bool = isinstance(value, bool) and kind is not bool
     if not isinstance(value, kind) or is_unwanted_bool:
-        raise SettingError(
-            f"setting {path} is invalid: expected "
-            + {
-                bool: "a boolean",
-                str: "a string",
-                list: "a list",
-                dict: "an object",
-                (int, float): "a number",
-            }[kind]
-            + f", got {value!r}"
-        )
+        raise SettingError(f"setting {path} is invalid: expected {JSON_TYPE_NAMES[kind]}, got {value!r}")
     return value
 
 
